--- a/internal/controlplane/register/brokenprotocol_test.go
+++ b/internal/controlplane/register/brokenprotocol_test.go
@@ -44,7 +44,7 @@
 var brokenRulesInSimulation = []brokenRule{
 	{name: "the acceptor forgets its promises", wrapStore: func(disk *storage.Memory) storage.SnapshotStore { return promiseLosingStore{disk} }},
 	{name: "the acceptor accepts below its promise", acceptHandler: acceptIgnoringPromise},
-	{name: "a read or a refused change does not commit the state when the majority differs", modifyRegister: func(r *Register) { r.committedAnswer = alwaysCommitted }},
+	{name: "a read or a refused change does not commit the state when the majority differs", modifyRegister: func(r *Register) { r.committedReply = alwaysCommitted }},
 	{name: "a member that lost its disk votes before it is rebuilt", skipRebuild: true},
 	{name: "a proposer applies the function again without checking whether it took effect", modifyRegister: func(r *Register) { r.skipProposalCheck = true }},
 }
--- a/internal/controlplane/register/decision.go
+++ b/internal/controlplane/register/decision.go
@@ -34,7 +34,7 @@
 // afterPrepare decides what to commit after a prepare round. It also reports whether the accept round can be skipped. This is
 // the case if the decision keeps a state that is already committed and this change has sent no proposals.
 func (p *proposer) afterPrepare(prepareRound *round, proposalNumber ProposalNumber) (decided decision, committed bool, err error) {
-	latest, committed := p.register.committedAnswer(prepareRound)
+	latest, committed := p.register.committedReply(prepareRound)
 	decided, err = p.decide(latest.State, proposalNumber)
 	if err != nil {
 		return decision{}, false, err
--- a/internal/controlplane/register/diskloss_test.go
+++ b/internal/controlplane/register/diskloss_test.go
@@ -30,6 +30,7 @@
 	down      map[string]bool
 }
 
+// newFileCluster returns a running cluster with the given number of members.
 func newFileCluster(folder string, size int) *fileCluster {
 	m := &fileCluster{view: replicaset.View{Version: 1}, directory: folder}
 	for i := range size {
@@ -78,11 +79,12 @@
 	return serveRequest(ctx, c.acceptors[address], request, answer)
 }
 
+// register returns a proposer that is not a member.
 func (m *fileCluster) register() *Register {
 	return New(Config{Name: testRegister, Self: "operator", View: func() replicaset.View { return m.view }, Caller: m.caller})
 }
 
-// The smallest possible majority acknowledges a change. Immediately afterwards, all processes are killed and two members of
+// The smallest possible majority acknowledges a change. Immediately afterwards, all members restart and two members of
 // this majority lose their disks. The acknowledged value must survive.
 func TestAcknowledgedValueSurvivesTwoLostDisksAndPowerLoss(t *testing.T) {
 	text := randomText(3*inlineValueBytes, 1)
--- a/internal/controlplane/register/messages.go
+++ b/internal/controlplane/register/messages.go
@@ -99,14 +99,17 @@
 	return transport.NewIdempotent[acceptRequest, reply]("/register/" + name + "/accept-parts")
 }
 
+// readCall is the read request of the register with the given name.
 func readCall(name string) transport.Idempotent[readRequest, reply] {
 	return transport.NewIdempotent[readRequest, reply]("/register/" + name + "/read")
 }
 
+// pushCall sends an acceptor chunks of a value that is about to be proposed.
 func pushCall(name string) transport.Idempotent[pushRequest, pushReply] {
 	return transport.NewIdempotent[pushRequest, pushReply]("/register/" + name + "/push")
 }
 
+// fetchCall requests chunks of the value that an acceptor accepted last.
 func fetchCall(name string) transport.Idempotent[fetchRequest, fetchReply] {
 	return transport.NewIdempotent[fetchRequest, fetchReply]("/register/" + name + "/fetch")
 }
--- a/internal/controlplane/register/modelrules_test.go
+++ b/internal/controlplane/register/modelrules_test.go
@@ -204,7 +204,7 @@
 	register := New(Config{Name: modelRegister, Self: proposerName(int(in.proposer))})
 	register.skipProposalCheck = r.omitted.reappliesUnclearChange
 	if r.omitted.anyIsCommitted {
-		register.committedAnswer = alwaysCommitted
+		register.committedReply = alwaysCommitted
 	}
 	p := &proposer{register: register, change: operationOf(int(in.proposer), int(in.operation), r.writeOnce)}
 	for _, sent := range in.sent[:in.sents] {
--- a/internal/controlplane/register/quorum.go
+++ b/internal/controlplane/register/quorum.go
@@ -101,11 +101,11 @@
 	return latest, allEqual
 }
 
-// majorityAnswer returns a reply whose accepted proposal number a majority reported, if there is one. This proposal is
+// majorityReply returns a reply whose accepted proposal number a majority reported, if there is one. This proposal is
 // committed. No higher proposal was committed when the round began, because any majority that had accepted a higher one would
 // share a member with this majority. Therefore a read may return this state even if other members have accepted a higher
 // proposal, which may or may not be committed later.
-func (r *round) majorityAnswer() (reply, bool) {
+func (r *round) majorityReply() (reply, bool) {
 	acceptCounts := make(map[ProposalNumber]int)
 	for _, answer := range r.granted {
 		acceptCounts[answer.Accepted]++
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -47,17 +47,17 @@
 
 	// The following fields are rules of the protocol. Tests replace them to show that each rule is necessary.
 	roundLimit        time.Duration
-	committedAnswer   func(*round) (reply, bool)
+	committedReply    func(*round) (reply, bool)
 	skipProposalCheck bool
 }
 
 // New returns a proposer.
 func New(config Config) *Register {
 	r := &Register{
-		config:          config,
-		changeToken:     make(chan struct{}, 1),
-		roundLimit:      RoundLimit,
-		committedAnswer: (*round).latest,
+		config:         config,
+		changeToken:    make(chan struct{}, 1),
+		roundLimit:     RoundLimit,
+		committedReply: (*round).latest,
 	}
 	r.changeToken <- struct{}{}
 	return r
@@ -113,7 +113,7 @@
 		return r.read(ctx, member, request)
 	})
 	if err == nil {
-		if latest, committed := r.committedAnswer(&readRound); committed {
+		if latest, committed := r.committedReply(&readRound); committed {
 			return r.resolveValue(ctx, &readRound, latest, cached)
 		}
 		if majority, agreed := readRound.awaitAgreement(ctx, agreementTimeout); agreed {
--- a/internal/controlplane/register/round.go
+++ b/internal/controlplane/register/round.go
@@ -49,7 +49,7 @@
 	timer := time.NewTimer(min(wait, r.limit-time.Since(r.startTime)))
 	defer timer.Stop()
 	for {
-		if majority, agreed := r.majorityAnswer(); agreed || r.outstanding == 0 {
+		if majority, agreed := r.majorityReply(); agreed || r.outstanding == 0 {
 			return majority, agreed
 		}
 		select {
@@ -70,15 +70,15 @@
 // sendAll starts one call to each member. The calls continue after the end of ctx, until the round limit.
 func (r *round) sendAll(ctx context.Context, send sendFunc) <-chan callResult {
 	detached := context.WithoutCancel(ctx)
-	answers := make(chan callResult, len(r.view.Members))
+	results := make(chan callResult, len(r.view.Members))
 	for _, member := range r.view.Members {
 		go func() {
 			callContext, cancel := context.WithTimeout(detached, r.limit)
 			defer cancel()
 			reply, err := send(callContext, member)
 			reply.member = member
-			answers <- callResult{reply, err}
+			results <- callResult{reply, err}
 		}()
 	}
-	return answers
+	return results
 }
--- a/internal/controlplane/register/round_test.go
+++ b/internal/controlplane/register/round_test.go
@@ -97,7 +97,7 @@
 
 // A state that a majority has accepted is committed. A state that fewer members have accepted may be uncommitted, so that a read
 // must not return it.
-func TestMajorityAnswerNeedsAQuorumOfEqualProposalNumbers(t *testing.T) {
+func TestMajorityReplyNeedsAQuorumOfEqualProposalNumbers(t *testing.T) {
 	number := func(counter uint64) ProposalNumber { return ProposalNumber{Counter: counter, Member: "a"} }
 	cases := []struct {
 		accepted []uint64
@@ -116,7 +116,7 @@
 			for _, counter := range testCase.accepted {
 				answers.addResult(callResult{reply: reply{Outcome: granted, Accepted: number(counter)}})
 			}
-			majority, agreed := answers.majorityAnswer()
+			majority, agreed := answers.majorityReply()
 			convey.So(agreed, convey.ShouldEqual, testCase.agreed > 0)
 			if agreed {
 				convey.So(majority.Accepted, convey.ShouldResemble, number(testCase.agreed))
