--- a/internal/controlplane/register/diskloss_test.go
+++ b/internal/controlplane/register/diskloss_test.go
@@ -86,7 +86,7 @@
 
 // The smallest possible majority acknowledges a change. Immediately afterwards, all members restart and two members of
 // this majority lose their disks. The acknowledged value must survive.
-func TestAcknowledgedValueSurvivesTwoLostDisksAndPowerLoss(t *testing.T) {
+func TestAcknowledgedValueSurvivesTwoLostDisksAndRestart(t *testing.T) {
 	text := randomText(3*inlineValueBytes, 1)
 	for _, size := range []int{5, 9} {
 		for secondLost := 1; secondLost < (size+1)/2; secondLost++ {
