--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -110,7 +110,7 @@
 	}
 	c.node.Serve(c.mux)
 	c.jobs.Serve(c.mux)
-	c.jobs.ServeReports(c.mux)
+	c.jobs.ServeOperatorCalls(c.mux)
 	return nil
 }
 
--- a/internal/jobs/manager/cluster_test.go
+++ b/internal/jobs/manager/cluster_test.go
@@ -21,12 +21,12 @@
 
 const (
 	testGroup       = "jobs/x"
-	pauseLength     = 20 * time.Second // how long a process is paused
-	electionTimeout = 10 * time.Second // virtual, for an election
+	pauseLength     = 20 * time.Second // duration of a process pause, longer than a leader lease
+	electionTimeout = 10 * time.Second // limit for an election, in virtual time
 )
 
-// pausableClock is a node's monotonic clock. A process that was paused wakes with a clock that is later, before any of its
-// timers has fired.
+// pausableClock is a node's monotonic clock. It simulates a pause of the process: the clock jumps ahead before any of the
+// node's timers fires.
 type pausableClock struct {
 	begin  time.Time
 	paused atomic.Int64
@@ -39,7 +39,7 @@
 
 func (c *pausableClock) pause() { c.paused.Add(int64(pauseLength)) }
 
-// testNode is one coordinator's part in the jobs.
+// testNode is one coordinator, reduced to its replication node and its manager.
 type testNode struct {
 	address string
 	clock   *pausableClock
@@ -47,7 +47,7 @@
 	node    *replication.Node
 }
 
-// testCluster is some coordinators on a network in memory, in virtual time.
+// testCluster is a set of coordinators on an in-memory network, in virtual time.
 type testCluster struct {
 	network *networktest.Network
 	nodes   []*testNode
@@ -55,67 +55,67 @@
 	cancel  context.CancelFunc
 }
 
-// withCluster runs a test in virtual time with three coordinators of which one leads.
-func withCluster(t *testing.T, test func(t *testing.T, w *testCluster, leader *testNode)) {
+// withCluster runs a test in virtual time with three coordinators, one of which leads the group.
+func withCluster(t *testing.T, test func(t *testing.T, c *testCluster, leader *testNode)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := &testCluster{network: networktest.New(1)}
+		c := &testCluster{network: networktest.New(1)}
 		ctx, cancel := context.WithCancel(context.Background())
-		w.cancel = cancel
+		c.cancel = cancel
 		view := replicaset.View{Version: 1}
 		for i := range 3 {
 			view.Members = append(view.Members, fmt.Sprintf("10.0.0.%d:7000", i+1))
 		}
 		for _, address := range view.Members {
-			w.add(ctx, t, address, view)
+			c.addNode(ctx, t, address, view)
 		}
-		defer w.stop()
-		leader := w.awaitLeader()
+		defer c.stop()
+		leader := c.awaitLeader()
 		if leader == nil {
-			t.Fatal("nobody is elected")
+			t.Fatal("no leader was elected")
 		}
-		test(t, w, leader)
+		test(t, c, leader)
 	})
 }
 
-func (w *testCluster) add(ctx context.Context, t *testing.T, address string, view replicaset.View) {
+func (c *testCluster) addNode(ctx context.Context, t *testing.T, address string, view replicaset.View) {
 	t.Helper()
-	m := &testNode{address: address, clock: &pausableClock{begin: time.Now()}}
-	m.manager = New(Config{Settings: scheduler.Settings{MaxLease: 6 * time.Second, StatusRetention: time.Hour}, Log: zap.NewNop()})
-	m.manager.SetInventory(nil) // the platform's list was read and is empty
+	n := &testNode{address: address, clock: &pausableClock{begin: time.Now()}}
+	n.manager = New(Config{Settings: scheduler.Settings{MaxLease: 6 * time.Second, StatusRetention: time.Hour}, Log: zap.NewNop()})
+	n.manager.SetInventory(nil) // the platform's list has been read and is empty
 	node, err := replication.NewNode(replication.Config{
-		Self: address, Store: storage.NewMemory(), Caller: w.network.Caller(address), Handler: m.manager, Clock: m.clock,
+		Self: address, Store: storage.NewMemory(), Caller: c.network.Caller(address), Handler: n.manager, Clock: n.clock,
 		View:  func() replicaset.View { return view },
 		Ready: func() bool { return true },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.node = node
-	m.manager.SetInventory(nil) // the list of workers has been read
+	n.node = node
+	n.manager.SetInventory(nil) // the list of workers has been read
 	mux := transport.NewMux()
 	node.Serve(mux)
-	w.network.Serve(address, mux)
+	c.network.Serve(address, mux)
 	node.Ensure(testGroup)
-	w.running.Go(func() { node.Run(ctx) })
-	w.nodes = append(w.nodes, m)
+	c.running.Go(func() { node.Run(ctx) })
+	c.nodes = append(c.nodes, n)
 }
 
-// awaitLeader waits for a node whose manager leads; nil if none does.
-func (w *testCluster) awaitLeader() *testNode {
+// awaitLeader waits for a node whose manager leads the group. It returns nil if there is none within electionTimeout.
+func (c *testCluster) awaitLeader() *testNode {
 	for limit := time.Now().Add(electionTimeout); time.Now().Before(limit); <-time.After(10 * time.Millisecond) {
-		for _, m := range w.nodes {
-			if _, err := m.manager.leadershipOf(testGroup); err == nil {
-				return m
+		for _, n := range c.nodes {
+			if _, err := n.manager.leadershipOf(testGroup); err == nil {
+				return n
 			}
 		}
 	}
 	return nil
 }
 
-func (w *testCluster) stop() {
-	w.cancel()
-	w.running.Wait()
-	for _, m := range w.nodes {
-		m.manager.Stop()
+func (c *testCluster) stop() {
+	c.cancel()
+	c.running.Wait()
+	for _, n := range c.nodes {
+		n.manager.Stop()
 	}
 }
--- a/internal/jobs/manager/debuglog.go
+++ b/internal/jobs/manager/debuglog.go
@@ -9,22 +9,22 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// The lines below follow single jobs and tasks. They are written at the level debug alone, and cost one comparison
-// otherwise.
+// The functions below log events of single jobs and tasks, at debug level only. At other levels each of them costs one
+// comparison.
 
-// tracing tells whether the level debug is logged.
-func (l *leadership) tracing() bool { return l.config.Log.Core().Enabled(zapcore.DebugLevel) }
+// debugEnabled reports whether debug messages are logged.
+func (l *leadership) debugEnabled() bool { return l.config.Log.Core().Enabled(zapcore.DebugLevel) }
 
-// traceSubmit logs that a job was submitted; the job may have been known.
+// traceSubmit logs the submission of a job. The job may already be known, as submissions are repeated.
 func (l *leadership) traceSubmit(request *jobapi.SubmitRequest) {
-	if l.tracing() {
+	if l.debugEnabled() {
 		l.config.Log.Debug("job submitted", zap.String("job", string(request.ID)), zap.String("route", request.Queue.Route))
 	}
 }
 
 // traceCommand logs a command that is about to be sent.
 func (l *leadership) traceCommand(command *scheduler.Command) {
-	if !l.tracing() {
+	if !l.debugEnabled() {
 		return
 	}
 	if command.Stop != nil {
@@ -36,9 +36,9 @@
 		zap.String("worker_id", string(command.Worker)), zap.Uint64("term", l.term.Number()))
 }
 
-// traceCompletions logs the completions that a worker reports; each may be reported several times.
+// traceCompletions logs the completions that a worker reports. A worker may report the same completion several times.
 func (l *leadership) traceCompletions(report *workerclient.Listing) {
-	if !l.tracing() {
+	if !l.debugEnabled() {
 		return
 	}
 	for i := range report.Finished {
@@ -50,7 +50,7 @@
 
 // traceEndedJobs logs the jobs whose final states have become durable.
 func (l *leadership) traceEndedJobs(effects *scheduler.Effects) {
-	if !l.tracing() {
+	if !l.debugEnabled() {
 		return
 	}
 	for i := range effects.Entries {
--- a/internal/jobs/manager/debuglog_test.go
+++ b/internal/jobs/manager/debuglog_test.go
@@ -15,8 +15,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// traceAll writes one line of each kind at a level, and returns what was logged.
-func traceAll(level zapcore.Level) []observer.LoggedEntry {
+// logEventOfEachKind logs one event of each kind with a logger of the given level, and returns the logged entries.
+func logEventOfEachKind(level zapcore.Level) []observer.LoggedEntry {
 	core, logged := observer.New(level)
 	l := &leadership{config: Config{Log: zap.New(core)}, term: &replication.Term{}}
 	id := job.ID("00000000000000aa")
@@ -25,19 +25,19 @@
 	l.traceCommand(&scheduler.Command{Worker: "i-1", Start: &workerclient.StartCommand{Task: task, AttemptNumber: 1}})
 	l.traceCommand(&scheduler.Command{Worker: "i-1", Stop: &workerclient.StopCommand{Task: task, AttemptNumber: 1}})
 	l.traceCompletions(&workerclient.Listing{Worker: "i-1", Finished: []workerclient.FinishedTask{{Task: task, AttemptNumber: 1, Outcome: job.OutcomeDone}}})
-	jobs, err := scheduler.New(scheduler.Settings{}, scheduler.Now{}, nil)
+	groupScheduler, err := scheduler.New(scheduler.Settings{}, scheduler.Now{}, nil)
 	So(err, ShouldBeNil)
-	jobs.Submit(scheduler.Now{}, &jobapi.SubmitRequest{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
-	jobs.Cancel(scheduler.Now{}, id)
-	effects := jobs.TakeEffects()
+	groupScheduler.Submit(scheduler.Now{}, &jobapi.SubmitRequest{ID: id, Specification: job.Specification{Stages: []job.Stage{{Count: 1}}}})
+	groupScheduler.Cancel(scheduler.Now{}, id)
+	effects := groupScheduler.TakeEffects()
 	l.traceEndedJobs(&effects)
 	return logged.All()
 }
 
-func TestDebugLogFollowsAJob(t *testing.T) {
-	Convey("At the level debug, a job and its tasks can be followed by their names", t, func() {
+func TestDebugLogNamesJobOrTaskOfEachEvent(t *testing.T) {
+	Convey("At debug level, the log names the job or task of each event", t, func() {
 		var texts []string
-		for _, entry := range traceAll(zapcore.DebugLevel) {
+		for _, entry := range logEventOfEachKind(zapcore.DebugLevel) {
 			fields := entry.ContextMap()
 			for _, name := range []string{"job", "task"} {
 				if value, found := fields[name]; found {
@@ -53,5 +53,5 @@
 			"job ended 00000000000000aa",
 		})
 	})
-	Convey("At the level info nothing is written", t, func() { So(traceAll(zapcore.InfoLevel), ShouldBeEmpty) })
+	Convey("At info level, nothing is logged", t, func() { So(logEventOfEachKind(zapcore.InfoLevel), ShouldBeEmpty) })
 }
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -28,22 +28,22 @@
 )
 
 const (
-	fleetVariable          = "PUFFINLINK_TEST_FLEET" // how many workers the test binary emulates, as a process of its own
+	fleetSizeVariable      = "PUFFINLINK_TEST_FLEET" // number of workers that the test binary emulates when it runs as a separate process
 	fleetService           = "s"
-	fleetTaskTime          = time.Second            // how long each task works
-	fleetMaxLease          = 6 * time.Second        //
-	fleetWarmUp            = 9 * time.Second        // until all workers have a lease
-	fleetMeasureTime       = 8 * time.Second        // for which the processor time is measured
-	submitInterval         = 50 * time.Millisecond  // between two submissions
-	fleetTasksEach         = 4                      // of a job
-	fleetInventoryInterval = time.Second            // between two lists of the platform
-	leadershipPollInterval = 100 * time.Millisecond // between two checks for the leadership
+	fleetTaskTime          = time.Second            // duration of each task
+	fleetMaxLease          = 6 * time.Second        // longest lease that a worker accepts
+	fleetWarmUp            = 9 * time.Second        // time until all workers have a lease
+	fleetMeasureTime       = 8 * time.Second        // duration of the measurement
+	submitInterval         = 50 * time.Millisecond  // time between two rounds of submissions
+	fleetTasksPerJob       = 4                      // number of tasks of a job
+	fleetInventoryInterval = time.Second            // time between two updates of the platform's list
+	leadershipPollInterval = 100 * time.Millisecond // time between two checks whether the node leads
 )
 
-// serveFleet emulates workers until its standard input ends; it prints their list.
+// serveFleet emulates workers until its standard input ends. It writes the list of the workers to its standard output.
 func serveFleet(count int) {
 	workers := cluster.New(cluster.RealClock{}, cluster.Settings{LeaseMax: fleetMaxLease, Describe: func(job.TaskID, string) cluster.Profile {
-		return cluster.Profile{Duration: fleetTaskTime, Resources: fleetRequest}
+		return cluster.Profile{Duration: fleetTaskTime, Resources: fleetTaskResources}
 	}})
 	instances := make([]workerclient.Instance, 0, count)
 	for i := range count {
@@ -57,13 +57,13 @@
 	bufio.NewReader(os.Stdin).ReadByte()
 }
 
-var fleetRequest = job.Resources{Processors: 3000, MemoryMB: 6000}
+var fleetTaskResources = job.Resources{Processors: 3000, MemoryMB: 6000}
 
-// startFleet runs emulated workers in a process of their own, so that their processor time is not the leader's.
+// startFleet emulates workers in a separate process, so that their processor time does not count as the leader's.
 func startFleet(b *testing.B, count int) []workerclient.Instance {
 	b.Helper()
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), fleetVariable+"="+strconv.Itoa(count))
+	command.Env = append(os.Environ(), fleetSizeVariable+"="+strconv.Itoa(count))
 	input, err := command.StdinPipe()
 	if err != nil {
 		b.Fatal(err)
@@ -83,7 +83,7 @@
 	return instances
 }
 
-// startLeader makes a group of one replica that leads.
+// startLeader starts a group with a single replica and waits until it leads.
 func startLeader(b *testing.B, instances []workerclient.Instance) *Manager {
 	b.Helper()
 	const self = "127.0.0.1:1"
@@ -119,7 +119,8 @@
 	return m
 }
 
-// BenchmarkFleet measures what share of a core a leader uses for a service of many workers. Run it with -benchtime=1x.
+// BenchmarkFleet measures the share of a processor core that a leader uses for a service with many workers. Run it with
+// -benchtime=1x.
 func BenchmarkFleet(b *testing.B) {
 	for _, load := range []struct{ workers, tasksPerS int }{{250, 0}, {2100, 0}, {250, 160}, {2100, 160}, {2100, 640}, {2100, 960}} {
 		b.Run(fmt.Sprintf("%d workers, %d tasks a second", load.workers, load.tasksPerS), func(b *testing.B) {
@@ -134,13 +135,13 @@
 
 func measureFleet(b *testing.B, m *Manager, tasksPerS int) {
 	b.Helper()
-	number := 0
+	jobNumber := 0
 	load := func(span time.Duration) {
 		begin := time.Now()
 		for submitted := 0.0; time.Since(begin) < span; time.Sleep(submitInterval) {
-			for ; submitted < time.Since(begin).Seconds()*float64(tasksPerS); submitted += fleetTasksEach {
-				number++
-				submit(m, number)
+			for ; submitted < time.Since(begin).Seconds()*float64(tasksPerS); submitted += fleetTasksPerJob {
+				jobNumber++
+				submitFleetJob(m, jobNumber)
 			}
 		}
 	}
@@ -161,11 +162,11 @@
 	b.ReportMetric(float64(summary.Ended), "ended")
 }
 
-func submit(m *Manager, number int) {
-	request := jobapi.SubmitRequest{Group: feed.GroupOf(fleetService), ID: job.ID(fmt.Sprintf("%016x", number)),
+func submitFleetJob(m *Manager, jobNumber int) {
+	request := jobapi.SubmitRequest{Group: feed.GroupOf(fleetService), ID: job.ID(fmt.Sprintf("%016x", jobNumber)),
 		Queue: jobapi.Queue{Route: "r", MaxAttempts: 3, TargetLatencyMS: 250, Extension: 2},
 		Specification: job.Specification{Text: "text", Stages: []job.Stage{
-			{Count: fleetTasksEach, EstimatedDurationMS: fleetTaskTime.Milliseconds(), Resources: fleetRequest},
+			{Count: fleetTasksPerJob, EstimatedDurationMS: fleetTaskTime.Milliseconds(), Resources: fleetTaskResources},
 		}}}
 	go m.submit(context.Background(), request)
 }
@@ -179,7 +180,7 @@
 }
 
 func TestMain(m *testing.M) {
-	if count, err := strconv.Atoi(os.Getenv(fleetVariable)); err == nil {
+	if count, err := strconv.Atoi(os.Getenv(fleetSizeVariable)); err == nil {
 		serveFleet(count)
 		return
 	}
--- a/internal/jobs/manager/idempotency_test.go
+++ b/internal/jobs/manager/idempotency_test.go
@@ -26,23 +26,23 @@
 
 const soleGroup = "jobs/pricing"
 
-// slowDisk is a disk whose writes can be stalled.
-type slowDisk struct {
+// stallableStore is a store whose writes can be stalled.
+type stallableStore struct {
 	*storage.Memory
-	stalled atomic.Pointer[chan struct{}] // writes wait until it is closed; nil for none
+	stalled atomic.Pointer[chan struct{}] // writes wait until the channel is closed; nil if writes are not stalled
 }
 
 // Write implements storage.Store.
-func (d *slowDisk) Write(changes ...storage.Change) error {
+func (d *stallableStore) Write(changes ...storage.Change) error {
 	if stalled := d.stalled.Load(); stalled != nil {
 		<-*stalled
 	}
 	return d.Memory.Write(changes...)
 }
 
-var errNoPeers = errors.New("there is nobody else")
+var errNoPeers = errors.New("the view has no other members")
 
-// noPeers is a view of one.
+// noPeers is the caller of a node that is the only member of its view. All calls fail.
 type noPeers struct{}
 
 // Call implements transport.Caller.
@@ -52,12 +52,12 @@
 
 var _ transport.Caller = noPeers{}
 
-// withSoleLeader runs a test with a manager that leads the group as the only member, in simulated time. Its workers' list
-// has not been read.
-func withSoleLeader(t *testing.T, test func(m *Manager, disk *slowDisk)) {
+// withSoleLeader runs a test in virtual time with a manager that leads the group as the only member. The platform's list of
+// workers has not been read.
+func withSoleLeader(t *testing.T, test func(m *Manager, disk *stallableStore)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		m := New(Config{Log: zap.NewNop()})
-		disk := &slowDisk{Memory: storage.NewMemory()}
+		disk := &stallableStore{Memory: storage.NewMemory()}
 		view := replicaset.View{Version: 1, Members: []string{"a"}}
 		node, err := replication.NewNode(replication.Config{
 			Self: "a", Store: disk, Caller: noPeers{}, Handler: m, Log: zap.NewNop(),
@@ -74,7 +74,7 @@
 			select {
 			case <-changed:
 			case <-time.After(time.Minute):
-				t.Fatal("nobody leads")
+				t.Fatal("the node does not lead")
 			}
 		}
 		test(m, disk)
@@ -85,11 +85,11 @@
 }
 
 func TestCancellationIsIdempotent(t *testing.T) {
-	withSoleLeader(t, func(m *Manager, _ *slowDisk) {
+	withSoleLeader(t, func(m *Manager, _ *stallableStore) {
 		ctx := context.Background()
-		live, unknown := job.ID("00000000000000aa"), job.ID("00000000000000bb")
-		Convey("A cancellation replies with the state that it leaves, also when it is sent again", t, func() {
-			submit := jobapi.SubmitRequest{Group: soleGroup, ID: live, Specification: job.Specification{
+		submitted, unknown := job.ID("00000000000000aa"), job.ID("00000000000000bb")
+		Convey("The reply to a cancellation has the resulting state, also when the request is repeated", t, func() {
+			submit := jobapi.SubmitRequest{Group: soleGroup, ID: submitted, Specification: job.Specification{
 				Text: "text", Stages: []job.Stage{{Count: 1}},
 			}}
 			for range 2 {
@@ -97,13 +97,13 @@
 				So(err, ShouldBeNil)
 			}
 			for range 2 {
-				reply, err := m.cancel(ctx, jobapi.CancelRequest{Group: soleGroup, ID: live})
+				reply, err := m.cancel(ctx, jobapi.CancelRequest{Group: soleGroup, ID: submitted})
 				So(err, ShouldBeNil)
 				So(reply, ShouldResemble, jobapi.CancelReply{Known: true, State: job.Cancelled})
 			}
 			_, err := m.submit(ctx, submit)
 			So(err, ShouldBeNil)
-			status, err := m.status(ctx, jobapi.StatusRequest{Group: soleGroup, ID: live})
+			status, err := m.status(ctx, jobapi.StatusRequest{Group: soleGroup, ID: submitted})
 			So(err, ShouldBeNil)
 			So(status, ShouldResemble, jobapi.StatusReply{Known: true, State: job.Cancelled})
 			reply, err := m.cancel(ctx, jobapi.CancelRequest{Group: soleGroup, ID: unknown})
@@ -113,14 +113,14 @@
 	})
 }
 
-func TestDrainBeforeTheInventoryIsRead(t *testing.T) {
-	withSoleLeader(t, func(m *Manager, _ *slowDisk) {
+func TestDrainBeforeInventoryIsReadIsNotExecuted(t *testing.T) {
+	withSoleLeader(t, func(m *Manager, _ *stallableStore) {
 		ctx := context.Background()
 		request := jobreport.DrainRequest{Group: soleGroup, Worker: "i-1", Draining: true}
-		Convey("A worker is not reported as unknown before the platform's list was read", t, func() {
+		Convey("A worker is not reported as unknown before the platform's list has been read", t, func() {
 			_, err := m.drain(ctx, request)
 			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
-			So(rpcerror.RetryAfter(err), ShouldEqual, noInventoryRetry)
+			So(rpcerror.RetryAfter(err), ShouldEqual, inventoryRetryDelay)
 			m.SetInventory(nil)
 			reply, err := m.drain(ctx, request)
 			So(err, ShouldBeNil)
@@ -129,15 +129,15 @@
 	})
 }
 
-// A repeated request gets its reply only once the first is durable: until then a successor may not know of it.
-func TestRepeatedRequestWaitsForTheDisk(t *testing.T) {
-	withSoleLeader(t, func(m *Manager, disk *slowDisk) {
+// A repeated request must be answered only once the first one is durable. Until then, a new leader may not know the request.
+func TestRepeatedRequestIsAnsweredOnlyOnceDurable(t *testing.T) {
+	withSoleLeader(t, func(m *Manager, disk *stallableStore) {
 		ctx := context.Background()
 		id := job.ID("00000000000000aa")
 		specification := job.Specification{Text: "text", Stages: []job.Stage{{Count: 1}}}
-		asks := []struct {
+		requests := []struct {
 			name string
-			ask  func() error
+			send func() error
 		}{
 			{"a job", func() error {
 				_, err := m.submit(ctx, jobapi.SubmitRequest{Group: soleGroup, ID: id, Specification: specification})
@@ -148,20 +148,20 @@
 				return err
 			}},
 		}
-		for _, one := range asks {
+		for _, repeated := range requests {
 			stalled := make(chan struct{})
 			disk.stalled.Store(&stalled)
-			answers := make(chan error, 2)
-			go func() { answers <- one.ask() }()
+			replies := make(chan error, 2)
+			go func() { replies <- repeated.send() }()
 			synctest.Wait()
-			go func() { answers <- one.ask() }()
+			go func() { replies <- repeated.send() }()
 			synctest.Wait()
-			early := len(answers)
+			repliesWhileStalled := len(replies)
 			disk.stalled.Store(nil)
 			close(stalled)
-			first, second := <-answers, <-answers
-			Convey("On a stalled disk there is no reply to "+one.name+" that is sent twice", t, func() {
-				So(early, ShouldEqual, 0)
+			first, second := <-replies, <-replies
+			Convey("While writes are stalled, there is no reply to "+repeated.name+" that is sent twice", t, func() {
+				So(repliesWhileStalled, ShouldEqual, 0)
 				So(first, ShouldBeNil)
 				So(second, ShouldBeNil)
 			})
@@ -169,27 +169,27 @@
 	})
 }
 
-func TestDrainOnABaseVersion(t *testing.T) {
-	Convey("Given a leader that has a drain from its predecessor", t, func() {
+func TestDrainOutcomeDependsOnBaseVersion(t *testing.T) {
+	Convey("Given a leader that restored a drain set under an earlier leadership", t, func() {
 		drained, err := msgpack.Marshal(map[string]uint64{"t": 5, "v": 1, "h": 1})
 		So(err, ShouldBeNil)
-		jobs, err := scheduler.New(scheduler.Settings{}, currentTime(), map[string][]byte{"d/i-1": drained})
+		groupScheduler, err := scheduler.New(scheduler.Settings{}, currentTime(), map[string][]byte{"d/i-1": drained})
 		So(err, ShouldBeNil)
-		l := &leadership{scheduler: jobs}
-		order := func(draining bool, onTopOf uint64) jobreport.DrainOutcome {
-			known, outcome := l.changeDrain(currentTime(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, BaseVersion: &onTopOf})
+		l := &leadership{scheduler: groupScheduler}
+		changeDrain := func(draining bool, baseVersion uint64) jobreport.DrainOutcome {
+			known, outcome := l.changeDrain(currentTime(), jobreport.DrainRequest{Worker: "i-1", Draining: draining, BaseVersion: &baseVersion})
 			So(known, ShouldBeTrue)
 			return outcome
 		}
-		Convey("a copy of that drain that arrives after the change that ended it is confirmed, and changes nothing", func() {
-			So(order(false, 1), ShouldEqual, jobreport.DrainApplied)
-			So(order(true, 0), ShouldEqual, jobreport.DrainApplied)
-			So(jobs.IsOperatorDraining("i-1"), ShouldBeFalse)
+		Convey("a duplicate of that drain request that arrives after the drain was ended is confirmed and changes nothing", func() {
+			So(changeDrain(false, 1), ShouldEqual, jobreport.DrainApplied)
+			So(changeDrain(true, 0), ShouldEqual, jobreport.DrainApplied)
+			So(groupScheduler.IsOperatorDraining("i-1"), ShouldBeFalse)
 		})
-		Convey("another change on top of the same version is superseded, one on top of a later version is unclear", func() {
-			So(order(false, 0), ShouldEqual, jobreport.DrainSuperseded)
-			So(order(false, 2), ShouldEqual, jobreport.DrainIndeterminate)
-			So(jobs.IsOperatorDraining("i-1"), ShouldBeTrue)
+		Convey("another change with the same base version is superseded, and one with a later base version is indeterminate", func() {
+			So(changeDrain(false, 0), ShouldEqual, jobreport.DrainSuperseded)
+			So(changeDrain(false, 2), ShouldEqual, jobreport.DrainIndeterminate)
+			So(groupScheduler.IsOperatorDraining("i-1"), ShouldBeTrue)
 		})
 		Convey("an unknown worker is reported as such", func() {
 			version := uint64(0)
--- a/internal/jobs/manager/leadership.go
+++ b/internal/jobs/manager/leadership.go
@@ -14,43 +14,45 @@
 )
 
 const (
-	tickInterval    = 200 * time.Millisecond
+	// tickInterval is the time between two ticks of the scheduler.
+	tickInterval = 200 * time.Millisecond
+	// loadLogInterval is the minimum time between two debug log lines about the load.
 	loadLogInterval = time.Second
 )
 
-// leadership is one leadership of one group: from the election of this node until its term ends.
+// leadership is the leadership of one group by this node, from its election until the end of its term.
 type leadership struct {
-	config       Config
-	term         *replication.Term
-	ctx          context.Context
-	stop         context.CancelFunc
-	mu           sync.Mutex // guards what follows
-	scheduler    *scheduler.Scheduler
-	links        map[workerclient.WorkerID]*workerclient.Link
-	unreachable  map[workerclient.WorkerID]bool // workers that have not answered yet, or not of late
-	proposed     uint64                         // number of the newest proposal
-	committed    uint64                         // number of the newest one that is durable
-	nextDispatch time.Time                      // no dispatch before
-	tickedAt     time.Time                      // last tick
-	plannedDueMS int64                          // next due time that the loop waits for, milliseconds since 1970; 0 for none
-	loadLoggedAt time.Time
-	wake         wakeup.Signal // the loop is to compute its wait anew
+	config        Config
+	term          *replication.Term
+	ctx           context.Context
+	stop          context.CancelFunc
+	mu            sync.Mutex // guards the fields below
+	scheduler     *scheduler.Scheduler
+	links         map[workerclient.WorkerID]*workerclient.Link
+	unreachable   map[workerclient.WorkerID]bool // workers that have not responded yet or have stopped responding
+	lastProposed  uint64                         // number of the latest proposal
+	lastCommitted uint64                         // number of the latest proposal that is durable
+	nextDispatch  time.Time                      // time before which no dispatch runs
+	lastTick      time.Time                      // time of the last tick
+	awaitedDueMS  int64                          // due time that the loop waits for, in milliseconds since 1970; 0 if there is none
+	lastLoadLog   time.Time
+	wake          wakeup.Signal // makes the loop compute its wait time again
 }
 
 // newLeadership restores the group's scheduler from its replicated state.
 func newLeadership(config Config, term *replication.Term, state map[string][]byte) (*leadership, error) {
-	jobs, err := scheduler.New(config.Settings, currentTime(), state)
+	groupScheduler, err := scheduler.New(config.Settings, currentTime(), state)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	return &leadership{
-		config: config, term: term, ctx: ctx, stop: stop, scheduler: jobs,
+		config: config, term: term, ctx: ctx, stop: stop, scheduler: groupScheduler,
 		links: map[workerclient.WorkerID]*workerclient.Link{}, unreachable: map[workerclient.WorkerID]bool{}, wake: wakeup.New(),
 	}, nil
 }
 
-// close ends the leadership here: nothing is sent to workers any more.
+// close ends the leadership on this node and closes its links. Nothing is sent to workers afterwards.
 func (l *leadership) close() {
 	l.stop()
 	l.mu.Lock()
@@ -61,7 +63,7 @@
 	l.links = map[workerclient.WorkerID]*workerclient.Link{}
 }
 
-// loop does what is due by time, until the leadership ends.
+// loop performs the time-based work until the leadership ends.
 func (l *leadership) loop() {
 	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
@@ -79,40 +81,42 @@
 	}
 }
 
-// logLoad logs the load once in loadLogInterval, at the level debug.
+// logLoad logs the load at debug level, at most once per loadLogInterval. The caller must hold l.mu.
 func (l *leadership) logLoad(now scheduler.Now) {
-	if now.Monotonic.Sub(l.loadLoggedAt) < loadLogInterval {
+	if now.Monotonic.Sub(l.lastLoadLog) < loadLogInterval {
 		return
 	}
-	l.loadLoggedAt = now.Monotonic
+	l.lastLoadLog = now.Monotonic
 	if entry := l.config.Log.Check(zap.DebugLevel, "load"); entry != nil {
 		entry.Write(zap.String("group", l.term.Group()), zap.Any("load", l.scheduler.CurrentLoad(now)))
 	}
 }
 
-// nextWait is the time until the next tick, or until a repetition or a postponed dispatch is due if that is earlier.
+// nextWait returns the time until the earliest of the next tick, the next due repetition and a postponed dispatch. It is at
+// least one millisecond.
 func (l *leadership) nextWait() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wait := time.Until(l.tickedAt.Add(tickInterval)) // a wake-up must not postpone the tick
+	wait := time.Until(l.lastTick.Add(tickInterval)) // a wake-up must not postpone the tick
 	if l.scheduler.NeedsDispatch() {
 		wait = min(wait, time.Until(l.nextDispatch))
 	}
-	if l.plannedDueMS = l.scheduler.NextDueMS(); l.plannedDueMS != 0 {
-		dueMS := l.plannedDueMS
+	if l.awaitedDueMS = l.scheduler.NextDueMS(); l.awaitedDueMS != 0 {
+		dueMS := l.awaitedDueMS
 		wait = min(wait, time.Duration(dueMS-time.Now().UnixMilli())*time.Millisecond)
 	}
 	return max(time.Millisecond, wait)
 }
 
-// tick does what is due by time, and a dispatch that was postponed.
+// tick performs the time-based work if the tick interval is over or a repetition is due. In any case it runs a postponed
+// dispatch that is due, as handle does after each event.
 func (l *leadership) tick() {
 	l.handle(func(now scheduler.Now) {
 		dueMS := l.scheduler.NextDueMS()
-		if now.Monotonic.Sub(l.tickedAt) < tickInterval && (dueMS == 0 || dueMS > now.WallMS) {
+		if now.Monotonic.Sub(l.lastTick) < tickInterval && (dueMS == 0 || dueMS > now.WallMS) {
 			return
 		}
-		l.tickedAt = now.Monotonic
+		l.lastTick = now.Monotonic
 		for id := range l.unreachable {
 			link := l.links[id]
 			if link != nil && now.Monotonic.After(link.LeasesExpiredBy()) {
@@ -124,5 +128,5 @@
 	})
 }
 
-// wakeLoop lets the loop compute its wait anew.
+// wakeLoop makes the loop compute its wait time again.
 func (l *leadership) wakeLoop() { l.wake.Notify() }
--- a/internal/jobs/manager/leadership_test.go
+++ b/internal/jobs/manager/leadership_test.go
@@ -9,13 +9,13 @@
 	"puffinlink.example/puffinlink/internal/jobs/scheduler"
 )
 
-func TestWakeUpsDoNotDelayTheTick(t *testing.T) {
-	jobs, err := scheduler.New(scheduler.Settings{}, currentTime(), nil)
-	Convey("A wake-up does not postpone the tick", t, func() {
+func TestWakeUpDoesNotDelayTick(t *testing.T) {
+	groupScheduler, err := scheduler.New(scheduler.Settings{}, currentTime(), nil)
+	Convey("The wait after a wake-up ends at the next tick at the latest", t, func() {
 		So(err, ShouldBeNil)
-		l := &leadership{scheduler: jobs, tickedAt: time.Now().Add(-tickInterval)}
+		l := &leadership{scheduler: groupScheduler, lastTick: time.Now().Add(-tickInterval)}
 		So(l.nextWait(), ShouldBeLessThanOrEqualTo, time.Millisecond)
-		l.tickedAt = time.Now()
+		l.lastTick = time.Now()
 		So(l.nextWait(), ShouldBeBetween, tickInterval/2, tickInterval+time.Millisecond)
 	})
 }
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -29,16 +29,16 @@
 	return jobapi.SubmitRequest{Group: testGroup, ID: id, Queue: jobapi.Queue{Route: "r", Service: "x", MaxAttempts: 1}, Specification: specification}
 }
 
-// leaderCall is one call that a leader answers.
-type leaderCall struct {
+// namedCall is a call that a leader answers, with its name.
+type namedCall struct {
 	name string
 	call func(m *Manager) error
 }
 
-// leaderCalls are all calls that a leader answers.
-func leaderCalls() []leaderCall {
+// leaderCalls returns all calls that a leader answers.
+func leaderCalls() []namedCall {
 	ctx := context.Background()
-	return []leaderCall{
+	return []namedCall{
 		{"submit", func(m *Manager) error { _, err := m.submit(ctx, submission(unknownJob)); return err }},
 		{"submit again", func(m *Manager) error { _, err := m.submit(ctx, submission(knownJob)); return err }},
 		{"cancel", func(m *Manager) error {
@@ -66,8 +66,8 @@
 			_, err := m.job(ctx, jobreport.JobRequest{Group: testGroup, ID: unknownJob})
 			return err
 		}},
-		{"why", func(m *Manager) error {
-			_, err := m.why(ctx, jobreport.ExplainRequest{Group: testGroup, ID: unknownJob})
+		{"explain", func(m *Manager) error {
+			_, err := m.explain(ctx, jobreport.ExplainRequest{Group: testGroup, ID: unknownJob})
 			return err
 		}},
 		{"drain", func(m *Manager) error {
@@ -78,16 +78,16 @@
 }
 
 func TestLeaderWithoutLeaseRejectsAllCalls(t *testing.T) {
-	for _, question := range leaderCalls() {
+	for _, leaderCall := range leaderCalls() {
 		withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
-			Convey("A leader replies: "+question.name, t, func() {
+			Convey("A leader with a valid lease replies: "+leaderCall.name, t, func() {
 				_, err := leader.manager.submit(context.Background(), submission(knownJob))
 				So(err, ShouldBeNil)
-				So(question.call(leader.manager), ShouldBeNil)
+				So(leaderCall.call(leader.manager), ShouldBeNil)
 			})
-			Convey("After a pause beyond its lease it executes nothing, and the error says so: "+question.name, t, func() {
+			Convey("After a pause longer than its lease, it executes nothing, and the error says so: "+leaderCall.name, t, func() {
 				leader.clock.pause()
-				err := question.call(leader.manager)
+				err := leaderCall.call(leader.manager)
 				So(err, ShouldNotBeNil)
 				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			})
@@ -95,16 +95,16 @@
 	}
 }
 
-func TestLeaderPausedDuringARead(t *testing.T) {
-	reads := map[string]func(*Manager, schedulerReader) error{
-		"a report": func(m *Manager, inspect schedulerReader) error {
+func TestReadFailsIfLeaseExpiresDuringIt(t *testing.T) {
+	reads := map[string]func(*Manager, schedulerReadFunc) error{
+		"a report": func(m *Manager, inspect schedulerReadFunc) error {
 			return m.readCommitted(context.Background(), testGroup, inspect)
 		},
-		"a count": func(m *Manager, inspect schedulerReader) error { return m.readCurrent(testGroup, inspect) },
+		"a count": func(m *Manager, inspect schedulerReadFunc) error { return m.readUncommitted(testGroup, inspect) },
 	}
 	for name, read := range reads {
 		withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
-			Convey("What it read during a pause is not replied: "+name, t, func() {
+			Convey("A read during which the process was paused fails: "+name, t, func() {
 				So(read(leader.manager, func(scheduler.Now, *scheduler.Scheduler) {}), ShouldBeNil)
 				err := read(leader.manager, func(scheduler.Now, *scheduler.Scheduler) { leader.clock.pause() })
 				So(err, ShouldNotBeNil)
@@ -113,28 +113,28 @@
 	}
 }
 
-func TestRepliesAreDurable(t *testing.T) {
-	withCluster(t, func(t *testing.T, w *testCluster, leader *testNode) {
-		Convey("A partitioned leader replies nothing about a job that only it has", t, func() {
-			w.network.Partition(leader.address, true)
-			failures := make(chan error, 2)
+func TestRepliesAreSentOnlyOnceDurable(t *testing.T) {
+	withCluster(t, func(t *testing.T, nodes *testCluster, leader *testNode) {
+		Convey("A partitioned leader does not reply about a job that no other replica knows", t, func() {
+			nodes.network.Partition(leader.address, true)
+			errs := make(chan error, 2)
 			go func() {
 				_, err := leader.manager.submit(context.Background(), submission(knownJob))
-				failures <- err
+				errs <- err
 			}()
 			synctest.Wait()
 			go func() {
 				_, err := leader.manager.job(context.Background(), jobreport.JobRequest{Group: testGroup, ID: knownJob})
-				failures <- err
+				errs <- err
 			}()
-			for range cap(failures) {
-				err := <-failures
+			for range cap(errs) {
+				err := <-errs
 				So(err, ShouldNotBeNil)
 				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 			}
 		})
 		Convey("The next leader does not know the job", t, func() {
-			next := w.awaitLeader()
+			next := nodes.awaitLeader()
 			So(next == leader, ShouldBeFalse)
 			reply, err := next.manager.job(context.Background(), jobreport.JobRequest{Group: testGroup, ID: knownJob})
 			So(err, ShouldBeNil)
@@ -143,14 +143,14 @@
 	})
 }
 
-func TestARefusalByFencingTokenEndsTheTerm(t *testing.T) {
+func TestRejectedFencingTokenEndsTerm(t *testing.T) {
 	withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
 		workers := cluster.New(cluster.RealClock{}, cluster.Settings{InMemory: true, LeaseMax: 6 * time.Second})
 		defer workers.Close()
 		worker := workers.AddWorker(cluster.WorkerConfig{ID: "i-1"})
 		instance := workerclient.Instance{ID: "i-1", Address: worker.Address(), Service: "x"}
 		client := workers.MemoryClient(time.Millisecond)
-		useHigherToken(t, client, instance)
+		setHigherFencingToken(t, client, instance)
 		leadership, err := leader.manager.leadershipOf(testGroup)
 		if err != nil {
 			t.Fatal(err)
@@ -163,7 +163,7 @@
 			ended = true
 		case <-time.After(100 * time.Millisecond):
 		}
-		Convey("A leader that is refused for a higher token has lost its term at once", t, func() {
+		Convey("A leader whose call is rejected because of a higher fencing token loses its term at once", t, func() {
 			So(ended, ShouldBeTrue)
 			So(leadership.term.Valid(), ShouldBeFalse)
 		})
@@ -171,8 +171,8 @@
 	})
 }
 
-// useHigherToken lets a worker see a token that no term of these tests reaches.
-func useHigherToken(t *testing.T, client *http.Client, instance workerclient.Instance) {
+// setHigherFencingToken sends a worker a fencing token that is higher than any term in these tests.
+func setHigherFencingToken(t *testing.T, client *http.Client, instance workerclient.Instance) {
 	t.Helper()
 	body := strings.NewReader(`{"fencingToken":1000000}`)
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+instance.Address+string(cluster.LeaseCall), body)
@@ -186,6 +186,6 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Fatalf("the worker answers %d", response.StatusCode)
+		t.Fatalf("the worker responded with status %d", response.StatusCode)
 	}
 }
--- a/internal/jobs/manager/links.go
+++ b/internal/jobs/manager/links.go
@@ -9,7 +9,8 @@
 	"puffinlink.example/puffinlink/internal/jobs/workerclient"
 )
 
-// setInventory takes the complete list of the service's workers and keeps a link to each.
+// setInventory passes the complete list of the service's workers to the scheduler. It opens links to new workers and closes
+// the links to workers that the scheduler no longer knows.
 func (l *leadership) setInventory(instances []workerclient.Instance) {
 	l.handle(func(now scheduler.Now) {
 		for i := range instances {
@@ -24,7 +25,7 @@
 	})
 }
 
-// addInventoryPage takes some of the service's workers, before the first complete list was read.
+// addInventoryPage adds some of the service's workers before the first complete list has been read.
 func (l *leadership) addInventoryPage(instances []workerclient.Instance) {
 	l.handle(func(now scheduler.Now) {
 		for i := range instances {
@@ -34,7 +35,7 @@
 	})
 }
 
-// connect begins a link to a worker that has none, unless the worker was removed. The lock is held.
+// connect starts a link to a worker that has none, unless the worker was removed. The caller must hold l.mu.
 func (l *leadership) connect(instance *workerclient.Instance) {
 	if l.links[instance.ID] != nil || l.scheduler.WasRemoved(instance.ID) {
 		return
@@ -49,17 +50,17 @@
 	go link.Run(l.ctx)
 }
 
-// disconnect ends a link. The lock is held.
+// disconnect closes and removes a link. The caller must hold l.mu.
 func (l *leadership) disconnect(id workerclient.WorkerID, link *workerclient.Link) {
 	link.Close()
 	delete(l.links, id)
 	delete(l.unreachable, id)
 }
 
-// linkEvents receives what a leadership's links report.
+// linkEvents implements workerclient.Events. It passes the events of a leadership's links to the scheduler.
 type linkEvents struct{ leadership *leadership }
 
-// Listing implements workerclient.Events.
+// Listing implements workerclient.Events. A worker that sent a list is reachable.
 func (e linkEvents) Listing(report workerclient.Listing) {
 	e.leadership.traceCompletions(&report)
 	e.leadership.handle(func(now scheduler.Now) {
@@ -68,7 +69,8 @@
 	})
 }
 
-// StartResult implements workerclient.Events. A worker that has seen a higher fencing token has ended the leadership before.
+// StartResult implements workerclient.Events. It ignores a rejection because of a higher fencing token: by then
+// workerclient.Config.FencedOff has already ended the leadership.
 func (e linkEvents) StartResult(result workerclient.StartResult) {
 	if result.Outcome != workerclient.Started {
 		e.leadership.config.Log.Debug("start not confirmed", zap.Stringer("task", result.Command.Task),
@@ -85,7 +87,7 @@
 	e.leadership.handle(func(scheduler.Now) { e.leadership.scheduler.HandleStopResult(&result) })
 }
 
-// Gone implements workerclient.Events.
+// Gone implements workerclient.Events. It removes the worker and closes its link.
 func (e linkEvents) Gone(removed workerclient.Gone) {
 	e.leadership.handle(func(now scheduler.Now) {
 		e.leadership.scheduler.RemoveWorker(now, removed.Worker)
@@ -95,7 +97,8 @@
 	})
 }
 
-// Fenced implements workerclient.Events. The leadership has ended before, see workerclient.Config.FencedOff.
+// Fenced implements workerclient.Events. It does nothing because workerclient.Config.FencedOff has already ended the
+// leadership.
 func (e linkEvents) Fenced(workerclient.Fenced) {}
 
 // Reachability implements workerclient.Events.
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -26,32 +26,33 @@
 	errLeadershipEnded = errors.New("the leadership ended before the request was durable")
 )
 
-// Config is what a Manager is made of.
+// Config configures a Manager.
 type Config struct {
 	Settings scheduler.Settings
 	HTTP     *http.Client // for calls to workers
-	// Connections is the budget of HTTP's connections; nil for no bound.
+	// Connections limits the connections that HTTP opens. Nil means no limit.
 	Connections *workerclient.Connections
 	Log         *zap.Logger
 }
 
-// Manager implements replication.Handler: it runs a scheduler for each group while this node leads it.
+// Manager implements replication.Handler. It runs a scheduler for each group that this node leads.
 type Manager struct {
-	config         Config
-	mu             sync.Mutex
-	leaderships    map[string]*leadership // by group
-	inventory      []workerclient.Instance
-	inventoryRead  bool                                            // a complete list was read
-	inventoryPages map[workerclient.WorkerID]workerclient.Instance // on the pages read before the first complete list
-	changed        chan struct{}
+	config             Config
+	mu                 sync.Mutex
+	leaderships        map[string]*leadership // by group
+	inventory          []workerclient.Instance
+	inventoryComplete  bool                                            // whether a complete list has been read
+	inventoryPages     map[workerclient.WorkerID]workerclient.Instance // from the pages read before the first complete list
+	leadershipsChanged chan struct{}                                   // closed at the next change of leaderships
 }
 
-// New makes a Manager that leads nothing.
+// New creates a Manager that leads no group.
 func New(config Config) *Manager {
-	return &Manager{config: config, leaderships: map[string]*leadership{}, inventoryPages: map[workerclient.WorkerID]workerclient.Instance{}, changed: make(chan struct{})}
+	return &Manager{config: config, leaderships: map[string]*leadership{}, inventoryPages: map[workerclient.WorkerID]workerclient.Instance{}, leadershipsChanged: make(chan struct{})}
 }
 
-// Elected implements replication.Handler. It resigns if the group's state cannot be read.
+// Elected implements replication.Handler. It starts a leadership of the group. It resigns the term if the group's state
+// cannot be decoded.
 func (m *Manager) Elected(term *replication.Term, state map[string][]byte) {
 	leadership, err := newLeadership(m.config, term, state)
 	if err != nil {
@@ -61,11 +62,11 @@
 	}
 	m.mu.Lock()
 	m.leaderships[term.Group()] = leadership
-	instances, inventoryRead := m.inventory, m.inventoryRead
+	instances, inventoryRead := m.inventory, m.inventoryComplete
 	if !inventoryRead {
 		instances = slices.Collect(maps.Values(m.inventoryPages))
 	}
-	m.notifyChanged()
+	m.notifyLeadershipsChanged()
 	m.mu.Unlock()
 	serviceWorkers := serviceInstances(instances, term.Group())
 	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("term", term.Number()))
@@ -77,7 +78,7 @@
 	go leadership.loop()
 }
 
-// Deposed implements replication.Handler.
+// Deposed implements replication.Handler. It ends the leadership that belongs to the term, if there is one.
 func (m *Manager) Deposed(term *replication.Term) {
 	m.mu.Lock()
 	leadership := m.leaderships[term.Group()]
@@ -86,30 +87,30 @@
 		return
 	}
 	delete(m.leaderships, term.Group())
-	m.notifyChanged()
+	m.notifyLeadershipsChanged()
 	m.mu.Unlock()
 	leadership.close()
 	m.config.Log.Info("no longer leading", zap.String("group", term.Group()), zap.Uint64("term", term.Number()))
 }
 
-// notifyChanged wakes the callers of Leading that wait for a change; the lock is held.
-func (m *Manager) notifyChanged() {
-	close(m.changed)
-	m.changed = make(chan struct{})
+// notifyLeadershipsChanged wakes the callers of Leading that wait for a change. The caller must hold m.mu.
+func (m *Manager) notifyLeadershipsChanged() {
+	close(m.leadershipsChanged)
+	m.leadershipsChanged = make(chan struct{})
 }
 
-// Leading tells whether this node leads any group, and returns a channel that is closed at the next change.
+// Leading reports whether this node leads any group. The returned channel is closed at the next change of leaderships.
 func (m *Manager) Leading() (bool, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.leaderships) > 0, m.changed
+	return len(m.leaderships) > 0, m.leadershipsChanged
 }
 
-// AddInventoryPage takes a page of a list of workers that is being read, so that a leadership need not wait for all of a
-// long list.
+// AddInventoryPage adds the workers on one page of the platform's list while the list is still being read. A leadership
+// can use them before the whole of a long list has been read.
 func (m *Manager) AddInventoryPage(instances []workerclient.Instance) {
 	m.mu.Lock()
-	if !m.inventoryRead {
+	if !m.inventoryComplete {
 		for _, instance := range instances {
 			m.inventoryPages[instance.ID] = instance
 		}
@@ -123,10 +124,10 @@
 	}
 }
 
-// SetInventory takes a complete list of workers.
+// SetInventory replaces the known workers by a complete list from the platform.
 func (m *Manager) SetInventory(instances []workerclient.Instance) {
 	m.mu.Lock()
-	m.inventory, m.inventoryRead, m.inventoryPages = instances, true, nil
+	m.inventory, m.inventoryComplete, m.inventoryPages = instances, true, nil
 	leaderships := slices.Collect(maps.Values(m.leaderships))
 	m.mu.Unlock()
 	for _, leadership := range leaderships {
@@ -134,7 +135,7 @@
 	}
 }
 
-// serviceInstances are the instances of a group's service.
+// serviceInstances returns the instances that belong to a group's service.
 func serviceInstances(instances []workerclient.Instance, group string) []workerclient.Instance {
 	var serviceWorkers []workerclient.Instance
 	for _, instance := range instances {
@@ -145,7 +146,7 @@
 	return serviceWorkers
 }
 
-// Serve registers the internal calls on jobs.
+// Serve registers the internal calls by which clients submit, cancel and query jobs.
 func (m *Manager) Serve(mux *transport.Mux) {
 	transport.Handle(mux, jobapi.SubmitCall, m.submit)
 	transport.Handle(mux, jobapi.StatusCall, m.status)
@@ -153,7 +154,7 @@
 	transport.Handle(mux, jobapi.PendingCall, m.pending)
 }
 
-// leadershipOf returns the leadership of a group. Without a leader lease that is valid at present the error says that the
+// leadershipOf returns the leadership of a group. If this node does not hold a valid leader lease, the error says that the
 // request was certainly not executed.
 func (m *Manager) leadershipOf(group string) (*leadership, error) {
 	m.mu.Lock()
@@ -202,23 +203,23 @@
 }
 
 func (m *Manager) pending(_ context.Context, request jobapi.PendingRequest) (reply jobapi.PendingReply, err error) {
-	err = m.readCurrent(request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Count = jobs.PendingJobs(request.Route) })
+	err = m.readUncommitted(request.Group, func(_ scheduler.Now, s *scheduler.Scheduler) { reply.Count = s.PendingJobs(request.Route) })
 	return reply, err
 }
 
-// Stop ends all leaderships here; replication resigns their terms.
+// Stop ends all leaderships on this node. It does not resign their terms, which is done by package replication.
 func (m *Manager) Stop() {
 	m.mu.Lock()
 	leaderships := m.leaderships
 	m.leaderships = map[string]*leadership{}
-	m.notifyChanged()
+	m.notifyLeadershipsChanged()
 	m.mu.Unlock()
 	for _, leadership := range leaderships {
 		leadership.close()
 	}
 }
 
-// currentTime reads both clocks for the scheduler.
+// currentTime returns the monotonic and the wall-clock time for the scheduler.
 func currentTime() scheduler.Now {
 	now := time.Now()
 	return scheduler.Now{Monotonic: now, WallMS: now.UnixMilli()}
--- a/internal/jobs/manager/operatorcalls.go
+++ b/internal/jobs/manager/operatorcalls.go
@@ -14,28 +14,30 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// noInventoryRetry is when a call may be sent again to a leader that has not read the platform's list of workers.
-const noInventoryRetry = 500 * time.Millisecond
+// inventoryRetryDelay is the delay after which a caller may retry a call that failed with errInventoryNotRead.
+const inventoryRetryDelay = 500 * time.Millisecond
 
-// errNoInventory is the reply about an unknown worker before the platform's list was read. Its text crosses the wire.
-var errNoInventory = errors.New("the list of searchers has not been read yet")
+// errInventoryNotRead is the error for an unknown worker while the platform's list of workers has not been read completely.
+// Its text is sent over the network.
+var errInventoryNotRead = errors.New("the list of searchers has not been read yet")
 
-// ServeReports registers the internal calls by which operators read the groups that this node leads and drain workers.
-func (m *Manager) ServeReports(mux *transport.Mux) {
+// ServeOperatorCalls registers the internal calls by which operators read the state of the groups that this node leads and
+// drain workers.
+func (m *Manager) ServeOperatorCalls(mux *transport.Mux) {
 	transport.Handle(mux, jobreport.SummaryCall, m.summary)
 	transport.Handle(mux, jobreport.WorkersCall, m.workers)
 	transport.Handle(mux, jobreport.JobsCall, m.jobs)
 	transport.Handle(mux, jobreport.JobCall, m.job)
-	transport.Handle(mux, jobreport.ExplainCall, m.why)
+	transport.Handle(mux, jobreport.ExplainCall, m.explain)
 	transport.Handle(mux, jobreport.DrainCall, m.drain)
 }
 
-// schedulerReader only reads a scheduler; the leadership's lock is held.
-type schedulerReader func(now scheduler.Now, jobs *scheduler.Scheduler)
+// schedulerReadFunc reads a scheduler and must not change it. It is called with the leadership's lock held.
+type schedulerReadFunc func(now scheduler.Now, s *scheduler.Scheduler)
 
-// readCommitted reads the scheduler of a group, and returns once what was read is durable and it is certain that no other
-// leader had been elected then: an operator's change may be rejected on the strength of it.
-func (m *Manager) readCommitted(ctx context.Context, group string, inspect schedulerReader) error {
+// readCommitted reads the scheduler of a group. It returns once the state that was read is durable, and it is certain that no
+// other leader had been elected at that time. This is needed because an operator's change may be rejected based on the result.
+func (m *Manager) readCommitted(ctx context.Context, group string, inspect schedulerReadFunc) error {
 	leadership, err := m.leadershipOf(group)
 	if err != nil {
 		return err
@@ -43,9 +45,9 @@
 	return leadership.commit(ctx, func(now scheduler.Now) { inspect(now, leadership.scheduler) })
 }
 
-// readCurrent reads counts, which may not be durable yet. The lease is checked again afterwards: the process may have been
-// paused in between, and another leader may have other counts.
-func (m *Manager) readCurrent(group string, inspect schedulerReader) error {
+// readUncommitted reads counts from the scheduler of a group. They may include state that is not durable yet. The lease is
+// checked again after the read, because the process may have been paused and another leader may have different counts.
+func (m *Manager) readUncommitted(group string, inspect schedulerReadFunc) error {
 	leadership, err := m.leadershipOf(group)
 	if err != nil {
 		return err
@@ -59,18 +61,19 @@
 	return nil
 }
 
-// Summaries returns the summaries of the groups that this node leads now.
+// Summaries returns the summaries of the groups that this node leads, by group. They may include state that is not durable
+// yet.
 func (m *Manager) Summaries() map[string]jobreport.Summary {
 	summaries := map[string]jobreport.Summary{}
 	for _, group := range m.ledGroups() {
-		_ = m.readCurrent(group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { // a group whose leadership was just lost is left out
-			summaries[group] = jobs.Summary()
+		_ = m.readUncommitted(group, func(_ scheduler.Now, s *scheduler.Scheduler) { // on an error the leadership has just been lost, and the group is omitted
+			summaries[group] = s.Summary()
 		})
 	}
 	return summaries
 }
 
-// ledGroups names the groups that this node leads.
+// ledGroups returns the names of the groups that this node leads.
 func (m *Manager) ledGroups() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,46 +85,47 @@
 }
 
 func (m *Manager) summary(ctx context.Context, request jobreport.SummaryRequest) (reply jobreport.SummaryReply, err error) {
-	err = m.readCommitted(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) { reply.Summary = jobs.Summary() })
+	err = m.readCommitted(ctx, request.Group, func(_ scheduler.Now, s *scheduler.Scheduler) { reply.Summary = s.Summary() })
 	return reply, err
 }
 
 func (m *Manager) workers(ctx context.Context, request jobreport.WorkersRequest) (reply jobreport.WorkersReply, err error) {
-	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) { reply.Workers = jobs.Workers(now) })
+	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, s *scheduler.Scheduler) { reply.Workers = s.Workers(now) })
 	return reply, err
 }
 
 func (m *Manager) jobs(ctx context.Context, request jobreport.JobsRequest) (reply jobreport.JobsReply, err error) {
 	limit := min(max(1, request.Limit), jobreport.MaxJobLimit)
-	err = m.readCommitted(ctx, request.Group, func(_ scheduler.Now, jobs *scheduler.Scheduler) {
-		reply.Jobs, reply.Total = jobs.Jobs(request.State, limit)
+	err = m.readCommitted(ctx, request.Group, func(_ scheduler.Now, s *scheduler.Scheduler) {
+		reply.Jobs, reply.Total = s.Jobs(request.State, limit)
 	})
 	return reply, err
 }
 
 func (m *Manager) job(ctx context.Context, request jobreport.JobRequest) (reply jobreport.JobReply, err error) {
-	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) {
-		reply.Job, reply.Known = jobs.Job(now, request.ID)
+	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, s *scheduler.Scheduler) {
+		reply.Job, reply.Known = s.Job(now, request.ID)
 	})
 	return reply, err
 }
 
-func (m *Manager) why(ctx context.Context, request jobreport.ExplainRequest) (reply jobreport.ExplainReply, err error) {
-	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, jobs *scheduler.Scheduler) {
-		reply.Explanation, reply.Known = jobs.Explain(now, request.ID)
+func (m *Manager) explain(ctx context.Context, request jobreport.ExplainRequest) (reply jobreport.ExplainReply, err error) {
+	err = m.readCommitted(ctx, request.Group, func(now scheduler.Now, s *scheduler.Scheduler) {
+		reply.Explanation, reply.Known = s.Explain(now, request.ID)
 	})
 	return reply, err
 }
 
-// hasInventory tells whether this node has read a complete list of workers.
-func (m *Manager) hasInventory() bool {
+// hasCompleteInventory reports whether this node has read a complete list of workers.
+func (m *Manager) hasCompleteInventory() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inventoryRead
+	return m.inventoryComplete
 }
 
-// drainReport reports a worker as far as it is known: one that was drained under an earlier leadership may not have been
-// listed yet. The lock is held.
+// drainReport returns the report on a worker after a change of its drain. If the scheduler does not know the worker, the report
+// has only the drain's state: a worker that was drained under an earlier leadership may not have been listed yet. The
+// caller must hold l.mu.
 func (l *leadership) drainReport(now scheduler.Now, id workerclient.WorkerID) jobreport.Worker {
 	report, known := l.scheduler.Worker(now, id)
 	if !known {
@@ -133,7 +137,7 @@
 	return report
 }
 
-// changeDrain sets or ends a drain, on top of a version if the request names one. The lock is held.
+// changeDrain sets or ends a drain. If the request has a base version, the outcome depends on it. The caller must hold l.mu.
 func (l *leadership) changeDrain(now scheduler.Now, request jobreport.DrainRequest) (known bool, outcome jobreport.DrainOutcome) {
 	id := workerclient.WorkerID(request.Worker)
 	if request.BaseVersion == nil {
@@ -143,7 +147,7 @@
 	return outcome != jobreport.DrainWorkerUnknown, outcome
 }
 
-// drain sets or ends an operator's drain, and replies once that is durable.
+// drain sets or ends an operator's drain. It replies once the change is durable.
 func (m *Manager) drain(ctx context.Context, request jobreport.DrainRequest) (reply jobreport.DrainReply, err error) {
 	leadership, err := m.leadershipOf(request.Group)
 	if err != nil {
@@ -154,8 +158,8 @@
 		reply.Known, reply.Outcome = leadership.changeDrain(now, request)
 		reply.Worker = leadership.drainReport(now, id)
 	})
-	if err == nil && !reply.Known && !m.hasInventory() {
-		return reply, rpcerror.WrapNotExecuted(errNoInventory, noInventoryRetry)
+	if err == nil && !reply.Known && !m.hasCompleteInventory() {
+		return reply, rpcerror.WrapNotExecuted(errInventoryNotRead, inventoryRetryDelay)
 	}
 	if err == nil && reply.Known {
 		m.config.Log.Info("operator changed drain", zap.String("group", request.Group), zap.String("worker_id", request.Worker),
--- a/internal/jobs/manager/proposals.go
+++ b/internal/jobs/manager/proposals.go
@@ -8,10 +8,12 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// dispatchPauseFactor is how many times as long as a dispatch took the next one is postponed.
+// dispatchPauseFactor is the ratio of the pause after a dispatch to the duration of that dispatch. It keeps dispatches from
+// using more than a fifth of a processor.
 const dispatchPauseFactor = 4
 
-// handle runs one event and proposes what comes of it. The lock covers both, so that proposals keep the order of events.
+// handle handles one event and proposes the resulting entries. The lock is held for both, so that proposals have the same
+// order as events. After the end of the leadership it does nothing.
 func (l *leadership) handle(event func(scheduler.Now)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -23,8 +25,8 @@
 	l.propose()
 }
 
-// commit runs an event and waits until it and all events before it are durable, and it is certain that no other leader had
-// been elected when it ran. The error says whether the event may take effect nevertheless.
+// commit handles an event. It returns once this event and all earlier ones are durable, and it is certain that no other
+// leader had been elected when the event was handled. The error says whether the event may still take effect.
 func (l *leadership) commit(ctx context.Context, event func(scheduler.Now)) error {
 	done := make(chan struct{})
 	l.mu.Lock()
@@ -35,7 +37,7 @@
 	event(currentTime())
 	l.dispatch()
 	l.propose()
-	if l.committed == l.proposed && l.term.Valid() {
+	if l.lastCommitted == l.lastProposed && l.term.Valid() {
 		l.mu.Unlock()
 		return nil
 	}
@@ -51,11 +53,11 @@
 	}
 }
 
-// dispatch lets waiting tasks start. The next one is postponed by a multiple of the time that this one took, so that
-// dispatches leave most of a processor to other work; the loop makes up for it. The lock is held.
+// dispatch assigns waiting tasks to workers. The next dispatch is postponed by a multiple of the duration of this one, so that
+// dispatches leave most of a processor to other work. The loop runs a postponed dispatch. The caller must hold l.mu.
 func (l *leadership) dispatch() {
-	if dueMS := l.scheduler.NextDueMS(); dueMS != 0 && (l.plannedDueMS == 0 || dueMS < l.plannedDueMS) {
-		l.plannedDueMS = dueMS
+	if dueMS := l.scheduler.NextDueMS(); dueMS != 0 && (l.awaitedDueMS == 0 || dueMS < l.awaitedDueMS) {
+		l.awaitedDueMS = dueMS
 		l.wakeLoop()
 	}
 	if !l.scheduler.NeedsDispatch() {
@@ -70,22 +72,23 @@
 	l.nextDispatch = begin.Add((1 + dispatchPauseFactor) * time.Since(begin))
 }
 
-// propose proposes the gathered entries, and has the other effects executed once those are durable; the lock is held.
+// propose proposes the entries that the scheduler has collected. The other effects are executed once the entries are durable.
+// The caller must hold l.mu.
 func (l *leadership) propose() {
 	effects := l.scheduler.TakeEffects()
 	if effects.Empty() {
 		return
 	}
-	l.proposed++
-	number := l.proposed
+	l.lastProposed++
+	number := l.lastProposed
 	l.term.Propose(effects.Entries, func() { l.execute(number, effects) })
 }
 
-// execute sends the commands and acknowledgements whose entries have become durable.
+// execute sends the commands and acknowledgements of a proposal whose entries have become durable.
 func (l *leadership) execute(number uint64, effects scheduler.Effects) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.committed = number
+	l.lastCommitted = number
 	if l.ctx.Err() != nil {
 		return
 	}
@@ -100,7 +103,7 @@
 	}
 }
 
-// send hands a command to its worker's link, unless a start is not wanted any more. The lock is held.
+// send passes a command to its worker's link. It drops a start command that is no longer needed. The caller must hold l.mu.
 func (l *leadership) send(command *scheduler.Command) {
 	link := l.links[command.Worker]
 	if link == nil {
