--- a/internal/controlplane/coordinator/connections.go
+++ b/internal/controlplane/coordinator/connections.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	idleWorkersDivisor   = 4                // up to a quarter as many workers as connections, each idle one keeps a connection for a call that waits
-	dialBurst            = 256              // connections to workers that may be opened at once, beyond the rate
-	platformConnections  = 2                // to the platform's list of workers
-	requestHeaderTimeout = 10 * time.Second // until the headers of a request have arrived
-	idleTimeout          = time.Minute      // longer than callers keep idle connections
+	longPollDivisor        = 4                // every worker has a long poll, which occupies a connection, as long as there are at most a quarter as many workers as connections
+	dialBurst              = 256              // number of connections to workers that may be opened at once, in excess of the rate
+	maxPlatformConnections = 2                // maximum number of connections to the platform's list of workers
+	requestHeaderTimeout   = 10 * time.Second // limit for receiving the headers of a request
+	idleTimeout            = time.Minute      // limit for idle connections; longer than callers keep theirs
 )
 
-// workerLimits is the workers' share of the limits of this process.
+// workerLimits returns the share of this process's limits that is for calls to workers.
 func workerLimits(limits *nodesettings.Limits) workerclient.Limits {
 	connections := limits.ConnectionBudget().Workers
 	return workerclient.Limits{
 		Connections: connections, DialsPerSecond: limits.DialsPerSecond(), DialBurst: dialBurst,
-		PollsPerSecond: limits.PollsPerSecond(), MaxLongPolls: connections / idleWorkersDivisor,
+		PollsPerSecond: limits.PollsPerSecond(), MaxLongPolls: connections / longPollDivisor,
 	}
 }
 
-// boundListeners limits the servers to their shares of the connections. Of the nodes' share a part is reserved for the other core
-// nodes, so that agents and proxies, however many, never keep heartbeats and votes out.
-func (c *Coordinator) boundListeners(listeners Listeners, budget nodesettings.ConnectionBudget, internal, operator *http.Server) Listeners {
+// limitListeners limits the servers to their shares of the connections. A part of the share for nodes is reserved for the other
+// core nodes, so that heartbeats and votes are accepted regardless of the number of agents and proxies.
+func (c *Coordinator) limitListeners(listeners Listeners, budget nodesettings.ConnectionBudget, internal, operator *http.Server) Listeners {
 	nodes := transport.NewBoundedListener(listeners.Internal, budget.Nodes)
 	nodes.Reserve(budget.CorePeers, c.isCorePeer)
 	operators := transport.NewBoundedListener(listeners.Control, budget.Operators)
@@ -38,12 +38,12 @@
 	return Listeners{Internal: nodes, Control: operators}
 }
 
-// isCorePeer tells whether a host is that of a member of the current view, or of a seed, which may become one.
+// isCorePeer reports whether a host is that of a member of the current view or of a seed. A seed may become a member.
 func (c *Coordinator) isCorePeer(host string) bool {
-	return hasHost(c.replicas.View().Members, host) || hasHost(c.settings.SeedInternalAddresses(), host)
+	return hasHost(c.replicaSet.View().Members, host) || hasHost(c.settings.SeedInternalAddresses(), host)
 }
 
-// hasHost tells whether one of some addresses, host:port, is on a host.
+// hasHost reports whether one of the addresses, of the form host:port, has the given host.
 func hasHost(addresses []string, host string) bool {
 	return slices.ContainsFunc(addresses, func(address string) bool {
 		known, _, err := net.SplitHostPort(address)
@@ -51,9 +51,10 @@
 	})
 }
 
-// newPlatformClient makes the client for the platform's list of workers. Its connections are not of the workers' share.
+// newPlatformClient creates the client for the platform's list of workers. Its connections do not count toward the workers'
+// share.
 func newPlatformClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext: transport.NewDialer().DialContext, MaxConnsPerHost: platformConnections, IdleConnTimeout: idleTimeout, DisableCompression: true,
+		DialContext: transport.NewDialer().DialContext, MaxConnsPerHost: maxPlatformConnections, IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}}
 }
--- a/internal/controlplane/coordinator/connections_test.go
+++ b/internal/controlplane/coordinator/connections_test.go
@@ -6,9 +6,9 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestHosts(t *testing.T) {
+func TestHasHostIgnoresPort(t *testing.T) {
 	addresses := []string{"10.0.0.1:7000", "[fd00::2]:7000", "not an address"}
-	convey.Convey("A host is known by its address alone, whatever the port", t, func() {
+	convey.Convey("A host matches by its address, whatever the port", t, func() {
 		convey.So(hasHost(addresses, "10.0.0.1"), convey.ShouldBeTrue)
 		convey.So(hasHost(addresses, "fd00::2"), convey.ShouldBeTrue)
 		convey.So(hasHost(addresses, "10.0.0.11"), convey.ShouldBeFalse)
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -1,5 +1,9 @@
-// Package coordinator assembles a core node: the durable store, the replicated control state, the operators' API, the feed for the
-// data plane, and the schedulers of the groups that this node leads. It wires them and owns their lifetimes; it decides nothing.
+// Package coordinator creates a coordinator process, also called a core node, from its components, and runs it. The components
+// are the durable store, the replicated control state, the operators' API, the feed for the data plane, and the schedulers
+// of the groups that this node leads.
+//
+// The package connects the components, starts them and shuts them down. It is used by the command that starts a coordinator.
+// It makes no decisions about jobs or replication.
 package coordinator
 
 import (
@@ -26,48 +30,48 @@
 
 const (
 	configurationRegister = "configuration"
-	commandsByInvocation  = "invocation" // value of the settings key commands
+	commandsByInvocation  = "invocation" // the supported value of the setting commands
 
-	inventoryPollInterval = time.Second     // between polls of the platform's list
-	completedJobMargin    = 3 * time.Minute // completed jobs are kept for longer than clients may ask for them
-	registerTables        = register.TablePrefix
+	inventoryPollInterval   = time.Second     // time between two polls of the platform's list of workers
+	endedJobRetentionMargin = 3 * time.Minute // ended jobs are kept this much longer than clients may request their status
+	registerTablePrefix     = register.TablePrefix
 )
 
-// errNoDisk is the error of settings without a data directory.
-var errNoDisk = errors.New("dataDirectory: missing: a coordinator needs a disk; run it on a class of machines that has one")
+// errNoDataDirectory is returned if the settings have no data directory.
+var errNoDataDirectory = errors.New("dataDirectory: missing: a coordinator needs a disk; run it on a class of machines that has one")
 
-// errStoreFailed ends a process whose disk failed to sync, so that what is durable is uncertain. After a restart it reads what the
-// disk has.
+// errStoreFailed ends the process after its disk has failed to sync. It is then uncertain which writes are durable. A restarted
+// process reads the state from the disk.
 var errStoreFailed = errors.New("the store has failed; see the disk of the data directory")
 
-// Listeners are the sockets that a coordinator serves. Run closes them.
+// Listeners are the listening sockets of a coordinator. Run closes them.
 type Listeners struct {
 	Internal net.Listener // calls of other nodes
 	Control  net.Listener // the operator's API
 }
 
-// Coordinator is one core node. It is made by New or Open and runs once, by Run.
+// Coordinator is a core node. It is created by New or Open. Run may be called once.
 type Coordinator struct {
-	settings     nodesettings.Settings
-	log          *zap.Logger
-	caller       *transport.Client
-	store        *storage.FileStore
-	replicas     *replicaset.Manager
-	rebuilder    *rebuild.Rebuilder
-	node         *replication.Node
-	configurator *configuration.Configurator
-	feed         *feedserver.Server
-	jobs         *manager.Manager
-	workers      *workerclient.Connections
-	workerHTTP   *http.Client // to workers, on connections of workers
-	platformHTTP *http.Client // to the platform's list of workers
-	mux          *transport.Mux
+	settings          nodesettings.Settings
+	log               *zap.Logger
+	caller            *transport.Client
+	store             *storage.FileStore
+	replicaSet        *replicaset.Manager
+	rebuilder         *rebuild.Rebuilder
+	node              *replication.Node
+	configurator      *configuration.Configurator
+	feedServer        *feedserver.Server
+	jobManager        *manager.Manager
+	workerConnections *workerclient.Connections
+	workerHTTP        *http.Client // to workers; uses workerConnections
+	platformHTTP      *http.Client // to the platform's list of workers
+	mux               *transport.Mux
 }
 
-// New opens the store and makes the components of a coordinator. Nothing is served until Run.
+// New opens the store and creates the components of a coordinator. It serves no requests before Run is called.
 func New(settings nodesettings.Settings, log *zap.Logger) (*Coordinator, error) {
 	if settings.DataDirectory == "" {
-		return nil, errNoDisk
+		return nil, errNoDataDirectory
 	}
 	store, opened, err := storage.Open(storage.OperatingSystem{}, settings.DataDirectory, storeOptions(settings.Limits))
 	if err != nil {
@@ -76,10 +80,10 @@
 	log.Info("store opened", zap.Bool("empty", opened.Empty), zap.Int64("truncated_bytes", opened.TruncatedBytes))
 	c := &Coordinator{
 		settings: settings, log: log, store: store, caller: transport.NewClientFor(settings.Cluster),
-		workers: workerclient.NewConnections(workerLimits(&settings.Limits)), platformHTTP: newPlatformClient(),
+		workerConnections: workerclient.NewConnections(workerLimits(&settings.Limits)), platformHTTP: newPlatformClient(),
 		mux: transport.NewMuxFor(transport.NewIdentity(settings.Cluster, settings.NodeName)),
 	}
-	c.workerHTTP = c.workers.HTTPClient()
+	c.workerHTTP = c.workerConnections.HTTPClient()
 	if err := c.assemble(); err != nil {
 		return nil, errors.Join(err, store.Close())
 	}
--- a/internal/controlplane/coordinator/current_test.go
+++ b/internal/controlplane/coordinator/current_test.go
@@ -24,23 +24,23 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// fakeRegister is a register whose reads fail on request.
+// fakeRegister is a register whose reads fail while fails is set.
 type fakeRegister struct{ fails bool }
 
 // Read implements configuration.Register.
-func (u *fakeRegister) Read(context.Context) ([]byte, error) {
-	if u.fails {
+func (r *fakeRegister) Read(context.Context) ([]byte, error) {
+	if r.fails {
 		return nil, rpcerror.WrapNotExecuted(context.DeadlineExceeded, 0)
 	}
 	return nil, nil
 }
 
 // Change implements configuration.Register.
-func (u *fakeRegister) Change(ctx context.Context, _ func([]byte) ([]byte, error)) ([]byte, error) {
-	return u.Read(ctx)
+func (r *fakeRegister) Change(ctx context.Context, _ func([]byte) ([]byte, error)) ([]byte, error) {
+	return r.Read(ctx)
 }
 
-// newFeedCoordinator makes a coordinator of which only the parts exist that serve agents.
+// newFeedCoordinator creates a coordinator that has only the components that serve agents.
 func newFeedCoordinator(t *testing.T, view *replicaset.View, register configuration.Register) *Coordinator {
 	t.Helper()
 	const address = "10.0.0.1:7000"
@@ -62,7 +62,7 @@
 	return c
 }
 
-// isReportedCurrent watches as an agent does.
+// isReportedCurrent sends a watch request as an agent does, and reports whether the reply marks the state as current.
 func isReportedCurrent(c *Coordinator) bool {
 	body, err := msgpack.Marshal(feed.WatchRequest{})
 	So(err, ShouldBeNil)
@@ -83,24 +83,24 @@
 			_, _, err := c.configurator.Read(context.Background())
 			return err
 		}
-		Convey("Before the first quorum read it is not current, though a majority replies to pings", t, func() {
+		Convey("Before the first quorum read, it is not current although a majority replies to pings", t, func() {
 			So(c.node.InContact(), ShouldBeTrue)
 			So(isReportedCurrent(c), ShouldBeFalse)
 		})
-		Convey("After a quorum read it is current, for some time", t, func() {
+		Convey("After a quorum read, it is current for FreshAge", t, func() {
 			So(read(), ShouldBeNil)
 			So(isReportedCurrent(c), ShouldBeTrue)
 			<-time.After(configuration.FreshAge)
 			So(isReportedCurrent(c), ShouldBeTrue)
 		})
-		Convey("Once reads have failed for longer it is not current, though a majority replies to pings", t, func() {
+		Convey("After reads have failed for longer, it is not current although a majority replies to pings", t, func() {
 			register.fails = true
 			<-time.After(time.Millisecond)
 			So(read(), ShouldNotBeNil)
 			So(c.node.InContact(), ShouldBeTrue)
 			So(isReportedCurrent(c), ShouldBeFalse)
 		})
-		Convey("Nor is it current without a majority that replies to pings", t, func() {
+		Convey("It is not current if no majority replies to pings", t, func() {
 			register.fails = false
 			So(read(), ShouldBeNil)
 			So(isReportedCurrent(c), ShouldBeTrue)
--- a/internal/controlplane/coordinator/diskfull.go
+++ b/internal/controlplane/coordinator/diskfull.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	fullDiskRetryInterval = 200 * time.Millisecond // between attempts while the disk is full or rejects writes
+	fullDiskRetryInterval = 200 * time.Millisecond // time between two attempts while the disk is full or the store rejects writes
 	bytesPerMB            = 1 << 20
 )
 
-// storeOptions leaves a sixteenth of the disk unused. Without a known size, the store is not limited.
+// storeOptions limits the size of the store so that a sixteenth of the disk stays unused. If the size of the disk is not set, the
+// store is not limited.
 func storeOptions(limits nodesettings.Limits) storage.Options {
 	return storage.Options{SizeLimit: limits.DiskMB * bytesPerMB * 15 / 16}
 }
 
-// Open makes a coordinator as New does. While that fails because the disk is full, it retries until the context ends.
+// Open creates a coordinator as New does. If New fails because the disk is full, Open retries it until the context ends.
 func Open(ctx context.Context, settings nodesettings.Settings, log *zap.Logger) (*Coordinator, error) {
 	return retryWhileDiskFull(ctx, log, func() (*Coordinator, error) { return New(settings, log) })
 }
 
-// retryWhileDiskFull retries as long as an attempt fails because the disk is full.
+// retryWhileDiskFull repeats an attempt as long as it fails because the disk is full and the context has not ended.
 func retryWhileDiskFull[Result any](ctx context.Context, log *zap.Logger, attempt func() (Result, error)) (Result, error) {
 	for warned := false; ; warned = true {
 		result, err := attempt()
@@ -43,10 +44,11 @@
 	}
 }
 
-// retryWhileWritesRejected restarts a component as long as it ends because the store rejected a write.
-func retryWhileWritesRejected(ctx context.Context, part func() error) error {
+// retryWhileWritesRejected restarts a component as long as it ends because the store rejected a write and the context has not
+// ended.
+func retryWhileWritesRejected(ctx context.Context, run func() error) error {
 	for {
-		err := part()
+		err := run()
 		if !errors.Is(err, storage.ErrWriteRejected) || !timer.Sleep(ctx, fullDiskRetryInterval) {
 			return err
 		}
--- a/internal/controlplane/coordinator/diskfull_test.go
+++ b/internal/controlplane/coordinator/diskfull_test.go
@@ -15,21 +15,21 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// errOther stands for a failure that is not retried.
+// errOther is a failure that is not retried.
 var errOther = errors.New("another failure")
 
-func TestStoreLeavesReserveOnDisk(t *testing.T) {
+func TestStoreSizeLimitLeavesReserveOnDisk(t *testing.T) {
 	if got := storeOptions(nodesettings.Limits{DiskMB: 128}).SizeLimit; got != 120<<20 {
-		t.Errorf("of 128 MB the store may use %d bytes", got)
+		t.Errorf("the size limit on a disk of 128 MB is %d bytes", got)
 	}
 	if got := storeOptions(nodesettings.Limits{}); got != (storage.Options{}) {
-		t.Errorf("without a known size: %+v", got)
+		t.Errorf("options without a known disk size: %+v", got)
 	}
 }
 
 func TestOpenRetriesWhileDiskIsFull(t *testing.T) {
 	full := fmt.Errorf("open: %w", syscall.ENOSPC)
-	for _, last := range []error{nil, errOther} {
+	for _, finalErr := range []error{nil, errOther} {
 		virtualtime.Test(t, func(t *testing.T) {
 			attempts, began := 0, time.Now()
 			result, err := retryWhileDiskFull(t.Context(), zap.NewNop(), func() (int, error) {
@@ -37,9 +37,9 @@
 				if attempts < 4 {
 					return 0, full
 				}
-				return 7, last
+				return 7, finalErr
 			})
-			if result != 7 || err != last || attempts != 4 || time.Since(began) != 3*fullDiskRetryInterval { //nolint:errorlint // returned as it is
+			if result != 7 || err != finalErr || attempts != 4 || time.Since(began) != 3*fullDiskRetryInterval { //nolint:errorlint // returned as it is
 				t.Errorf("%d, %v after %d attempts and %v", result, err, attempts, time.Since(began))
 			}
 		})
@@ -55,18 +55,18 @@
 }
 
 func TestRejectedWritesAreRetried(t *testing.T) {
-	refused := fmt.Errorf("store view: %w", storage.ErrWriteRejected)
-	for _, last := range []error{nil, errOther} {
+	rejected := fmt.Errorf("store view: %w", storage.ErrWriteRejected)
+	for _, finalErr := range []error{nil, errOther} {
 		virtualtime.Test(t, func(t *testing.T) {
 			runs := 0
 			err := retryWhileWritesRejected(t.Context(), func() error {
 				runs++
 				if runs < 3 {
-					return refused
+					return rejected
 				}
-				return last
+				return finalErr
 			})
-			if err != last || runs != 3 { //nolint:errorlint // returned as it is
+			if err != finalErr || runs != 3 { //nolint:errorlint // returned as it is
 				t.Errorf("%v after %d runs", err, runs)
 			}
 		})
--- a/internal/controlplane/coordinator/inventory.go
+++ b/internal/controlplane/coordinator/inventory.go
@@ -6,14 +6,14 @@
 	"puffinlink.example/puffinlink/internal/jobs/inventory"
 )
 
-// readInventory polls the platform's list of workers while this node leads a group.
-func (c *Coordinator) readInventory(ctx context.Context) {
+// pollInventory polls the platform's list of workers while this node leads a group.
+func (c *Coordinator) pollInventory(ctx context.Context) {
 	reader := inventory.Reader{
 		Address: c.settings.CloudAPI.Address, RatePerSecond: c.settings.CloudAPI.RatePerS, HTTP: c.platformHTTP, Log: c.log,
-		OnPage: c.jobs.AddInventoryPage,
+		OnPage: c.jobManager.AddInventoryPage,
 	}
 	for ctx.Err() == nil {
-		leading, changed := c.jobs.Leading()
+		leading, changed := c.jobManager.Leading()
 		if !leading {
 			select {
 			case <-ctx.Done():
@@ -21,27 +21,27 @@
 			}
 			continue
 		}
-		c.readWhileLeading(ctx, &reader)
+		c.pollInventoryWhileLeading(ctx, &reader)
 	}
 }
 
-// readWhileLeading polls the list until this node leads no group any more.
-func (c *Coordinator) readWhileLeading(ctx context.Context, reader *inventory.Reader) {
-	reading, stop := context.WithCancel(ctx)
-	defer stop()
+// pollInventoryWhileLeading polls the list until this node no longer leads a group or the context ends.
+func (c *Coordinator) pollInventoryWhileLeading(ctx context.Context, reader *inventory.Reader) {
+	pollCtx, stopPolling := context.WithCancel(ctx)
+	defer stopPolling()
 	go func() {
 		for {
-			leading, changed := c.jobs.Leading()
+			leading, changed := c.jobManager.Leading()
 			if !leading {
-				stop()
+				stopPolling()
 				return
 			}
 			select {
-			case <-reading.Done():
+			case <-pollCtx.Done():
 				return
 			case <-changed:
 			}
 		}
 	}()
-	reader.Run(reading, inventoryPollInterval, c.jobs.SetInventory)
+	reader.Run(pollCtx, inventoryPollInterval, c.jobManager.SetInventory)
 }
--- a/internal/controlplane/coordinator/metrics_test.go
+++ b/internal/controlplane/coordinator/metrics_test.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// oneGroupCollector describes the metrics of groups, and collects those of one.
+// oneGroupCollector collects the metrics of one group, with a fixed summary.
 type oneGroupCollector struct{ groupCollector }
 
 // Collect implements prometheus.Collector.
@@ -17,8 +17,8 @@
 	collectGroup(collected, "pricing", 3, jobreport.Summary{Queued: 1, Running: 2, Ended: 4, WaitingTasks: 5, Attempts: 6, Workers: 9, ReachableWorkers: 7})
 }
 
-func TestGroupMetrics(t *testing.T) {
-	Convey("A group's summary becomes metrics with the service's name", t, func() {
+func TestGroupMetricsMatchSummary(t *testing.T) {
+	Convey("The metrics of a group have the values of its summary and the name of its service", t, func() {
 		registry := prometheus.NewPedanticRegistry()
 		So(registry.Register(oneGroupCollector{}), ShouldBeNil)
 		families, err := registry.Gather()
--- a/internal/controlplane/coordinator/operatorapi.go
+++ b/internal/controlplane/coordinator/operatorapi.go
@@ -7,20 +7,20 @@
 	"puffinlink.example/puffinlink/internal/controlplane/operations"
 )
 
-// confirmConfiguration has a majority confirm the configuration.
+// confirmConfiguration reads the configuration from a majority. It returns an error if no majority confirms it.
 func (c *Coordinator) confirmConfiguration(ctx context.Context) error {
 	_, _, err := c.configurator.Read(ctx)
 	return err
 }
 
-// operations makes the operators' API; next serves the configuration.
-func (c *Coordinator) operations(next http.Handler) http.Handler {
+// newOperationsHandler creates the handler of the operators' API. It passes requests for the configuration to next.
+func (c *Coordinator) newOperationsHandler(next http.Handler) http.Handler {
 	return operations.New(operations.Options{
 		Node: operations.Identity{
 			Name: c.settings.NodeName, Zone: c.settings.Zone, Address: c.settings.InternalAddress(0),
 		},
 		Sources: operations.Sources{
-			View:          c.replicas.View,
+			View:          c.replicaSet.View,
 			Members:       c.node.Members,
 			Groups:        c.node.Groups,
 			Leaders:       c.node.Leaders,
@@ -29,7 +29,7 @@
 			InContact:     c.isCurrent,
 			Confirm:       c.confirmConfiguration,
 			Rebuilt:       c.rebuilder.Ready,
-			Agents:        c.feed.Agents,
+			Agents:        c.feedServer.Agents,
 		},
 		Caller: c.caller,
 		Next:   next,
--- a/internal/controlplane/coordinator/run.go
+++ b/internal/controlplane/coordinator/run.go
@@ -14,59 +14,60 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// Run serves until the context ends or a component fails, such as the store. When the context ends it first hands over, within the
-// grace period of the settings, and then shuts down. It closes the listeners. The error is nil after a stop by the context.
+// Run serves until the context ends or a component such as the store fails. When the context ends, Run first hands over to the
+// other members, within the grace period of the settings, and then shuts down. It closes the listeners. It returns nil if it was
+// stopped by the context and the store was closed without an error.
 func (c *Coordinator) Run(ctx context.Context, listeners Listeners) error {
 	if c.settings.Commands != commandsByInvocation {
 		c.log.Error("unsupported commands setting ignored; workers are called",
 			zap.String("commands", c.settings.Commands))
 	}
-	lifetime, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	lifetimeCtx, endLifetime := context.WithCancel(context.WithoutCancel(ctx))
+	defer endLifetime()
 	internal := &http.Server{Handler: c.mux, ErrorLog: zap.NewStdLog(c.log), ReadHeaderTimeout: requestHeaderTimeout, IdleTimeout: idleTimeout}
-	operator := control.NewServer(c.operations(control.New(lifetime, c.configurator, c.log)), c.log)
+	operator := control.NewServer(c.newOperationsHandler(control.New(lifetimeCtx, c.configurator, c.log)), c.log)
 	budget := c.settings.Limits.ConnectionBudget()
-	bounded := c.boundListeners(listeners, budget, internal, operator)
+	bounded := c.limitListeners(listeners, budget, internal, operator)
 	failures := make(chan error, 1)
-	report := func(part string, err error) {
-		if err != nil && lifetime.Err() == nil {
+	reportFailure := func(component string, err error) {
+		if err != nil && lifetimeCtx.Err() == nil {
 			select {
-			case failures <- fmt.Errorf("%s: %w", part, err):
+			case failures <- fmt.Errorf("%s: %w", component, err):
 			default:
 			}
 		}
 	}
-	go func() { report("internal calls", internal.Serve(bounded.Internal)) }()
-	go func() { report("operator's API", operator.Serve(bounded.Control)) }()
-	go func() { report("replica set", c.replicas.Run(lifetime)) }()
-	go func() { report("rebuild", c.rebuilder.Run(lifetime)) }()
-	go func() { report("replica set", c.rebuilder.Watch(lifetime)) }()
-	go func() { report("configuration", c.configurator.Run(lifetime)) }()
-	go func() { report("feed", c.feed.Run(lifetime)) }()
-	go c.ensureGroups(lifetime)
-	go c.readInventory(lifetime)
-	leading, resign := context.WithCancel(lifetime)
-	resigned := make(chan struct{})
+	go func() { reportFailure("internal calls", internal.Serve(bounded.Internal)) }()
+	go func() { reportFailure("operator's API", operator.Serve(bounded.Control)) }()
+	go func() { reportFailure("replica set", c.replicaSet.Run(lifetimeCtx)) }()
+	go func() { reportFailure("rebuild", c.rebuilder.Run(lifetimeCtx)) }()
+	go func() { reportFailure("replica set", c.rebuilder.Watch(lifetimeCtx)) }()
+	go func() { reportFailure("configuration", c.configurator.Run(lifetimeCtx)) }()
+	go func() { reportFailure("feed", c.feedServer.Run(lifetimeCtx)) }()
+	go c.ensureGroups(lifetimeCtx)
+	go c.pollInventory(lifetimeCtx)
+	replicationCtx, stopReplication := context.WithCancel(lifetimeCtx)
+	replicationStopped := make(chan struct{})
 	go func() {
-		defer close(resigned)
-		c.node.Run(leading)
+		defer close(replicationStopped)
+		c.node.Run(replicationCtx)
 	}()
 	err := c.waitForStop(ctx, failures)
-	c.handOver(lifetime, err == nil)
-	resign()
-	<-resigned
-	c.jobs.Stop()
-	c.shutDown(internal, operator) //nolint:contextcheck // it has a time-out of its own, as ctx has ended
-	end()
+	c.handOver(lifetimeCtx, err == nil)
+	stopReplication()
+	<-replicationStopped
+	c.jobManager.Stop()
+	c.shutDown(internal, operator) //nolint:contextcheck // it has its own timeout because ctx has ended
+	endLifetime()
 	return errors.Join(err, c.store.Close())
 }
 
-// ensureGroups makes a replication group for each service of the configuration in force.
+// ensureGroups creates a replication group for each service of the current configuration, and follows its changes.
 func (c *Coordinator) ensureGroups(ctx context.Context) {
 	for {
 		changed := c.configurator.Changed()
 		if _, body := c.configurator.Current(); len(body) > 0 {
-			c.ensureServices(body) //nolint:contextcheck // a group lasts until the node ends
+			c.ensureServiceGroups(body) //nolint:contextcheck // a group lasts until the node ends
 		}
 		select {
 		case <-ctx.Done():
@@ -76,7 +77,7 @@
 	}
 }
 
-func (c *Coordinator) ensureServices(body []byte) {
+func (c *Coordinator) ensureServiceGroups(body []byte) {
 	parsed, err := configuration.Parse(body)
 	if err != nil {
 		c.log.Error("committed configuration cannot be parsed", zap.Error(err))
@@ -87,14 +88,15 @@
 	}
 }
 
-// isCurrent tells whether this node may call its state current: a majority has lately replied to its pings, and has confirmed
-// the configuration. Pings may succeed where quorum reads fail, as while members are being rebuilt or know another view.
+// isCurrent reports whether this node may report its state as current. This requires that a majority recently replied to its
+// pings and recently confirmed the configuration. Pings alone are not sufficient: they may succeed while quorum reads fail,
+// for example while members are being rebuilt or know a different view.
 func (c *Coordinator) isCurrent() bool {
 	return c.node.InContact() && c.configurator.Fresh(configuration.FreshAge)
 }
 
 func (c *Coordinator) adoptView(view replicaset.View) {
-	if err := c.replicas.Learn(view); err != nil {
+	if err := c.replicaSet.Learn(view); err != nil {
 		c.log.Warn("view rejected", zap.Error(err))
 	}
 }
--- a/internal/controlplane/coordinator/shutdown.go
+++ b/internal/controlplane/coordinator/shutdown.go
@@ -8,15 +8,15 @@
 	"go.uber.org/zap"
 )
 
-// Times of a shutdown.
+// Durations of the phases of a shutdown.
 const (
-	shutdownTimeout    = 2 * time.Second        // for operators' requests in flight
-	finalRepliesTime   = 300 * time.Millisecond // in which callers still get the answer that this node has given up its leaderships
-	shutdownReserve    = 3 * time.Second        // of the grace period, for what follows the hand-over
-	minHandOverDivisor = 4                      // of a grace period that is too short for shutdownReserve, this part is for the hand-over
+	shutdownTimeout      = 2 * time.Second        // limit for completing operators' requests in flight
+	finalRepliesDuration = 300 * time.Millisecond // time during which callers still receive the reply that this node no longer leads
+	shutdownReserve      = 3 * time.Second        // part of the grace period that is reserved for the steps after the hand-over
+	minHandOverDivisor   = 4                      // the hand-over may take at least a quarter of the grace period, even if this leaves less than shutdownReserve
 )
 
-// waitForStop waits for a requested stop, which is no error, or a failure of the store or another component.
+// waitForStop waits for a requested stop or a failure of the store or another component. It returns nil after a requested stop.
 func (c *Coordinator) waitForStop(ctx context.Context, failures <-chan error) error {
 	select {
 	case <-ctx.Done():
@@ -28,31 +28,31 @@
 	}
 }
 
-// shutDown completes operators' requests in flight, and serves internal calls a little longer, so that callers learn at once that
-// this node does not lead any more.
+// shutDown completes operators' requests in flight, stops the servers and closes connections. It serves internal calls a little
+// longer than operators' requests, so that callers are told at once that this node no longer leads.
 func (c *Coordinator) shutDown(internal, operator *http.Server) {
-	patience, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = operator.Shutdown(patience) // requests that are not completed by then are cut off
-	time.Sleep(finalRepliesTime)
+	_ = operator.Shutdown(shutdownCtx) // requests that have not completed by then are aborted
+	time.Sleep(finalRepliesDuration)
 	internal.Close()
 	c.caller.Close()
 	c.workerHTTP.CloseIdleConnections()
 	c.platformHTTP.CloseIdleConnections()
 }
 
-// handOver tells the other members that this process stops. After a requested stop it serves on until it may stop, but no longer
-// than handOverTimeout: a quorum of other members is there, and a joining member, if one waits, has replaced this one and has
-// been rebuilt.
+// handOver informs the other members that this process stops. After a failure it does not wait for them. After a requested stop it
+// keeps serving until this process may stop, for at most handOverTimeout. The process may stop once a quorum of other members
+// remains. If a joining member is waiting, it must also have replaced this one and have been rebuilt.
 func (c *Coordinator) handOver(ctx context.Context, requested bool) {
 	if !requested {
-		go c.replicas.Leave(ctx)
+		go c.replicaSet.Leave(ctx)
 		return
 	}
 	timeout := handOverTimeout(c.settings.Bounds.GracePeriod)
-	limited, cancel := context.WithTimeout(ctx, timeout)
+	handOverCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	departure := c.rebuilder.HandOver(limited, c.replicas.Leave)
+	departure := c.rebuilder.HandOver(handOverCtx, c.replicaSet.Leave)
 	replaced := departure.WasMember && !departure.View.Has(departure.Self)
 	switch {
 	case departure.MayStop():
@@ -65,7 +65,7 @@
 	}
 }
 
-// handOverTimeout is how long a member may wait for its successor after a requested stop.
+// handOverTimeout returns how long a member may wait after a requested stop until it may stop, for example for its replacement.
 func handOverTimeout(gracePeriod time.Duration) time.Duration {
 	return max(gracePeriod-shutdownReserve, gracePeriod/minHandOverDivisor)
 }
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	storedFolder   = "testdata/stored"
-	updateVariable = "GOLDEN_UPDATE"     // set to 1, the stored data is made anew
-	storedSelf     = "127.201.17.5:7660" // stands in the stored view
-	storedControl  = "127.201.17.5:7664"
-	storedTimeout  = 30 * time.Second
+	storedDirectory       = "testdata/stored"
+	updateVariable        = "GOLDEN_UPDATE"     // if it is 1, the stored data is written again
+	storedInternalAddress = "127.201.17.5:7660" // part of the stored view
+	storedControlAddress  = "127.201.17.5:7664"
+	storedTimeout         = 30 * time.Second
 
-	queuedJob    = job.ID("00000000000000a1")
-	cancelledJob = job.ID("00000000000000a2")
-	mailJob      = job.ID("00000000000000a3")
+	queuedJob     = job.ID("00000000000000a1")
+	cancelledJob  = job.ID("00000000000000a2")
+	queuedMailJob = job.ID("00000000000000a3")
 )
 
-// storedConfiguration is long enough to be stored in chunks.
+// storedConfiguration returns a configuration that is long enough to be stored in chunks.
 func storedConfiguration(version int) []byte {
 	text := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
 	for i := range 30 {
@@ -47,15 +47,15 @@
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`)
 }
 
-// runStored runs a coordinator on a folder while do runs.
-func runStored(t *testing.T, folder string, firstStart bool, do func(ctx context.Context, c *Coordinator)) {
+// withRunningCoordinator runs a coordinator on a data directory while use runs.
+func withRunningCoordinator(t *testing.T, directory string, firstStart bool, use func(ctx context.Context, c *Coordinator)) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), storedTimeout)
 	defer cancel()
 	settings, err := nodesettings.Parse(fmt.Appendf(nil, "nodeName=core-1\nipAddress=127.201.17.5\nzone=north\nregion=east\nzones.north=east\n"+
 		"internalPortRange=7660,7675\nseedNodes=%s\nfirstStart=%v\nfaultTolerance.machines=0\nlimits.memoryMb=284\nlimits.fileDescriptors=4100\n"+
 		"bounds.gracePeriodS=4\nbounds.holdMaxMs=2000\nbounds.stop_ms=400\ncloudApi.address=127.201.17.5:7670\ncloudApi.ratePerS=30\n"+
-		"dataDirectory=%s\ncountsForQuorum=true\n", storedControl, firstStart, folder))
+		"dataDirectory=%s\ncountsForQuorum=true\n", storedControlAddress, firstStart, directory))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 		}
 		return listener
 	}
-	listeners := Listeners{Internal: listen(storedSelf), Control: listen(storedControl)}
+	listeners := Listeners{Internal: listen(storedInternalAddress), Control: listen(storedControlAddress)}
 	c, err := New(settings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -74,13 +74,13 @@
 	running, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(running, listeners) }()
-	defer func() { // also where the test fails midway
+	defer func() { // also if the test fails before its end
 		stop()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	}()
-	do(ctx, c)
+	use(ctx, c)
 }
 
 // retryUntilDone repeats an attempt until it succeeds.
@@ -97,10 +97,10 @@
 	}
 }
 
-func makeStoredCoordinator(t *testing.T) {
+func writeStoredData(t *testing.T) {
 	t.Helper()
-	os.RemoveAll(storedFolder)
-	runStored(t, storedFolder, true, func(ctx context.Context, c *Coordinator) {
+	os.RemoveAll(storedDirectory)
+	withRunningCoordinator(t, storedDirectory, true, func(ctx context.Context, c *Coordinator) {
 		for version := 1; version <= 2; version++ {
 			retryUntilDone(ctx, t, func() error {
 				outcome := c.configurator.Put(ctx, uint64(version-1), storedConfiguration(version))
@@ -114,26 +114,30 @@
 			request := jobapi.SubmitRequest{Group: feed.GroupOf(service), ID: id,
 				Queue:         jobapi.Queue{Route: "r-0", Service: service, Priority: 1, MaxAttempts: 3, Extension: 2.5, TargetLatencyMS: 1000, Guards: true},
 				Specification: job.Specification{Text: "do it", Stages: []job.Stage{{Count: 2, Resources: job.Resources{Processors: 500}}}}}
-			retryUntilDone(ctx, t, func() error { _, err := jobapi.SubmitCall.Call(ctx, c.caller, storedSelf, request); return err })
+			retryUntilDone(ctx, t, func() error {
+				_, err := jobapi.SubmitCall.Call(ctx, c.caller, storedInternalAddress, request)
+				return err
+			})
 		}
 		submit(queuedJob, "render")
 		submit(cancelledJob, "render")
-		submit(mailJob, "mail")
+		submit(queuedMailJob, "mail")
 		retryUntilDone(ctx, t, func() error {
-			_, err := jobapi.CancelCall.Call(ctx, c.caller, storedSelf, jobapi.CancelRequest{Group: feed.GroupOf("render"), ID: cancelledJob})
+			_, err := jobapi.CancelCall.Call(ctx, c.caller, storedInternalAddress, jobapi.CancelRequest{Group: feed.GroupOf("render"), ID: cancelledJob})
 			return err
 		})
 	})
 }
 
-// TestReadsStoredDataOfACoordinator starts a coordinator on the disk of an earlier build. What each table holds is compared
-// by the packages that it belongs to; here they work together.
-func TestReadsStoredDataOfACoordinator(t *testing.T) {
+// TestCoordinatorRestoresStateStoredByEarlierBuild starts a coordinator on the data directory of an earlier build. The contents
+// of each table are checked by the tests of the package that owns it. This test checks that a whole coordinator starts with
+// all of them.
+func TestCoordinatorRestoresStateStoredByEarlierBuild(t *testing.T) {
 	if os.Getenv(updateVariable) == "1" {
-		makeStoredCoordinator(t)
+		writeStoredData(t)
 	}
-	folder := t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(storedFolder)); err != nil {
+	directory := t.TempDir()
+	if err := os.CopyFS(directory, os.DirFS(storedDirectory)); err != nil {
 		t.Fatal(err)
 	}
 	states := map[job.ID]jobapi.StatusReply{}
@@ -142,31 +146,31 @@
 	var version uint64
 	var body []byte
 	var tables []string
-	runStored(t, folder, false, func(ctx context.Context, c *Coordinator) {
-		tables, view = c.store.Tables(), c.replicas.View()
+	withRunningCoordinator(t, directory, false, func(ctx context.Context, c *Coordinator) {
+		tables, view = c.store.Tables(), c.replicaSet.View()
 		retryUntilDone(ctx, t, func() (err error) { version, body, err = c.configurator.Read(ctx); return err })
-		for id, service := range map[job.ID]string{queuedJob: "render", cancelledJob: "render", mailJob: "mail"} {
+		for id, service := range map[job.ID]string{queuedJob: "render", cancelledJob: "render", queuedMailJob: "mail"} {
 			retryUntilDone(ctx, t, func() (err error) {
-				states[id], err = jobapi.StatusCall.Call(ctx, c.caller, storedSelf, jobapi.StatusRequest{Group: feed.GroupOf(service), ID: id})
+				states[id], err = jobapi.StatusCall.Call(ctx, c.caller, storedInternalAddress, jobapi.StatusRequest{Group: feed.GroupOf(service), ID: id})
 				return err
 			})
 			retryUntilDone(ctx, t, func() error {
-				reply, err := jobapi.PendingCall.Call(ctx, c.caller, storedSelf, jobapi.PendingRequest{Group: feed.GroupOf(service), Route: "r-0"})
+				reply, err := jobapi.PendingCall.Call(ctx, c.caller, storedInternalAddress, jobapi.PendingRequest{Group: feed.GroupOf(service), Route: "r-0"})
 				pending[service] = reply.Count
 				return err
 			})
 		}
 	})
-	Convey("A coordinator starts on the disk of an earlier build and has all its state", t, func() {
+	Convey("A coordinator starts on the data directory of an earlier build and has its whole state", t, func() {
 		So(tables, ShouldResemble, []string{
 			"group-meta/jobs/mail", "group-meta/jobs/render", "group/jobs/mail", "group/jobs/render", "rebuild",
 			"register/configuration", "register/configuration/parts", "register/replicaset/founding", "replicaset",
 		})
-		So(view, ShouldResemble, replicaset.View{Version: 1, Members: []string{storedSelf}, Zones: map[string]string{storedSelf: "north"}})
+		So(view, ShouldResemble, replicaset.View{Version: 1, Members: []string{storedInternalAddress}, Zones: map[string]string{storedInternalAddress: "north"}})
 		So(version, ShouldEqual, 2)
 		So(string(body), ShouldEqual, string(storedConfiguration(2)))
 		So(states, ShouldResemble, map[job.ID]jobapi.StatusReply{
-			queuedJob: {Known: true, State: job.Queued}, cancelledJob: {Known: true, State: job.Cancelled}, mailJob: {Known: true, State: job.Queued},
+			queuedJob: {Known: true, State: job.Queued}, cancelledJob: {Known: true, State: job.Cancelled}, queuedMailJob: {Known: true, State: job.Queued},
 		})
 		So(pending, ShouldResemble, map[string]int{"render": 1, "mail": 1})
 	})
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -207,7 +207,7 @@
 	return reply, err
 }
 
-// Stop ends all leaderships on this node. It does not resign their terms, which is done by package replication.
+// Stop ends all leaderships on this node. It leaves it to package replication to resign their terms.
 func (m *Manager) Stop() {
 	m.mu.Lock()
 	leaderships := m.leaderships
