--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -35,7 +35,7 @@
 
 // Execute implements flags.Commander.
 func (c *workersCommand) Execute([]string) error {
-	var report control.Workers
+	var report control.WorkerList
 	request := operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: c.query()}
 	return c.show(request, &report, func() { printWorkers(&report) })
 }
@@ -49,7 +49,7 @@
 
 // Execute implements flags.Commander.
 func (c *jobsCommand) Execute([]string) error {
-	var report control.Jobs
+	var report control.JobList
 	query := parameters(control.ServiceParameter, c.Service, control.StateParameter, c.State, control.LimitParameter, strconv.Itoa(c.Limit))
 	request := operatorclient.Request{Method: http.MethodGet, Path: control.JobsPath, Query: query}
 	return c.show(request, &report, func() { printJobs(&report) })
@@ -86,7 +86,7 @@
 // Execute implements flags.Commander.
 func (c *whyCommand) Execute([]string) error {
 	var report jobreport.Explanation
-	request := operatorclient.Request{Method: http.MethodGet, Path: c.path() + control.WhySuffix, Query: c.query()}
+	request := operatorclient.Request{Method: http.MethodGet, Path: c.path() + control.ExplainSuffix, Query: c.query()}
 	return c.show(request, &report, func() { printWhy(&report) })
 }
 
@@ -98,7 +98,7 @@
 
 // Execute implements flags.Commander.
 func (c *cancelCommand) Execute([]string) error {
-	var report control.Cancelled
+	var report control.CancelledJob
 	request := operatorclient.Request{Method: http.MethodDelete, Path: c.path(), Query: c.query()}
 	return c.show(request, &report, func() { fmt.Fprintf(stdout, "job %s of service %s is cancelled\n", report.ID, report.Service) })
 }
@@ -115,7 +115,7 @@
 // changeDrain sends a command on the worker's drain on top of the version that is in force, so that a copy of it that arrives late, after a
 // later command, changes nothing. For a worker that no leader lists the command has no version.
 func (o *drainOptions) changeDrain(method string, printReport func(report *jobreport.Worker)) error {
-	var list control.Workers
+	var list control.WorkerList
 	if _, err := o.call(operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: o.query()}, &list); err != nil {
 		return err
 	}
--- a/cmd/puffinlink/operationsoutput.go
+++ b/cmd/puffinlink/operationsoutput.go
@@ -34,8 +34,8 @@
 	rows := [][]string{{"MEMBER", "ALIVE", "VOTES", "HEARD"}}
 	for _, member := range s.Members {
 		heard := "never"
-		if member.Heard {
-			heard = milliseconds(member.HeardAgoMS).String() + " ago"
+		if member.Contacted {
+			heard = milliseconds(member.SinceContactMS).String() + " ago"
 		}
 		rows = append(rows, []string{member.Address, yesNo(member.Alive), yesNo(member.Ready), heard})
 	}
@@ -43,7 +43,7 @@
 	fmt.Fprintln(stdout)
 	rows = [][]string{{"SERVICE", "LEADER", "EPOCH", "QUEUED", "RUNNING", "ENDED", "WAITING-TASKS", "RUNS", "SEARCHERS"}}
 	for _, group := range s.Groups {
-		row := []string{group.Service, orDash(group.Leader), fmt.Sprint(group.Epoch)}
+		row := []string{group.Service, orDash(group.Leader), fmt.Sprint(group.Term)}
 		if group.Summary == nil {
 			rows = append(rows, append(row, "("+group.Error+")"))
 			continue
@@ -66,7 +66,7 @@
 	return "its disk is complete"
 }
 
-func printWorkers(s *control.Workers) {
+func printWorkers(s *control.WorkerList) {
 	rows := [][]string{{"SEARCHER", "SERVICE", "STATE", "ZONE", "RACK", "RUNS", "WINDOW", "LATENCY", "FAULTS", "FREE", "CAPACITY"}}
 	for _, one := range s.Workers {
 		rows = append(rows, []string{one.ID, one.Service, string(one.State), orDash(one.Zone), orDash(one.Rack), fmt.Sprint(one.Attempts), fmt.Sprint(one.Window),
@@ -76,7 +76,7 @@
 	printUnanswered(s.Unanswered)
 }
 
-func printJobs(jobs *control.Jobs) {
+func printJobs(jobs *control.JobList) {
 	rows := [][]string{{"JOB", "SERVICE", "ROUTE", "PRIORITY", "STATE", "BLOCKED", "WAITING", "RUNNING", "DONE"}}
 	for _, one := range jobs.Jobs {
 		row := []string{string(one.ID), orDash(one.Service), orDash(one.Route), fmt.Sprint(one.Priority), string(one.State)}
@@ -135,7 +135,7 @@
 	printTable(rows)
 }
 
-func printUnanswered(list []control.Unanswered) {
+func printUnanswered(list []control.UnansweredService) {
 	for _, one := range list {
 		fmt.Fprintf(stderr, "service %s is missing above: %s\n", one.Service, one.Error)
 	}
--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -67,8 +67,8 @@
 
 // memberLiveness returns the time since the last contact with each of the other members, and whether a quorum is reachable.
 func (c *Coordinator) memberLiveness() replicaset.Liveness {
-	contacts := replicaset.Liveness{QuorumReachable: c.node.InContact(), SinceContact: make(map[string]time.Duration)}
-	for _, member := range c.node.Members() {
+	contacts := replicaset.Liveness{QuorumReachable: c.replicationNode.InContact(), SinceContact: make(map[string]time.Duration)}
+	for _, member := range c.replicationNode.Members() {
 		if member.Contacted {
 			contacts.SinceContact[member.Address] = member.SinceContact
 		}
@@ -101,14 +101,14 @@
 		},
 	})
 	var err error
-	c.node, err = replication.NewNode(replication.Config{
+	c.replicationNode, err = replication.NewNode(replication.Config{
 		Self: self, Store: c.store, Caller: c.caller, View: c.replicaSet.View, Ready: c.rebuilder.Ready,
 		Handler: c.jobManager, Log: c.log, Timing: replication.DefaultTiming,
 	})
 	if err != nil {
 		return fmt.Errorf("replication: %w", err)
 	}
-	c.node.Serve(c.mux)
+	c.replicationNode.Serve(c.mux)
 	c.jobManager.Serve(c.mux)
 	c.jobManager.ServeOperatorCalls(c.mux)
 	return nil
@@ -119,10 +119,10 @@
 		Caller: c.caller, Address: self, Logger: c.log,
 		Sources: feedserver.Sources{
 			Configuration: c.configurator.Current,
-			Leaders:       c.node.Leaders,
+			Leaders:       c.replicationNode.Leaders,
 			Core:          func() []string { return c.replicaSet.View().Members },
 			InContact:     c.isCurrent,
-			Changed:       []func() <-chan struct{}{c.configurator.Changed, c.node.LeadersChanged, c.replicaSet.Changed},
+			Changed:       []func() <-chan struct{}{c.configurator.Changed, c.replicationNode.LeadersChanged, c.replicaSet.Changed},
 		},
 	})
 	c.feedServer.Mount(c.mux)
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -58,7 +58,7 @@
 	store             *storage.FileStore
 	replicaSet        *replicaset.Manager
 	rebuilder         *rebuild.Rebuilder
-	node              *replication.Node
+	replicationNode   *replication.Node
 	configurator      *configuration.Configurator
 	feedServer        *feedserver.Server
 	jobManager        *manager.Manager
--- a/internal/controlplane/coordinator/current_test.go
+++ b/internal/controlplane/coordinator/current_test.go
@@ -48,7 +48,7 @@
 	c := &Coordinator{log: zap.NewNop(), mux: transport.NewMux()}
 	currentView := func() replicaset.View { return *view }
 	var err error
-	c.node, err = replication.NewNode(replication.Config{
+	c.replicationNode, err = replication.NewNode(replication.Config{
 		Self: address, Store: storage.NewMemory(), Caller: network.Caller(address), View: currentView,
 		Ready: func() bool { return true }, Handler: manager.New(manager.Config{Log: zap.NewNop()}),
 	})
@@ -84,7 +84,7 @@
 			return err
 		}
 		Convey("Before the first quorum read, it is not current although a majority replies to pings", t, func() {
-			So(c.node.InContact(), ShouldBeTrue)
+			So(c.replicationNode.InContact(), ShouldBeTrue)
 			So(isReportedCurrent(c), ShouldBeFalse)
 		})
 		Convey("After a quorum read, it is current for FreshAge", t, func() {
@@ -97,7 +97,7 @@
 			register.fails = true
 			<-time.After(time.Millisecond)
 			So(read(), ShouldNotBeNil)
-			So(c.node.InContact(), ShouldBeTrue)
+			So(c.replicationNode.InContact(), ShouldBeTrue)
 			So(isReportedCurrent(c), ShouldBeFalse)
 		})
 		Convey("It is not current if no majority replies to pings", t, func() {
--- a/internal/controlplane/coordinator/metrics.go
+++ b/internal/controlplane/coordinator/metrics.go
@@ -28,7 +28,7 @@
 // Metrics returns the collectors of this node's metrics. Their values are computed whenever they are collected.
 func (c *Coordinator) Metrics() []prometheus.Collector {
 	return []prometheus.Collector{
-		metrics.BoolGauge("puffinlink_in_contact", "Whether a majority of the replicas has replied to this node lately.", c.node.InContact),
+		metrics.BoolGauge("puffinlink_in_contact", "Whether a majority of the replicas has replied to this node lately.", c.replicationNode.InContact),
 		metrics.BoolGauge("puffinlink_disk_complete", "Whether the store of this node is complete, so that it may vote.", c.rebuilder.Ready),
 		metrics.Gauge("puffinlink_view_members", "Members of the replica set in the view known to this node.", func() float64 { return float64(len(c.replicaSet.View().Members)) }),
 		metrics.Gauge("puffinlink_live_members", "Members that are alive, including this node.", c.liveMembers),
@@ -47,7 +47,7 @@
 
 func (c *Coordinator) liveMembers() float64 {
 	alive := 1
-	for _, member := range c.node.Members() {
+	for _, member := range c.replicationNode.Members() {
 		if member.Alive {
 			alive++
 		}
@@ -67,7 +67,7 @@
 
 // Collect implements prometheus.Collector.
 func (g groupCollector) Collect(collected chan<- prometheus.Metric) {
-	leaders := g.coordinator.node.Leaders()
+	leaders := g.coordinator.replicationNode.Leaders()
 	for group, summary := range g.coordinator.jobManager.Summaries() {
 		service := strings.TrimPrefix(group, feed.GroupOf(""))
 		collectGroup(collected, service, leaders[group].Term, summary)
--- a/internal/controlplane/coordinator/run.go
+++ b/internal/controlplane/coordinator/run.go
@@ -50,7 +50,7 @@
 	replicationStopped := make(chan struct{})
 	go func() {
 		defer close(replicationStopped)
-		c.node.Run(replicationCtx)
+		c.replicationNode.Run(replicationCtx)
 	}()
 	err := c.waitForStop(ctx, failures)
 	c.handOver(lifetimeCtx, err == nil)
@@ -84,7 +84,7 @@
 		return
 	}
 	for _, service := range parsed.Services {
-		c.node.Ensure(feed.GroupOf(service.Name))
+		c.replicationNode.Ensure(feed.GroupOf(service.Name))
 	}
 }
 
@@ -92,7 +92,7 @@
 // pings and recently confirmed the configuration. Pings alone are not sufficient: they may succeed while quorum reads fail,
 // for example while members are being rebuilt or know a different view.
 func (c *Coordinator) isCurrent() bool {
-	return c.node.InContact() && c.configurator.Fresh(configuration.FreshAge)
+	return c.replicationNode.InContact() && c.configurator.Fresh(configuration.FreshAge)
 }
 
 func (c *Coordinator) adoptView(view replicaset.View) {
--- a/internal/controlplane/operations/api.go
+++ b/internal/controlplane/operations/api.go
@@ -5,17 +5,17 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// Paths of the API. IDs of workers and jobs are appended to the last two.
+// Paths of the API. The path of one worker or job is WorkersPath or JobsPath, followed by a slash and its ID.
 const (
 	StatusPath  = "/-/status"
 	WorkersPath = "/-/searchers"
 	JobsPath    = "/-/jobs"
 )
 
-// Names appended to the path of one worker or one job.
+// Suffixes of the path of one worker or one job.
 const (
-	DrainSuffix = "/drain"
-	WhySuffix   = "/why"
+	DrainSuffix   = "/drain"
+	ExplainSuffix = "/why"
 )
 
 // Query parameters.
@@ -25,74 +25,74 @@
 	LimitParameter   = "limit"
 )
 
-// Identity names the responding node.
+// Identity identifies the responding node.
 type Identity struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
-	Address string `json:"address"` // internal, host:port
+	Address string `json:"address"` // internal address, host:port
 }
 
-// View is the set of replicas.
+// View is the set of replicas, as far as the responding node knows it.
 type View struct {
-	Version uint64   `json:"version"` // 0 while none is known
+	Version uint64   `json:"version"` // 0 if no view is known
 	Members []string `json:"members"`
 }
 
-// Member is another replica as the responding node sees it.
+// Member is the state of another replica, as the responding node knows it.
 type Member struct {
-	Address    string `json:"address"`
-	Alive      bool   `json:"alive"`
-	Ready      bool   `json:"ready"`      // it may vote; false while its disk is being rebuilt
-	Heard      bool   `json:"heard"`      // it has been heard from since the responding node started
-	HeardAgoMS int64  `json:"heardAgoMs"` // meaningless unless heard
+	Address        string `json:"address"`
+	Alive          bool   `json:"alive"`
+	Ready          bool   `json:"ready"`      // whether it may vote; false while its disk is being rebuilt
+	Contacted      bool   `json:"heard"`      // whether it has contacted the responding node since that node started
+	SinceContactMS int64  `json:"heardAgoMs"` // time since the last contact; only meaningful if Contacted
 }
 
-// Group is the jobs of one service and who schedules them.
+// Group describes the jobs of one service and the leader that schedules them.
 type Group struct {
 	Service string             `json:"service"`
-	Leader  string             `json:"leader"` // internal address; empty while none is known
-	Epoch   uint64             `json:"epoch"`  // of the leader; it is the fencing token at workers
+	Leader  string             `json:"leader"` // internal address; empty if no leader is known
+	Term    uint64             `json:"epoch"`  // term of the leader, which is also its fencing token at workers
 	Summary *jobreport.Summary `json:"summary,omitempty"`
-	Error   string             `json:"error,omitempty"` // why the leader gave no summary
+	Error   string             `json:"error,omitempty"` // why there is no summary of the leader
 }
 
-// Status is the response of StatusPath.
+// Status is the body of a response of StatusPath.
 type Status struct {
 	Node                 Identity `json:"mixer"`
 	UptimeMS             int64    `json:"uptimeMs"`
-	Rebuilt              bool     `json:"rebuilt"`   // its disk is complete, so that it votes
-	InContact            bool     `json:"inContact"` // a majority of the view has replied to it lately
+	Rebuilt              bool     `json:"rebuilt"`   // whether its disk is complete, so that it may vote
+	InContact            bool     `json:"inContact"` // whether a majority has recently replied to it and confirmed the configuration
 	ConfigurationVersion uint64   `json:"configurationVersion"`
 	View                 View     `json:"view"`
-	Members              []Member `json:"members"` // the others
+	Members              []Member `json:"members"` // the other replicas
 	Groups               []Group  `json:"groups"`
-	Agents               []string `json:"agents"` // internal addresses of the agents on front machines
+	Agents               []string `json:"agents"` // internal addresses of the active agents on front machines
 }
 
-// Unanswered is a service whose leader did not reply.
-type Unanswered struct {
+// UnansweredService is a service whose leader did not reply.
+type UnansweredService struct {
 	Service string `json:"service"`
 	Error   string `json:"error"`
 }
 
-// Workers is the response of WorkersPath.
-type Workers struct {
-	Workers    []jobreport.Worker `json:"searchers"`
-	Unanswered []Unanswered       `json:"unanswered,omitempty"`
+// WorkerList is the body of a response of WorkersPath.
+type WorkerList struct {
+	Workers    []jobreport.Worker  `json:"searchers"`
+	Unanswered []UnansweredService `json:"unanswered,omitempty"`
 }
 
-// Jobs is the response of JobsPath.
-type Jobs struct {
-	Jobs       []jobreport.Job `json:"jobs"`
-	Total      int             `json:"total"` // that match, listed or not
-	Unanswered []Unanswered    `json:"unanswered,omitempty"`
+// JobList is the body of a response of JobsPath.
+type JobList struct {
+	Jobs       []jobreport.Job     `json:"jobs"`
+	Total      int                 `json:"total"` // number of matching jobs, including those that are not listed
+	Unanswered []UnansweredService `json:"unanswered,omitempty"`
 }
 
-// Cancelled is the response to the cancellation of a job.
-type Cancelled struct {
+// CancelledJob is the body of a response to the cancellation of a job.
+type CancelledJob struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 }
 
-// Failure is the body of a response that reports an error, as for the configuration.
+// Failure is the body of a response that reports an error. It is the same as for requests for the configuration.
 type Failure = control.Failure
--- a/internal/controlplane/operations/jobs.go
+++ b/internal/controlplane/operations/jobs.go
@@ -23,7 +23,7 @@
 	control.WriteJSON(w, http.StatusOK, list)
 }
 
-func (h *Handler) listJobs(r *http.Request) (list Jobs, err error) {
+func (h *Handler) listJobs(r *http.Request) (list JobList, err error) {
 	query := r.URL.Query()
 	state, err := parseState(query.Get(StateParameter))
 	if err != nil {
@@ -33,22 +33,22 @@
 	if err != nil {
 		return list, err
 	}
-	groups, err := h.groups(query)
+	groups, err := h.requestedGroups(query)
 	if err != nil {
 		return list, err
 	}
 	replies := callLeaders[jobreport.JobsReply](r.Context(), h, groups, jobreport.JobsCall.Route(), func(group string) any {
 		return jobreport.JobsRequest{Group: group, State: state, Limit: limit}
 	})
-	if list.Unanswered, err = unanswered(replies); err != nil {
+	if list.Unanswered, err = unansweredServices(replies); err != nil {
 		return list, err
 	}
 	list.merge(replies, limit)
 	return list, nil
 }
 
-// merge takes jobs of the services in turn, up to a limit.
-func (list *Jobs) merge(replies []leaderReply[jobreport.JobsReply], limit int) {
+// merge adds jobs of all services up to a limit. It takes one job of each service in turn.
+func (list *JobList) merge(replies []leaderReply[jobreport.JobsReply], limit int) {
 	longest := 0
 	for _, result := range replies {
 		list.Total += result.reply.Total
@@ -90,24 +90,25 @@
 	detail jobreport.JobDetail
 }
 
-// locate finds the job that a request names, by calls to the leaders.
-func (h *Handler) locate(r *http.Request) (locatedJob, error) {
+// locateJob finds the job that a request names by calling the leaders.
+func (h *Handler) locateJob(r *http.Request) (locatedJob, error) {
 	id := job.ID(r.PathValue("id"))
 	if !id.Valid() {
 		return locatedJob{}, newStatusError(http.StatusBadRequest, fmt.Sprintf("%q is not a job's ID; it has 16 hexadecimal digits", id))
 	}
-	groups, err := h.groups(r.URL.Query())
+	groups, err := h.requestedGroups(r.URL.Query())
 	if err != nil {
 		return locatedJob{}, err
 	}
 	replies := callLeaders[jobreport.JobReply](r.Context(), h, groups, jobreport.JobCall.Route(), func(group string) any {
 		return jobreport.JobRequest{Group: group, ID: id}
 	})
-	return onlyMatch(id, replies)
+	return uniqueMatch(id, replies)
 }
 
-// onlyMatch picks the only reply that knows a job.
-func onlyMatch(id job.ID, replies []leaderReply[jobreport.JobReply]) (locatedJob, error) {
+// uniqueMatch returns the only known job in the replies. It returns an error if there are several or none. If there is none and a
+// leader has failed to reply, it returns that leader's error, because that leader may know the job.
+func uniqueMatch(id job.ID, replies []leaderReply[jobreport.JobReply]) (locatedJob, error) {
 	var matches []locatedJob
 	var failure error
 	for _, result := range replies {
@@ -128,15 +129,15 @@
 	case failure != nil:
 		return locatedJob{}, failure
 	}
-	return locatedJob{}, unknownJob(id)
+	return locatedJob{}, newUnknownJobError(id)
 }
 
-func unknownJob(id job.ID) error {
+func newUnknownJobError(id job.ID) error {
 	return newStatusError(http.StatusNotFound, fmt.Sprintf("no job %s is known: it was never taken, or it ended long ago", id))
 }
 
 func (h *Handler) job(w http.ResponseWriter, r *http.Request) {
-	match, err := h.locate(r)
+	match, err := h.locateJob(r)
 	if err != nil {
 		h.writeError(w, r, err)
 		return
@@ -144,8 +145,8 @@
 	control.WriteJSON(w, http.StatusOK, match.detail)
 }
 
-func (h *Handler) why(w http.ResponseWriter, r *http.Request) {
-	match, err := h.locate(r)
+func (h *Handler) explain(w http.ResponseWriter, r *http.Request) {
+	match, err := h.locateJob(r)
 	if err != nil {
 		h.writeError(w, r, err)
 		return
@@ -160,7 +161,7 @@
 }
 
 func (h *Handler) cancel(w http.ResponseWriter, r *http.Request) {
-	match, err := h.locate(r)
+	match, err := h.locateJob(r)
 	if err == nil {
 		err = h.cancelJob(r.Context(), match)
 	}
@@ -169,11 +170,11 @@
 		return
 	}
 	h.options.Logger.Info("operator cancelled job", zap.String("service", match.detail.Service), zap.String("job", string(match.detail.ID)))
-	control.WriteJSON(w, http.StatusOK, Cancelled{ID: string(match.detail.ID), Service: match.detail.Service})
+	control.WriteJSON(w, http.StatusOK, CancelledJob{ID: string(match.detail.ID), Service: match.detail.Service})
 }
 
-// cancelJob calls the job's leader. The outcome follows from the durable state in the reply and not from what was located
-// before: the job may have ended since, or that state may have been lost.
+// cancelJob asks the job's leader to cancel it. The result depends on the durable state in the reply, not on the state found by
+// locateJob. Since then, the job may have ended, or the state that was found may have been lost.
 func (h *Handler) cancelJob(ctx context.Context, match locatedJob) error {
 	var reply jobapi.CancelReply
 	err := h.callLeader(ctx, match.group, jobapi.CancelCall.Route(), jobapi.CancelRequest{Group: match.group, ID: match.detail.ID}, &reply)
@@ -181,7 +182,7 @@
 	case err != nil:
 		return err
 	case !reply.Known:
-		return unknownJob(match.detail.ID)
+		return newUnknownJobError(match.detail.ID)
 	case reply.State.Final() && reply.State != job.Cancelled:
 		return newStatusError(http.StatusConflict, fmt.Sprintf("job %s has already ended: it is %s", match.detail.ID, reply.State))
 	}
--- a/internal/controlplane/operations/leadercalls.go
+++ b/internal/controlplane/operations/leadercalls.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	forwardTimeout     = 3 * time.Second         // for a reply of a leader, whichever node leads in the meantime
-	attemptTimeout     = 1500 * time.Millisecond // for one call
-	summaryTimeout     = 800 * time.Millisecond  // for the part of the status that leaders know
-	leaderPollInterval = 200 * time.Millisecond  // between two attempts while no change of leader is known
+	forwardTimeout     = 3 * time.Second         // limit for the reply of a leader, including retries and changes of the leader
+	attemptTimeout     = 1500 * time.Millisecond // limit for one call
+	summaryTimeout     = 800 * time.Millisecond  // limit for requesting the summaries of a status from the leaders
+	leaderPollInterval = 200 * time.Millisecond  // time between two attempts if no change of leaders becomes known earlier
 )
 
 var errNoLeader = errors.New("no leader is known at the moment")
 
 func serviceOf(group string) string { return strings.TrimPrefix(group, feed.GroupOf("")) }
 
-// groups lists the groups of a request: that of the service it names, or all.
-func (h *Handler) groups(query url.Values) ([]string, error) {
+// requestedGroups returns the group of the service that a request names, or all groups if it names none.
+func (h *Handler) requestedGroups(query url.Values) ([]string, error) {
 	known := h.options.Sources.Groups()
 	service := query.Get(ServiceParameter)
 	if service == "" {
@@ -46,23 +46,23 @@
 	return nil, newStatusError(http.StatusNotFound, fmt.Sprintf("no service %q; the services are: %s", service, strings.Join(names, ", ")))
 }
 
-// callLeader calls the leader of a group, and each later leader, until one replies or forwardTimeout is over. All requests of
-// operators are idempotent.
+// callLeader calls the current leader of a group until there is a successful reply or forwardTimeout has passed. It follows
+// changes of the leader. Retries are safe because all requests of operators are idempotent.
 func (h *Handler) callLeader(ctx context.Context, group string, route transport.IdempotentRoute, request, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	worst := rpcerror.WrapNotExecuted(errNoLeader, 0)
+	failure := rpcerror.WrapNotExecuted(errNoLeader, 0)
 	for {
-		changed := h.options.Sources.Changed()
+		changed := h.options.Sources.LeadersChanged()
 		if leader := h.options.Sources.Leaders()[group]; leader.Address != "" {
 			err := h.callOnce(ctx, leader.Address, route, request, reply)
 			if err == nil {
 				return nil
 			}
-			worst = lessCertain(worst, err)
+			failure = leastCertainError(failure, err)
 		}
 		if err := waitForLeader(ctx, changed); err != nil {
-			return fmt.Errorf("jobs of service %s: %w", serviceOf(group), worst)
+			return fmt.Errorf("jobs of service %s: %w", serviceOf(group), failure)
 		}
 	}
 }
@@ -73,16 +73,18 @@
 	return h.options.Caller.Call(ctx, leader, route, request, reply)
 }
 
-// lessCertain is the error to report of two attempts, or of the calls to two leaders: one that may have been executed outweighs
-// any other; else it is the later one.
-func lessCertain(earlier, later error) error {
+// leastCertainError returns the error to report after two failed attempts or calls to two leaders. If the earlier request may have
+// been executed, it returns the earlier error, otherwise the later one. Thus a request that may have been executed is never
+// reported as not executed.
+func leastCertainError(earlier, later error) error {
 	if earlier != nil && rpcerror.ExecutionOf(earlier) == rpcerror.MayHaveExecuted {
 		return earlier
 	}
 	return later
 }
 
-// waitForLeader waits for a change of leaders, but at most leaderPollInterval.
+// waitForLeader waits for a change of leaders, for at most leaderPollInterval. It returns the context's error if the context has
+// ended.
 func waitForLeader(ctx context.Context, changed <-chan struct{}) error {
 	timer := time.NewTimer(leaderPollInterval)
 	defer timer.Stop()
@@ -101,7 +103,7 @@
 	err   error
 }
 
-// callLeaders calls the leaders of several groups concurrently. The replies have the order of the groups.
+// callLeaders calls the leaders of several groups concurrently. The replies are in the order of the groups.
 func callLeaders[Reply any](ctx context.Context, h *Handler, groups []string, route transport.IdempotentRoute, request func(group string) any) []leaderReply[Reply] {
 	replies := make([]leaderReply[Reply], len(groups))
 	var calls sync.WaitGroup
@@ -113,13 +115,13 @@
 	return replies
 }
 
-// unanswered lists the groups whose leaders did not reply. It is an error if none did.
-func unanswered[Reply any](replies []leaderReply[Reply]) ([]Unanswered, error) {
-	var withoutReply []Unanswered
+// unansweredServices returns the services whose leaders did not reply. It returns an error if no leader replied.
+func unansweredServices[Reply any](replies []leaderReply[Reply]) ([]UnansweredService, error) {
+	var withoutReply []UnansweredService
 	var failures []error
 	for _, result := range replies {
 		if result.err != nil {
-			withoutReply = append(withoutReply, Unanswered{Service: serviceOf(result.group), Error: result.err.Error()})
+			withoutReply = append(withoutReply, UnansweredService{Service: serviceOf(result.group), Error: result.err.Error()})
 			failures = append(failures, result.err)
 		}
 	}
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -12,31 +12,33 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func TestStatus(t *testing.T) { virtualtime.Test(t, checkStatus) }
+func TestStatusHasMembersLeadersAndSummaries(t *testing.T) {
+	virtualtime.Test(t, checkStatusHasMembersLeadersAndSummaries)
+}
 
-func checkStatus(t *testing.T) {
+func checkStatusHasMembersLeadersAndSummaries(t *testing.T) {
 	Convey("Given a node", t, func() {
-		c := newFakeCore()
+		c := newFakeCluster()
 		var status Status
 
-		Convey("its status has members, leaders and summaries", func() {
+		Convey("its status contains members, leaders and summaries", func() {
 			So(request(c.handler(), "GET", StatusPath, &status).Code, ShouldEqual, http.StatusOK)
 			So(status.Node.Name, ShouldEqual, "core-1")
 			So(status.ConfigurationVersion, ShouldEqual, 7)
 			So(status.View.Members, ShouldHaveLength, 3)
 			So(status.Members[0].Alive, ShouldBeTrue)
-			So(status.Members[1].Heard, ShouldBeFalse)
+			So(status.Members[1].Contacted, ShouldBeFalse)
 			So(status.Agents, ShouldResemble, []string{"10.0.1.1:7661"})
 			So(status.Groups, ShouldHaveLength, 2)
 			So(status.Groups[1].Service, ShouldEqual, "stress")
 			So(status.Groups[1].Leader, ShouldEqual, "10.0.0.2:7660")
-			So(status.Groups[1].Epoch, ShouldEqual, 5)
+			So(status.Groups[1].Term, ShouldEqual, 5)
 			So(status.Groups[1].Summary.Running, ShouldEqual, 2)
 		})
-		Convey("a service whose leader does not reply has the error", func() {
+		Convey("a service whose leader does not reply is listed with the error", func() {
 			c.fail = func(address, _ string) error {
 				if address == "10.0.0.1:7660" {
-					return errReset
+					return errConnectionReset
 				}
 				return nil
 			}
@@ -45,7 +47,7 @@
 			So(status.Groups[0].Error, ShouldContainSubstring, "connection reset")
 			So(status.Groups[1].Summary, ShouldNotBeNil)
 		})
-		Convey("so has a service without a leader", func() {
+		Convey("a service without a leader is listed with an error", func() {
 			delete(c.leaders, "jobs/pricing")
 			request(c.handler(), "GET", StatusPath, &status)
 			So(status.Groups[0].Leader, ShouldBeEmpty)
@@ -54,19 +56,21 @@
 	})
 }
 
-func TestWorkers(t *testing.T) { virtualtime.Test(t, checkWorkers) }
+func TestWorkersAreListedAndDrained(t *testing.T) {
+	virtualtime.Test(t, checkWorkersAreListedAndDrained)
+}
 
-func checkWorkers(t *testing.T) {
+func checkWorkersAreListedAndDrained(t *testing.T) {
 	Convey("Given two services", t, func() {
-		c := newFakeCore()
-		var list Workers
+		c := newFakeCluster()
+		var list WorkerList
 
 		Convey("all workers are listed", func() {
 			So(request(c.handler(), "GET", WorkersPath, &list).Code, ShouldEqual, http.StatusOK)
 			So(list.Workers, ShouldHaveLength, 2)
 			So(list.Unanswered, ShouldBeEmpty)
 		})
-		Convey("or those of one service", func() {
+		Convey("the workers of one service are listed", func() {
 			request(c.handler(), "GET", WorkersPath+"?service=stress", &list)
 			So(list.Workers, ShouldHaveLength, 1)
 			So(list.Workers[0].ID, ShouldEqual, "i-stress")
@@ -85,7 +89,7 @@
 			So(worker.OperatorDraining, ShouldBeFalse)
 			So(c.drains[2], ShouldResemble, jobreport.DrainRequest{Group: "jobs/stress", Worker: "i-stress"})
 		})
-		Convey("the leader decides on a drain with a base version", func() {
+		Convey("the response to a drain with a base version depends on the outcome at the leader", func() {
 			request := func(method, version string) *httptest.ResponseRecorder {
 				r := httptest.NewRequest(method, WorkersPath+"/i-stress/drain?service=stress", nil)
 				r.Header.Set("If-Match", version)
@@ -94,14 +98,14 @@
 				return recorder
 			}
 			c.drainVersion = 8
-			taken := request("POST", `"7"`)
-			So(taken.Code, ShouldEqual, http.StatusOK)
-			So(taken.Header().Get("ETag"), ShouldEqual, `"8"`)
+			applied := request("POST", `"7"`)
+			So(applied.Code, ShouldEqual, http.StatusOK)
+			So(applied.Header().Get("ETag"), ShouldEqual, `"8"`)
 			So(*c.drains[0].BaseVersion, ShouldEqual, 7)
 			c.drainOutcome = jobreport.DrainSuperseded
-			refused := request("DELETE", "7")
-			So(refused.Code, ShouldEqual, http.StatusPreconditionFailed)
-			So(refused.Body.String(), ShouldContainSubstring, "version 8 is in force")
+			superseded := request("DELETE", "7")
+			So(superseded.Code, ShouldEqual, http.StatusPreconditionFailed)
+			So(superseded.Body.String(), ShouldContainSubstring, "version 8 is in force")
 			c.drainOutcome = jobreport.DrainIndeterminate
 			So(request("POST", "9").Code, ShouldEqual, http.StatusGatewayTimeout)
 			So(request("POST", "x").Code, ShouldEqual, http.StatusBadRequest)
@@ -110,16 +114,16 @@
 		Convey("an unknown worker is not found", func() {
 			So(request(c.handler(), "POST", WorkersPath+"/i-none/drain", nil).Code, ShouldEqual, http.StatusNotFound)
 		})
-		Convey("unless a leader that may know it does not reply", func() {
-			c.fail = failAt("10.0.0.1:7660", errNotLeader)
-			answer := request(c.handler(), "POST", WorkersPath+"/i-none/drain", nil)
-			So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
-			So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
+		Convey("an unknown worker is not reported as not found if a leader does not reply", func() {
+			c.fail = failCallsTo("10.0.0.1:7660", errNotLeader)
+			response := request(c.handler(), "POST", WorkersPath+"/i-none/drain", nil)
+			So(response.Code, ShouldEqual, http.StatusServiceUnavailable)
+			So(response.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
 		})
 		Convey("a drain that one leader may have executed is not reported as not executed", func() {
 			c.fail = func(address, _ string) error {
 				if address == "10.0.0.1:7660" {
-					return errReset
+					return errConnectionReset
 				}
 				return errNotLeader
 			}
@@ -128,11 +132,13 @@
 	})
 }
 
-func TestOtherPaths(t *testing.T) { virtualtime.Test(t, checkOtherPaths) }
+func TestOtherPathsAreServedByNextHandler(t *testing.T) {
+	virtualtime.Test(t, checkOtherPathsAreServedByNextHandler)
+}
 
-func checkOtherPaths(t *testing.T) {
+func checkOtherPathsAreServedByNextHandler(t *testing.T) {
 	Convey("All other paths, and the configuration, are served by the next handler", t, func() {
-		handler := newFakeCore().handler()
+		handler := newFakeCluster().handler()
 		for _, path := range []string{control.Path, "/", "/-/other", "/-/searchers/i-1"} {
 			So(request(handler, "GET", path, nil).Code, ShouldEqual, http.StatusTeapot)
 		}
@@ -141,31 +147,33 @@
 	})
 }
 
-func TestRequestsAreBounded(t *testing.T) { virtualtime.Test(t, checkRequestsAreBounded) }
+func TestConcurrentRequestsAreLimited(t *testing.T) {
+	virtualtime.Test(t, checkConcurrentRequestsAreLimited)
+}
 
-func checkRequestsAreBounded(t *testing.T) {
-	Convey("Too many concurrent requests are rejected, and later ones are served again", t, func() {
-		c := newFakeCore()
-		c.block, c.blocked = make(chan struct{}), make(chan struct{}, 2*maxRequests)
+func checkConcurrentRequestsAreLimited(t *testing.T) {
+	Convey("Requests beyond the limit are rejected, and later ones are served again", t, func() {
+		c := newFakeCluster()
+		c.unblock, c.blocked = make(chan struct{}), make(chan struct{}, 2*maxConcurrentRequests)
 		handler := c.handler()
-		answers := make(chan int, maxRequests)
-		for range maxRequests {
+		statuses := make(chan int, maxConcurrentRequests)
+		for range maxConcurrentRequests {
 			go func() {
 				recorder := httptest.NewRecorder()
 				handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, WorkersPath+"?service=stress", nil))
-				answers <- recorder.Code
+				statuses <- recorder.Code
 			}()
 		}
-		for range maxRequests {
+		for range maxConcurrentRequests {
 			<-c.blocked
 		}
-		answer := request(handler, "GET", StatusPath, nil)
-		So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
-		So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
+		response := request(handler, "GET", StatusPath, nil)
+		So(response.Code, ShouldEqual, http.StatusServiceUnavailable)
+		So(response.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
 		So(request(handler, "GET", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
-		close(c.block)
-		for range maxRequests {
-			So(<-answers, ShouldEqual, http.StatusOK)
+		close(c.unblock)
+		for range maxConcurrentRequests {
+			So(<-statuses, ShouldEqual, http.StatusOK)
 		}
 		So(request(handler, "GET", StatusPath, nil).Code, ShouldEqual, http.StatusOK)
 	})
--- a/internal/controlplane/operations/status.go
+++ b/internal/controlplane/operations/status.go
@@ -16,7 +16,7 @@
 	view := sources.View()
 	control.WriteJSON(w, http.StatusOK, Status{
 		Node:                 h.options.Node,
-		UptimeMS:             time.Since(h.start).Milliseconds(),
+		UptimeMS:             time.Since(h.startTime).Milliseconds(),
 		Rebuilt:              sources.Rebuilt(),
 		InContact:            sources.InContact(),
 		ConfigurationVersion: version,
@@ -31,13 +31,14 @@
 	var members []Member
 	for _, member := range h.options.Sources.Members() {
 		members = append(members, Member{
-			Address: member.Address, Alive: member.Alive, Ready: member.Ready, Heard: member.Contacted, HeardAgoMS: member.SinceContact.Milliseconds(),
+			Address: member.Address, Alive: member.Alive, Ready: member.Ready, Contacted: member.Contacted, SinceContactMS: member.SinceContact.Milliseconds(),
 		})
 	}
 	return members
 }
 
-// groupStatus requests a summary from each leader, once: a status must come soon, also where leaders do not reply.
+// groupStatus requests a summary from each leader. It makes only one attempt, because the status must be returned soon even if
+// leaders do not reply.
 func (h *Handler) groupStatus(ctx context.Context) []Group {
 	ctx, cancel := context.WithTimeout(ctx, summaryTimeout)
 	defer cancel()
@@ -47,18 +48,18 @@
 	var calls sync.WaitGroup
 	for i, name := range names {
 		leader := leaders[name]
-		groups[i] = Group{Service: serviceOf(name), Leader: leader.Address, Epoch: leader.Term}
+		groups[i] = Group{Service: serviceOf(name), Leader: leader.Address, Term: leader.Term}
 		if leader.Address == "" {
 			groups[i].Error = errNoLeader.Error()
 			continue
 		}
-		calls.Go(func() { h.summarize(ctx, name, &groups[i]) })
+		calls.Go(func() { h.addSummary(ctx, name, &groups[i]) })
 	}
 	calls.Wait()
 	return groups
 }
 
-func (h *Handler) summarize(ctx context.Context, name string, group *Group) {
+func (h *Handler) addSummary(ctx context.Context, name string, group *Group) {
 	var reply jobreport.SummaryReply
 	err := h.callOnce(ctx, group.Leader, jobreport.SummaryCall.Route(), jobreport.SummaryRequest{Group: name}, &reply)
 	if err != nil {
--- a/internal/controlplane/operations/workers.go
+++ b/internal/controlplane/operations/workers.go
@@ -10,15 +10,15 @@
 )
 
 func (h *Handler) workers(w http.ResponseWriter, r *http.Request) {
-	groups, err := h.groups(r.URL.Query())
+	groups, err := h.requestedGroups(r.URL.Query())
 	if err != nil {
 		h.writeError(w, r, err)
 		return
 	}
 	replies := callLeaders[jobreport.WorkersReply](r.Context(), h, groups, jobreport.WorkersCall.Route(),
 		func(group string) any { return jobreport.WorkersRequest{Group: group} })
-	var list Workers
-	if list.Unanswered, err = unanswered(replies); err != nil {
+	var list WorkerList
+	if list.Unanswered, err = unansweredServices(replies); err != nil {
 		h.writeError(w, r, err)
 		return
 	}
@@ -31,29 +31,29 @@
 func (h *Handler) drain(w http.ResponseWriter, r *http.Request)   { h.setDrain(w, r, true) }
 func (h *Handler) undrain(w http.ResponseWriter, r *http.Request) { h.setDrain(w, r, false) }
 
-// setDrain calls the leaders of the groups; the one that knows the worker applies the change.
+// setDrain calls the leaders of the requested groups. The leader that knows the worker applies the change.
 func (h *Handler) setDrain(w http.ResponseWriter, r *http.Request, draining bool) {
-	groups, err := h.groups(r.URL.Query())
+	groups, err := h.requestedGroups(r.URL.Query())
 	if err != nil {
 		h.writeError(w, r, err)
 		return
 	}
-	onTopOf, err := drainVersion(r)
+	baseVersion, err := parseBaseVersion(r)
 	if err != nil {
 		h.writeError(w, r, err)
 		return
 	}
 	id := r.PathValue("id")
 	replies := callLeaders[jobreport.DrainReply](r.Context(), h, groups, jobreport.DrainCall.Route(), func(group string) any {
-		return jobreport.DrainRequest{Group: group, Worker: id, Draining: draining, BaseVersion: onTopOf}
+		return jobreport.DrainRequest{Group: group, Worker: id, Draining: draining, BaseVersion: baseVersion}
 	})
 	var failure error
 	for _, result := range replies {
 		switch {
 		case result.err != nil:
-			failure = lessCertain(failure, result.err)
+			failure = leastCertainError(failure, result.err)
 		case result.reply.Known:
-			h.writeDrain(w, r, result.reply)
+			h.writeDrainOutcome(w, r, result.reply)
 			return
 		}
 	}
@@ -63,8 +63,9 @@
 	h.writeError(w, r, failure)
 }
 
-// drainVersion reads from If-Match which version of a worker's drain a change builds on; nil without the header.
-func drainVersion(r *http.Request) (*uint64, error) {
+// parseBaseVersion returns the version of a worker's drain that a change is based on, from the If-Match header. It returns nil if
+// there is no such header.
+func parseBaseVersion(r *http.Request) (*uint64, error) {
 	header := r.Header.Get("If-Match")
 	if header == "" {
 		return nil, nil
@@ -76,16 +77,16 @@
 	return &version, nil
 }
 
-// writeDrain writes the response to a change of a drain, by the decision of the worker's leader.
-func (h *Handler) writeDrain(w http.ResponseWriter, r *http.Request, reply jobreport.DrainReply) {
-	inForce := fmt.Sprintf("version %d is in force, operatorDraining is %t", reply.Worker.DrainVersion, reply.Worker.OperatorDraining)
+// writeDrainOutcome writes the response to a change of a drain, according to the outcome at the worker's leader.
+func (h *Handler) writeDrainOutcome(w http.ResponseWriter, r *http.Request, reply jobreport.DrainReply) {
+	currentDrain := fmt.Sprintf("version %d is in force, operatorDraining is %t", reply.Worker.DrainVersion, reply.Worker.OperatorDraining)
 	switch reply.Outcome {
 	case jobreport.DrainApplied:
 		w.Header().Set("ETag", entitytag.Format(reply.Worker.DrainVersion))
 		control.WriteJSON(w, http.StatusOK, reply.Worker)
 	case jobreport.DrainSuperseded:
-		h.writeError(w, r, newStatusError(http.StatusPreconditionFailed, "another order was taken on top of that version: "+inForce))
+		h.writeError(w, r, newStatusError(http.StatusPreconditionFailed, "another order was taken on top of that version: "+currentDrain))
 	default:
-		h.writeError(w, r, newStatusError(http.StatusGatewayTimeout, "it cannot be told whether this order was taken: "+inForce+"; order it again on top of that"))
+		h.writeError(w, r, newStatusError(http.StatusGatewayTimeout, "it cannot be told whether this order was taken: "+currentDrain+"; order it again on top of that"))
 	}
 }
