--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -67,13 +67,13 @@
 
 // memberLiveness returns the time since the last contact with each of the other members, and whether a quorum is reachable.
 func (c *Coordinator) memberLiveness() replicaset.Liveness {
-	contacts := replicaset.Liveness{QuorumReachable: c.replicationNode.InContact(), SinceContact: make(map[string]time.Duration)}
+	liveness := replicaset.Liveness{QuorumReachable: c.replicationNode.InContact(), SinceContact: make(map[string]time.Duration)}
 	for _, member := range c.replicationNode.Members() {
 		if member.Contacted {
-			contacts.SinceContact[member.Address] = member.SinceContact
+			liveness.SinceContact[member.Address] = member.SinceContact
 		}
 	}
-	return contacts
+	return liveness
 }
 
 func (c *Coordinator) assembleConfiguration(self string) {
--- a/internal/controlplane/coordinator/connections.go
+++ b/internal/controlplane/coordinator/connections.go
@@ -12,7 +12,9 @@
 )
 
 const (
-	longPollDivisor        = 4                // every worker has a long poll, which occupies a connection, as long as there are at most a quarter as many workers as connections
+	// longPollDivisor limits the number of workers up to which every worker has a long poll. They may be at most a quarter as many
+	// as connections, because each long poll occupies a connection.
+	longPollDivisor        = 4
 	dialBurst              = 256              // number of connections to workers that may be opened at once, in excess of the rate
 	maxPlatformConnections = 2                // maximum number of connections to the platform's list of workers
 	requestHeaderTimeout   = 10 * time.Second // limit for receiving the headers of a request
@@ -46,8 +48,8 @@
 // hasHost reports whether one of the addresses, of the form host:port, has the given host.
 func hasHost(addresses []string, host string) bool {
 	return slices.ContainsFunc(addresses, func(address string) bool {
-		known, _, err := net.SplitHostPort(address)
-		return err == nil && known == host
+		addressHost, _, err := net.SplitHostPort(address)
+		return err == nil && addressHost == host
 	})
 }
 
--- a/internal/controlplane/coordinator/shutdown.go
+++ b/internal/controlplane/coordinator/shutdown.go
@@ -13,7 +13,9 @@
 	shutdownTimeout      = 2 * time.Second        // limit for completing operators' requests in flight
 	finalRepliesDuration = 300 * time.Millisecond // time during which callers still receive the reply that this node no longer leads
 	shutdownReserve      = 3 * time.Second        // part of the grace period that is reserved for the steps after the hand-over
-	minHandOverDivisor   = 4                      // the hand-over may take at least a quarter of the grace period, even if this leaves less than shutdownReserve
+	// minHandOverDivisor ensures that the hand-over may take at least a quarter of the grace period. If the grace period is short,
+	// this leaves less than shutdownReserve.
+	minHandOverDivisor = 4
 )
 
 // waitForStop waits for a requested stop or a failure of the store or another component. It returns nil after a requested stop.
--- a/internal/controlplane/operations/jobs_test.go
+++ b/internal/controlplane/operations/jobs_test.go
@@ -58,11 +58,11 @@
 	})
 }
 
-func TestJobRequestsAreAnsweredByItsService(t *testing.T) {
-	virtualtime.Test(t, checkJobRequestsAreAnsweredByItsService)
+func TestJobIsFoundAndCancelledInItsService(t *testing.T) {
+	virtualtime.Test(t, checkJobIsFoundAndCancelledInItsService)
 }
 
-func checkJobRequestsAreAnsweredByItsService(t *testing.T) {
+func checkJobIsFoundAndCancelledInItsService(t *testing.T) {
 	Convey("Given two services with jobs", t, func() {
 		c := newFakeCluster()
 		var detail jobreport.JobDetail
--- a/internal/jobs/manager/manager.go
+++ b/internal/jobs/manager/manager.go
@@ -62,15 +62,15 @@
 	}
 	m.mu.Lock()
 	m.leaderships[term.Group()] = leadership
-	instances, inventoryRead := m.inventory, m.inventoryComplete
-	if !inventoryRead {
+	instances, inventoryComplete := m.inventory, m.inventoryComplete
+	if !inventoryComplete {
 		instances = slices.Collect(maps.Values(m.inventoryPages))
 	}
 	m.notifyLeadershipsChanged()
 	m.mu.Unlock()
 	serviceWorkers := serviceInstances(instances, term.Group())
 	m.config.Log.Info("leading", zap.String("group", term.Group()), zap.Uint64("term", term.Number()))
-	if inventoryRead {
+	if inventoryComplete {
 		leadership.setInventory(serviceWorkers)
 	} else if len(serviceWorkers) > 0 {
 		leadership.addInventoryPage(serviceWorkers)
--- a/internal/jobs/manager/operatorcalls.go
+++ b/internal/jobs/manager/operatorcalls.go
@@ -62,11 +62,11 @@
 }
 
 // Summaries returns the summaries of the groups that this node leads, by group. They may include state that is not durable
-// yet.
+// yet. A group whose leadership was just lost is omitted.
 func (m *Manager) Summaries() map[string]jobreport.Summary {
 	summaries := map[string]jobreport.Summary{}
 	for _, group := range m.ledGroups() {
-		_ = m.readUncommitted(group, func(_ scheduler.Now, s *scheduler.Scheduler) { // on an error the leadership has just been lost, and the group is omitted
+		_ = m.readUncommitted(group, func(_ scheduler.Now, s *scheduler.Scheduler) {
 			summaries[group] = s.Summary()
 		})
 	}
