--- a/internal/controlplane/chunks/assembler.go
+++ b/internal/controlplane/chunks/assembler.go
@@ -3,15 +3,16 @@
 // Assembler assembles one content from its chunks. It is not safe for concurrent use.
 type Assembler struct {
 	manifest Manifest
-	order    []Sum // of the chunks in the content; a chunk may be there twice
+	order    []Sum // checksums in the order of the content; a checksum may occur more than once
 	present  map[Sum][]byte
 	missing  map[Sum]struct{}
 }
 
-// Source returns a chunk that is at hand, such as one of an earlier version of the content.
+// Source returns a locally available chunk, such as a chunk of an earlier version of the content.
 type Source func(Sum) (chunk []byte, found bool)
 
-// NewAssembler begins to assemble a content. Chunks that a source has are not missing. The error is ErrManifest.
+// NewAssembler returns an Assembler for the content of a manifest. It takes the chunks that a source has; all others are missing.
+// It returns ErrManifest if the manifest is malformed.
 func NewAssembler(manifest Manifest, sources ...Source) (*Assembler, error) {
 	if err := manifest.Validate(); err != nil {
 		return nil, err
@@ -23,13 +24,13 @@
 		missing:  make(map[Sum]struct{}),
 	}
 	for _, sum := range a.order {
-		a.take(sum, sources)
+		a.addFromSources(sum, sources)
 	}
 	return a, nil
 }
 
-// take takes a chunk from the first source that has it.
-func (a *Assembler) take(sum Sum, sources []Source) {
+// addFromSources adds a chunk from the first source that has it, or records it as missing.
+func (a *Assembler) addFromSources(sum Sum, sources []Source) {
 	for _, source := range sources {
 		if chunk, found := source(sum); found {
 			a.present[sum] = chunk
@@ -39,13 +40,13 @@
 	a.missing[sum] = struct{}{}
 }
 
-// Chunk is the Source of the chunks that have arrived.
+// Chunk returns a chunk that is already present. It is a Source.
 func (a *Assembler) Chunk(sum Sum) (chunk []byte, found bool) {
 	chunk, found = a.present[sum]
 	return chunk, found
 }
 
-// Add takes a chunk and reports whether it was missing. Any other chunk changes nothing.
+// Add adds a chunk and reports whether it was missing. It ignores all other chunks.
 func (a *Assembler) Add(chunk []byte) bool {
 	sum := SumOf(chunk)
 	if _, missing := a.missing[sum]; !missing {
@@ -56,8 +57,8 @@
 	return true
 }
 
-// AddPacked takes packed chunks; those that are not missing change nothing. The error is ErrPacked; chunks before the malformed
-// one are taken.
+// AddPacked unpacks and adds chunks, and ignores those that are not missing. It stops at the first malformed chunk and returns
+// ErrPacked; the chunks before it have been added.
 func (a *Assembler) AddPacked(packed [][]byte) error {
 	for _, compressed := range packed {
 		chunk, err := Unpack(compressed)
@@ -69,19 +70,20 @@
 	return nil
 }
 
-// Missing lists the first missing chunks in the content's order, at most limit.
+// Missing returns the checksums of the first missing chunks, in the order of the content and at most limit.
 func (a *Assembler) Missing(limit int) []Sum {
 	missing := MissingFrom(a.order, a.Chunk)
 	return missing[:min(limit, len(missing))]
 }
 
-// MissingCount is how many chunks are missing.
+// MissingCount returns the number of missing chunks.
 func (a *Assembler) MissingCount() int { return len(a.missing) }
 
 // Complete reports whether no chunk is missing.
 func (a *Assembler) Complete() bool { return len(a.missing) == 0 }
 
-// Content returns the content, checked against the manifest. The error is ErrContent, also while chunks are missing.
+// Content returns the content, verified against the manifest. It returns ErrContent if the content does not match the manifest or
+// if chunks are missing.
 func (a *Assembler) Content() ([]byte, error) {
 	if !a.Complete() {
 		return nil, ErrContent
@@ -99,7 +101,7 @@
 	return content, nil
 }
 
-// MissingFrom lists the checksums of which a source has no chunk, each once.
+// MissingFrom returns the checksums, without duplicates, of the chunks that a source does not have.
 func MissingFrom(sums []Sum, source Source) []Sum {
 	var missing []Sum
 	listed := make(map[Sum]struct{})
--- a/internal/controlplane/chunks/chunking.go
+++ b/internal/controlplane/chunks/chunking.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Chunking is a content split into chunks, each of which is packed when it is first needed. Its methods may be called from any
-// goroutine.
+// Chunking is a content that is split into chunks. Each chunk is packed when it is first needed. Its methods are safe for
+// concurrent use.
 type Chunking struct {
 	manifest Manifest
 	order    []Sum
@@ -13,7 +13,7 @@
 	packed map[Sum][]byte
 }
 
-// NewChunking splits a content. Chunks that an earlier chunking, which may be nil, has packed are not packed again.
+// NewChunking splits a content. It reuses the packed chunks of an earlier chunking, which may be nil.
 func NewChunking(content []byte, earlier *Chunking) *Chunking {
 	split := Split(content)
 	manifest := NewManifest(content, split)
@@ -30,7 +30,7 @@
 	return c
 }
 
-// reusePacked takes what an earlier chunking has packed of the same chunks.
+// reusePacked copies the packed forms of common chunks from an earlier chunking.
 func (c *Chunking) reusePacked(earlier *Chunking) {
 	if earlier == nil {
 		return
@@ -44,19 +44,20 @@
 	}
 }
 
-// Manifest names the content.
+// Manifest returns the manifest of the content.
 func (c *Chunking) Manifest() Manifest { return c.manifest }
 
-// Sums lists the chunks' checksums in order. The caller must not modify the list.
+// Sums returns the checksums of the chunks in order. The caller must not modify the slice.
 func (c *Chunking) Sums() []Sum { return c.order }
 
-// Chunk returns a chunk. It is a Source.
+// Chunk returns the chunk with a checksum. It is a Source.
 func (c *Chunking) Chunk(sum Sum) (chunk []byte, found bool) {
 	chunk, found = c.chunks[sum]
 	return chunk, found
 }
 
-// Packed returns those of the listed chunks that the content has, packed, up to the first that exceeds maxBytes in total.
+// Packed returns the listed chunks in packed form. It skips chunks that are not part of the content, and stops before the chunk
+// with which the total would exceed maxBytes.
 func (c *Chunking) Packed(sums []Sum, maxBytes int) [][]byte {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -74,8 +75,8 @@
 	return packed
 }
 
-// PackedAtLeastOne does as Packed, but returns at least one chunk if the content has any of them, so that each transfer makes
-// progress.
+// PackedAtLeastOne is like Packed, but returns at least one chunk if the content has any of the listed ones, even if that chunk
+// exceeds maxBytes. This way each transfer makes progress.
 func (c *Chunking) PackedAtLeastOne(sums []Sum, maxBytes int) [][]byte {
 	if packed := c.Packed(sums, maxBytes); len(packed) > 0 {
 		return packed
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// packedChunk packs a chunk of the content. The caller holds the mutex.
+// packedChunk returns the packed form of a chunk of the content. The caller must hold the mutex.
 func (c *Chunking) packedChunk(sum Sum) []byte {
 	packed, found := c.packed[sum]
 	if !found {
--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// routes is the text of a configuration with a number of routes.
-func routes(count int, version int) []byte {
+// configurationBody returns the JSON text of a configuration with count routes.
+func configurationBody(count int, version int) []byte {
 	random := rand.New(rand.NewPCG(7, 7))
 	text := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
 	for i := range count {
@@ -25,14 +25,14 @@
 
 func manifestOf(content []byte) Manifest { return NewManifest(content, Split(content)) }
 
-func TestAnyContentIsAssembledInAnyOrder(t *testing.T) {
+func TestContentIsAssembledFromChunksInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		content := routes(rapid.IntRange(0, 300).Draw(t, "routes"), 1)
+		content := configurationBody(rapid.IntRange(0, 300).Draw(t, "routes"), 1)
 		content = append(content, rapid.SliceOfN(rapid.Byte(), 0, 20000).Draw(t, "bytes")...)
 		split := Split(content)
 		for i, chunk := range split {
 			last := i == len(split)-1
-			if len(chunk) > maxChunk || len(chunk) < minChunk && !last {
+			if len(chunk) > maxChunkBytes || len(chunk) < minChunkBytes && !last {
 				t.Fatalf("chunk %d of %d has %d bytes", i, len(split), len(chunk))
 			}
 		}
@@ -40,18 +40,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, i := range rapid.Permutation(indexes(len(split))).Draw(t, "order") {
+		for _, i := range rapid.Permutation(indexesBelow(len(split))).Draw(t, "order") {
 			assembler.Add(split[i])
 			assembler.Add(split[i])
 		}
-		gathered, err := assembler.Content()
-		if err != nil || !bytes.Equal(gathered, content) {
-			t.Fatalf("%d bytes of %d, %v", len(gathered), len(content), err)
+		assembled, err := assembler.Content()
+		if err != nil || !bytes.Equal(assembled, content) {
+			t.Fatalf("assembled %d of %d bytes, error %v", len(assembled), len(content), err)
 		}
 	})
 }
 
-func indexes(count int) []int {
+func indexesBelow(count int) []int {
 	list := make([]int, count)
 	for i := range list {
 		list[i] = i
@@ -60,9 +60,9 @@
 }
 
 func TestSmallEditChangesFewChunks(t *testing.T) {
-	Convey("Given a large content and a version of it with one more route in the middle", t, func() {
-		before := routes(1830, 41)
-		after := bytes.Replace(routes(1830, 42), []byte(`"timeoutMs":3004`), []byte(`"timeoutMs":35000`), 1)
+	Convey("Given a large content and an edited version of it", t, func() {
+		before := configurationBody(1830, 41)
+		after := bytes.Replace(configurationBody(1830, 42), []byte(`"timeoutMs":3004`), []byte(`"timeoutMs":35000`), 1)
 		known := make(map[Sum][]byte)
 		for _, chunk := range Split(before) {
 			known[SumOf(chunk)] = chunk
@@ -73,36 +73,36 @@
 		})
 		So(err, ShouldBeNil)
 		So(assembler.MissingCount(), ShouldBeBetweenOrEqual, 1, 4)
-		Convey("the manifest has a hundredth of the bytes of the content", func() {
+		Convey("the manifest is smaller than 1/80 of the content", func() {
 			So(len(manifestOf(after).Chunks), ShouldBeLessThan, len(after)/80)
 		})
-		Convey("packed chunks have at most a third of the bytes of the content", func() {
-			sum := 0
+		Convey("the packed chunks are smaller than a third of the content", func() {
+			packedBytes := 0
 			for _, chunk := range Split(after) {
-				sum += len(Pack(chunk))
+				packedBytes += len(Pack(chunk))
 			}
-			So(sum, ShouldBeLessThan, len(after)/3)
+			So(packedBytes, ShouldBeLessThan, len(after)/3)
 		})
 	})
 }
 
 func TestWrongChunksAndManifestsAreRefused(t *testing.T) {
-	Convey("Given an assembler that lacks all chunks", t, func() {
-		content := routes(100, 3)
+	Convey("Given an assembler without any chunk", t, func() {
+		content := configurationBody(100, 3)
 		split := Split(content)
 		assembler, err := NewAssembler(manifestOf(content))
 		So(err, ShouldBeNil)
 
-		Convey("a chunk of another content is not taken", func() {
+		Convey("a chunk of another content is ignored", func() {
 			So(assembler.Add([]byte("other")), ShouldBeFalse)
 			So(assembler.MissingCount(), ShouldEqual, len(split))
 		})
-		Convey("a changed chunk is not taken", func() {
+		Convey("a modified chunk is ignored", func() {
 			changed := bytes.Clone(split[0])
 			changed[10]++
 			So(assembler.Add(changed), ShouldBeFalse)
 		})
-		Convey("a chunk counts once", func() {
+		Convey("a chunk is added only once", func() {
 			So(assembler.Add(split[0]), ShouldBeTrue)
 			So(assembler.Add(split[0]), ShouldBeFalse)
 			So(assembler.MissingCount(), ShouldEqual, len(split)-1)
@@ -111,13 +111,13 @@
 			_, err := assembler.Content()
 			So(err, ShouldWrap, ErrContent)
 		})
-		Convey("the missing ones are listed in order, as many as asked for", func() {
+		Convey("missing chunks are listed in order, up to the limit", func() {
 			assembler.Add(split[0])
 			So(assembler.Missing(2), ShouldResemble, []Sum{SumOf(split[1]), SumOf(split[2])})
 		})
 	})
-	Convey("Chunks that make up another content than the manifest names are refused", t, func() {
-		content := routes(20, 3)
+	Convey("Chunks that do not form the content of the manifest are rejected", t, func() {
+		content := configurationBody(20, 3)
 		manifest := manifestOf(content)
 		manifest.Sum[0]++
 		assembler, err := NewAssembler(manifest)
@@ -136,9 +136,9 @@
 		_, err = assembler.Content()
 		So(err, ShouldWrap, ErrContent)
 	})
-	Convey("Malformed manifests are refused", t, func() {
+	Convey("Malformed manifests are rejected", t, func() {
 		for _, manifest := range []Manifest{
-			{Bytes: -1}, {Bytes: MaxContent + 1}, {Bytes: 5, Chunks: make([]byte, SumBytes+1)}, {Bytes: 1, Chunks: make([]byte, 2*SumBytes)},
+			{Bytes: -1}, {Bytes: MaxContentBytes + 1}, {Bytes: 5, Chunks: make([]byte, SumBytes+1)}, {Bytes: 1, Chunks: make([]byte, 2*SumBytes)},
 		} {
 			_, err := NewAssembler(manifest)
 			So(err, ShouldWrap, ErrManifest)
@@ -147,21 +147,21 @@
 }
 
 func TestUnpackInvertsPack(t *testing.T) {
-	Convey("What is packed is unpacked", t, func() {
+	Convey("Unpack returns the chunk that was packed", t, func() {
 		for _, chunk := range [][]byte{nil, []byte("x"), []byte(strings.Repeat("route", 1000))} {
 			unpacked, err := Unpack(Pack(chunk))
 			So(err, ShouldBeNil)
 			So(bytes.Equal(unpacked, chunk), ShouldBeTrue)
 		}
 	})
-	Convey("What is longer than a chunk is refused, and so is what is truncated", t, func() {
-		_, err := Unpack(Pack(make([]byte, maxChunk+1)))
+	Convey("Chunks that are too long or truncated are rejected", t, func() {
+		_, err := Unpack(Pack(make([]byte, maxChunkBytes+1)))
 		So(err, ShouldWrap, ErrPacked)
-		packed := Pack(routes(5, 1))
+		packed := Pack(configurationBody(5, 1))
 		_, err = Unpack(packed[:len(packed)-3])
 		So(err, ShouldWrap, ErrPacked)
 	})
-	Convey("Checksums are concatenated and parsed", t, func() {
+	Convey("ParseSums returns the checksums that JoinSums concatenated", t, func() {
 		sums := []Sum{SumOf([]byte("a")), SumOf([]byte("b"))}
 		So(ParseSums(JoinSums(sums)), ShouldResemble, sums)
 		So(ParseSums(append(JoinSums(sums), 1, 2)), ShouldResemble, sums)
@@ -173,8 +173,8 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		chunk, err := Unpack(packed)
-		if err == nil && len(chunk) > maxChunk {
-			t.Fatalf("%d bytes", len(chunk))
+		if err == nil && len(chunk) > maxChunkBytes {
+			t.Fatalf("unpacked a chunk of %d bytes", len(chunk))
 		}
 	})
 }
@@ -189,7 +189,7 @@
 		assembler.Add(chunk)
 		assembler.Missing(3)
 		if content, err := assembler.Content(); err == nil && SumOf(content) != (Sum{}) {
-			t.Fatal("a content without its checksum")
+			t.Fatal("the content does not have the checksum of its manifest")
 		}
 	})
 }
--- a/internal/controlplane/chunks/manifest.go
+++ b/internal/controlplane/chunks/manifest.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// MaxContent bounds the length of a content, in bytes, so that a manifest cannot claim all of a receiver's memory.
-const MaxContent = 16 << 20
+// MaxContentBytes is the maximum length of a content, so that a malformed manifest cannot make a receiver allocate all its memory.
+const MaxContentBytes = 16 << 20
 
-// Errors of contents that do not arrive as they were sent.
+// Errors for manifests and contents that were not received as sent.
 var (
-	// ErrManifest is the refusal of a malformed manifest.
+	// ErrManifest is returned for a malformed manifest.
 	ErrManifest = errors.New("the manifest is malformed")
-	// ErrContent is the refusal of chunks that do not make up the content which their manifest names.
-	ErrContent = errors.New("the parts do not make up the content that was named")
+	// ErrContent is returned if the chunks do not form the content that the manifest describes.
+	ErrContent = errors.New("the chunks do not form the content that the manifest describes")
 )
 
-// Manifest names a content and its chunks in their order.
+// Manifest identifies a content and lists its chunks in order.
 type Manifest struct {
-	Sum    Sum    `msgpack:"s"` // of the content
+	Sum    Sum    `msgpack:"s"` // checksum of the content
 	Bytes  int    `msgpack:"n"` // length of the content
-	Chunks []byte `msgpack:"p"` // checksums of the chunks, concatenated
+	Chunks []byte `msgpack:"p"` // concatenated checksums of the chunks
 }
 
-// NewManifest makes the manifest of a content that was split.
+// NewManifest returns the manifest of a content, given the chunks into which it was split.
 func NewManifest(content []byte, split [][]byte) Manifest {
 	sums := make([]Sum, 0, len(split))
 	for _, chunk := range split {
@@ -32,15 +32,15 @@
 	return Manifest{Sum: SumOf(content), Bytes: len(content), Chunks: JoinSums(sums)}
 }
 
-// Validate refuses a manifest that no content can have; the error is ErrManifest.
+// Validate returns ErrManifest if no content can have this manifest.
 func (m Manifest) Validate() error {
 	count := len(m.Chunks) / SumBytes
 	switch {
-	case len(m.Chunks)%SumBytes != 0, m.Bytes < 0, m.Bytes > MaxContent, count > m.Bytes:
+	case len(m.Chunks)%SumBytes != 0, m.Bytes < 0, m.Bytes > MaxContentBytes, count > m.Bytes:
 		return fmt.Errorf("%w: %d bytes in %d bytes of checksums", ErrManifest, m.Bytes, len(m.Chunks))
 	}
 	return nil
 }
 
-// Sums lists the chunks' checksums in order.
+// Sums returns the checksums of the chunks in order.
 func (m Manifest) Sums() []Sum { return ParseSums(m.Chunks) }
--- a/internal/controlplane/chunks/split.go
+++ b/internal/controlplane/chunks/split.go
@@ -1,30 +1,31 @@
 package chunks
 
 const (
-	// minChunk and maxChunk bound the length of a chunk, in bytes; the last one of a content may be shorter. Chunks of some
-	// kilobytes keep both costs of a change low for contents of 50 KB to 1 MB: the manifest, 16 bytes a chunk, and the chunks
-	// around the change.
-	minChunk = 512
-	maxChunk = 8 << 10
-	// boundaryMask is compared with the rolling hash: after each byte there is a boundary with a probability of 1 in 2,048.
-	// Configurations have fewer different positions than bytes, so that their chunks have 4 KB in the mean.
+	// minChunkBytes is the minimum length of a chunk. Only the last chunk of a content may be shorter.
+	minChunkBytes = 512
+	// maxChunkBytes is the maximum length of a chunk. A change costs the bytes of the manifest (16 per chunk) and those of the
+	// chunks around the change. Chunks of a few kilobytes keep both costs low for contents of 50 KB to 1 MB.
+	maxChunkBytes = 8 << 10
+	// boundaryMask selects the bits of the rolling hash that are zero at a boundary. Each position is a boundary with a
+	// probability of 1 in 2,048. Configurations are repetitive, so their chunks have a mean length of 4 KB.
 	boundaryMask = (1<<11 - 1) << 40
 )
 
-// gear has the rolling hash's summand for each byte value.
-var gear = makeGear()
+// gearTable is the table of the Gear hash: the number that is added for each byte value.
+var gearTable = newGearTable()
 
-// makeGear fills the table by a fixed linear congruential sequence, so that all builds cut alike.
-func makeGear() (table [256]uint64) {
-	value := uint64(0x9E3779B97F4A7C15)
+// newGearTable fills the table from a linear congruential generator with a fixed seed, so that all builds place the same
+// boundaries.
+func newGearTable() (table [256]uint64) {
+	state := uint64(0x9E3779B97F4A7C15)
 	for i := range table {
-		value = value*6364136223846793005 + 1442695040888963407
-		table[i] = value ^ value>>29
+		state = state*6364136223846793005 + 1442695040888963407
+		table[i] = state ^ state>>29
 	}
 	return table
 }
 
-// Split splits a content into chunks, which share its memory.
+// Split splits a content into chunks. The chunks share the content's memory.
 func Split(content []byte) [][]byte {
 	var split [][]byte
 	for len(content) > 0 {
@@ -35,15 +36,15 @@
 	return split
 }
 
-// firstBoundary returns the length of the first chunk.
+// firstBoundary returns the length of the content's first chunk.
 func firstBoundary(content []byte) int {
-	most := min(len(content), maxChunk)
-	rolling := uint64(0)
-	for i := minChunk; i < most; i++ {
-		rolling = rolling<<1 + gear[content[i]]
-		if rolling&boundaryMask == 0 {
+	limit := min(len(content), maxChunkBytes)
+	hash := uint64(0)
+	for i := minChunkBytes; i < limit; i++ {
+		hash = hash<<1 + gearTable[content[i]]
+		if hash&boundaryMask == 0 {
 			return i
 		}
 	}
-	return most
+	return limit
 }
--- a/internal/controlplane/chunks/sum.go
+++ b/internal/controlplane/chunks/sum.go
@@ -2,19 +2,19 @@
 
 import "crypto/sha256"
 
-// SumBytes is the length of a checksum: the first 128 bits of a SHA-256.
+// SumBytes is the length of a checksum, which is a SHA-256 hash truncated to 128 bits.
 const SumBytes = 16
 
-// Sum is the checksum of a chunk or of a complete content.
+// Sum is the checksum of a chunk or of a whole content.
 type Sum [SumBytes]byte
 
-// SumOf returns the checksum of a content.
+// SumOf returns the checksum of a chunk or of a whole content.
 func SumOf(content []byte) Sum {
 	digest := sha256.Sum256(content)
 	return Sum(digest[:SumBytes])
 }
 
-// ParseSums reads checksums that are concatenated. An incomplete one at the end is left out.
+// ParseSums splits concatenated checksums. It ignores an incomplete checksum at the end.
 func ParseSums(joined []byte) []Sum {
 	sums := make([]Sum, 0, len(joined)/SumBytes)
 	for remaining := joined; len(remaining) >= SumBytes; remaining = remaining[SumBytes:] {
@@ -23,7 +23,7 @@
 	return sums
 }
 
-// JoinSums concatenates checksums; ParseSums is its inverse.
+// JoinSums concatenates checksums. ParseSums is its inverse.
 func JoinSums(sums []Sum) []byte {
 	joined := make([]byte, 0, SumBytes*len(sums))
 	for _, sum := range sums {
--- a/internal/controlplane/configuration/configurator.go
+++ b/internal/controlplane/configuration/configurator.go
@@ -41,13 +41,13 @@
 type Configurator struct {
 	options Options
 	// changing admits one change of this process at a time, so that its own proposals do not compete.
-	changing      chan struct{}
+	changeSlot      chan struct{}
 	announcements sync.WaitGroup // calls that are in flight
 	// newerAnnounced wakes Run when another member has announced a version above the cached one.
 	newerAnnounced wakeup.Signal
 
 	mutex    sync.Mutex
-	value    []byte // the register's value that state was decoded from
+	encodedState    []byte // the register's value that state was decoded from
 	state    State  // newest known to be committed
 	changed  chan struct{}
 	lastRead time.Time // start of the newest read or change that reached a majority; zero before
@@ -58,7 +58,7 @@
 func New(options Options) *Configurator {
 	return &Configurator{
 		options:  options,
-		changing: make(chan struct{}, 1),
+		changeSlot: make(chan struct{}, 1),
 		changed:  make(chan struct{}),
 
 		newerAnnounced: wakeup.New(),
@@ -81,15 +81,15 @@
 }
 
 // Fresh reports whether a quorum round that began at most age ago has confirmed what Current returns.
-func (c *Configurator) Fresh(age time.Duration) bool {
+func (c *Configurator) Fresh(maxAge time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.lastRead.IsZero() && time.Since(c.lastRead) <= age
+	return !c.lastRead.IsZero() && time.Since(c.lastRead) <= maxAge
 }
 
 // Read returns the newest configuration by a quorum read; version 0 before the first.
 func (c *Configurator) Read(ctx context.Context) (version uint64, body []byte, err error) {
-	began := time.Now()
+	start := time.Now()
 	value, err := c.options.Register.Read(ctx)
 	if err != nil {
 		return 0, nil, fmt.Errorf("read the configuration: %w", err)
@@ -97,7 +97,7 @@
 	if err := c.adoptEncoded(value); err != nil {
 		return 0, nil, err
 	}
-	c.recordRead(began)
+	c.recordRead(start)
 	version, body = c.Current()
 	return version, body, nil
 }
@@ -110,15 +110,15 @@
 }
 
 // isCached reports whether value is the one last adopted, so that it need not be decoded again.
-func (c *Configurator) isCached(value []byte) bool {
+func (c *Configurator) isCachedEncoding(value []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return bytes.Equal(value, c.value)
+	return bytes.Equal(value, c.encodedState)
 }
 
 // adoptEncoded adopts an encoded state that is committed.
 func (c *Configurator) adoptEncoded(value []byte) error {
-	if c.isCached(value) {
+	if c.isCachedEncoding(value) {
 		return nil
 	}
 	state, err := DecodeState(value)
@@ -136,17 +136,17 @@
 	if state.Version <= c.state.Version {
 		return
 	}
-	c.value, c.state = value, state
+	c.encodedState, c.state = value, state
 	close(c.changed)
 	c.changed = make(chan struct{})
 	c.options.Logger.Info("configuration in force", zap.Uint64("version", state.Version))
 }
 
 // recordRead records that a quorum round which began at a time has confirmed the cached state.
-func (c *Configurator) recordRead(began time.Time) {
+func (c *Configurator) recordRead(start time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if began.After(c.lastRead) {
-		c.lastRead = began
+	if start.After(c.lastRead) {
+		c.lastRead = start
 	}
 }
--- a/internal/controlplane/configuration/fakeregister_test.go
+++ b/internal/controlplane/configuration/fakeregister_test.go
@@ -22,22 +22,22 @@
 	changes int
 	reads   int
 	// refuse makes calls fail without effect.
-	refuse bool
+	unavailable bool
 	// loseAnswers makes changes take effect but fail as unclear.
-	loseAnswers bool
+	loseReplies bool
 	// lost makes changes fail as unclear without effect.
-	lost bool
+	loseChanges bool
 	// twice makes a change call modify again on its own result, as after a round that was beaten.
-	twice bool
+	modifyTwice bool
 	// entered and release hold changes up, if set.
-	entered, release chan struct{}
+	changeStarted, continueChange chan struct{}
 }
 
 func (r *fakeRegister) Change(ctx context.Context, modify func([]byte) ([]byte, error)) ([]byte, error) {
-	if r.entered != nil {
-		r.entered <- struct{}{}
+	if r.changeStarted != nil {
+		r.changeStarted <- struct{}{}
 		select {
-		case <-r.release:
+		case <-r.continueChange:
 		case <-ctx.Done():
 			return nil, rpcerror.WrapMayHaveExecuted(ctx.Err())
 		}
@@ -45,23 +45,23 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes++
-	if r.refuse {
+	if r.unavailable {
 		return nil, rpcerror.WrapNotExecuted(errNoMajority, 70*time.Millisecond)
 	}
 	next, err := modify(r.value)
 	if err != nil {
 		return nil, rpcerror.WrapNotExecuted(err, 0)
 	}
-	if r.twice {
+	if r.modifyTwice {
 		if next, err = modify(next); err != nil {
 			return nil, rpcerror.WrapMayHaveExecuted(err)
 		}
 	}
-	if r.lost {
+	if r.loseChanges {
 		return nil, rpcerror.WrapMayHaveExecuted(errNoMajority)
 	}
 	r.value = next
-	if r.loseAnswers {
+	if r.loseReplies {
 		return nil, rpcerror.WrapMayHaveExecuted(errNoMajority)
 	}
 	return next, nil
@@ -71,13 +71,13 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.reads++
-	if r.refuse {
+	if r.unavailable {
 		return nil, rpcerror.WrapNotExecuted(errNoMajority, 0)
 	}
 	return r.value, nil
 }
 
-func (r *fakeRegister) set(change func(*fakeRegister)) {
+func (r *fakeRegister) update(change func(*fakeRegister)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change(r)
@@ -96,14 +96,14 @@
 	return f(ctx, address, route, request, reply)
 }
 
-func unreachable(context.Context, string, transport.Route, any, any) error {
+func failUnreachable(context.Context, string, transport.Route, any, any) error {
 	return rpcerror.WrapNotExecuted(errNoMajority, 0)
 }
 
 func newConfigurator(register Register) *Configurator {
 	return New(Options{
 		Register: register,
-		Caller:   callerFunc(unreachable),
+		Caller:   callerFunc(failUnreachable),
 		Members:  func() replicaset.View { return replicaset.View{} },
 		Address:  "10.0.0.1:1",
 		Logger:   zap.NewNop(),
--- a/internal/controlplane/configuration/lossynetwork_test.go
+++ b/internal/controlplane/configuration/lossynetwork_test.go
@@ -22,31 +22,31 @@
 // lossyNetwork carries calls in memory, with delays, and loses some requests and some answers.
 type lossyNetwork struct {
 	muxes map[string]*transport.Mux
-	loss  float64
+	lossProbability  float64
 
 	mutex  sync.Mutex
 	random random.PCG
 }
 
-func (n *lossyNetwork) draw() float64 {
+func (n *lossyNetwork) randomUnit() float64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.random.Unit()
 }
 
 func (n *lossyNetwork) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
-	if err := n.transmit(ctx); err != nil {
+	if err := n.transmitOneWay(ctx); err != nil {
 		return err
 	}
 	if err := callMux(n.muxes[address], route, request, reply); err != nil {
 		return err
 	}
-	return n.transmit(ctx)
+	return n.transmitOneWay(ctx)
 }
 
-func (n *lossyNetwork) transmit(ctx context.Context) error {
-	delay := time.Duration(n.draw() * float64(5*time.Millisecond))
-	if n.draw() < n.loss {
+func (n *lossyNetwork) transmitOneWay(ctx context.Context) error {
+	delay := time.Duration(n.randomUnit() * float64(5*time.Millisecond))
+	if n.randomUnit() < n.lossProbability {
 		delay = time.Minute
 	}
 	select {
@@ -61,7 +61,7 @@
 func newLossyCluster(seed uint64) []*Configurator {
 	view := replicaset.View{Version: 1, Members: []string{"a:1", "b:1", "c:1"}}
 	currentView := func() replicaset.View { return view }
-	network := &lossyNetwork{muxes: make(map[string]*transport.Mux), loss: 0.03, random: random.PCG(seed)}
+	network := &lossyNetwork{muxes: make(map[string]*transport.Mux), lossProbability: 0.03, random: random.PCG(seed)}
 	var members []*Configurator
 	for _, address := range view.Members {
 		acceptor := register.NewAcceptor(register.AcceptorConfig{
@@ -101,7 +101,7 @@
 
 // Operators race for every version on a network that loses messages. One update of each version is accepted, and every accepted one
 // is accepted again later, at any member.
-func TestOperatorsRaceOverALossyNetwork(t *testing.T) {
+func TestOneUpdatePerVersionIsAcceptedOnALossyNetwork(t *testing.T) {
 	for seed := range uint64(5) {
 		virtualtime.Test(t, func(t *testing.T) {
 			if err := raceOperators(newLossyCluster(seed)); err != nil {
@@ -118,7 +118,7 @@
 			member.close()
 		}
 	}()
-	var won []sentUpdate
+	var accepted []sentUpdate
 	current := uint64(0)
 	for range 10 {
 		updates, outcomes := make([]sentUpdate, 8), make([]Outcome, 8)
@@ -128,14 +128,14 @@
 			racing.Go(func() { outcomes[i] = sendUntilClear(members, i, updates[i]) })
 		}
 		racing.Wait()
-		winner, err := onlyAcceptedIndex(outcomes)
+		winner, err := indexOfOnlyAccepted(outcomes)
 		if err != nil {
 			return err
 		}
-		won = append(won, updates[winner])
+		accepted = append(accepted, updates[winner])
 		current = outcomes[winner].Version
 	}
-	for i, update := range won {
+	for i, update := range accepted {
 		if outcome := sendUntilClear(members, i, update); outcome.Kind != Accepted {
 			return fmt.Errorf("an accepted update sent again is %v: %w", outcome.Kind, outcome.Err)
 		}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func onlyAcceptedIndex(outcomes []Outcome) (int, error) {
+func indexOfOnlyAccepted(outcomes []Outcome) (int, error) {
 	winner := -1
 	for i, outcome := range outcomes {
 		switch {
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const example = `{"version":7,"note":{"unknown":[1]},"routes":[
+const exampleBody = `{"version":7,"note":{"unknown":[1]},"routes":[
 	{"name":"r-1","host":"Prices.example","pathPrefix":"/nav/","kind":"non_idempotent","timeoutMs":3000,"targetLatencyMs":1000,"priority":1,"service":"pricing","maxAttempts":3,"extension":2.2,"colour":"red"},
 	{"name":"r-2","host":"prices.example","pathPrefix":"/nav/daily/","kind":"non_idempotent","timeoutMs":2500.5,"targetLatencyMs":250,"service":"stress","maxAttempts":4,"extension":4.0}],
 	"services":[
@@ -26,7 +26,7 @@
 
 func TestParseReadsAllFields(t *testing.T) {
 	Convey("All fields are read, and unknown ones are ignored", t, func() {
-		parsed, err := Parse([]byte(example))
+		parsed, err := Parse([]byte(exampleBody))
 		So(err, ShouldBeNil)
 		So(parsed.Version, ShouldEqual, 7)
 		So(parsed.Routes[0], ShouldResemble, Route{Name: "r-1", Host: "Prices.example", PathPrefix: "/nav/", Kind: "non_idempotent",
@@ -43,9 +43,9 @@
 
 func TestParseRefusesTruncatedBodies(t *testing.T) {
 	Convey("No proper prefix of a valid body is valid", t, func() {
-		for length := range example {
-			if _, err := Parse([]byte(example[:length])); err == nil {
-				So(example[:length], ShouldEqual, "refused")
+		for length := range exampleBody {
+			if _, err := Parse([]byte(exampleBody[:length])); err == nil {
+				So(exampleBody[:length], ShouldEqual, "refused")
 			}
 		}
 	})
@@ -53,16 +53,16 @@
 
 func TestParseErrorsNameKeyAndRemedy(t *testing.T) {
 	replaced := func(old, replacement string) string {
-		if !strings.Contains(example, old) {
+		if !strings.Contains(exampleBody, old) {
 			t.Fatalf("the example lacks %s", old)
 		}
-		return strings.Replace(example, old, replacement, 1)
+		return strings.Replace(exampleBody, old, replacement, 1)
 	}
 	cases := []struct{ name, body, key, remedy string }{
 		{"empty", ``, "body", "send one whole JSON object"},
 		{"not an object", `[1]`, "body", "send one whole JSON object"},
 		{"null", `null`, "version", "above 0"},
-		{"trailing data", example + `{}`, "body", "send one whole"},
+		{"trailing data", exampleBody + `{}`, "body", "send one whole"},
 		{"repeated key", replaced(`"version":7`, `"version":7,"version":8`), "body", "send one whole"},
 		{"version absent", replaced(`"version":7,`, ``), "version", "set it above 0"},
 		{"version 0", replaced(`"version":7`, `"version":0`), "version", "set it above 0"},
@@ -109,7 +109,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(example))
+	f.Add([]byte(exampleBody))
 	f.Add(bodyOf(1, 1000))
 	f.Add([]byte(`{"version":1,"routes":[],"services":[]}`))
 	f.Add([]byte(`{"version":18446744073709551615,"routes":null}`))
--- a/internal/controlplane/configuration/put.go
+++ b/internal/controlplane/configuration/put.go
@@ -21,11 +21,11 @@
 	}
 	request.version = parsed.Version
 	if request.version <= ifMatch {
-		return invalidOutcome(versionNotAbove(request.version, ifMatch))
+		return invalidOutcome(versionNotAboveError(request.version, ifMatch))
 	}
 	select {
-	case c.changing <- struct{}{}:
-		defer func() { <-c.changing }()
+	case c.changeSlot <- struct{}{}:
+		defer func() { <-c.changeSlot }()
 	case <-ctx.Done():
 		return Outcome{Kind: Unavailable, Err: fmt.Errorf("wait for earlier changes: %w", ctx.Err())}
 	}
@@ -48,8 +48,8 @@
 // applyThroughRegister applies an update by a change of the register. A refusal leaves the value as it is instead of ending the
 // change with an error, so that it rests on a committed value and not on a change that may still be lost.
 func (c *Configurator) applyThroughRegister(ctx context.Context, request updateRequest) Outcome {
-	began := time.Now()
-	before := c.cached().Version
+	start := time.Now()
+	previousVersion := c.cached().Version
 	value, err := c.options.Register.Change(ctx, func(current []byte) ([]byte, error) {
 		state, err := DecodeState(current)
 		if err != nil {
@@ -61,22 +61,22 @@
 		return state.apply(request).Encode()
 	})
 	if err != nil {
-		return registerFailure(err)
+		return registerFailureOutcome(err)
 	}
 	committed, err := DecodeState(value)
 	if err != nil {
 		return Outcome{Kind: Unclear, Err: err}
 	}
 	c.adopt(value, committed)
-	c.recordRead(began)
-	if committed.Version > before {
+	c.recordRead(start)
+	if committed.Version > previousVersion {
 		c.announceToMembers(committed.Version) //nolint:contextcheck // announcements outlast the request
 	}
 	return committed.evaluate(request)
 }
 
 // registerFailure is the outcome of an update whose change of the register failed.
-func registerFailure(err error) Outcome {
+func registerFailureOutcome(err error) Outcome {
 	wrapped := fmt.Errorf("change the configuration: %w", err)
 	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
 		return Outcome{Kind: Unavailable, RetryAfter: rpcerror.RetryAfter(err), Err: wrapped}
--- a/internal/controlplane/configuration/put_test.go
+++ b/internal/controlplane/configuration/put_test.go
@@ -54,10 +54,10 @@
 				So(put(5, bodyOf(9, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(9, bodyOf(12, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
-				elsewhere := newConfigurator(register)
-				So(elsewhere.Put(ctx, 0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
-				So(elsewhere.Put(ctx, 5, bodyOf(9, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 9})
-				version, _ := elsewhere.Current()
+				otherMember := newConfigurator(register)
+				So(otherMember.Put(ctx, 0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
+				So(otherMember.Put(ctx, 5, bodyOf(9, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 9})
+				version, _ := otherMember.Current()
 				So(version, ShouldEqual, 12)
 			})
 			Convey("another body with the same version conflicts", func() {
@@ -75,7 +75,7 @@
 				So(put(0, bodyOf(11, 1000)), ShouldResemble, conflictOutcome(9))
 			})
 			Convey("a member without a majority refuses nothing, and confirms what its cached history has", func() {
-				register.refuse = true
+				register.unavailable = true
 				So(put(0, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
 				So(put(5, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
 				So(put(9, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
@@ -100,7 +100,7 @@
 			})
 		})
 		Convey("Without a majority an update is unavailable and not in force", func() {
-			register.refuse = true
+			register.unavailable = true
 			outcome := put(0, bodyOf(5, 1000))
 			So(outcome.Kind, ShouldEqual, Unavailable)
 			So(outcome.RetryAfter, ShouldEqual, 70*time.Millisecond)
@@ -109,10 +109,10 @@
 			So(configurator.Fresh(time.Hour), ShouldBeFalse)
 		})
 		Convey("An update whose answer was lost is unclear, and accepted when it is sent again", func() {
-			register.loseAnswers = true
+			register.loseReplies = true
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
-			register.loseAnswers = false
+			register.loseReplies = false
 			So(newConfigurator(register).Put(ctx, 0, bodyOf(6, 1000)), ShouldResemble, conflictOutcome(5))
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			state, err := DecodeState(register.value)
@@ -120,13 +120,13 @@
 			So(len(state.Applied), ShouldEqual, 1)
 		})
 		Convey("An update that was lost without effect is unclear, and applied when it is sent again", func() {
-			register.lost = true
+			register.loseChanges = true
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
-			register.lost = false
+			register.loseChanges = false
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 		})
 		Convey("A change that is applied to its own result is accepted once", func() {
-			register.twice = true
+			register.modifyTwice = true
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			state, err := DecodeState(register.value)
 			So(err, ShouldBeNil)
@@ -173,24 +173,24 @@
 
 func TestPutWaitsForEarlierChanges(t *testing.T) {
 	Convey("Given an update in progress", t, func() {
-		register := &fakeRegister{entered: make(chan struct{}), release: make(chan struct{})}
+		register := &fakeRegister{changeStarted: make(chan struct{}), continueChange: make(chan struct{})}
 		configurator := newConfigurator(register)
 		first := make(chan Outcome, 1)
 		go func() { first <- configurator.Put(context.Background(), 0, bodyOf(5, 1000)) }()
-		<-register.entered
+		<-register.changeStarted
 
 		Convey("a second one whose context ends first was not applied", func() {
 			ended, cancel := context.WithCancel(context.Background())
 			cancel()
 			So(configurator.Put(ended, 0, bodyOf(6, 1000)).Kind, ShouldEqual, Unavailable)
-			close(register.release)
+			close(register.continueChange)
 			So((<-first).Kind, ShouldEqual, Accepted)
 		})
 		Convey("the same update again is accepted without another round, and any other conflicts", func() {
 			same, other := make(chan Outcome, 1), make(chan Outcome, 1)
 			go func() { same <- configurator.Put(context.Background(), 0, bodyOf(5, 1000)) }()
 			go func() { other <- configurator.Put(context.Background(), 0, bodyOf(6, 1000)) }()
-			close(register.release)
+			close(register.continueChange)
 			So((<-first).Kind, ShouldEqual, Accepted)
 			So((<-same).Kind, ShouldEqual, Accepted)
 			So((<-other).Kind, ShouldEqual, Conflict)
--- a/internal/controlplane/configuration/readloop.go
+++ b/internal/controlplane/configuration/readloop.go
@@ -13,7 +13,7 @@
 	// it announced the new version.
 	readInterval = 450 * time.Millisecond
 	// readRetry is the pause after a read that reached no majority.
-	readRetry = 200 * time.Millisecond
+	readRetryDelay = 200 * time.Millisecond
 	// readTimeout bounds one quorum read.
 	readTimeout = 1500 * time.Millisecond
 	// FreshAge is the age up to which the cached configuration counts as current. One quorum read may fail meanwhile.
@@ -33,7 +33,7 @@
 		case <-timer.C:
 		case <-c.newerAnnounced:
 		}
-		timer.Reset(c.readBounded(ctx))
+		timer.Reset(c.readWithTimeout(ctx))
 	}
 }
 
@@ -46,7 +46,7 @@
 }
 
 // readBounded makes one quorum read and returns the pause until the next.
-func (c *Configurator) readBounded(ctx context.Context) time.Duration {
+func (c *Configurator) readWithTimeout(ctx context.Context) time.Duration {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	_, _, err := c.Read(bounded)
@@ -56,5 +56,5 @@
 	if !errors.Is(err, context.Canceled) {
 		c.options.Logger.Debug("quorum read of the configuration failed", zap.Error(err))
 	}
-	return readRetry
+	return readRetryDelay
 }
--- a/internal/controlplane/configuration/resentupdate_test.go
+++ b/internal/controlplane/configuration/resentupdate_test.go
@@ -27,19 +27,19 @@
 		value, err := state.Encode()
 		So(err, ShouldBeNil)
 		register := &fakeRegister{value: value}
-		informed, restarted := newConfigurator(register), newConfigurator(register)
-		_, _, err = informed.Read(ctx)
+		upToDate, restarted := newConfigurator(register), newConfigurator(register)
+		_, _, err = upToDate.Read(ctx)
 		So(err, ShouldBeNil)
 		before := register.changeCount()
 
 		Convey("an applied update within the history is confirmed again, and another of the same version is refused", func() {
-			for _, member := range []*Configurator{informed, restarted} {
+			for _, member := range []*Configurator{upToDate, restarted} {
 				So(member.Put(ctx, dropped, bodyOf(dropped+1, 1000)), ShouldResemble, acceptedOutcome(dropped+1))
 				So(member.Put(ctx, dropped, bodyOf(dropped+1, 2000)), ShouldResemble, conflictOutcome(state.Version))
 			}
 		})
 		Convey("an applied update that the history has dropped is unclear at every member", func() {
-			for _, member := range []*Configurator{informed, restarted} {
+			for _, member := range []*Configurator{upToDate, restarted} {
 				for _, ifMatch := range []int{0, 1, dropped - 1} {
 					outcome := member.Put(ctx, uint64(ifMatch), bodyOf(ifMatch+1, 1000))
 					So(outcome, ShouldResemble, Outcome{Kind: Unclear, Err: ErrOlderThanHistory})
@@ -60,7 +60,7 @@
 func TestAppliedUpdateIsConfirmedThoughValidationRefusesIt(t *testing.T) {
 	ctx := context.Background()
 	// An earlier release may have applied what the checks of this one refuse; both run side by side during a rolling update.
-	takenElsewhere := func(request updateRequest) *Configurator {
+	memberWithApplied := func(request updateRequest) *Configurator {
 		value, err := State{}.apply(request).Encode()
 		So(err, ShouldBeNil)
 		member := newConfigurator(&fakeRegister{value: value})
@@ -75,7 +75,7 @@
 		Convey("An update that was applied is confirmed again though the checks refuse it: "+name, t, func() {
 			request := newUpdateRequest(0, body)
 			request.version = 5
-			member := takenElsewhere(request)
+			member := memberWithApplied(request)
 			So(member.Put(ctx, 0, body), ShouldResemble, acceptedOutcome(5))
 			So(member.Put(ctx, 5, body).Kind, ShouldEqual, Invalid)
 		})
--- a/internal/controlplane/configuration/routingtable.go
+++ b/internal/controlplane/configuration/routingtable.go
@@ -18,7 +18,7 @@
 // cost does not grow with the number of routes.
 type hostRoutes struct {
 	byPrefix map[string]Route
-	lengths  []int
+	prefixLengths  []int
 }
 
 // NewRoutingTable builds the lookup table of a valid configuration.
@@ -40,16 +40,16 @@
 }
 
 func (t *RoutingTable) addRoute(route Route) {
-	name := normalHost(route.Host)
+	name := normalizeHost(route.Host)
 	host, known := t.hosts[name]
 	if !known {
 		host.byPrefix = make(map[string]Route)
 	}
 	host.byPrefix[route.PathPrefix] = route
 	length := len(route.PathPrefix)
-	if !slices.Contains(host.lengths, length) {
-		host.lengths = append(host.lengths, length)
-		slices.SortFunc(host.lengths, func(a, b int) int { return b - a })
+	if !slices.Contains(host.prefixLengths, length) {
+		host.prefixLengths = append(host.prefixLengths, length)
+		slices.SortFunc(host.prefixLengths, func(a, b int) int { return b - a })
 	}
 	t.hosts[name] = host
 }
@@ -61,11 +61,11 @@
 // where no route matches. The host is compared
 // without its port and without regard to case.
 func (t *RoutingTable) Match(host, path string) (route Route, remainder string, ok bool) {
-	routes, known := t.hosts[normalHost(host)]
+	routes, known := t.hosts[normalizeHost(host)]
 	if !known {
 		return Route{}, "", false
 	}
-	for _, length := range routes.lengths {
+	for _, length := range routes.prefixLengths {
 		if length > len(path) {
 			continue
 		}
@@ -99,7 +99,7 @@
 func (t *RoutingTable) Limits() Limits { return t.limits }
 
 // normalHost strips the port and lowers the case. A colon inside brackets belongs to an IPv6 address.
-func normalHost(host string) string {
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.Contains(host[colon:], "]") {
 		host = host[:colon]
 	}
--- a/internal/controlplane/configuration/routingtable_test.go
+++ b/internal/controlplane/configuration/routingtable_test.go
@@ -8,7 +8,7 @@
 
 func TestMatchFindsLongestPrefix(t *testing.T) {
 	Convey("Given a table", t, func() {
-		parsed, err := Parse([]byte(example))
+		parsed, err := Parse([]byte(exampleBody))
 		So(err, ShouldBeNil)
 		table := NewRoutingTable(parsed)
 		cases := []struct{ host, path, route, rest string }{
@@ -29,7 +29,7 @@
 		}
 	})
 	Convey("Services, routes and limits are those of the configuration", t, func() {
-		parsed, err := Parse([]byte(example))
+		parsed, err := Parse([]byte(exampleBody))
 		So(err, ShouldBeNil)
 		table := NewRoutingTable(parsed)
 		So(table.Version(), ShouldEqual, 7)
@@ -43,7 +43,7 @@
 		So(known, ShouldBeFalse)
 	})
 	Convey("An IPv6 address keeps its colons and loses its port", t, func() {
-		So(normalHost("[fe80::1]"), ShouldEqual, "[fe80::1]")
-		So(normalHost("[FE80::1]:80"), ShouldEqual, "[fe80::1]")
+		So(normalizeHost("[fe80::1]"), ShouldEqual, "[fe80::1]")
+		So(normalizeHost("[FE80::1]:80"), ShouldEqual, "[fe80::1]")
 	})
 }
--- a/internal/controlplane/configuration/run_test.go
+++ b/internal/controlplane/configuration/run_test.go
@@ -22,31 +22,31 @@
 func TestRunReadsUpdatesOfOtherMembers(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		register := &fakeRegister{}
-		here, elsewhere := newConfigurator(register), newConfigurator(register)
+		reader, writer := newConfigurator(register), newConfigurator(register)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
-		running.Go(func() { here.Run(ctx) })
+		running.Go(func() { reader.Run(ctx) })
 		synctest.Wait()
 		Convey("An update that nobody announced is cached after the next read", t, func() {
-			So(here.Fresh(time.Millisecond), ShouldBeTrue)
-			So(elsewhere.Put(ctx, 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
-			changed := here.Changed()
+			So(reader.Fresh(time.Millisecond), ShouldBeTrue)
+			So(writer.Put(ctx, 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
+			changed := reader.Changed()
 			began := time.Now()
 			<-changed
 			So(time.Since(began), ShouldBeLessThanOrEqualTo, readInterval)
-			version, _ := here.Current()
+			version, _ := reader.Current()
 			So(version, ShouldEqual, 5)
 		})
 		Convey("Without a majority the cached configuration is soon not fresh, but still there", t, func() {
-			register.set(func(r *fakeRegister) { r.refuse = true })
+			register.update(func(r *fakeRegister) { r.unavailable = true })
 			<-time.After(2 * time.Second) // virtual time
-			So(here.Fresh(1500*time.Millisecond), ShouldBeFalse)
-			version, _ := here.Current()
+			So(reader.Fresh(1500*time.Millisecond), ShouldBeFalse)
+			version, _ := reader.Current()
 			So(version, ShouldEqual, 5)
-			register.set(func(r *fakeRegister) { r.refuse = false })
-			<-time.After(readRetry)
+			register.update(func(r *fakeRegister) { r.unavailable = false })
+			<-time.After(readRetryDelay)
 			synctest.Wait()
-			So(here.Fresh(readRetry), ShouldBeTrue)
+			So(reader.Fresh(readRetryDelay), ShouldBeTrue)
 		})
 		cancel()
 		running.Wait()
--- a/internal/controlplane/configuration/types.go
+++ b/internal/controlplane/configuration/types.go
@@ -28,10 +28,10 @@
 }
 
 // Timeout is how long one request of the route may take.
-func (r Route) Timeout() time.Duration { return duration(r.TimeoutMS) }
+func (r Route) Timeout() time.Duration { return fromMilliseconds(r.TimeoutMS) }
 
 // TargetLatency is the latency target of the route's requests.
-func (r Route) TargetLatency() time.Duration { return duration(r.TargetLatencyMS) }
+func (r Route) TargetLatency() time.Duration { return fromMilliseconds(r.TargetLatencyMS) }
 
 // Service is a kind of worker that runs the tasks of routes.
 type Service struct {
@@ -52,11 +52,11 @@
 }
 
 // HeaderTimeout is how long a client may take to send the header of a request.
-func (l Limits) HeaderTimeout() time.Duration { return duration(l.HeaderTimeoutMS) }
+func (l Limits) HeaderTimeout() time.Duration { return fromMilliseconds(l.HeaderTimeoutMS) }
 
 // IdleTimeout is how long a connection may stay open without a request.
-func (l Limits) IdleTimeout() time.Duration { return duration(l.IdleTimeoutMS) }
+func (l Limits) IdleTimeout() time.Duration { return fromMilliseconds(l.IdleTimeoutMS) }
 
-func duration(milliseconds float64) time.Duration {
+func fromMilliseconds(milliseconds float64) time.Duration {
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
--- a/internal/controlplane/configuration/updaterequest.go
+++ b/internal/controlplane/configuration/updaterequest.go
@@ -20,6 +20,6 @@
 }
 
 // versionNotAbove is the refusal of a body whose version is not above the one that it is built on.
-func versionNotAbove(version, current uint64) error {
+func versionNotAboveError(version, current uint64) error {
 	return newInvalidError("version", "is %d; set it above the current version %d", version, current)
 }
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -107,7 +107,7 @@
 			report("name", "repeats %q; give each route its own name", route.Name)
 		}
 		names[route.Name] = true
-		key := routeKey{host: normalHost(route.Host), pathPrefix: route.PathPrefix}
+		key := routeKey{host: normalizeHost(route.Host), pathPrefix: route.PathPrefix}
 		if other, taken := routesByKey[key]; taken {
 			report("pathPrefix", "route %q has the same host and prefix; change one of them", other)
 		}
--- a/internal/controlplane/configuration/wire_test.go
+++ b/internal/controlplane/configuration/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "learn", Value: new(Announcement)},
 		goldentest.Form{Name: "learn reply", Value: new(AnnouncementReply)},
@@ -23,7 +23,7 @@
 }
 
 // TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: AnnounceCall.Path(), Want: "/configuration/learn"},
 	)
--- a/internal/controlplane/register/chunkcache.go
+++ b/internal/controlplane/register/chunkcache.go
@@ -8,7 +8,7 @@
 
 // maxPushedBytes bounds the bytes of chunks that are kept for values that have not been accepted yet. They are dropped
 // together: whoever still needs them sends them again.
-const maxPushedBytes = 2 * chunks.MaxContent
+const maxPushedBytes = 2 * chunks.MaxContentBytes
 
 // chunkCache has the chunks of large values at an acceptor: of the one that was accepted last, and those that were pushed for
 // values to come. Chunks are named by their content, so that it does not matter who sent them and for which proposal number; a
--- a/internal/controlplane/register/wire_test.go
+++ b/internal/controlplane/register/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "accepted state", Value: new(acceptedState)},
 		goldentest.Form{Name: "ballot", Value: new(ProposalNumber)},
@@ -25,7 +25,7 @@
 }
 
 // TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: TablePrefix, Want: "register/"},
 		goldentest.Constant{Have: promisedKey, Want: "promised"},
