--- a/internal/controlplane/configuration/announce.go
+++ b/internal/controlplane/configuration/announce.go
@@ -9,25 +9,25 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// AnnounceCall is served by the members of the replica set: another one announces that a newer configuration is committed.
+// AnnounceCall announces to a member of the replica set that a newer configuration is committed.
 var AnnounceCall = transport.NewIdempotent[Announcement, AnnouncementReply]("/configuration/learn")
 
-// announceTimeout bounds one such call. A member that misses it finds the update by its own quorum reads.
+// announceTimeout is the timeout of one AnnounceCall. A member that misses the call finds the update by its own quorum reads.
 const announceTimeout = time.Second
 
-// Announcement names a version that is committed. The receiver reads it from a majority, most often out of its own replica of the
-// register, so that the configuration itself is sent to each member once, when the member accepts it.
+// Announcement names a committed version. The receiver reads it from a majority, in most cases with the value from its own
+// replica of the register. The configuration itself is therefore sent to each member only once, when the member accepts it.
 type Announcement struct {
 	Version uint64 `msgpack:"n"`
-	Value   []byte `msgpack:"v,omitempty"` // the register's value in its place, from builds that send it
+	Value   []byte `msgpack:"v,omitempty"` // the register's value; older builds send it instead of Version
 }
 
-// AnnouncementReply says which version the receiver had cached.
+// AnnouncementReply returns the version that the receiver had cached.
 type AnnouncementReply struct {
 	Version uint64 `msgpack:"v"`
 }
 
-// Mount serves the announcements of other members.
+// Mount registers the handler for announcements of other members.
 func (c *Configurator) Mount(mux *transport.Mux) {
 	transport.Handle(mux, AnnounceCall, func(_ context.Context, announcement Announcement) (AnnouncementReply, error) {
 		if len(announcement.Value) > 0 {
@@ -43,10 +43,10 @@
 	})
 }
 
-// triggerRead makes Run read at once, or again if it is reading.
+// triggerRead makes Run read immediately, or once more if a read is in progress.
 func (c *Configurator) triggerRead() { c.newerAnnounced.Notify() }
 
-// announceToMembers announces a committed version to every other member, without waiting for them.
+// announceToMembers announces a committed version to all other members. It does not wait for the calls.
 func (c *Configurator) announceToMembers(version uint64) {
 	members := c.options.Members().Members
 	c.mutex.Lock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// announceTo makes one call. A failure is logged only: the member finds the version by its own reads.
+// announceTo announces a version to one member. It only logs a failure, since the member finds the version by its own reads.
 func (c *Configurator) announceTo(member string, version uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
--- a/internal/controlplane/configuration/configurator.go
+++ b/internal/controlplane/configuration/configurator.go
@@ -17,77 +17,77 @@
 // Register is the replicated compare-and-swap register that holds the State.
 type Register interface {
 	// Change replaces the value by the result of modify, and returns that result once it is committed. The value is empty before
-	// the first change, and nobody modifies it in place. Change may call modify several times, each time with the value that it
-	// found; where modify returns that value unchanged, it is committed when Change returns. An rpcerror.NotExecuted error means
-	// that no change was made; any other, that it may have been.
+	// the first change, and must not be modified in place. Change may call modify several times, each time with the value that it
+	// read. If modify returns that value unchanged, the value is committed when Change returns. An rpcerror.NotExecuted error
+	// means that no change was made. After any other error the change may have been made.
 	Change(ctx context.Context, modify func(current []byte) ([]byte, error)) ([]byte, error)
-	// Read returns a committed value, at least as new as every change that ended before the call.
+	// Read returns a committed value that is at least as new as every change that completed before the call.
 	Read(ctx context.Context) ([]byte, error)
 }
 
-// Options are what a Configurator needs.
+// Options are the dependencies of a Configurator.
 type Options struct {
 	Register Register
-	// Caller announces updates to the other members.
+	// Caller sends announcements to the other members.
 	Caller transport.Caller
-	// Members returns the set of replicas.
+	// Members returns the current view of the replica set.
 	Members func() replicaset.View
-	// Address is this node's own internal address.
+	// Address is the internal address of this node.
 	Address string
 	Logger  *zap.Logger
 }
 
-// Configurator updates and reads the configuration. Its methods may be called from any goroutine.
+// Configurator updates, reads and caches the configuration. Its methods are safe for concurrent use.
 type Configurator struct {
 	options Options
-	// changing admits one change of this process at a time, so that its own proposals do not compete.
-	changeSlot      chan struct{}
-	announcements sync.WaitGroup // calls that are in flight
-	// newerAnnounced wakes Run when another member has announced a version above the cached one.
+	// changeSlot is a semaphore that admits one change at a time, so that proposals of this process do not compete.
+	changeSlot    chan struct{}
+	announcements sync.WaitGroup // announcement calls in flight
+	// newerAnnounced wakes Run when another member announces a version above the cached one.
 	newerAnnounced wakeup.Signal
 
-	mutex    sync.Mutex
-	encodedState    []byte // the register's value that state was decoded from
-	state    State  // newest known to be committed
-	changed  chan struct{}
-	lastRead time.Time // start of the newest read or change that reached a majority; zero before
-	closed   bool      // no more announcements are sent
+	mutex        sync.Mutex
+	encodedState []byte // the register's value from which state was decoded
+	state        State  // newest state known to be committed
+	changed      chan struct{}
+	lastRead     time.Time // start of the latest read or change that reached a majority; zero if there was none
+	closed       bool      // set when no more announcements may be sent
 }
 
-// New makes a Configurator without a configuration. It gets one through Run, Read and Put.
+// New returns a Configurator without a cached configuration. Run, Read and Put fill the cache.
 func New(options Options) *Configurator {
 	return &Configurator{
-		options:  options,
+		options:    options,
 		changeSlot: make(chan struct{}, 1),
-		changed:  make(chan struct{}),
+		changed:    make(chan struct{}),
 
 		newerAnnounced: wakeup.New(),
 	}
 }
 
-// Current returns the newest version known to be committed, with its body as the operator sent it; version 0 before the first. It
-// does not call other members.
+// Current returns the newest version known to be committed, and its body as the operator sent it. The version is 0 if none is
+// known. Current uses the cache and does not call other members.
 func (c *Configurator) Current() (version uint64, body []byte) {
 	state := c.cached()
 	return state.Version, state.Body
 }
 
-// Changed returns a channel that is closed at the next change of Current. To miss none, fetch the channel before
-// calling Current.
+// Changed returns a channel that is closed when the result of Current changes. To miss no change, get the channel before calling
+// Current.
 func (c *Configurator) Changed() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.changed
 }
 
-// Fresh reports whether a quorum round that began at most age ago has confirmed what Current returns.
+// Fresh reports whether the result of Current was confirmed by a quorum round that started at most maxAge ago.
 func (c *Configurator) Fresh(maxAge time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.lastRead.IsZero() && time.Since(c.lastRead) <= maxAge
 }
 
-// Read returns the newest configuration by a quorum read; version 0 before the first.
+// Read returns the newest configuration by a quorum read. The version is 0 if there is none yet.
 func (c *Configurator) Read(ctx context.Context) (version uint64, body []byte, err error) {
 	start := time.Now()
 	value, err := c.options.Register.Read(ctx)
@@ -109,14 +109,14 @@
 	return c.state
 }
 
-// isCached reports whether value is the one last adopted, so that it need not be decoded again.
+// isCachedEncoding reports whether value is the encoding of the cached state and need not be decoded again.
 func (c *Configurator) isCachedEncoding(value []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return bytes.Equal(value, c.encodedState)
 }
 
-// adoptEncoded adopts an encoded state that is committed.
+// adoptEncoded decodes a committed state and caches it, unless a state at least as new is cached.
 func (c *Configurator) adoptEncoded(value []byte) error {
 	if c.isCachedEncoding(value) {
 		return nil
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// adopt caches a state that is committed, unless one as new is cached.
+// adopt caches a committed state, unless a state at least as new is cached.
 func (c *Configurator) adopt(value []byte, state State) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -142,7 +142,7 @@
 	c.options.Logger.Info("configuration in force", zap.Uint64("version", state.Version))
 }
 
-// recordRead records that a quorum round which began at a time has confirmed the cached state.
+// recordRead records that a quorum round which began at start has confirmed the cached state.
 func (c *Configurator) recordRead(start time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/controlplane/configuration/export_test.go
+++ b/internal/controlplane/configuration/export_test.go
@@ -1,7 +1,7 @@
 package configuration
 
-// Close ends the announcements, as the end of Run does.
+// Close stops announcements, as Run does when it returns.
 func (c *Configurator) Close() { c.close() }
 
-// State returns the cached state, for the simulation.
+// State returns the cached state.
 func (c *Configurator) State() State { return c.cached() }
--- a/internal/controlplane/configuration/lossynetwork_test.go
+++ b/internal/controlplane/configuration/lossynetwork_test.go
@@ -21,8 +21,8 @@
 
 // lossyNetwork carries calls in memory, with delays, and loses some requests and some answers.
 type lossyNetwork struct {
-	muxes map[string]*transport.Mux
-	lossProbability  float64
+	muxes           map[string]*transport.Mux
+	lossProbability float64
 
 	mutex  sync.Mutex
 	random random.PCG
--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -7,13 +7,13 @@
 	"github.com/go-json-experiment/json"
 )
 
-// Problem is one thing wrong with a configuration.
+// Problem is one defect of a configuration.
 type Problem struct {
 	Key    string // path of the offending key, such as routes[2].timeoutMs
-	Remedy string // what is wrong and what to do about it
+	Remedy string // what is wrong and how to fix it
 }
 
-// InvalidError says why a configuration is invalid.
+// InvalidError lists the problems of an invalid configuration.
 type InvalidError struct{ Problems []Problem }
 
 // Error implements the error interface.
@@ -29,8 +29,8 @@
 	return &InvalidError{Problems: []Problem{{Key: key, Remedy: fmt.Sprintf(format, arguments...)}}}
 }
 
-// Parse reads and checks a configuration. It refuses text that is not one complete JSON object, values of the wrong type,
-// repeated keys, and whatever Validate refuses; the error is an *InvalidError.
+// Parse decodes and validates a configuration. It rejects bodies above MaxBodyBytes, text that is not one complete JSON object,
+// values of the wrong type, repeated keys, and everything that Validate rejects. The error is an *InvalidError.
 func Parse(body []byte) (*Configuration, error) {
 	if len(body) > MaxBodyBytes {
 		return nil, newInvalidError("body", "is %d bytes long; send at most %d", len(body), MaxBodyBytes)
--- a/internal/controlplane/configuration/put.go
+++ b/internal/controlplane/configuration/put.go
@@ -8,12 +8,12 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// Put applies an update: the body replaces the configuration if version ifMatch is current. An update that was applied before is
-// accepted again, also after later ones.
+// Put replaces the configuration by body if version ifMatch is current. If the same update was applied before, it is accepted
+// again, even if later updates have replaced it.
 func (c *Configurator) Put(ctx context.Context, ifMatch uint64, body []byte) Outcome {
 	request := newUpdateRequest(ifMatch, body)
 	if applied, found := c.cached().findApplied(request); found {
-		return acceptedOutcome(applied.Version) // before the checks: those of an earlier release may have let it pass
+		return acceptedOutcome(applied.Version) // before validation: an earlier release may have applied what this one rejects
 	}
 	parsed, err := Parse(body)
 	if err != nil {
@@ -35,9 +35,10 @@
 	return c.applyThroughRegister(ctx, request)
 }
 
-// evaluateOutdated answers an update of a version that was replaced. Versions only rise: it cannot be applied any more, and the
-// history shows whether it was. The state is read from a majority after the update has arrived, as for every refusal: a node that
-// is partitioned off refuses nothing. A read, unlike a change, does not compete with updates that may be applied.
+// evaluateOutdated determines the outcome of an update that is based on a replaced version. Versions only increase, so the update
+// can no longer be applied, and the history shows whether it was applied earlier. As for every rejection, the state is read from a
+// majority after the update has arrived, so a partitioned node rejects nothing. A read, unlike a change, does not compete with
+// updates that can be applied.
 func (c *Configurator) evaluateOutdated(ctx context.Context, request updateRequest) Outcome {
 	if _, _, err := c.Read(ctx); err != nil {
 		return Outcome{Kind: Unavailable, RetryAfter: rpcerror.RetryAfter(err), Err: err}
@@ -45,8 +46,8 @@
 	return c.cached().evaluate(request)
 }
 
-// applyThroughRegister applies an update by a change of the register. A refusal leaves the value as it is instead of ending the
-// change with an error, so that it rests on a committed value and not on a change that may still be lost.
+// applyThroughRegister applies an update by a change of the register. To reject the update, it keeps the value unchanged instead
+// of returning an error from the change. The rejection is then based on a committed value, not on one that may still be lost.
 func (c *Configurator) applyThroughRegister(ctx context.Context, request updateRequest) Outcome {
 	start := time.Now()
 	previousVersion := c.cached().Version
@@ -70,12 +71,12 @@
 	c.adopt(value, committed)
 	c.recordRead(start)
 	if committed.Version > previousVersion {
-		c.announceToMembers(committed.Version) //nolint:contextcheck // announcements outlast the request
+		c.announceToMembers(committed.Version) //nolint:contextcheck // announcements continue after the request has ended
 	}
 	return committed.evaluate(request)
 }
 
-// registerFailure is the outcome of an update whose change of the register failed.
+// registerFailureOutcome returns the outcome of an update whose register change failed.
 func registerFailureOutcome(err error) Outcome {
 	wrapped := fmt.Errorf("change the configuration: %w", err)
 	if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted {
--- a/internal/controlplane/configuration/readloop.go
+++ b/internal/controlplane/configuration/readloop.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// readInterval is the pause between quorum reads. It bounds how long an update stays unknown here whose member was killed before
-	// it announced the new version.
+	// readInterval is the pause between quorum reads. If a member is killed before it announces an update, this interval bounds the
+	// time until other members see the update.
 	readInterval = 450 * time.Millisecond
-	// readRetry is the pause after a read that reached no majority.
+	// readRetryDelay is the pause after a read that reached no majority.
 	readRetryDelay = 200 * time.Millisecond
-	// readTimeout bounds one quorum read.
+	// readTimeout is the timeout of one quorum read.
 	readTimeout = 1500 * time.Millisecond
-	// FreshAge is the age up to which the cached configuration counts as current. One quorum read may fail meanwhile.
+	// FreshAge is the maximum age at which the cached configuration counts as current. It tolerates one failed quorum read.
 	FreshAge = readInterval + readTimeout
 )
 
-// Run reads the configuration at regular intervals, and when another member has announced a newer one, until ctx ends. Then it
-// waits for the calls in flight. It always returns nil.
+// Run reads the configuration at regular intervals and whenever another member announces a newer one. When ctx ends, it waits for
+// the announcement calls in flight and returns nil.
 func (c *Configurator) Run(ctx context.Context) error {
 	defer c.close()
 	timer := time.NewTimer(0)
@@ -37,7 +37,7 @@
 	}
 }
 
-// close sends no more announcements and waits for those in flight.
+// close prevents further announcements and waits for those in flight.
 func (c *Configurator) close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -45,7 +45,7 @@
 	c.announcements.Wait()
 }
 
-// readBounded makes one quorum read and returns the pause until the next.
+// readWithTimeout performs one quorum read and returns the pause until the next one.
 func (c *Configurator) readWithTimeout(ctx context.Context) time.Duration {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/controlplane/configuration/registerstate.go
+++ b/internal/controlplane/configuration/registerstate.go
@@ -7,26 +7,26 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxAppliedHistory bounds the history of applied updates. An update that is older than all of them is neither confirmed nor
-// refused.
+// maxAppliedHistory is the maximum number of applied updates in the history. An update that is older than the history is neither
+// confirmed nor rejected.
 const maxAppliedHistory = 2000
 
-// AppliedUpdate records an update that is or was in force, so that the same request sent again is recognised.
+// AppliedUpdate records an update that is or was in force, so that a repeated request can be recognised.
 type AppliedUpdate struct {
 	Version uint64         `msgpack:"v"`
 	IfMatch uint64         `msgpack:"i"`
-	Sum     [sumBytes]byte `msgpack:"s"` // of the body
+	Sum     [sumBytes]byte `msgpack:"s"` // checksum of the body
 }
 
-// State is the register's value: the configuration in force and the history of applied updates. Its methods decide on updates
-// without input or output.
+// State is the register's value: the configuration in force and the history of applied updates. Its methods evaluate updates and
+// do no input or output.
 type State struct {
 	Version uint64          `msgpack:"v"` // 0 before the first configuration
 	Body    []byte          `msgpack:"b"` // as the operator sent it
 	Applied []AppliedUpdate `msgpack:"t"` // oldest first
 }
 
-// DecodeState reads the register's value; an empty value is the state before the first configuration.
+// DecodeState decodes the register's value. An empty value is the state before the first configuration.
 func DecodeState(value []byte) (State, error) {
 	var state State
 	if len(value) == 0 {
@@ -47,7 +47,7 @@
 	return value, nil
 }
 
-// findApplied returns the record of this very update, if it was applied and is in the history.
+// findApplied returns the record of the same update, identified by its If-Match and body, if the history contains it.
 func (s State) findApplied(request updateRequest) (AppliedUpdate, bool) {
 	for _, applied := range slices.Backward(s.Applied) {
 		if applied.IfMatch == request.ifMatch && applied.Sum == request.bodySum {
@@ -57,9 +57,8 @@
 	return AppliedUpdate{}, false
 }
 
-// evaluate decides on an update of s, which the caller knows to be the newest state; the outcome is Undecided where the update may
-// be applied. The request's version must be above its If-Match, so that it is above the current version wherever that is its
-// If-Match.
+// evaluate returns the outcome of an update, given that s is the newest state. The outcome is Undecided if the update may be
+// applied. The request's version must be above its If-Match. It is then also above the current version if If-Match is current.
 func (s State) evaluate(request updateRequest) Outcome {
 	if applied, found := s.findApplied(request); found {
 		return acceptedOutcome(applied.Version)
@@ -69,18 +68,18 @@
 		return Outcome{}
 	case s.olderThanHistory(request):
 		return Outcome{Kind: Unclear, Err: ErrOlderThanHistory}
-	case request.ifMatch > s.Version: // it may come into force, and an earlier attempt at a slow node be applied then
+	case request.ifMatch > s.Version: // it may still come into force, and an earlier attempt at a slow node could then be applied
 		return Outcome{Kind: Unclear, Err: ErrBaseNotInForce}
 	}
 	return conflictOutcome(s.Version)
 }
 
-// olderThanHistory reports whether an update is older than the history, so that nobody can tell whether it was applied.
+// olderThanHistory reports whether an update is older than the history. It is then unknown whether the update was applied.
 func (s State) olderThanHistory(request updateRequest) bool {
 	return len(s.Applied) > 0 && request.ifMatch < s.Applied[0].IfMatch
 }
 
-// apply returns the state after an update of s.
+// apply returns the state after an update.
 func (s State) apply(request updateRequest) State {
 	history := append(slices.Clip(s.Applied), AppliedUpdate{Version: request.version, IfMatch: request.ifMatch, Sum: request.bodySum})
 	if excess := len(history) - maxAppliedHistory; excess > 0 {
--- a/internal/controlplane/configuration/routingtable.go
+++ b/internal/controlplane/configuration/routingtable.go
@@ -14,11 +14,11 @@
 	limits   Limits
 }
 
-// hostRoutes holds the routes of one host by prefix. Lookups try each distinct prefix length, longest first, so their
-// cost does not grow with the number of routes.
+// hostRoutes holds the routes of one host by prefix. A lookup tries each distinct prefix length, longest first, so its cost does
+// not grow with the number of routes.
 type hostRoutes struct {
-	byPrefix map[string]Route
-	prefixLengths  []int
+	byPrefix      map[string]Route
+	prefixLengths []int
 }
 
 // NewRoutingTable builds the lookup table of a valid configuration.
@@ -54,12 +54,11 @@
 	t.hosts[name] = host
 }
 
-// Version is the configuration's version.
+// Version returns the version of the configuration.
 func (t *RoutingTable) Version() uint64 { return t.version }
 
-// Match finds the route of the host with the longest prefix of path, and the remainder of path after that prefix; ok is false
-// where no route matches. The host is compared
-// without its port and without regard to case.
+// Match returns the host's route with the longest matching prefix of path, and the remainder of path after that prefix. It ignores
+// the port and the case of the host. ok is false if no route matches.
 func (t *RoutingTable) Match(host, path string) (route Route, remainder string, ok bool) {
 	routes, known := t.hosts[normalizeHost(host)]
 	if !known {
@@ -76,13 +75,13 @@
 	return Route{}, "", false
 }
 
-// Service finds a service by name.
+// Service returns the service with a name.
 func (t *RoutingTable) Service(name string) (Service, bool) {
 	service, ok := t.services[name]
 	return service, ok
 }
 
-// Services lists the services' names, sorted.
+// Services returns the sorted names of the services.
 func (t *RoutingTable) Services() []string {
 	names := make([]string, 0, len(t.services))
 	for name := range t.services {
@@ -92,13 +91,13 @@
 	return names
 }
 
-// Routes lists the routes in the operator's order. The caller must not modify the list.
+// Routes returns the routes in the operator's order. The caller must not modify the slice.
 func (t *RoutingTable) Routes() []Route { return t.routes }
 
-// Limits are the bounds on clients' requests.
+// Limits returns the limits for requests of clients.
 func (t *RoutingTable) Limits() Limits { return t.limits }
 
-// normalHost strips the port and lowers the case. A colon inside brackets belongs to an IPv6 address.
+// normalizeHost removes the port and converts the host to lower case. A colon inside brackets belongs to an IPv6 address.
 func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.Contains(host[colon:], "]") {
 		host = host[:colon]
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -9,7 +9,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// maxProblems bounds how many problems one error lists.
+// maxProblems is the maximum number of problems that one error lists.
 const maxProblems = 8
 
 var structValidator = newValidator()
@@ -23,7 +23,7 @@
 	return validate
 }
 
-// Validate checks single fields by their struct tags and then what must agree across fields. The error is an *InvalidError.
+// Validate checks each field by its struct tags, and then the constraints between fields. The error is an *InvalidError.
 func (c *Configuration) Validate() error {
 	if problems := c.fieldProblems(); len(problems) > 0 {
 		return &InvalidError{Problems: firstProblems(problems)}
@@ -84,7 +84,7 @@
 	return problems
 }
 
-// routeKey is what routes are matched by; no two routes may have the same.
+// routeKey identifies the requests that a route matches. No two routes may have the same key.
 type routeKey struct{ host, pathPrefix string }
 
 func (c *Configuration) routeProblems() []Problem {
