--- a/internal/controlplane/configuration/fakeregister_test.go
+++ b/internal/controlplane/configuration/fakeregister_test.go
@@ -15,21 +15,21 @@
 
 var errNoMajority = errors.New("no majority")
 
-// fakeRegister is a register in memory whose failures can be chosen.
+// fakeRegister is an in-memory register that can simulate failures.
 type fakeRegister struct {
 	mutex   sync.Mutex
 	value   []byte
 	changes int
 	reads   int
-	// refuse makes calls fail without effect.
+	// unavailable makes calls fail without effect.
 	unavailable bool
-	// loseAnswers makes changes take effect but fail as unclear.
+	// loseReplies makes changes take effect but return an error that leaves this open.
 	loseReplies bool
-	// lost makes changes fail as unclear without effect.
+	// loseChanges makes changes return the same error without effect.
 	loseChanges bool
-	// twice makes a change call modify again on its own result, as after a round that was beaten.
+	// modifyTwice makes a change call modify again with its own result, as after a lost round.
 	modifyTwice bool
-	// entered and release hold changes up, if set.
+	// If changeStarted is set, each change sends to it and then waits for continueChange.
 	changeStarted, continueChange chan struct{}
 }
 
@@ -89,7 +89,7 @@
 	return r.changes
 }
 
-// callerFunc is a transport.Caller.
+// callerFunc implements transport.Caller.
 type callerFunc func(ctx context.Context, address string, route transport.Route, request, reply any) error
 
 func (f callerFunc) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
--- a/internal/controlplane/configuration/lossynetwork_test.go
+++ b/internal/controlplane/configuration/lossynetwork_test.go
@@ -19,7 +19,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// lossyNetwork carries calls in memory, with delays, and loses some requests and some answers.
+// lossyNetwork transmits calls in memory with random delays, and loses some requests and answers.
 type lossyNetwork struct {
 	muxes           map[string]*transport.Mux
 	lossProbability float64
@@ -57,7 +57,7 @@
 	}
 }
 
-// newLossyCluster makes the members of a register on a lossy network.
+// newLossyCluster returns the members of a register on a lossy network.
 func newLossyCluster(seed uint64) []*Configurator {
 	view := replicaset.View{Version: 1, Members: []string{"a:1", "b:1", "c:1"}}
 	currentView := func() replicaset.View { return view }
@@ -82,7 +82,7 @@
 	return members
 }
 
-// sendUntilClear sends an update to one member after the other, as operators do, until its outcome is clear.
+// sendUntilClear sends an update to one member after another, as operators do, until its outcome is clear.
 func sendUntilClear(members []*Configurator, first int, request sentUpdate) Outcome {
 	for attempt := first; ; attempt++ {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -99,15 +99,15 @@
 	body    []byte
 }
 
-// Operators race for every version on a network that loses messages. One update of each version is accepted, and every accepted one
-// is accepted again later, at any member.
+// Operators compete for every version on a network that loses messages. Exactly one update per version is accepted. Every accepted
+// update is accepted again when it is sent again later, by any member.
 func TestOneUpdatePerVersionIsAcceptedOnALossyNetwork(t *testing.T) {
 	for seed := range uint64(5) {
 		virtualtime.Test(t, func(t *testing.T) {
 			if err := raceOperators(newLossyCluster(seed)); err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
-			<-time.After(register.RoundLimit) // calls that were lost have ended
+			<-time.After(register.RoundLimit) // wait until lost calls have ended
 		})
 	}
 }
@@ -137,7 +137,7 @@
 	}
 	for i, update := range accepted {
 		if outcome := sendUntilClear(members, i, update); outcome.Kind != Accepted {
-			return fmt.Errorf("an accepted update sent again is %v: %w", outcome.Kind, outcome.Err)
+			return fmt.Errorf("outcome of an accepted update that is sent again is %v: %w", outcome.Kind, outcome.Err)
 		}
 	}
 	return nil
@@ -151,11 +151,11 @@
 		case outcome.Kind == Accepted && winner < 0:
 			winner = i
 		default:
-			return 0, fmt.Errorf("an update is %v beside another: %w", outcome.Kind, outcome.Err)
+			return 0, fmt.Errorf("unexpected outcome of a competing update: %v: %w", outcome.Kind, outcome.Err)
 		}
 	}
 	if winner < 0 {
-		return 0, errors.New("no update is accepted")
+		return 0, errors.New("no update was accepted")
 	}
 	return winner, nil
 }
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -18,7 +18,7 @@
 	{"name":"stress"}],
 	"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-// bodyOf is a valid body; timeoutMS tells bodies of one version apart.
+// bodyOf returns a valid body. timeoutMS distinguishes bodies of the same version.
 func bodyOf(version, timeoutMS int) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/","timeoutMs":%d,"service":"s"}],"services":[{"name":"s"}]}`,
 		version, timeoutMS)
@@ -35,7 +35,7 @@
 		So(parsed.Services[0], ShouldResemble, Service{Name: "pricing", HealthCheckPath: "/health", MaxConnections: 64, Protocol: "h1", Guards: true})
 		So(parsed.Limits.IdleTimeout(), ShouldEqual, 15*time.Second)
 	})
-	Convey("No routes and no services at all are valid", t, func() {
+	Convey("A configuration without routes and services is valid", t, func() {
 		_, err := Parse([]byte(`{"version":1,"routes":[],"services":[]}`))
 		So(err, ShouldBeNil)
 	})
@@ -45,7 +45,7 @@
 	Convey("No proper prefix of a valid body is valid", t, func() {
 		for length := range exampleBody {
 			if _, err := Parse([]byte(exampleBody[:length])); err == nil {
-				So(exampleBody[:length], ShouldEqual, "refused")
+				So(exampleBody[:length], ShouldEqual, "rejected")
 			}
 		}
 	})
@@ -70,7 +70,7 @@
 		{"version text", replaced(`"version":7`, `"version":"7"`), "body", "send one whole"},
 		{"routes absent", `{"version":1,"services":[]}`, "routes", "set it"},
 		{"services absent", `{"version":1,"routes":[]}`, "services", "set it"},
-		{"routes no list", `{"version":1,"routes":{},"services":[]}`, "body", "send one whole"},
+		{"routes not a list", `{"version":1,"routes":{},"services":[]}`, "body", "send one whole"},
 		{"route null", `{"version":1,"routes":[null],"services":[]}`, "routes[0].name", "set it"},
 		{"timeout 0", replaced(`"timeoutMs":3000`, `"timeoutMs":0`), "routes[0].timeoutMs", "is 0; set it above 0"},
 		{"timeout absent", replaced(`"timeoutMs":3000,`, ``), "routes[0].timeoutMs", "set it above 0"},
@@ -80,13 +80,13 @@
 		{"unknown service", replaced(`"service":"stress"`, `"service":"strain"`), "routes[1].service", `unknown service "strain"; list it`},
 		{"service absent", replaced(`"service":"stress",`, ``), "routes[1].service", "set it"},
 		{"prefix without slash", replaced(`"pathPrefix":"/nav/"`, `"pathPrefix":"nav/"`), "routes[0].pathPrefix", "begin it with /"},
-		{"same place", replaced(`/nav/daily/`, `/nav/`), "routes[1].pathPrefix", `route "r-1" has the same host and prefix`},
+		{"same host and prefix", replaced(`/nav/daily/`, `/nav/`), "routes[1].pathPrefix", `route "r-1" has the same host and prefix`},
 		{"same route name", replaced(`"name":"r-2"`, `"name":"r-1"`), "routes[1].name", "its own name"},
 		{"same service name", replaced(`"name":"stress"`, `"name":"pricing"`), "services[1].name", "its own name"},
 		{"negative priority", replaced(`"priority":1`, `"priority":-1`), "routes[0].priority", "0 or more"},
 	}
 	for _, c := range cases {
-		Convey("Refused: "+c.name, t, func() {
+		Convey("Rejected: "+c.name, t, func() {
 			_, err := Parse([]byte(c.body))
 			var invalid *InvalidError
 			So(errors.As(err, &invalid), ShouldBeTrue)
@@ -95,7 +95,7 @@
 			So(err.Error(), ShouldContainSubstring, c.key+": ")
 		})
 	}
-	Convey("A body over the limit is refused unread", t, func() {
+	Convey("A body above the length limit is rejected before it is parsed", t, func() {
 		_, err := Parse(make([]byte, MaxBodyBytes+1))
 		So(err.Error(), ShouldContainSubstring, "send at most")
 	})
@@ -118,7 +118,7 @@
 		if err != nil {
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || len(invalid.Problems) == 0 {
-				t.Fatalf("the error %v names no problem", err)
+				t.Fatalf("the error %v lists no problem", err)
 			}
 			return
 		}
@@ -129,7 +129,7 @@
 				t.Fatalf("the route %+v is not found: %+v, %q, %v", route, found, remainder, ok)
 			}
 			if _, known := table.Service(route.Service); !known || route.Timeout() < 0 {
-				t.Fatalf("the route %+v was accepted", route)
+				t.Fatalf("the invalid route %+v was accepted", route)
 			}
 		}
 	})
--- a/internal/controlplane/configuration/put_test.go
+++ b/internal/controlplane/configuration/put_test.go
@@ -17,7 +17,7 @@
 		configurator := newConfigurator(register)
 		put := func(ifMatch uint64, body []byte) Outcome { return configurator.Put(ctx, ifMatch, body) }
 
-		Convey("A first configuration is accepted and in force", func() {
+		Convey("The first configuration is accepted and in force", func() {
 			changed := configurator.Changed()
 			outcome := put(0, bodyOf(5, 1000))
 			So(outcome, ShouldResemble, Outcome{Kind: Accepted, Version: 5})
@@ -27,17 +27,17 @@
 			So(string(body), ShouldEqual, string(bodyOf(5, 1000)))
 			So(configurator.Fresh(time.Hour), ShouldBeTrue)
 		})
-		Convey("An update of a version that is not in force is neither applied nor refused, and leaves a readable register", func() {
+		Convey("An update based on a version that is not in force is neither applied nor rejected, and leaves the register readable", func() {
 			So(put(3, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Unclear, Err: ErrBaseNotInForce})
 			version, _, err := configurator.Read(ctx)
 			So(err, ShouldBeNil)
 			So(version, ShouldEqual, 0)
 
-			Convey("so that it is applied when it is sent again once that version is in force", func() {
+			Convey("it is applied when it is sent again after that version came into force", func() {
 				So(put(0, bodyOf(3, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(3, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			})
-			Convey("and refused once a later version is in force", func() {
+			Convey("it is rejected once a later version is in force", func() {
 				So(put(0, bodyOf(4, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(3, bodyOf(5, 1000)).Kind, ShouldEqual, Conflict)
 			})
@@ -46,7 +46,7 @@
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			before := register.changeCount()
 
-			Convey("the same update is accepted again, without the register", func() {
+			Convey("the same update is accepted again, without a change of the register", func() {
 				So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 				So(register.changeCount(), ShouldEqual, before)
 			})
@@ -74,17 +74,17 @@
 				So(newConfigurator(register).Put(ctx, 5, bodyOf(9, 1000)).Kind, ShouldEqual, Accepted)
 				So(put(0, bodyOf(11, 1000)), ShouldResemble, conflictOutcome(9))
 			})
-			Convey("a member without a majority refuses nothing, and confirms what its cached history has", func() {
+			Convey("a member without a majority rejects nothing, and confirms the updates in its cached history", func() {
 				register.unavailable = true
 				So(put(0, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
 				So(put(5, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
 				So(put(9, bodyOf(11, 1000)).Kind, ShouldEqual, Unavailable)
 				So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			})
-			Convey("an older If-Match conflicts at a member that has nothing cached", func() {
+			Convey("an older If-Match conflicts at a member with an empty cache", func() {
 				So(newConfigurator(register).Put(ctx, 0, bodyOf(11, 1000)), ShouldResemble, conflictOutcome(5))
 			})
-			Convey("an invalid update is refused without the register, whatever its If-Match", func() {
+			Convey("an invalid update is rejected without a change of the register, whatever its If-Match", func() {
 				for _, ifMatch := range []uint64{0, 5, 77} {
 					So(put(ifMatch, bodyOf(9, 0)).Kind, ShouldEqual, Invalid)
 					So(put(ifMatch, bodyOf(9, 1000)[:40]).Kind, ShouldEqual, Invalid)
@@ -93,13 +93,13 @@
 				version, _ := configurator.Current()
 				So(version, ShouldEqual, 5)
 			})
-			Convey("a version that is not above the current one is refused", func() {
+			Convey("a version that is not above the current one is rejected", func() {
 				So(put(5, bodyOf(5, 2000)).Kind, ShouldEqual, Invalid)
 				So(put(5, bodyOf(4, 1000)).Kind, ShouldEqual, Invalid)
 				So(put(5, bodyOf(4, 1000)).Err.Error(), ShouldContainSubstring, "above the current version 5")
 			})
 		})
-		Convey("Without a majority an update is unavailable and not in force", func() {
+		Convey("Without a majority the outcome of an update is Unavailable, and it is not in force", func() {
 			register.unavailable = true
 			outcome := put(0, bodyOf(5, 1000))
 			So(outcome.Kind, ShouldEqual, Unavailable)
@@ -108,7 +108,7 @@
 			So(version, ShouldEqual, 0)
 			So(configurator.Fresh(time.Hour), ShouldBeFalse)
 		})
-		Convey("An update whose answer was lost is unclear, and accepted when it is sent again", func() {
+		Convey("The outcome of an update whose answer was lost is Unclear, and it is accepted when it is sent again", func() {
 			register.loseReplies = true
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
@@ -119,20 +119,20 @@
 			So(err, ShouldBeNil)
 			So(len(state.Applied), ShouldEqual, 1)
 		})
-		Convey("An update that was lost without effect is unclear, and applied when it is sent again", func() {
+		Convey("The outcome of an update that was lost is Unclear, and it is applied when it is sent again", func() {
 			register.loseChanges = true
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unclear)
 			register.loseChanges = false
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 		})
-		Convey("A change that is applied to its own result is accepted once", func() {
+		Convey("An update that is applied to its own result is recorded once", func() {
 			register.modifyTwice = true
 			So(put(0, bodyOf(5, 1000)), ShouldResemble, Outcome{Kind: Accepted, Version: 5})
 			state, err := DecodeState(register.value)
 			So(err, ShouldBeNil)
 			So(len(state.Applied), ShouldEqual, 1)
 		})
-		Convey("A register that cannot be read is left alone", func() {
+		Convey("A register value that cannot be decoded is not changed", func() {
 			register.value = []byte("\xc1 no state")
 			So(put(0, bodyOf(5, 1000)).Kind, ShouldEqual, Unavailable)
 			So(string(register.value), ShouldEqual, "\xc1 no state")
@@ -143,7 +143,7 @@
 }
 
 func TestConcurrentPutsAcceptOnePerVersion(t *testing.T) {
-	Convey("Of the updates of one version exactly one is accepted, and the others conflict", t, func() {
+	Convey("Of the updates based on one version, exactly one is accepted and the others conflict", t, func() {
 		register := &fakeRegister{}
 		nodes := []*Configurator{newConfigurator(register), newConfigurator(register), newConfigurator(register)}
 		current := uint64(0)
@@ -179,14 +179,14 @@
 		go func() { first <- configurator.Put(context.Background(), 0, bodyOf(5, 1000)) }()
 		<-register.changeStarted
 
-		Convey("a second one whose context ends first was not applied", func() {
+		Convey("a second one whose context ends first is not applied", func() {
 			ended, cancel := context.WithCancel(context.Background())
 			cancel()
 			So(configurator.Put(ended, 0, bodyOf(6, 1000)).Kind, ShouldEqual, Unavailable)
 			close(register.continueChange)
 			So((<-first).Kind, ShouldEqual, Accepted)
 		})
-		Convey("the same update again is accepted without another round, and any other conflicts", func() {
+		Convey("the same update is accepted without another change of the register, and a different update conflicts", func() {
 			same, other := make(chan Outcome, 1), make(chan Outcome, 1)
 			go func() { same <- configurator.Put(context.Background(), 0, bodyOf(5, 1000)) }()
 			go func() { other <- configurator.Put(context.Background(), 0, bodyOf(6, 1000)) }()
@@ -200,7 +200,7 @@
 }
 
 func TestAppliedHistoryIsBounded(t *testing.T) {
-	Convey("The newest changes are recognised after many", t, func() {
+	Convey("Only the newest updates are kept in the history", t, func() {
 		state := State{}
 		for version := range maxAppliedHistory + 10 {
 			request := newUpdateRequest(uint64(version), fmt.Appendf(nil, "body %d", version))
--- a/internal/controlplane/configuration/resentupdate_test.go
+++ b/internal/controlplane/configuration/resentupdate_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// stateAfterUpdates is the state after a number of changes, of which version n+1 was built on version n.
+// stateAfterUpdates returns the state after count updates, where version n+1 is based on version n.
 func stateAfterUpdates(count int) State {
 	state := State{}
 	for version := range uint64(count) {
@@ -32,24 +32,24 @@
 		So(err, ShouldBeNil)
 		before := register.changeCount()
 
-		Convey("an applied update within the history is confirmed again, and another of the same version is refused", func() {
+		Convey("an applied update within the history is confirmed again, and a different update of the same version conflicts", func() {
 			for _, member := range []*Configurator{upToDate, restarted} {
 				So(member.Put(ctx, dropped, bodyOf(dropped+1, 1000)), ShouldResemble, acceptedOutcome(dropped+1))
 				So(member.Put(ctx, dropped, bodyOf(dropped+1, 2000)), ShouldResemble, conflictOutcome(state.Version))
 			}
 		})
-		Convey("an applied update that the history has dropped is unclear at every member", func() {
+		Convey("the outcome of an applied update that the history has dropped is Unclear at every member", func() {
 			for _, member := range []*Configurator{upToDate, restarted} {
 				for _, ifMatch := range []int{0, 1, dropped - 1} {
 					outcome := member.Put(ctx, uint64(ifMatch), bodyOf(ifMatch+1, 1000))
 					So(outcome, ShouldResemble, Outcome{Kind: Unclear, Err: ErrOlderThanHistory})
 				}
 			}
-			So(register.changeCount()-before, ShouldEqual, 1) // the restarted one asked a majority, once
+			So(register.changeCount()-before, ShouldEqual, 1) // only the restarted member needed the register, once
 			So(string(register.value), ShouldEqual, string(value))
 		})
 	})
-	Convey("An old update is refused as long as the history reaches back to the first one", t, func() {
+	Convey("An old update conflicts as long as the history goes back to the first update", t, func() {
 		value, err := stateAfterUpdates(maxAppliedHistory).Encode()
 		So(err, ShouldBeNil)
 		member := newConfigurator(&fakeRegister{value: value})
@@ -59,7 +59,7 @@
 
 func TestAppliedUpdateIsConfirmedThoughValidationRefusesIt(t *testing.T) {
 	ctx := context.Background()
-	// An earlier release may have applied what the checks of this one refuse; both run side by side during a rolling update.
+	// An earlier release may have applied a body that this release rejects. Both run at the same time during a rolling update.
 	memberWithApplied := func(request updateRequest) *Configurator {
 		value, err := State{}.apply(request).Encode()
 		So(err, ShouldBeNil)
@@ -69,10 +69,10 @@
 		return member
 	}
 	for name, body := range map[string][]byte{
-		"a route without a time-out": bodyOf(5, 0),
-		"a text that is no JSON":     fmt.Appendf(nil, "version 5"),
+		"a route without a timeout": bodyOf(5, 0),
+		"a text that is not JSON":   fmt.Appendf(nil, "version 5"),
 	} {
-		Convey("An update that was applied is confirmed again though the checks refuse it: "+name, t, func() {
+		Convey("An applied update is confirmed again although validation rejects it: "+name, t, func() {
 			request := newUpdateRequest(0, body)
 			request.version = 5
 			member := memberWithApplied(request)
--- a/internal/controlplane/configuration/run_test.go
+++ b/internal/controlplane/configuration/run_test.go
@@ -27,7 +27,7 @@
 		var running sync.WaitGroup
 		running.Go(func() { reader.Run(ctx) })
 		synctest.Wait()
-		Convey("An update that nobody announced is cached after the next read", t, func() {
+		Convey("An update that was not announced is cached after the next read", t, func() {
 			So(reader.Fresh(time.Millisecond), ShouldBeTrue)
 			So(writer.Put(ctx, 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			changed := reader.Changed()
@@ -37,7 +37,7 @@
 			version, _ := reader.Current()
 			So(version, ShouldEqual, 5)
 		})
-		Convey("Without a majority the cached configuration is soon not fresh, but still there", t, func() {
+		Convey("Without a majority the cached configuration becomes stale, but is kept", t, func() {
 			register.update(func(r *fakeRegister) { r.unavailable = true })
 			<-time.After(2 * time.Second) // virtual time
 			So(reader.Fresh(1500*time.Millisecond), ShouldBeFalse)
@@ -78,7 +78,7 @@
 			return reply, err
 		}
 
-		Convey("Members read an accepted update before the next regular read, and recognise it when it is sent again", t, func() {
+		Convey("Members read an accepted update before the next regular read, and accept it when it is sent again", t, func() {
 			began := time.Now()
 			So(members["a:1"].Put(context.Background(), 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			synctest.Wait()
@@ -92,7 +92,7 @@
 			So(members["c:1"].Put(context.Background(), 0, bodyOf(5, 1000)).Kind, ShouldEqual, Accepted)
 			So(register.changeCount(), ShouldEqual, before)
 		})
-		Convey("The announcement of a version that is cached already causes no read", t, func() {
+		Convey("The announcement of a cached version triggers no read", t, func() {
 			before := members["b:1"].lastReadAt()
 			<-time.After(time.Millisecond)
 			reply, err := announce(Announcement{Version: 5})
@@ -101,14 +101,14 @@
 			synctest.Wait()
 			So(members["b:1"].lastReadAt(), ShouldEqual, before)
 		})
-		Convey("A version that is announced but not committed is not adopted", t, func() {
+		Convey("An announced version that is not committed is not adopted", t, func() {
 			_, err := announce(Announcement{Version: 6})
 			So(err, ShouldBeNil)
 			synctest.Wait()
 			version, _ := members["b:1"].Current()
 			So(version, ShouldEqual, 5)
 		})
-		Convey("From older builds they adopt values, never an older one, and refuse what they cannot decode", t, func() {
+		Convey("Members adopt newer values that older builds announce, and reject values that they cannot decode", t, func() {
 			older, err := State{Version: 5, Body: bodyOf(5, 1000)}.Encode()
 			So(err, ShouldBeNil)
 			newer, err := State{Version: 7, Body: bodyOf(7, 1000)}.Encode()
@@ -134,7 +134,7 @@
 	return c.lastRead
 }
 
-// callMux serves a call without a network.
+// callMux calls a handler directly, without a network.
 func callMux(mux http.Handler, route transport.Route, request, reply any) error {
 	body, err := msgpack.Marshal(request)
 	if err != nil {
--- a/internal/controlplane/configuration/simulation_test.go
+++ b/internal/controlplane/configuration/simulation_test.go
@@ -21,55 +21,55 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// Environment variables of the model.
+// Environment variables that control the simulation.
 const (
-	schedulesVariable = "ORDER_SCHEDULES" // how many schedules are simulated
-	seedVariable      = "ORDER_SEED"      // simulates this schedule alone
+	schedulesVariable = "ORDER_SCHEDULES" // number of schedules to simulate
+	seedVariable      = "ORDER_SEED"      // simulate only the schedule of this seed
 )
 
-// Extent of a simulation, in simulated time.
+// Extent of a simulation, in virtual time.
 const (
-	operators        = 3
+	operatorCount    = 3
 	faultTime        = 6 * time.Second
-	maxFaultInterval = 700 * time.Millisecond // upper bound
+	maxFaultInterval = 700 * time.Millisecond // between two faults
 	maxFaultDuration = 2500 * time.Millisecond
-	healingTime      = 30 * time.Second // from the end of all faults, until the last answer
+	recoveryTime     = 30 * time.Second // from the end of all faults until the last answer
 	drainTime        = 10 * time.Second
 )
 
-// simulation is one run of a cluster under faults, with operators. Its schedule follows from a seed.
+// simulation is one run of a cluster with operators and faults. The seed determines its schedule.
 type simulation struct {
-	cluster        *simulatedCluster
-	checker        *checker
-	random         *rand.Rand
-	membersStarted int // started so far
-	replacements   uint64
-	faultEnds      sync.WaitGroup // of troubles
+	cluster          *simulatedCluster
+	checker          *checker
+	random           *rand.Rand
+	membersStarted   int // number of members started so far
+	replacements     uint64
+	faultsInProgress sync.WaitGroup // faults that have not ended yet
 }
 
-// simulate lets operators work while members have faults, and checks every answer.
+// simulate runs operators while faults are injected into members, and checks every answer.
 func simulate(t *testing.T, seed uint64) (s *simulation) {
 	virtualtime.Test(t, func(t *testing.T) {
-		size := 3 + int(seed%2)*2
-		s = &simulation{cluster: newSimulatedCluster(t, seed, size), checker: newChecker(), random: rand.New(rand.NewPCG(seed, 0)), membersStarted: size}
+		memberCount := 3 + int(seed%2)*2
+		s = &simulation{cluster: newSimulatedCluster(t, seed, memberCount), checker: newChecker(), random: rand.New(rand.NewPCG(seed, 0)), membersStarted: memberCount}
 		ctx, cancel := context.WithTimeout(context.Background(), faultTime)
-		last, stop := context.WithTimeout(context.Background(), faultTime+healingTime)
-		var working sync.WaitGroup
-		for number := range operators {
+		deadline, stopDeadline := context.WithTimeout(context.Background(), faultTime+recoveryTime)
+		var running sync.WaitGroup
+		for number := range operatorCount {
 			o := &operator{number: number, cluster: s.cluster, checker: s.checker, random: rand.New(rand.NewPCG(seed, uint64(number)+1))}
-			working.Go(func() { o.work(ctx, last) })
+			running.Go(func() { o.run(ctx, deadline) })
 		}
 		for ctx.Err() == nil {
 			<-time.After(s.randomBelow(maxFaultInterval))
 			s.injectFault()
 		}
-		s.faultEnds.Wait()
-		s.cluster.network.heal()
-		working.Wait()
+		s.faultsInProgress.Wait()
+		s.cluster.network.endFaults()
+		running.Wait()
 		s.checkFinalState()
 		cancel()
-		stop()
-		s.cluster.end()
+		stopDeadline()
+		s.cluster.stopAll()
 		<-time.After(drainTime)
 	})
 	return s
@@ -79,81 +79,81 @@
 	return time.Duration(s.random.Int64N(int64(bound))) + 1
 }
 
-// injectFault lets one thing happen to a member.
+// injectFault injects a random fault into a random member.
 func (s *simulation) injectFault() {
-	members := s.cluster.newest().Members
+	members := s.cluster.newestView().Members
 	address := members[s.random.IntN(len(members))]
 	other := members[s.random.IntN(len(members))]
-	m := s.cluster.process(address)
-	kind, duration, down := s.random.IntN(8), s.randomBelow(maxFaultDuration), s.randomBelow(300*time.Millisecond)
+	process := s.cluster.process(address)
+	kind, duration, downtime := s.random.IntN(8), s.randomBelow(maxFaultDuration), s.randomBelow(300*time.Millisecond)
 	switch {
-	case m == nil:
+	case process == nil:
 	case kind == 0:
-		s.during(duration, func(on bool) { s.cluster.network.partition(address, other, on) })
+		s.injectFor(duration, func(on bool) { s.cluster.network.setPartition(address, other, on) })
 	case kind == 1:
-		s.during(duration, func(on bool) { s.isolate(address, members, on) })
+		s.injectFor(duration, func(on bool) { s.isolate(address, members, on) })
 	case kind == 2 || kind == 3:
 		s.cluster.network.freeze(address)
-		s.faultEnds.Go(func() { <-time.After(duration); s.cluster.network.unfreeze(address) })
+		s.faultsInProgress.Go(func() { <-time.After(duration); s.cluster.network.unfreeze(address) })
 	case kind == 4:
-		s.restart(m, down, m.disk)
+		s.restart(process, downtime, process.disk)
 	case kind == 5 && s.cluster.allHealthy():
-		s.restart(m, down, storage.NewMemory())
+		s.restart(process, downtime, storage.NewMemory())
 	case kind == 6 && s.cluster.allHealthy():
-		s.replace(m)
+		s.replace(process)
 	case kind == 7:
-		s.powerLoss(members, down)
+		s.powerLoss(members, downtime)
 	}
 }
 
-// during switches a fault on, and off again after a time.
-func (s *simulation) during(duration time.Duration, fault func(on bool)) {
+// injectFor starts a fault and ends it after a duration.
+func (s *simulation) injectFor(duration time.Duration, fault func(on bool)) {
 	fault(true)
-	s.faultEnds.Go(func() { <-time.After(duration); fault(false) })
+	s.faultsInProgress.Go(func() { <-time.After(duration); fault(false) })
 }
 
-// isolate partitions a member off from the others, though not from operators.
-func (s *simulation) isolate(address string, members []string, on bool) {
+// isolate partitions a member from the other members, but not from operators.
+func (s *simulation) isolate(address string, members []string, isolated bool) {
 	for _, member := range members {
-		s.cluster.network.partition(address, member, on)
-		s.cluster.network.partition(member, address, on)
+		s.cluster.network.setPartition(address, member, isolated)
+		s.cluster.network.setPartition(member, address, isolated)
 	}
 }
 
-// restart kills a process and starts it again on a disk.
-func (s *simulation) restart(m *memberProcess, down time.Duration, disk *storage.Memory) {
-	if s.cluster.stop(m) {
-		<-time.After(down)
-		s.cluster.start(m.address, disk, false)
+// restart kills a process and starts it again with a disk.
+func (s *simulation) restart(process *memberProcess, downtime time.Duration, disk *storage.Memory) {
+	if s.cluster.stop(process) {
+		<-time.After(downtime)
+		s.cluster.start(process.address, disk, false)
 	}
 }
 
-// replace stops a member for good, and starts one that can replace it.
-func (s *simulation) replace(m *memberProcess) {
-	if s.cluster.stop(m) {
+// replace stops a member permanently, and starts a new one that can replace it.
+func (s *simulation) replace(process *memberProcess) {
+	if s.cluster.stop(process) {
 		s.membersStarted++
 		s.cluster.start(fmt.Sprintf("core-%d", s.membersStarted), storage.NewMemory(), false)
 	}
 }
 
-// powerLoss kills all members at once; their disks are kept.
-func (s *simulation) powerLoss(members []string, down time.Duration) {
-	var lost []*memberProcess
+// powerLoss kills all members at once and restarts them with their disks.
+func (s *simulation) powerLoss(members []string, downtime time.Duration) {
+	var stopped []*memberProcess
 	for _, address := range members {
 		if m := s.cluster.process(address); s.cluster.stop(m) {
-			lost = append(lost, m)
+			stopped = append(stopped, m)
 		}
 	}
-	<-time.After(down)
-	for _, m := range lost {
+	<-time.After(downtime)
+	for _, m := range stopped {
 		s.cluster.start(m.address, m.disk, false)
 	}
 }
 
-// checkFinalState checks the end: what each member reads, and the newest history of applied updates.
+// checkFinalState checks the version that each member reads, and the newest history of applied updates.
 func (s *simulation) checkFinalState() {
 	reader := &operator{cluster: s.cluster, checker: s.checker, random: s.random}
-	view := s.cluster.newest()
+	view := s.cluster.newestView()
 	s.replacements = view.Version - 1
 	for _, address := range view.Members {
 		reader.readOnce(address)
@@ -161,7 +161,7 @@
 	s.checker.checkHistory(s.history(view.Members))
 }
 
-// history is that of the newest state that a member has cached.
+// history returns the history of the newest state that a member has cached.
 func (s *simulation) history(members []string) []configuration.AppliedUpdate {
 	var newest configuration.State
 	for _, address := range members {
@@ -174,8 +174,8 @@
 	return newest.Applied
 }
 
-// seeds lists the schedules to simulate.
-func seeds(t *testing.T, usual int) []uint64 {
+// seedsToSimulate returns the seeds of the schedules to simulate.
+func seedsToSimulate(t *testing.T, defaultCount int) []uint64 {
 	if text := os.Getenv(seedVariable); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
@@ -188,51 +188,51 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		usual = count
+		defaultCount = count
 	}
 	var all []uint64
-	for seed := range uint64(usual) {
+	for seed := range uint64(defaultCount) {
 		all = append(all, seed)
 	}
 	return all
 }
 
-// report prints the violations of a schedule, and how to simulate it again.
+// report prints the violations in a schedule, and how to repeat the simulation.
 func (s *simulation) report(t *testing.T, seed uint64) {
 	if len(s.checker.violations) == 0 {
 		return
 	}
-	t.Errorf("simulate it again with %s=%d", seedVariable, seed)
-	for _, problem := range s.checker.violations {
-		t.Error(problem)
+	t.Errorf("repeat the simulation with %s=%d", seedVariable, seed)
+	for _, violation := range s.checker.violations {
+		t.Error(violation)
 	}
 	for _, line := range s.checker.trace {
 		t.Log(line)
 	}
 }
 
-// Under all faults, no two updates are confirmed on top of one version or with one version, nothing that was confirmed is refused
-// or lost, nothing that was refused comes into force, and no read returns an outdated version.
+// Simulates operators while faults are injected. No two updates are confirmed with the same base version or the same version. No
+// confirmed update is rejected or lost, no rejected update comes into force, and no read returns an outdated version.
 func TestSimulatedOperatorsUpdateLinearizably(t *testing.T) {
-	usual := 2000
+	scheduleCount := 2000
 	if raceflag.On {
-		usual = 100 // little is concurrent in simulated time
+		scheduleCount = 100 // the race detector finds little here, as virtual time leaves little concurrency
 	}
-	defer debug.SetGCPercent(debug.SetGCPercent(800)) // little is kept
+	defer debug.SetGCPercent(debug.SetGCPercent(800)) // the heap stays small
 	var mutex sync.Mutex
-	var broken atomic.Bool
+	var failed atomic.Bool
 	answers, replaced := 0, uint64(0)
 	t.Run("schedules", func(t *testing.T) {
-		lanes := runtime.GOMAXPROCS(0)
-		all := seeds(t, usual)
-		for lane := range lanes {
-			t.Run(fmt.Sprintf("lane %d", lane), func(t *testing.T) {
+		workers := runtime.GOMAXPROCS(0)
+		all := seedsToSimulate(t, scheduleCount)
+		for worker := range workers {
+			t.Run(fmt.Sprintf("worker %d", worker), func(t *testing.T) {
 				t.Parallel()
-				for place := lane; place < len(all) && !broken.Load(); place += lanes {
-					s := simulate(t, all[place])
-					s.report(t, all[place])
+				for index := worker; index < len(all) && !failed.Load(); index += workers {
+					s := simulate(t, all[index])
+					s.report(t, all[index])
 					if t.Failed() {
-						broken.Store(true) // one is enough to look into
+						failed.Store(true) // one failed schedule is enough to investigate
 					}
 					mutex.Lock()
 					answers += s.checker.answers
--- a/internal/controlplane/configuration/simulationchecker_test.go
+++ b/internal/controlplane/configuration/simulationchecker_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/configuration"
 )
 
-// sentUpdate is an update of an operator. Two operators may send the same one.
+// sentUpdate is an update that an operator sends. Two operators may send the same update.
 type sentUpdate struct {
 	ifMatch uint64
 	version uint64
@@ -24,19 +24,19 @@
 		version, timeoutMS)}
 }
 
-// answersSeen is what members have answered to an update.
-type answersSeen struct{ confirmed, refused bool }
+// observedAnswers records how members have answered an update.
+type observedAnswers struct{ confirmed, refused bool }
 
-// checker gets every answer that a member gave, also those that the operator never received.
+// checker checks every answer of a member, including those that the operator never received.
 type checker struct {
-	began time.Time
+	start time.Time
 
-	mutex              sync.Mutex // guards what follows
-	answersByRequest   map[sentUpdate]*answersSeen
+	mutex              sync.Mutex // guards the fields below
+	answersByRequest   map[sentUpdate]*observedAnswers
 	requests           []sentUpdate          // in the order in which they were first sent
-	confirmedByBase    map[uint64]sentUpdate // confirmed, by the version that they were built on
-	confirmedByVersion map[uint64]sentUpdate // the same by their own version
-	highest            uint64                // version that was confirmed or read
+	confirmedByBase    map[uint64]sentUpdate // confirmed updates by the version that they are based on
+	confirmedByVersion map[uint64]sentUpdate // confirmed updates by their own version
+	highestVersion     uint64                // highest version that was confirmed or read
 	answers            int
 	violations         []string
 	trace              []string
@@ -44,102 +44,102 @@
 
 func newChecker() *checker {
 	return &checker{
-		began: time.Now(), answersByRequest: make(map[sentUpdate]*answersSeen), confirmedByBase: make(map[uint64]sentUpdate), confirmedByVersion: make(map[uint64]sentUpdate),
+		start: time.Now(), answersByRequest: make(map[sentUpdate]*observedAnswers), confirmedByBase: make(map[uint64]sentUpdate), confirmedByVersion: make(map[uint64]sentUpdate),
 	}
 }
 
-// violation records what must not happen. The caller holds the mutex.
-func (j *checker) violation(format string, arguments ...any) {
-	j.violations = append(j.violations, fmt.Sprintf("after %v: ", time.Since(j.began))+fmt.Sprintf(format, arguments...))
+// addViolation records a violation of the specification. The caller must hold the mutex.
+func (c *checker) addViolation(format string, arguments ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("after %v: ", time.Since(c.start))+fmt.Sprintf(format, arguments...))
 }
 
-func (j *checker) record(format string, arguments ...any) {
-	j.trace = append(j.trace, time.Since(j.began).String()+" "+fmt.Sprintf(format, arguments...))
+func (c *checker) addTrace(format string, arguments ...any) {
+	c.trace = append(c.trace, time.Since(c.start).String()+" "+fmt.Sprintf(format, arguments...))
 }
 
 // recordSent records an update before it is sent for the first time.
-func (j *checker) recordSent(update sentUpdate) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if j.answersByRequest[update] == nil {
-		j.answersByRequest[update] = &answersSeen{}
-		j.requests = append(j.requests, update)
+func (c *checker) recordSent(update sentUpdate) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.answersByRequest[update] == nil {
+		c.answersByRequest[update] = &observedAnswers{}
+		c.requests = append(c.requests, update)
 	}
 }
 
-// earlier returns an update that was sent before; false while there is none.
-func (j *checker) earlier(pick func(count int) int) (sentUpdate, bool) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if len(j.requests) == 0 {
+// pickSent returns an update that was sent before. It returns false if there is none.
+func (c *checker) pickSent(pick func(count int) int) (sentUpdate, bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.requests) == 0 {
 		return sentUpdate{}, false
 	}
-	return j.requests[pick(len(j.requests))], true
+	return c.requests[pick(len(c.requests))], true
 }
 
-// checkAnswer checks a member's answer to an update, and reports whether it is a clear one.
-func (j *checker) checkAnswer(address string, update sentUpdate, status int) bool {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.record("%s answers %d to %d on top of %d", address, status, update.version, update.ifMatch)
+// checkAnswer checks a member's answer to an update, and reports whether the answer is clear.
+func (c *checker) checkAnswer(address string, update sentUpdate, status int) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.addTrace("%s answers %d to %d on top of %d", address, status, update.version, update.ifMatch)
 	switch {
 	case status == http.StatusOK:
-		j.answers++
-		j.checkConfirmed(address, update)
+		c.answers++
+		c.checkConfirmed(address, update)
 		return true
 	case status >= 400 && status < 500:
-		j.answers++
-		if j.answersByRequest[update].confirmed {
-			j.violation("%s refuses with %d what was confirmed: %+v", address, status, update)
+		c.answers++
+		if c.answersByRequest[update].confirmed {
+			c.addViolation("%s rejects with %d an update that was confirmed: %+v", address, status, update)
 		}
-		j.answersByRequest[update].refused = true
+		c.answersByRequest[update].refused = true
 		return true
 	}
 	return false
 }
 
-func (j *checker) checkConfirmed(address string, update sentUpdate) {
-	if j.answersByRequest[update].refused {
-		j.violation("%s confirms what was refused: %+v", address, update)
+func (c *checker) checkConfirmed(address string, update sentUpdate) {
+	if c.answersByRequest[update].refused {
+		c.addViolation("%s confirms an update that was rejected: %+v", address, update)
 	}
-	if other, found := j.confirmedByBase[update.ifMatch]; found && other != update {
-		j.violation("%s confirms %+v, and %+v was confirmed on top of the same version", address, update, other)
+	if other, found := c.confirmedByBase[update.ifMatch]; found && other != update {
+		c.addViolation("%s confirms %+v, but %+v was confirmed on top of the same version", address, update, other)
 	}
-	if other, found := j.confirmedByVersion[update.version]; found && other != update {
-		j.violation("%s confirms %+v, and %+v was confirmed under the same number", address, update, other)
+	if other, found := c.confirmedByVersion[update.version]; found && other != update {
+		c.addViolation("%s confirms %+v, but %+v was confirmed with the same version", address, update, other)
 	}
-	j.answersByRequest[update].confirmed = true
-	j.confirmedByBase[update.ifMatch], j.confirmedByVersion[update.version] = update, update
-	j.highest = max(j.highest, update.version)
+	c.answersByRequest[update].confirmed = true
+	c.confirmedByBase[update.ifMatch], c.confirmedByVersion[update.version] = update, update
+	c.highestVersion = max(c.highestVersion, update.version)
 }
 
-// newest is the highest version that was confirmed or read.
-func (j *checker) newest() uint64 {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return j.highest
+// newestVersion returns the highest version that was confirmed or read.
+func (c *checker) newestVersion() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.highestVersion
 }
 
-// checkRead checks the answer to a read that began when newest was the highest version confirmed or read.
-func (j *checker) checkRead(address string, newest, version uint64, body string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.record("%s is read: %d", address, version)
-	j.answers++
-	if version < newest {
-		j.violation("%s is read at version %d after version %d was in force", address, version, newest)
+// checkReadAnswer checks the answer to a read. When the read began, newestAtStart was the highest version confirmed or read.
+func (c *checker) checkReadAnswer(address string, newestAtStart, version uint64, body string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.addTrace("read of %s returns version %d", address, version)
+	c.answers++
+	if version < newestAtStart {
+		c.addViolation("read of %s returns version %d after version %d was in force", address, version, newestAtStart)
 	}
-	j.highest = max(j.highest, version)
-	for update, fate := range j.answersByRequest {
-		if update.version == version && update.body == body && fate.refused && !fate.confirmed && !j.hasSameBodyElsewhere(update) {
-			j.violation("%s is read: in force is what was refused: %+v", address, update)
+	c.highestVersion = max(c.highestVersion, version)
+	for update, answers := range c.answersByRequest {
+		if update.version == version && update.body == body && answers.refused && !answers.confirmed && !c.hasSameBodyElsewhere(update) {
+			c.addViolation("read of %s returns an update that was rejected: %+v", address, update)
 		}
 	}
 }
 
-// hasSameBodyElsewhere reports whether the same body was also sent on top of another version. The caller holds the mutex.
-func (j *checker) hasSameBodyElsewhere(update sentUpdate) bool {
-	for other := range j.answersByRequest {
+// hasSameBodyElsewhere reports whether the same body was also sent on top of another version. The caller must hold the mutex.
+func (c *checker) hasSameBodyElsewhere(update sentUpdate) bool {
+	for other := range c.answersByRequest {
 		if other.body == update.body && other != update {
 			return true
 		}
@@ -147,36 +147,37 @@
 	return false
 }
 
-// checkHistory checks the history of applied updates at the end.
-func (j *checker) checkHistory(taken []configuration.AppliedUpdate) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+// checkHistory checks the final history of applied updates.
+func (c *checker) checkHistory(history []configuration.AppliedUpdate) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	version := uint64(0)
 	inForce := make(map[[2]uint64]bool)
-	for _, change := range taken {
-		if change.IfMatch != version {
-			j.violation("the change to %d was made on top of %d, not of %d", change.Version, change.IfMatch, version)
+	for _, applied := range history {
+		if applied.IfMatch != version {
+			c.addViolation("the update to version %d was applied on top of version %d instead of version %d", applied.Version, applied.IfMatch, version)
 		}
-		version = change.Version
-		inForce[[2]uint64{change.IfMatch, change.Version}] = true
+		version = applied.Version
+		inForce[[2]uint64{applied.IfMatch, applied.Version}] = true
 	}
-	if version < j.highest {
-		j.violation("version %d is in force at the end, and %d was", version, j.highest)
+	if version < c.highestVersion {
+		c.addViolation("version %d is in force at the end, but version %d was in force before", version, c.highestVersion)
 	}
-	for update, fate := range j.answersByRequest {
-		if fate.confirmed && !inForce[[2]uint64{update.ifMatch, update.version}] {
-			j.violation("confirmed and not in the history: %+v", update)
+	for update, answers := range c.answersByRequest {
+		if answers.confirmed && !inForce[[2]uint64{update.ifMatch, update.version}] {
+			c.addViolation("confirmed update is not in the history: %+v", update)
 		}
-		if fate.refused && update.ifMatch == version && update.version > version {
-			j.violation("refused although the version that it was built on is in force: %+v", update)
+		if answers.refused && update.ifMatch == version && update.version > version {
+			c.addViolation("rejected update is based on the version in force: %+v", update)
 		}
 	}
 }
 
-// fingerprint is equal for two runs with the same answers at the same times. Answers of one moment have no order.
-func (j *checker) fingerprint() uint64 {
+// fingerprint returns a hash that is equal for two runs with the same answers at the same times. The order of simultaneous answers
+// does not matter.
+func (c *checker) fingerprint() uint64 {
 	hash := fnv.New64a()
-	for _, line := range slices.Sorted(slices.Values(j.trace)) {
+	for _, line := range slices.Sorted(slices.Values(c.trace)) {
 		hash.Write([]byte(line))
 	}
 	return hash.Sum64()
--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -23,13 +23,13 @@
 
 const (
 	registerName        = "configuration"
-	processRestartDelay = 200 * time.Millisecond // until a process that ended by itself is started again
-	readPause           = 900 * time.Millisecond
-	readLimit           = 1490 * time.Millisecond
-	contactTimeout      = time.Second // a member counts as in contact for as long after its last message
+	processRestartDelay = 200 * time.Millisecond // until a replaced process is started again
+	readInterval        = 900 * time.Millisecond
+	readTimeout         = 1490 * time.Millisecond
+	contactTimeout      = time.Second // a member counts as reachable for this long after its last message
 )
 
-// memberProcess is one incarnation of a member with all that takes part in operators' updates.
+// memberProcess is one incarnation of a member, with all components that handle operators' updates.
 type memberProcess struct {
 	address      string
 	disk         *storage.Memory
@@ -39,54 +39,54 @@
 	configurator *configuration.Configurator
 	control      http.Handler
 	ctx          context.Context
-	kill         context.CancelFunc
+	cancel       context.CancelFunc
 }
 
-// simulatedCluster has the members and their processes.
+// simulatedCluster holds the members and their processes.
 type simulatedCluster struct {
-	t       *testing.T
-	network *simulatedNetwork
-	first   replicaset.View
-	tasks   sync.WaitGroup
+	t         *testing.T
+	network   *simulatedNetwork
+	firstView replicaset.View
+	tasks     sync.WaitGroup
 
-	mutex     sync.Mutex // guards what follows
+	mutex     sync.Mutex // guards the fields below
 	processes map[string]*memberProcess
-	ending    bool
+	stopped   bool
 }
 
 func newSimulatedCluster(t *testing.T, seed uint64, size int) *simulatedCluster {
-	c := &simulatedCluster{t: t, network: newSimulatedNetwork(seed), first: replicaset.View{Version: 1}, processes: make(map[string]*memberProcess)}
+	c := &simulatedCluster{t: t, network: newSimulatedNetwork(seed), firstView: replicaset.View{Version: 1}, processes: make(map[string]*memberProcess)}
 	for i := range size {
-		c.first.Members = append(c.first.Members, fmt.Sprintf("core-%d", i))
+		c.firstView.Members = append(c.firstView.Members, fmt.Sprintf("core-%d", i))
 	}
-	for _, address := range c.first.Members {
+	for _, address := range c.firstView.Members {
 		c.start(address, storage.NewMemory(), true)
 	}
 	return c
 }
 
-// start starts a process unless there is one at the address. The founders know the first view.
+// start starts a process unless one is running at the address. Founders know the first view from the start.
 func (c *simulatedCluster) start(address string, disk *storage.Memory, founder bool) {
 	m := &memberProcess{address: address, disk: disk, store: registertest.NewProcessStore(disk)}
-	m.ctx, m.kill = context.WithCancel(context.Background())
+	m.ctx, m.cancel = context.WithCancel(context.Background())
 	mux := transport.NewMux()
-	c.assembleMembership(m, mux, founder)
-	c.assembleConfigurator(m, mux)
+	c.addMembership(m, mux, founder)
+	c.addConfigurator(m, mux)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.ending || c.processes[address] != nil {
-		m.kill()
+	if c.stopped || c.processes[address] != nil {
+		m.cancel()
 		return
 	}
 	c.processes[address] = m
-	c.network.serve(address, mux)
+	c.network.setHandler(address, mux)
 	c.tasks.Go(func() { m.manager.Run(m.ctx) })
 	c.tasks.Go(func() { m.rebuilder.Run(m.ctx) })
 	c.tasks.Go(func() { c.readPeriodically(m) })
 	c.tasks.Go(func() { c.restartWhenReplaced(m) })
 }
 
-func (c *simulatedCluster) assembleMembership(m *memberProcess, mux *transport.Mux, founder bool) {
+func (c *simulatedCluster) addMembership(m *memberProcess, mux *transport.Mux, founder bool) {
 	caller := simulatedCaller{c.network, m.address, m.store.Alive}
 	succession := register.NewSuccession(register.SuccessionConfig{
 		Self: m.address, Store: m.store, Caller: caller,
@@ -95,16 +95,16 @@
 		RandomBelow: func(bound time.Duration) time.Duration { return c.randomBackoff(m, bound) },
 	})
 	manager, err := replicaset.NewManager(replicaset.Config{
-		Self: m.address, Seeds: c.first.Members, CountsForQuorum: true, Store: m.store, Caller: caller,
+		Self: m.address, Seeds: c.firstView.Members, CountsForQuorum: true, Store: m.store, Caller: caller,
 		Succession: succession, Logger: zap.NewNop(),
-		Liveness: func() replicaset.Liveness { return c.contacts(m) },
+		Liveness: func() replicaset.Liveness { return c.liveness(m) },
 	})
 	if err != nil {
 		c.t.Error(err)
 	}
 	m.manager = manager
 	if founder {
-		if err := manager.Learn(c.first); err != nil {
+		if err := manager.Learn(c.firstView); err != nil {
 			c.t.Error(err)
 		}
 	}
@@ -120,7 +120,7 @@
 	m.rebuilder.Serve(mux)
 }
 
-func (c *simulatedCluster) assembleConfigurator(m *memberProcess, mux *transport.Mux) {
+func (c *simulatedCluster) addConfigurator(m *memberProcess, mux *transport.Mux) {
 	caller := simulatedCaller{c.network, m.address, m.store.Alive}
 	acceptor := register.NewAcceptor(register.AcceptorConfig{
 		Name: registerName, Store: m.store, Ready: m.ready, View: m.manager.View,
@@ -138,50 +138,51 @@
 	m.configurator.Mount(mux)
 }
 
-// randomBackoff draws a proposer's pause; a killed process must not take from the chances of the next one.
+// randomBackoff draws a proposer's backoff. A killed process must not consume random numbers of its successor, because the run
+// would no longer depend on the seed alone.
 func (c *simulatedCluster) randomBackoff(m *memberProcess, bound time.Duration) time.Duration {
 	if !m.store.Alive() {
 		return 0
 	}
-	return c.network.draw("pauses of "+m.address, bound)
+	return c.network.randomDuration("pauses of "+m.address, bound)
 }
 
 func (m *memberProcess) ready() bool { return m.store.Alive() && m.rebuilder.Ready() }
 
-// contacts is what a member knows of the others by the messages that it has received.
-func (c *simulatedCluster) contacts(m *memberProcess) replicaset.Liveness {
+// liveness returns a member's view of the other members' liveness, based on the messages that it has received.
+func (c *simulatedCluster) liveness(m *memberProcess) replicaset.Liveness {
 	view := m.manager.View()
-	contacts, reachable := replicaset.Liveness{SinceContact: make(map[string]time.Duration)}, 1
+	observed, reachable := replicaset.Liveness{SinceContact: make(map[string]time.Duration)}, 1
 	for _, member := range view.Members {
 		sinceLast, found := c.network.sinceLastReceived(m.address, member)
 		if member == m.address || !found {
 			continue
 		}
-		contacts.SinceContact[member] = sinceLast
+		observed.SinceContact[member] = sinceLast
 		if sinceLast < contactTimeout {
 			reachable++
 		}
 	}
-	contacts.QuorumReachable = reachable >= view.Quorum()
-	return contacts
+	observed.QuorumReachable = reachable >= view.Quorum()
+	return observed
 }
 
-// readPeriodically does what Configurator.Run does, with times that coincide with no other bound: of two timers of one moment
-// either may fire first, and a seed would replay nothing.
+// readPeriodically replaces Configurator.Run. Its intervals do not coincide with other timers: two timers that expire at the same
+// time may fire in either order, and the run would no longer depend on the seed alone.
 func (c *simulatedCluster) readPeriodically(m *memberProcess) {
 	defer m.configurator.Close()
 	for m.ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(m.ctx, readLimit)
+		bounded, cancel := context.WithTimeout(m.ctx, readTimeout)
 		m.configurator.Read(bounded)
 		cancel()
 		select {
 		case <-m.ctx.Done():
-		case <-time.After(readPause):
+		case <-time.After(readInterval):
 		}
 	}
 }
 
-// restartWhenReplaced starts a process again, on its disk, when it has ended because it was replaced.
+// restartWhenReplaced restarts a process with its disk after it has stopped because it was replaced.
 func (c *simulatedCluster) restartWhenReplaced(m *memberProcess) {
 	if err := m.rebuilder.Watch(m.ctx); !errors.Is(err, rebuild.ErrReplaced) || !c.stop(m) {
 		return
@@ -190,7 +191,7 @@
 	c.start(m.address, m.disk, false)
 }
 
-// stop kills a process; false if it was dead already.
+// stop kills a process. It returns false if the process was not running.
 func (c *simulatedCluster) stop(m *memberProcess) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -198,25 +199,25 @@
 		return false
 	}
 	delete(c.processes, m.address)
-	c.network.serve(m.address, nil)
+	c.network.setHandler(m.address, nil)
 	m.store.Kill()
-	m.kill()
+	m.cancel()
 	c.network.unfreeze(m.address)
 	return true
 }
 
-// process returns the process at an address; nil while there is none.
+// process returns the process that runs at an address, or nil.
 func (c *simulatedCluster) process(address string) *memberProcess {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.processes[address]
 }
 
-// newest is the newest view that any running member has learned.
-func (c *simulatedCluster) newest() replicaset.View {
+// newestView returns the newest view that a running member has learned.
+func (c *simulatedCluster) newestView() replicaset.View {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	newest := c.first
+	newest := c.firstView
 	for _, m := range c.processes {
 		if view := m.manager.View(); view.Version > newest.Version {
 			newest = view
@@ -225,21 +226,21 @@
 	return newest
 }
 
-// allHealthy reports whether one more member may be lost for good: all run, have learned the newest view and may vote.
+// allHealthy reports whether another member may be lost permanently: all members run, have learned the newest view and may vote.
 func (c *simulatedCluster) allHealthy() bool {
-	newest := c.newest()
-	for _, address := range newest.Members {
+	view := c.newestView()
+	for _, address := range view.Members {
 		m := c.process(address)
-		if m == nil || !m.rebuilder.Ready() || m.manager.View().Version != newest.Version {
+		if m == nil || !m.rebuilder.Ready() || m.manager.View().Version != view.Version {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *simulatedCluster) end() {
+func (c *simulatedCluster) stopAll() {
 	c.mutex.Lock()
-	c.ending = true
+	c.stopped = true
 	var remaining []*memberProcess
 	for _, m := range c.processes {
 		remaining = append(remaining, m)
--- a/internal/controlplane/configuration/simulationnetwork_test.go
+++ b/internal/controlplane/configuration/simulationnetwork_test.go
@@ -20,34 +20,34 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Chances and delays of messages in the model, in simulated time.
+// Probabilities and delays of simulated messages, in virtual time.
 const (
 	lossProbability               = 0.04
 	messageDuplicationProbability = 0.05
 	delayProbability              = 0.05
-	maxUsualDelay                 = 15 * time.Millisecond
+	maxNormalDelay                = 15 * time.Millisecond
 	maxLongDelay                  = 2500 * time.Millisecond
 )
 
 var (
-	errUnreachable = errors.New("nobody serves the address")
-	errRefused     = errors.New("the call was refused")
+	errUnreachable = errors.New("no process serves the address")
+	errRefused     = errors.New("the call was rejected")
 )
 
-// direction is a link from one member to another, one way.
+// direction identifies a one-way link from one member to another.
 type direction struct{ from, to string }
 
-// simulatedNetwork carries the internal calls of the members in memory. Each link and call has its own random source, so that a
-// seed replays a schedule however the goroutines of one moment are run.
+// simulatedNetwork transmits the internal calls of the members in memory. Each combination of link and call has its own random
+// source, so that a seed replays the same schedule in whatever order simultaneous goroutines run.
 type simulatedNetwork struct {
 	seed uint64
 
-	mutex         sync.Mutex // guards what follows
-	calm          bool       // no message is lost, duplicated or late
+	mutex         sync.Mutex // guards the fields below
+	reliable      bool       // set when no more messages are lost, duplicated or delayed for long
 	handlers      map[string]http.Handler
 	partitions    map[direction]bool
-	frozen        map[string]chan struct{} // of frozen members; closed when they resume
-	lastReceived  map[direction]time.Time  // when the latest message arrived
+	frozen        map[string]chan struct{} // by frozen member; closed when the member resumes
+	lastReceived  map[direction]time.Time  // time of the last message
 	randomSources map[string]*rand.Rand
 }
 
@@ -58,8 +58,8 @@
 	}
 }
 
-// source returns the random source of a name. The caller holds the mutex.
-func (n *simulatedNetwork) source(name string) *rand.Rand {
+// randomSource returns the random source with a name. The caller must hold the mutex.
+func (n *simulatedNetwork) randomSource(name string) *rand.Rand {
 	if n.randomSources[name] == nil {
 		hash := fnv.New64a()
 		hash.Write([]byte(name))
@@ -68,26 +68,26 @@
 	return n.randomSources[name]
 }
 
-// draw returns a random duration below a bound, from the source of a name.
-func (n *simulatedNetwork) draw(name string, bound time.Duration) time.Duration {
+// randomDuration returns a duration below a bound, drawn from the random source with a name.
+func (n *simulatedNetwork) randomDuration(name string, bound time.Duration) time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return time.Duration(n.source(name).Int64N(int64(bound)))
+	return time.Duration(n.randomSource(name).Int64N(int64(bound)))
 }
 
-func (n *simulatedNetwork) serve(address string, handler http.Handler) {
+func (n *simulatedNetwork) setHandler(address string, handler http.Handler) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.handlers[address] = handler
 }
 
-func (n *simulatedNetwork) partition(from, to string, partitioned bool) {
+func (n *simulatedNetwork) setPartition(from, to string, partitioned bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.partitions[direction{from, to}] = partitioned
 }
 
-// freeze pauses a member until unfreeze: its messages and its writes wait.
+// freeze pauses a member until unfreeze is called: its messages and its writes are delayed.
 func (n *simulatedNetwork) freeze(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -105,28 +105,28 @@
 	}
 }
 
-// waitWhileFrozen waits while a member is frozen. What waited resumes after a delay of its own, as a seed would not replay the order of
-// what resumes at one moment.
-func (n *simulatedNetwork) waitWhileFrozen(address string, after time.Duration) {
+// waitWhileFrozen waits while a member is frozen. Each waiter resumes after a delay of its own. If waiters resumed at the same
+// time, their order would not depend on the seed alone.
+func (n *simulatedNetwork) waitWhileFrozen(address string, resumeDelay time.Duration) {
 	n.mutex.Lock()
 	frozen := n.frozen[address]
 	n.mutex.Unlock()
 	if frozen != nil {
 		<-frozen
-		<-time.After(after)
+		<-time.After(resumeDelay)
 	}
 }
 
-// heal ends all faults.
-func (n *simulatedNetwork) heal() {
+// endFaults ends all partitions, message losses and long delays.
+func (n *simulatedNetwork) endFaults() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.calm = true
+	n.reliable = true
 	clear(n.partitions)
 }
 
-// deliverable reports whether a link delivers a message now, and records that it was received.
-func (n *simulatedNetwork) deliverable(link direction) bool {
+// tryReceive reports whether a link delivers a message now. If so, it records the time.
+func (n *simulatedNetwork) tryReceive(link direction) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.partitions[link] {
@@ -136,29 +136,29 @@
 	return true
 }
 
-// sinceLastReceived is for how long a member has received nothing from another; false if it never has.
-func (n *simulatedNetwork) sinceLastReceived(at, of string) (time.Duration, bool) {
+// sinceLastReceived returns the time since the receiver's last message from the sender. It returns false if there was none.
+func (n *simulatedNetwork) sinceLastReceived(receiver, sender string) (time.Duration, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	last, found := n.lastReceived[direction{of, at}]
+	last, found := n.lastReceived[direction{sender, receiver}]
 	return time.Since(last), found
 }
 
-// delivery is what happens to one request and its answer.
+// delivery holds the delays and losses of one request and its answer.
 type delivery struct {
 	lost, answerLost          bool
 	requestDelay, answerDelay time.Duration
-	resumeDelays              [4]time.Duration // after the end of a freeze: at the caller, twice at the callee, at the caller
+	resumeDelays              [4]time.Duration // after a freeze ends: at the caller, twice at the callee, and at the caller again
 }
 
-// drawDeliveries draws what happens to a request: one delivery or, where it is duplicated, two.
+// drawDeliveries draws the delivery of a request, or two if the request is duplicated.
 func (n *simulatedNetwork) drawDeliveries(from, to, path string) []delivery {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	source := n.source(from + ">" + to + path)
-	if n.calm {
-		calm := delivery{requestDelay: randomDelay(source, maxUsualDelay), answerDelay: randomDelay(source, maxUsualDelay)}
-		return []delivery{calm.withResumeDelays(source)}
+	source := n.randomSource(from + ">" + to + path)
+	if n.reliable {
+		drawn := delivery{requestDelay: randomDelay(source, maxNormalDelay), answerDelay: randomDelay(source, maxNormalDelay)}
+		return []delivery{drawn.withResumeDelays(source)}
 	}
 	deliveries := []delivery{drawDelivery(source)}
 	if source.Float64() < messageDuplicationProbability {
@@ -169,7 +169,7 @@
 
 func drawDelivery(source *rand.Rand) delivery {
 	drawn := delivery{lost: source.Float64() < lossProbability, answerLost: source.Float64() < lossProbability}
-	requestBound, answerBound := maxUsualDelay, maxUsualDelay
+	requestBound, answerBound := maxNormalDelay, maxNormalDelay
 	if source.Float64() < delayProbability {
 		requestBound = maxLongDelay
 	}
@@ -180,18 +180,18 @@
 	return drawn.withResumeDelays(source)
 }
 
-func (j delivery) withResumeDelays(source *rand.Rand) delivery {
-	for i := range j.resumeDelays {
-		j.resumeDelays[i] = randomDelay(source, time.Millisecond)
+func (d delivery) withResumeDelays(source *rand.Rand) delivery {
+	for i := range d.resumeDelays {
+		d.resumeDelays[i] = randomDelay(source, time.Millisecond)
 	}
-	return j
+	return d
 }
 
 func randomDelay(source *rand.Rand, bound time.Duration) time.Duration {
 	return time.Duration(source.Int64N(int64(bound))) + 1
 }
 
-// simulatedCaller is the transport.Caller of one process, which sends nothing once it was killed.
+// simulatedCaller is the transport.Caller of one process. It sends nothing after the process was killed.
 type simulatedCaller struct {
 	network *simulatedNetwork
 	from    string
@@ -228,33 +228,33 @@
 
 var _ transport.Caller = simulatedCaller{}
 
-// deliver carries a request to its handler and the answer back.
+// deliver transmits a request to its handler and the answer back.
 func (n *simulatedNetwork) deliver(drawn delivery, link direction, path string, body []byte, answers chan<- *httptest.ResponseRecorder) {
 	n.waitWhileFrozen(link.from, drawn.resumeDelays[0])
 	<-time.After(drawn.requestDelay)
-	if drawn.lost || !n.deliverable(link) {
+	if drawn.lost || !n.tryReceive(link) {
 		return
 	}
 	n.waitWhileFrozen(link.to, drawn.resumeDelays[1])
-	answer := n.handle(link.to, path, body)
+	answer := n.serveRequest(link.to, path, body)
 	n.waitWhileFrozen(link.to, drawn.resumeDelays[2])
 	<-time.After(drawn.answerDelay)
-	if drawn.answerLost || !n.deliverable(direction{link.to, link.from}) {
+	if drawn.answerLost || !n.tryReceive(direction{link.to, link.from}) {
 		return
 	}
 	n.waitWhileFrozen(link.from, drawn.resumeDelays[3])
 	answers <- answer
 }
 
-// request makes a request as a server does, without a text in between.
-func request(method, path string, body []byte) *http.Request {
+// newServerRequest returns a request as an HTTP server would pass it to a handler, without parsing a message.
+func newServerRequest(method, path string, body []byte) *http.Request {
 	return &http.Request{
 		Method: method, URL: &url.URL{Path: path}, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(body)),
 		ContentLength: int64(len(body)), Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 }
 
-func (n *simulatedNetwork) handle(to, path string, body []byte) *httptest.ResponseRecorder {
+func (n *simulatedNetwork) serveRequest(to, path string, body []byte) *httptest.ResponseRecorder {
 	n.mutex.Lock()
 	handler := n.handlers[to]
 	n.mutex.Unlock()
@@ -263,6 +263,6 @@
 		http.Error(answer, errUnreachable.Error(), http.StatusServiceUnavailable)
 		return answer
 	}
-	handler.ServeHTTP(answer, request(http.MethodPost, path, body))
+	handler.ServeHTTP(answer, newServerRequest(http.MethodPost, path, body))
 	return answer
 }
--- a/internal/controlplane/configuration/simulationoperators_test.go
+++ b/internal/controlplane/configuration/simulationoperators_test.go
@@ -14,14 +14,14 @@
 	"puffinlink.example/puffinlink/internal/controlplane/control"
 )
 
-// What operators and the relays before them do, in simulated time.
+// Behavior of operators and of the relays between them and the members, in virtual time.
 const (
-	answerTimeout         = time.Second            // after which an operator sends to another member
-	maxRetryInterval      = 150 * time.Millisecond // upper bounds
+	answerTimeout         = time.Second            // after this an operator tries another member
+	maxRetryInterval      = 150 * time.Millisecond // until an update is sent again
 	maxUpdateInterval     = 250 * time.Millisecond
 	maxRelayDelay         = 20 * time.Millisecond
 	maxResumeDelay        = time.Millisecond
-	maxDuplicateDelay     = 4 * time.Second // of the copies that relays make
+	maxDuplicateDelay     = 4 * time.Second // of requests that relays duplicate
 	dropAnswerProbability = 0.15
 	duplicateProbability  = 0.1
 	resendProbability     = 0.3 // that an operator resends an earlier update
@@ -31,26 +31,27 @@
 	sharedTimeoutMS       = 777
 )
 
-// operator sends updates through relays that drop answers, delay requests and duplicate them.
+// operator sends updates through relays, which drop answers, delay requests and duplicate them.
 type operator struct {
 	number       int
 	cluster      *simulatedCluster
 	checker      *checker
 	random       *rand.Rand
-	newestSeen   uint64 // newest version that it has received
-	previousSeen uint64 // the one before that
-	updatesSent  int    // so far
+	newestSeen   uint64 // newest version that the operator has received
+	previousSeen uint64 // version received before newestSeen
+	updatesSent  int    // number of updates sent so far
 }
 
-// work lasts until ctx ends; an update that is in flight then is resent until its answer is clear, or until last ends.
-func (o *operator) work(ctx, last context.Context) {
+// run sends updates and reads until ctx ends. An update that is in flight then is resent until its answer is clear or deadline
+// ends.
+func (o *operator) run(ctx, deadline context.Context) {
 	for ctx.Err() == nil {
 		<-time.After(o.randomBelow(maxUpdateInterval))
-		if o.random.Float64() < readProbability || o.newestSeen == 0 && o.checker.newest() > 0 {
-			o.read(last)
+		if o.random.Float64() < readProbability || o.newestSeen == 0 && o.checker.newestVersion() > 0 {
+			o.read(deadline)
 			continue
 		}
-		o.sendUntilClear(last, o.nextUpdate())
+		o.sendUntilClear(deadline, o.nextUpdate())
 	}
 }
 
@@ -58,9 +59,9 @@
 	return time.Duration(o.random.Int64N(int64(bound))) + 1
 }
 
-// nextUpdate is a new update, one that another operator may make as well, or an earlier one.
+// nextUpdate returns a new update, an update that another operator may send as well, or an update that was sent before.
 func (o *operator) nextUpdate() sentUpdate {
-	if earlier, found := o.checker.earlier(o.random.IntN); found && o.random.Float64() < resendProbability {
+	if earlier, found := o.checker.pickSent(o.random.IntN); found && o.random.Float64() < resendProbability {
 		return earlier
 	}
 	base := o.newestSeen
@@ -81,16 +82,16 @@
 	}
 }
 
-// sendUntilClear sends an update to one member after the other until the answer is clear.
-func (o *operator) sendUntilClear(last context.Context, update sentUpdate) {
+// sendUntilClear sends an update to one random member after another until the answer is clear.
+func (o *operator) sendUntilClear(deadline context.Context, update sentUpdate) {
 	o.checker.recordSent(update)
-	for last.Err() == nil {
+	for deadline.Err() == nil {
 		isClear, status := o.sendOnce(update)
 		if isClear {
 			if status == http.StatusOK {
 				o.observe(update.version)
 			} else {
-				o.read(last)
+				o.read(deadline)
 			}
 			return
 		}
@@ -98,15 +99,15 @@
 	}
 	o.checker.mutex.Lock()
 	defer o.checker.mutex.Unlock()
-	o.checker.violation("no clear answer after the end of all faults to %+v", update)
+	o.checker.addViolation("no clear answer after all faults have ended: %+v", update)
 }
 
 // sendOnce sends an update to one member. The relay may drop the answer, or send a duplicate to another member later.
 func (o *operator) sendOnce(update sentUpdate) (isClear bool, status int) {
-	address, dropped := o.pick(), o.random.Float64() < dropAnswerProbability
+	address, dropped := o.pickMember(), o.random.Float64() < dropAnswerProbability
 	requestDelay, answerDelay, resumeDelay := o.randomBelow(maxRelayDelay), o.randomBelow(maxRelayDelay), o.randomBelow(maxResumeDelay)
 	if o.random.Float64() < duplicateProbability {
-		o.cluster.tasks.Go(o.duplicateLater(update, o.pick(), o.randomBelow(maxDuplicateDelay), o.randomBelow(maxResumeDelay)))
+		o.cluster.tasks.Go(o.sendDuplicateAfter(update, o.pickMember(), o.randomBelow(maxDuplicateDelay), o.randomBelow(maxResumeDelay)))
 	}
 	statuses := make(chan int, 1)
 	o.cluster.tasks.Go(func() {
@@ -125,18 +126,18 @@
 	}
 }
 
-func (o *operator) duplicateLater(update sentUpdate, address string, after, resumeDelay time.Duration) func() {
+func (o *operator) sendDuplicateAfter(update sentUpdate, address string, delay, resumeDelay time.Duration) func() {
 	return func() {
-		<-time.After(after)
+		<-time.After(delay)
 		o.put(address, update, resumeDelay)
 	}
 }
 
-// put lets a member answer an update, and the checker check the answer.
+// put sends an update to a member and passes the answer to the checker.
 func (o *operator) put(address string, update sentUpdate, resumeDelay time.Duration) int {
-	put := request(http.MethodPut, control.Path, []byte(update.body))
+	put := newServerRequest(http.MethodPut, control.Path, []byte(update.body))
 	put.Header.Set("If-Match", strconv.FormatUint(update.ifMatch, 10))
-	answer, sent := o.exchange(address, put, resumeDelay)
+	answer, sent := o.sendRequest(address, put, resumeDelay)
 	if !sent {
 		return http.StatusBadGateway
 	}
@@ -144,23 +145,23 @@
 	return answer.Code
 }
 
-// exchange is one request at a member; false where the process was killed before its answer.
-func (o *operator) exchange(address string, request *http.Request, resumeDelay time.Duration) (*httptest.ResponseRecorder, bool) {
+// sendRequest sends a request to a member. It returns false if the process was killed before it answered.
+func (o *operator) sendRequest(address string, request *http.Request, resumeDelay time.Duration) (*httptest.ResponseRecorder, bool) {
 	o.cluster.network.waitWhileFrozen(address, resumeDelay)
-	m := o.cluster.process(address)
-	if m == nil {
+	process := o.cluster.process(address)
+	if process == nil {
 		return nil, false
 	}
 	answer := httptest.NewRecorder()
-	m.control.ServeHTTP(answer, request)
+	process.control.ServeHTTP(answer, request)
 	o.cluster.network.waitWhileFrozen(address, resumeDelay)
-	return answer, m.store.Alive()
+	return answer, process.store.Alive()
 }
 
-// read requests the configuration from members until one answers.
-func (o *operator) read(last context.Context) {
-	for last.Err() == nil {
-		if version, read := o.readOnce(o.pick()); read {
+// read requests the configuration from one random member after another until one answers.
+func (o *operator) read(deadline context.Context) {
+	for deadline.Err() == nil {
+		if version, read := o.readOnce(o.pickMember()); read {
 			o.observe(version)
 			return
 		}
@@ -169,8 +170,8 @@
 }
 
 func (o *operator) readOnce(address string) (version uint64, read bool) {
-	newest := o.checker.newest()
-	answer, sent := o.exchange(address, request(http.MethodGet, control.Path, nil), o.randomBelow(maxResumeDelay))
+	newestAtStart := o.checker.newestVersion()
+	answer, sent := o.sendRequest(address, newServerRequest(http.MethodGet, control.Path, nil), o.randomBelow(maxResumeDelay))
 	if !sent || answer.Code != http.StatusOK && answer.Code != http.StatusNotFound {
 		return 0, false
 	}
@@ -183,15 +184,15 @@
 		version, _ = strconv.ParseUint(tag, 10, 64)
 		body = answer.Body.String()
 		if expected := fmt.Sprintf(`{"version":%d,`, version); !strings.HasPrefix(body, expected) {
-			version = 0 // the checker finds it too old
+			version = 0 // the checker reports it as outdated
 		}
 	}
-	o.checker.checkRead(address, newest, version, body)
+	o.checker.checkReadAnswer(address, newestAtStart, version, body)
 	return version, true
 }
 
-// pick draws one of the running members.
-func (o *operator) pick() string {
+// pickMember returns the address of a random running member, or an empty string if none runs.
+func (o *operator) pickMember() string {
 	o.cluster.mutex.Lock()
 	defer o.cluster.mutex.Unlock()
 	var addresses []string
--- a/internal/controlplane/configuration/storedcompatibility_test.go
+++ b/internal/controlplane/configuration/storedcompatibility_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	storedValue    = "testdata/stored.hex" // the register's value
-	updateVariable = "GOLDEN_UPDATE"       // set to 1, the stored data is made anew
+	storedValue    = "testdata/stored.hex" // encoded value of the register
+	updateVariable = "GOLDEN_UPDATE"       // if set to 1, the golden file is written anew
 )
 
 var storedState = configuration.State{
@@ -36,12 +36,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	Convey("Given the value that an earlier build put into the register", t, func() {
+	Convey("Given the value that an earlier build stored in the register", t, func() {
 		value, err := hex.DecodeString(strings.TrimSpace(string(text)))
 		So(err, ShouldBeNil)
 		state, err := configuration.DecodeState(value)
 		So(err, ShouldBeNil)
 		So(state, ShouldResemble, storedState)
-		So(bytes.Equal(encoded, value), ShouldBeTrue) // the earlier build can read what this one writes
+		So(bytes.Equal(encoded, value), ShouldBeTrue) // the earlier build can decode what this build writes
 	})
 }
