--- a/internal/controlplane/register/modelproposer_test.go
+++ b/internal/controlplane/register/modelproposer_test.go
@@ -7,220 +7,220 @@
 	"strings"
 )
 
-// loseDisk starts a member again with an empty disk.
-func (x *transitions) loseDisk(w *modelState, m int) {
-	w.diskLosses++
-	w.members[m] = memberModel{}
-	for p := range w.proposers {
-		if state := &w.proposers[p]; state.phase != idle {
+// loseDisk restarts a member with an empty disk.
+func (t *transitions) loseDisk(model *modelState, m int) {
+	model.diskLosses++
+	model.members[m] = memberModel{}
+	for p := range model.proposers {
+		if state := &model.proposers[p]; state.phase != idle {
 			state.diskLost = state.diskLost.with(m)
 		}
-		if proposerHome(p) == m {
-			x.restart(w, p)
+		if hostingMember(p) == m {
+			t.restartProposer(model, p)
 		}
 	}
 }
 
-// restart kills a proposer's process; what became of its operation is not known.
-func (x *transitions) restart(w *modelState, p int) {
-	state := &w.proposers[p]
+// restartProposer kills and restarts a proposer's process. The outcome of its operation remains unknown.
+func (t *transitions) restartProposer(model *modelState, p int) {
+	state := &model.proposers[p]
 	operation := state.operation
 	if state.phase != idle {
-		x.closeRound(w, p)
+		t.closeRound(model, p)
 		operation++
 	}
 	*state = proposerModel{operation: operation}
 }
 
-// begin begins a proposer's next operation.
-func (x *transitions) begin(w *modelState, p int) {
-	state := &w.proposers[p]
-	*state = proposerModel{operation: state.operation, counter: state.counter, longestAtBegin: w.longestReturned}
-	x.beginAttempt(w, p)
+// beginOperation begins a proposer's next operation.
+func (t *transitions) beginOperation(model *modelState, p int) {
+	state := &model.proposers[p]
+	*state = proposerModel{operation: state.operation, counter: state.counter, longestReturnedAtBegin: model.longestReturned}
+	t.beginAttempt(model, p)
 }
 
-func (x *transitions) beginAttempt(w *modelState, p int) {
-	state := &w.proposers[p]
+func (t *transitions) beginAttempt(model *modelState, p int) {
+	state := &model.proposers[p]
 	state.counter++
-	state.proposalNumber, state.view = state.counter, w.members[proposerHome(p)].view
+	state.proposalNumber, state.view = state.counter, model.members[hostingMember(p)].view
 	state.proposed, state.value = 0, 0
-	x.openRound(w, p, preparing)
+	t.openRound(model, p, preparing)
 }
 
-func (x *transitions) openRound(w *modelState, p int, phase proposerPhase) {
-	state := &w.proposers[p]
-	state.phase, state.called, state.answered, state.conflicts, state.newer, state.diskLost = phase, 0, 0, 0, 0, 0
-	state.grants, state.granted = [3]textID{}, 0
+func (t *transitions) openRound(model *modelState, p int, phase proposerPhase) {
+	state := &model.proposers[p]
+	state.phase, state.delivered, state.answered, state.conflicts, state.newerView, state.diskLost = phase, 0, 0, 0, 0, 0
+	state.grants, state.grantCount = [3]internedID{}, 0
 }
 
-// closeRound ends a round; requests that no member has taken stay in flight.
-func (x *transitions) closeRound(w *modelState, p int) {
-	state := &w.proposers[p]
-	pending := viewSet(state.view) &^ state.called
-	if x.budget.duplicates {
-		pending = viewSet(state.view)
+// closeRound ends a round. Requests that members have not received stay in flight.
+func (t *transitions) closeRound(model *modelState, p int) {
+	state := &model.proposers[p]
+	pending := membersOfView(state.view) &^ state.delivered
+	if t.budget.duplicates {
+		pending = membersOfView(state.view)
 	}
-	if pending == 0 || state.phase == preparing && !x.budget.latePrepare {
+	if pending == 0 || state.phase == preparing && !t.budget.latePrepare {
 		return
 	}
-	for i := range w.late {
-		if w.late[i].to == 0 {
-			w.late[i] = lateRequest{uint8(p), state.phase, state.proposalNumber, state.view, state.proposed, pending}
+	for i := range model.lateRequests {
+		if model.lateRequests[i].pendingMembers == 0 {
+			model.lateRequests[i] = lateRequest{uint8(p), state.phase, state.proposalNumber, state.view, state.proposed, pending}
 			return
 		}
 	}
 }
 
-// nextAttempt ends an attempt without success and begins the next one, if the budget allows it.
-func (x *transitions) nextAttempt(w *modelState, p int, err error) string {
-	state := &w.proposers[p]
-	x.closeRound(w, p)
+// nextAttempt ends a failed attempt, and begins another one if the budget allows it.
+func (t *transitions) nextAttempt(model *modelState, p int, err error) string {
+	state := &model.proposers[p]
+	t.closeRound(model, p)
 	var mismatch *viewError
 	if errors.As(err, &mismatch) {
-		x.learn(w, proposerHome(p), uint8(mismatch.view.Version))
+		t.learn(model, hostingMember(p), uint8(mismatch.view.Version))
 	}
 	state.attempt++
-	if state.attempt == x.budget.attempts || w.members[proposerHome(p)].view == 0 {
-		return x.fails(w, p, err)
+	if state.attempt == t.budget.attempts || model.members[hostingMember(p)].view == 0 {
+		return t.endWithError(model, p, err)
 	}
-	x.beginAttempt(w, p)
+	t.beginAttempt(model, p)
 	return ""
 }
 
-// call lets a member take the request of an open round.
-func (x *transitions) call(w *modelState, p, m int, kind stepKind) string {
-	state, member := &w.proposers[p], &w.members[m]
+// deliverRequest delivers the request of an open round to a member.
+func (t *transitions) deliverRequest(model *modelState, p, m int, kind stepKind) string {
+	state, member := &model.proposers[p], &model.members[m]
 	in := voteInput{
 		stored: member.stored, view: member.view, ready: member.ready(), phase: state.phase,
 		proposer: uint8(p), proposalNumber: state.proposalNumber, requestView: state.view, proposed: state.proposed,
 	}
 	if kind == stepCallLearns || kind == stepCallCopies {
-		in.learns = 2
-		x.learn(w, m, 2)
+		in.learnedView = 2
+		t.learn(model, m, 2)
 	}
 	if kind == stepCallCopies {
-		x.copyFrom(w, joiningMember, m)
+		t.copyFrom(model, joiningMember, m)
 	}
-	out := x.protocol.vote(in)
+	out := t.protocol.vote(in)
 	member.stored = out.stored
-	if state.called == 0 {
+	if state.delivered == 0 {
 		state.diskLost = 0
 	}
-	state.called = state.called.with(m)
+	state.delivered = state.delivered.with(m)
 	if kind == stepCallLost {
 		return ""
 	}
-	return x.answered(w, p, m, out)
+	return t.countAnswer(model, p, m, out)
 }
 
 var errNoAnswer = errors.New("the member answered with an error")
 
-// answered lets the real round count an answer.
-func (x *transitions) answered(w *modelState, p, m int, out voteOutput) string {
-	state := &w.proposers[p]
+// countAnswer counts an answer by the real round.
+func (t *transitions) countAnswer(model *modelState, p, m int, out voteOutput) string {
+	state := &model.proposers[p]
 	view := modelViews[state.view]
-	counted := &round{view: view, granted: make([]reply, state.granted), conflicts: int(state.conflicts), newer: modelViews[state.newer]}
+	openRound := &round{view: view, granted: make([]reply, state.grantCount), conflicts: int(state.conflicts), newer: modelViews[state.newerView]}
 	next := answer{reply: reply{Outcome: out.outcome, View: modelViews[out.view], Promised: ProposalNumber{Counter: uint64(out.promised)}}}
 	if out.failed {
 		next = answer{err: errNoAnswer}
 	}
-	counted.count(next)
+	openRound.count(next)
 	state.answered = state.answered.with(m)
-	state.conflicts, state.newer = uint8(counted.conflicts), uint8(counted.newer.Version)
-	state.counter = max(state.counter, uint8(counted.highestPromised.Counter))
-	if len(counted.granted) > int(state.granted) {
-		state.grants[state.granted] = out.accepted
-		state.granted++
-		slices.Sort(state.grants[:state.granted])
-	}
-	switch open := len(view.Members) - state.answered.count(); {
-	case len(counted.granted) >= view.Quorum():
-		return x.majority(w, p)
-	case len(counted.granted)+open < view.Quorum():
-		return x.nextAttempt(w, p, counted.failure())
+	state.conflicts, state.newerView = uint8(openRound.conflicts), uint8(openRound.newer.Version)
+	state.counter = max(state.counter, uint8(openRound.highestPromised.Counter))
+	if len(openRound.granted) > int(state.grantCount) {
+		state.grants[state.grantCount] = out.accepted
+		state.grantCount++
+		slices.Sort(state.grants[:state.grantCount])
+	}
+	switch outstanding := len(view.Members) - state.answered.count(); {
+	case len(openRound.granted) >= view.Quorum():
+		return t.continueAfterMajority(model, p)
+	case len(openRound.granted)+outstanding < view.Quorum():
+		return t.nextAttempt(model, p, openRound.failure())
 	}
 	return ""
 }
 
-// majority continues after a round that a majority has granted.
-func (x *transitions) majority(w *modelState, p int) string {
-	state := &w.proposers[p]
+// continueAfterMajority continues an operation after a majority has granted a round.
+func (t *transitions) continueAfterMajority(model *modelState, p int) string {
+	state := &model.proposers[p]
 	if state.phase == accepting {
-		x.closeRound(w, p)
-		return x.returns(w, p, state.value)
+		t.closeRound(model, p)
+		return t.endWithValue(model, p, state.value)
 	}
-	made := x.protocol.decide(decisionInput{
-		grants: state.grants, granted: state.granted, sent: state.proposals, sents: state.proposalCount,
+	decided := t.protocol.decide(decisionInput{
+		grants: state.grants, grantCount: state.grantCount, proposals: state.proposals, proposalCount: state.proposalCount,
 		proposer: uint8(p), operation: state.operation, proposalNumber: state.proposalNumber, view: state.view,
 	})
-	x.closeRound(w, p)
+	t.closeRound(model, p)
 	switch {
-	case made.err != nil:
-		return x.fails(w, p, made.err)
-	case made.committed:
-		return x.returns(w, p, made.value)
-	case made.proposes:
-		state.proposals[state.proposalCount] = made.proposed
+	case decided.err != nil:
+		return t.endWithError(model, p, decided.err)
+	case decided.committed:
+		return t.endWithValue(model, p, decided.value)
+	case decided.proposes:
+		state.proposals[state.proposalCount] = decided.proposed
 		state.proposalCount++
 	}
-	state.proposed, state.value = made.proposed, made.value
-	x.openRound(w, p, accepting)
+	state.proposed, state.value = decided.proposed, decided.value
+	t.openRound(model, p, accepting)
 	return ""
 }
 
-// arrive lets a member take a late request; nobody waits for the answer.
-func (x *transitions) arrive(w *modelState, i, m int) string {
-	late, member := &w.late[i], &w.members[m]
-	out := x.protocol.vote(voteInput{
+// deliverLateRequest delivers a late request to a member and discards the answer.
+func (t *transitions) deliverLateRequest(model *modelState, i, m int) string {
+	late, member := &model.lateRequests[i], &model.members[m]
+	out := t.protocol.vote(voteInput{
 		stored: member.stored, view: member.view, ready: member.ready(), phase: late.phase,
 		proposer: late.proposer, proposalNumber: late.proposalNumber, requestView: late.view, proposed: late.proposed,
 	})
 	member.stored = out.stored
-	if late.to = late.to.without(m); late.to == 0 {
+	if late.pendingMembers = late.pendingMembers.without(m); late.pendingMembers == 0 {
 		*late = lateRequest{}
 	}
 	return ""
 }
 
-// returns ends an operation with a value, and checks it against all that was returned before.
-func (x *transitions) returns(w *modelState, p int, value textID) string {
-	state := &w.proposers[p]
-	operation, longestAtBegin := state.operation, x.protocol.texts[state.longestAtBegin]
+// endWithValue ends an operation with a value, and checks the value against all values returned before.
+func (t *transitions) endWithValue(model *modelState, p int, value internedID) string {
+	state := &model.proposers[p]
+	operation, longestAtBegin := state.operation, t.protocol.interned[state.longestReturnedAtBegin]
 	*state = proposerModel{operation: max(operation+1, firstRead), counter: state.counter}
-	got, longest := x.protocol.texts[value], x.protocol.texts[w.longestReturned]
-	if len(got) > len(longest) {
-		w.longestReturned = value
+	returned, longest := t.protocol.interned[value], t.protocol.interned[model.longestReturned]
+	if len(returned) > len(longest) {
+		model.longestReturned = value
 	}
 	switch {
-	case operation < firstRead && !x.protocol.writeOnce && !strings.Contains(got, string(tokenOf(p, int(operation)))):
-		return fmt.Sprintf("the change of proposer %d returns %q", p, got)
-	case !strings.HasPrefix(got, longest) && !strings.HasPrefix(longest, got):
-		return fmt.Sprintf("%q is returned after %q", got, longest)
-	case !strings.HasPrefix(got, longestAtBegin):
-		return fmt.Sprintf("%q is returned to an operation that began after %q was", got, longestAtBegin)
-	}
-	return x.checkTokens(w, got)
+	case operation < firstRead && !t.protocol.writeOnce && !strings.Contains(returned, string(tokenOf(p, int(operation)))):
+		return fmt.Sprintf("the change of proposer %d returns %q", p, returned)
+	case !strings.HasPrefix(returned, longest) && !strings.HasPrefix(longest, returned):
+		return fmt.Sprintf("%q is returned after %q", returned, longest)
+	case !strings.HasPrefix(returned, longestAtBegin):
+		return fmt.Sprintf("%q is returned to an operation that began after %q was", returned, longestAtBegin)
+	}
+	return t.checkTokens(model, returned)
 }
 
-// checkTokens checks that a value has each token once at most, and none of a change that did not run.
-func (x *transitions) checkTokens(w *modelState, value string) string {
-	for p := range w.proposers {
+// checkTokens checks that a value has each token at most once, and no token of a change that was not executed.
+func (t *transitions) checkTokens(model *modelState, value string) string {
+	for p := range model.proposers {
 		for operation := range firstRead {
 			count := strings.Count(value, string(tokenOf(p, operation)))
-			if count > 1 || count > 0 && operation == 0 && w.notExecuted.has(p) {
-				return fmt.Sprintf("%q has change %d of proposer %d; of these changes %b did not run", value, operation, p, w.notExecuted)
+			if count > 1 || count > 0 && operation == 0 && model.notExecuted.has(p) {
+				return fmt.Sprintf("%q has change %d of proposer %d more than once or although it was not executed; proposers with a change that was not executed: %b", value, operation, p, model.notExecuted)
 			}
 		}
 	}
 	return ""
 }
 
-// fails ends an operation without a value.
-func (x *transitions) fails(w *modelState, p int, err error) string {
-	state := &w.proposers[p]
+// endWithError ends an operation with an error.
+func (t *transitions) endWithError(model *modelState, p int, err error) string {
+	state := &model.proposers[p]
 	if state.operation == 0 && certainlyNotExecuted(state, err) {
-		w.notExecuted = w.notExecuted.with(p)
+		model.notExecuted = model.notExecuted.with(p)
 	}
 	*state = proposerModel{operation: max(state.operation+1, firstRead), counter: state.counter}
-	return x.checkTokens(w, x.protocol.texts[w.longestReturned])
+	return t.checkTokens(model, t.protocol.interned[model.longestReturned])
 }
--- a/internal/controlplane/register/modelrules_test.go
+++ b/internal/controlplane/register/modelrules_test.go
@@ -12,89 +12,89 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// omittedRules are mistakes that the exploration must find.
+// omittedRules selects rules of the protocol to omit. The model checker must find a violation for each of them.
 type omittedRules struct {
-	forgetsPromises          bool // an acceptor loses its promises at once
-	ignoresPromises          bool // an acceptor accepts below its promise
-	votesBeforeRebuilt       bool // a member votes before it is rebuilt
-	copiesDuringOpenRounds   bool // a member that lost its disk does not wait for the end of open rounds
-	anyIsCommitted           bool // a majority that disagrees counts as agreed
-	reappliesUnclearChange   bool // a proposer applies its function again without asking whether it took effect
-	rebuildsFromOneCopy      bool // one copy is enough for a rebuild
-	ignoresTheView           bool // an acceptor answers proposers of any view
-	copiesBeforeLearningView bool // members that have not learned the joining member's view give it copies
+	forgetsPromises              bool // an acceptor does not store its promises
+	ignoresPromises              bool // an acceptor accepts below its promise
+	votesBeforeRebuilt           bool // a member votes before it is rebuilt
+	copiesDuringOpenRounds       bool // a member that lost its disk does not wait for the end of open rounds
+	treatsAnyMajorityAsCommitted bool // a majority with different states counts as committed
+	reappliesUnclearChange       bool // a proposer applies its function again without checking whether it took effect
+	rebuildsFromOneCopy          bool // one copy suffices for a rebuild
+	ignoresView                  bool // an acceptor answers proposers of any view
+	copiesBeforeLearningView     bool // members give the joining member copies before they learn its view
 }
 
-// protocolRules runs the real cores of acceptors, proposers, merger and membership, and remembers what they did with the same
-// input before.
+// protocolRules runs the real logic of acceptors, proposers, merging and membership. It caches the result for each input, and
+// interns encoded values.
 type protocolRules struct {
 	omitted   omittedRules
-	writeOnce bool // the register is written once
-	texts     []string
-	numbers   map[string]textID
+	writeOnce bool // the register is written only once
+	interned  []string
+	ids       map[string]internedID
 	votes     map[voteInput]voteOutput
 	decisions map[decisionInput]decisionOutput
-	merges    map[[3]storedTexts]storedTexts
+	merges    map[[3]storedIDs]storedIDs
 	learned   map[learnInput]learnOutput
 }
 
-func newProtocolRules(broken omittedRules, once bool) *protocolRules {
+func newProtocolRules(omitted omittedRules, once bool) *protocolRules {
 	return &protocolRules{
-		omitted: broken, writeOnce: once, texts: []string{""}, numbers: map[string]textID{"": 0},
+		omitted: omitted, writeOnce: once, interned: []string{""}, ids: map[string]internedID{"": 0},
 		votes: make(map[voteInput]voteOutput), decisions: make(map[decisionInput]decisionOutput),
-		merges: make(map[[3]storedTexts]storedTexts), learned: make(map[learnInput]learnOutput),
+		merges: make(map[[3]storedIDs]storedIDs), learned: make(map[learnInput]learnOutput),
 	}
 }
 
-func (r *protocolRules) intern(encoded []byte) textID {
-	if number, found := r.numbers[string(encoded)]; found {
-		return number
+func (r *protocolRules) intern(encoded []byte) internedID {
+	if id, found := r.ids[string(encoded)]; found {
+		return id
 	}
-	number := textID(len(r.texts))
-	r.texts = append(r.texts, string(encoded))
-	r.numbers[string(encoded)] = number
+	number := internedID(len(r.interned))
+	r.interned = append(r.interned, string(encoded))
+	r.ids[string(encoded)] = number
 	return number
 }
 
-func (r *protocolRules) encode(value any) textID {
+func (r *protocolRules) encode(value any) internedID {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
-		panic(err) // the types of the register always encode
+		panic(err) // the types of the register can always be encoded
 	}
 	return r.intern(encoded)
 }
 
-func (r *protocolRules) accepted(number textID) (decoded acceptedState) {
-	if number != 0 {
-		if err := msgpack.Unmarshal([]byte(r.texts[number]), &decoded); err != nil {
+func (r *protocolRules) decodeAccepted(id internedID) (decoded acceptedState) {
+	if id != 0 {
+		if err := msgpack.Unmarshal([]byte(r.interned[id]), &decoded); err != nil {
 			panic(err)
 		}
 	}
 	return decoded
 }
 
-func (r *protocolRules) table(stored storedTexts) map[string][]byte {
+func (r *protocolRules) decodeTable(stored storedIDs) map[string][]byte {
 	table := make(map[string][]byte)
 	if stored.promised != 0 {
-		table[promisedKey] = []byte(r.texts[stored.promised])
+		table[promisedKey] = []byte(r.interned[stored.promised])
 	}
 	if stored.accepted != 0 {
-		table[acceptedKey] = []byte(r.texts[stored.accepted])
+		table[acceptedKey] = []byte(r.interned[stored.accepted])
 	}
 	return table
 }
 
-// oneTable is a store with the table of one register.
-type oneTable struct {
-	table   map[string][]byte
-	written func() // called once a write is durable
-	forgets bool
+// singleTableStore is a store with the table of one register.
+type singleTableStore struct {
+	table         map[string][]byte
+	onWrite       func() // called after a write is durable
+	dropsPromises bool
 }
 
-func (s *oneTable) Tables() []string { return nil }
+func (s *singleTableStore) Tables() []string { return nil }
 
-// Table implements storage.Store; the values of the model are small and have no chunks.
-func (s *oneTable) Table(name string) map[string][]byte {
+// Table implements storage.Store. The values of the model are small, so there is no table of chunks.
+func (s *singleTableStore) Table(name string) map[string][]byte {
 	if isChunksTable(name) {
 		return nil
 	}
@@ -102,53 +102,53 @@
 }
 
 // Write implements storage.Store.
-func (s *oneTable) Write(changes ...storage.Change) error {
+func (s *singleTableStore) Write(changes ...storage.Change) error {
 	for _, change := range changes {
-		if !s.forgets || change.Key != promisedKey {
+		if !s.dropsPromises || change.Key != promisedKey {
 			s.table[change.Key] = change.Value
 		}
 	}
-	s.written()
+	s.onWrite()
 	return nil
 }
 
-// voteInput is what an acceptor's answer depends on.
+// voteInput is everything that an acceptor's answer depends on.
 type voteInput struct {
-	stored         storedTexts
-	view           uint8 // of the acceptor
-	learns         uint8 // the view that it learns once the vote is stored and before it is answered; 0 for none
+	stored         storedIDs
+	view           uint8 // view of the acceptor
+	learnedView    uint8 // view that the acceptor learns after it has stored its vote and before it answers; 0 for none
 	ready          bool
 	phase          proposerPhase
 	proposer       uint8
 	proposalNumber uint8
 	requestView    uint8 // view of the proposer
-	proposed       textID
+	proposed       internedID
 }
 
 type voteOutput struct {
-	stored   storedTexts
+	stored   storedIDs
 	failed   bool
 	outcome  outcome
 	view     uint8
-	promised uint8  // counter of the proposal number
-	accepted textID // what a granted prepare reports
+	promised uint8      // counter of the proposal number
+	accepted internedID // accepted state that a granted prepare reports
 }
 
-// vote lets the real acceptor answer a request.
+// vote returns the answer of the real acceptor to a request.
 func (r *protocolRules) vote(in voteInput) voteOutput {
 	if out, found := r.votes[in]; found {
 		return out
 	}
 	view := modelViews[in.view]
-	store := &oneTable{table: r.table(in.stored), forgets: r.omitted.forgetsPromises, written: func() {}}
-	if in.learns != 0 {
-		store.written = func() { view = modelViews[in.learns] }
+	store := &singleTableStore{table: r.decodeTable(in.stored), dropsPromises: r.omitted.forgetsPromises, onWrite: func() {}}
+	if in.learnedView != 0 {
+		store.onWrite = func() { view = modelViews[in.learnedView] }
 	}
 	acceptor := NewAcceptor(AcceptorConfig{
 		Name: modelRegister, Store: store,
 		Ready: func() bool { return in.ready || r.omitted.votesBeforeRebuilt && in.view != 0 },
 		View: func() replicaset.View {
-			if r.omitted.ignoresTheView {
+			if r.omitted.ignoresView {
 				return modelViews[in.requestView]
 			}
 			return view
@@ -159,7 +159,7 @@
 	}
 	answer, err := r.callAcceptor(acceptor, in)
 	out := voteOutput{stored: in.stored, failed: err != nil, outcome: answer.Outcome, view: uint8(answer.View.Version), promised: uint8(answer.Promised.Counter)}
-	out.stored = storedTexts{r.intern(store.table[promisedKey]), r.intern(store.table[acceptedKey])}
+	out.stored = storedIDs{r.intern(store.table[promisedKey]), r.intern(store.table[acceptedKey])}
 	if err == nil && answer.Outcome == granted && in.phase == preparing {
 		out.accepted = in.stored.accepted
 	}
@@ -172,16 +172,16 @@
 	if in.phase == preparing {
 		return acceptor.prepare(context.Background(), prepareRequest{ViewVersion: uint64(in.requestView), ProposalNumber: proposalNumber})
 	}
-	state := r.accepted(in.proposed).State
+	state := r.decodeAccepted(in.proposed).State
 	return acceptor.accept(context.Background(), acceptRequest{ViewVersion: uint64(in.requestView), ProposalNumber: proposalNumber, State: state})
 }
 
-// decisionInput is what a proposer's decision after a prepare round depends on.
+// decisionInput is everything that a proposer's decision after a prepare round depends on.
 type decisionInput struct {
-	grants         [3]textID
-	granted        uint8
-	sent           [maxModelAttempts]textID
-	sents          uint8
+	grants         [3]internedID
+	grantCount     uint8
+	proposals      [maxModelAttempts]internedID
+	proposalCount  uint8
 	proposer       uint8
 	operation      uint8
 	proposalNumber uint8
@@ -192,79 +192,80 @@
 	err       error
 	committed bool
 	proposes  bool
-	proposed  textID
-	value     textID
+	proposed  internedID
+	value     internedID
 }
 
-// decide lets the real proposer decide.
+// decide returns the decision of the real proposer.
 func (r *protocolRules) decide(in decisionInput) decisionOutput {
 	if out, found := r.decisions[in]; found {
 		return out
 	}
 	register := New(Config{Name: modelRegister, Self: proposerName(int(in.proposer))})
 	register.forgetsProposals = r.omitted.reappliesUnclearChange
-	if r.omitted.anyIsCommitted {
+	if r.omitted.treatsAnyMajorityAsCommitted {
 		register.committed = alwaysCommitted
 	}
 	p := &proposer{register: register, change: operationOf(int(in.proposer), int(in.operation), r.writeOnce)}
-	for _, sent := range in.sent[:in.sents] {
-		earlier := r.accepted(sent)
+	for _, sent := range in.proposals[:in.proposalCount] {
+		earlier := r.decodeAccepted(sent)
 		p.proposals = append(p.proposals, proposal{earlier.ProposalNumber, earlier.State})
 	}
 	majority := &round{view: modelViews[in.view]}
-	for _, grant := range in.grants[:in.granted] {
-		grantedState := r.accepted(grant)
+	for _, grant := range in.grants[:in.grantCount] {
+		grantedState := r.decodeAccepted(grant)
 		majority.count(answer{reply: reply{Outcome: granted, Accepted: grantedState.ProposalNumber, State: grantedState.State}})
 	}
 	proposalNumber := ProposalNumber{Counter: uint64(in.proposalNumber), Member: proposerName(int(in.proposer))}
-	made, committed, err := p.afterPrepare(majority, proposalNumber)
-	out := decisionOutput{err: err, committed: committed, proposes: made.isProposal, value: r.intern(made.value)}
+	decided, committed, err := p.afterPrepare(majority, proposalNumber)
+	out := decisionOutput{err: err, committed: committed, proposes: decided.isProposal, value: r.intern(decided.value)}
 	if err == nil {
-		out.proposed = r.encode(acceptedState{ProposalNumber: proposalNumber, State: made.state})
+		out.proposed = r.encode(acceptedState{ProposalNumber: proposalNumber, State: decided.state})
 	}
 	r.decisions[in] = out
 	return out
 }
 
-// merge lets the real merger rebuild a member.
-func (r *protocolRules) merge(copies []storedTexts) storedTexts {
-	var key [3]storedTexts
+// merge returns the result of the real Merge for a member that is rebuilt.
+func (r *protocolRules) merge(copies []storedIDs) storedIDs {
+	var key [3]storedIDs
 	copy(key[:], copies)
 	if out, found := r.merges[key]; found {
 		return out
 	}
 	var tables []storage.Tables
 	for _, one := range copies {
-		tables = append(tables, storage.Tables{modelRegister: r.table(one)})
+		tables = append(tables, storage.Tables{modelRegister: r.decodeTable(one)})
 	}
 	merged, err := Merge(tables)
 	if err != nil {
 		panic(err)
 	}
-	out := storedTexts{r.intern(merged[modelRegister][promisedKey]), r.intern(merged[modelRegister][acceptedKey])}
+	out := storedIDs{r.intern(merged[modelRegister][promisedKey]), r.intern(merged[modelRegister][acceptedKey])}
 	r.merges[key] = out
 	return out
 }
 
-// certainlyNotExecuted reports whether a change that ended without success certainly had no effect.
+// certainlyNotExecuted reports whether a failed change certainly had no effect.
 func certainlyNotExecuted(p *proposerModel, err error) bool {
 	change := &proposer{register: New(Config{Name: modelRegister}), proposals: make([]proposal, p.proposalCount)}
 	return rpcerror.ExecutionOf(change.changeError(err)) == rpcerror.NotExecuted
 }
 
-var errAttemptsOver = errors.New("no attempt is left")
+var errNoAttemptLeft = errors.New("no attempt is left")
 
-// managerTable and internTable carry the real manager's table in one interned text.
-func (r *protocolRules) managerTable(number textID) (table map[string][]byte) {
-	if number != 0 {
-		if err := msgpack.Unmarshal([]byte(r.texts[number]), &table); err != nil {
+// decodeManagerTable decodes the table of the real manager, which internTable has interned.
+func (r *protocolRules) decodeManagerTable(id internedID) (table map[string][]byte) {
+	if id != 0 {
+		if err := msgpack.Unmarshal([]byte(r.interned[id]), &table); err != nil {
 			panic(err)
 		}
 	}
 	return table
 }
 
-func (r *protocolRules) internTable(table map[string][]byte) textID {
+// internTable interns the table of the real manager in a canonical encoding.
+func (r *protocolRules) internTable(table map[string][]byte) internedID {
 	var encoded bytes.Buffer
 	encoder := msgpack.NewEncoder(&encoded)
 	encoder.SetSortMapKeys(true)
--- a/internal/controlplane/register/modelstate_test.go
+++ b/internal/controlplane/register/modelstate_test.go
@@ -7,18 +7,18 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// Extent of the model. Member 3 is the joining member, which replaces member 0.
+// Extent of the model. Member 3 joins and replaces member 0.
 const (
 	modelMembers     = 4
 	modelProposers   = 2
 	joiningMember    = 3
 	replacedMember   = 0
 	maxModelAttempts = 2 // of one change
-	maxLateRequests  = 4 // requests of earlier rounds that are still in flight; older ones are dropped
+	maxLateRequests  = 4 // requests of ended rounds that are still in flight; the model drops further ones
 	modelRegister    = "explored"
 )
 
-// modelViews are the views by version: none, the founders, and with the joining member.
+// modelViews lists the views by version: no view, the founders, and the view with the joining member.
 var modelViews = [...]replicaset.View{
 	{},
 	{Version: 1, Members: []string{memberName(0), memberName(1), memberName(2)}},
@@ -29,14 +29,14 @@
 
 func inView(view uint8, member int) bool { return modelViews[view].Has(memberName(member)) }
 
-// memberSet is a set of members.
+// memberSet is a bit set of members.
 type memberSet uint8
 
 func (s memberSet) has(member int) bool          { return s&(1<<member) != 0 }
 func (s memberSet) with(member int) memberSet    { return s | 1<<member }
 func (s memberSet) without(member int) memberSet { return s &^ (1 << member) }
 func (s memberSet) count() int                   { return bits.OnesCount8(uint8(s)) }
-func viewSet(view uint8) (members memberSet) {
+func membersOfView(view uint8) (members memberSet) {
 	for member := range modelMembers {
 		if inView(view, member) {
 			members = members.with(member)
@@ -45,27 +45,27 @@
 	return members
 }
 
-// textID stands for an encoded value in a world's interned texts; 0 is none.
-type textID uint16
+// internedID identifies an encoded value that protocolRules has interned. 0 means no value.
+type internedID uint16
 
-// storedTexts is what a member has stored of the register, encoded.
-type storedTexts struct{ promised, accepted textID }
+// storedIDs identifies the encoded promise and accepted state that a member has stored.
+type storedIDs struct{ promised, accepted internedID }
 
-// memberModel is a core machine.
+// memberModel is the state of a member in the model.
 type memberModel struct {
-	stored     storedTexts
-	manager    textID // table of the real replicaset.Manager
-	view       uint8
-	absences   uint8
-	complete   bool
-	membership uint8     // for which it is complete
-	copied     memberSet // members whose copies it has for its rebuild
-	copies     [modelMembers]storedTexts
+	stored            storedIDs
+	manager           internedID // encoded table of the real replicaset.Manager
+	view              uint8
+	absences          uint8
+	rebuilt           bool
+	rebuiltAtAbsences uint8     // value of absences for which the member is rebuilt
+	copySources       memberSet // members whose copies it has received for its rebuild
+	copies            [modelMembers]storedIDs
 }
 
-func (m *memberModel) ready() bool { return m.complete && m.absences == m.membership }
+func (m *memberModel) ready() bool { return m.rebuilt && m.absences == m.rebuiltAtAbsences }
 
-// proposerPhase is where a proposer is in its change.
+// proposerPhase is the phase of a proposer's change.
 type proposerPhase uint8
 
 const (
@@ -74,62 +74,62 @@
 	accepting
 )
 
-// proposerModel is a process that carries out its operations one after the other.
+// proposerModel is the state of a proposer, which executes its operations one after another.
 type proposerModel struct {
-	operation      uint8 // number of the current or the next one
-	phase          proposerPhase
-	attempt        uint8
-	counter        uint8     // highest seen in a proposal number
-	proposalNumber uint8     // counter of the attempt
-	view           uint8     // of the attempt
-	called         memberSet // members that have taken the open round's request
-	answered       memberSet // those whose answers arrived
-	conflicts      uint8
-	newer          uint8 // view
-	grants         [3]textID
-	granted        uint8
-	diskLost       memberSet // members that lost their disks while the round is open
-	proposed       textID    // what the accept round is to store
-	proposals      [maxModelAttempts]textID
-	proposalCount  uint8
-	value          textID // outcome of the change if the accept round succeeds
-	longestAtBegin textID // longest value that anybody had returned when the operation began
+	operation              uint8 // number of the current or the next operation
+	phase                  proposerPhase
+	attempt                uint8
+	counter                uint8     // highest counter seen in a proposal number
+	proposalNumber         uint8     // counter of the current attempt
+	view                   uint8     // view of the current attempt
+	delivered              memberSet // members that have received the request of the open round
+	answered               memberSet // members whose answers have arrived
+	conflicts              uint8
+	newerView              uint8 // version of a newer view that a member has reported
+	grants                 [3]internedID
+	grantCount             uint8
+	diskLost               memberSet  // members that lost their disks since the round was opened
+	proposed               internedID // state that the accept round proposes
+	proposals              [maxModelAttempts]internedID
+	proposalCount          uint8
+	value                  internedID // result of the change if the accept round succeeds
+	longestReturnedAtBegin internedID // longest value that any operation had returned when this one began
 }
 
-// lateRequest is a request of a round that is over, still in flight to some members.
+// lateRequest is a request of a round that has ended. It is still in flight to some members.
 type lateRequest struct {
 	proposer       uint8
 	phase          proposerPhase
 	proposalNumber uint8
 	view           uint8
-	proposed       textID
-	to             memberSet
+	proposed       internedID
+	pendingMembers memberSet
 }
 
-// modelState is one state of all members, proposers and late requests. It can be compared and hashed.
+// modelState is one state of all members, proposers and late requests. It is comparable and can be hashed.
 type modelState struct {
-	members         [modelMembers]memberModel
-	proposers       [modelProposers]proposerModel
-	late            [maxLateRequests]lateRequest
-	committed       bool // the second view
-	diskLosses      uint8
-	restarts        uint8
-	longestReturned textID    // value that was returned
-	notExecuted     memberSet // proposers whose first change certainly is no part of any value
+	members             [modelMembers]memberModel
+	proposers           [modelProposers]proposerModel
+	lateRequests        [maxLateRequests]lateRequest
+	secondViewCommitted bool // whether view 2 is committed
+	diskLosses          uint8
+	restarts            uint8
+	longestReturned     internedID // longest value that an operation has returned
+	notExecuted         memberSet  // proposers whose first change was certainly not executed
 }
 
-func proposerName(proposer int) string { return memberName(proposerHome(proposer)) }
+func proposerName(proposer int) string { return memberName(hostingMember(proposer)) }
 
-// proposerHome is the member in whose process a proposer is: the one that is replaced, and one that stays.
-func proposerHome(proposer int) int {
+// hostingMember returns the member in whose process a proposer runs: the replaced member, or one that remains.
+func hostingMember(proposer int) int {
 	if proposer == 0 {
 		return replacedMember
 	}
 	return 2
 }
 
-// operationOf is a proposer's change: it appends its token first, or sets the value to it where there is none yet, and
-// reads then.
+// operationOf returns a proposer's operation. The first operations append a token to the value; for a write-once register they set
+// the value only if there is none. Later operations are reads.
 func operationOf(proposer, operation int, once bool) func([]byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		if operation >= firstRead || once && current != nil {
@@ -139,11 +139,12 @@
 	}
 }
 
-// tokenOf is what a change appends; it differs after a restart.
+// tokenOf returns the token that a change appends. Each change of each proposer has its own token.
 func tokenOf(proposer, operation int) byte { return byte('a' + proposer + operation*modelProposers) }
 
-// Numbers of operations: one change, another one if the process was restarted during the first, and then reads.
+// Operations of a proposer. The first is a change. If the process is restarted during it, the second is a change as well. The
+// others are reads.
 const (
-	firstRead = 2
-	readsEach = 2
+	firstRead        = 2 // number of the first operation that is a read
+	readsPerProposer = 2
 )
--- a/internal/controlplane/register/modelsteps_test.go
+++ b/internal/controlplane/register/modelsteps_test.go
@@ -10,96 +10,96 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// stepKind is what happens in one step.
+// stepKind is the kind of a step.
 type stepKind uint8
 
 const (
 	stepBegin       stepKind = iota // a proposer begins its next operation
-	stepCall                        // a member takes an open round's request, and its answer arrives
-	stepCallLost                    // the same, and the answer is lost
-	stepCallLearns                  // the same, and the member learns the next view while its vote is being stored
-	stepCallCopies                  // the same, and it also gives the joining member a copy that lacks the vote
+	stepCall                        // a member receives the request of an open round, and its answer arrives
+	stepCallLost                    // the same, but the answer is lost
+	stepCallLearns                  // as stepCall, and the member learns the next view while it stores its vote
+	stepCallCopies                  // as stepCallLearns, and the member gives the joining member a copy without the vote
 	stepTimeout                     // a round ends without a majority
-	stepRestart                     // a proposer's process is killed and started again, with its disk
-	stepLoseDisk                    // a member starts again with an empty disk
-	stepCommit                      // the next view is committed; one member has learned it
+	stepRestart                     // a proposer's process is killed and restarted with its disk
+	stepLoseDisk                    // a member is restarted with an empty disk
+	stepCommit                      // the next view is committed, and one member learns it
 	stepLearn                       // a member learns a view
-	stepCopy                        // a member that is rebuilt gets a copy from another one
-	stepLateRequest                 // a request of a round that is over arrives
+	stepCopy                        // a member that is being rebuilt gets a copy from another member
+	stepLateRequest                 // a request of a round that has ended arrives
 )
 
-// step is one of them; what the numbers mean depends on the kind.
+// step is one step of the model. The meaning of its numbers depends on its kind.
 type step struct {
-	kind stepKind
-	a, b uint8
+	kind          stepKind
+	first, second uint8
 }
 
 func (s step) String() string {
-	names := [...]string{"begin", "call", "call, answer lost", "call, learns meanwhile", "call, learns and copies meanwhile", "time-out", "restart", "lose disk", "commit view", "learn view", "copy", "late request"}
-	return fmt.Sprintf("%s %d %d", names[s.kind], s.a, s.b)
+	names := [...]string{"begin", "call", "call, answer lost", "call, learns view during vote", "call, learns view and copies during vote", "timeout", "restart", "lose disk", "commit view", "learn view", "copy", "late request"}
+	return fmt.Sprintf("%s %d %d", names[s.kind], s.first, s.second)
 }
 
-// faultBudget bounds what may happen in an exploration.
+// faultBudget limits the operations and faults of a model check.
 type faultBudget struct {
 	replacement         bool
-	writeOnce           bool  // the register is written once, as those of the views
-	secondProposerReads bool  // the second proposer makes no change; it reads alone
-	attempts            uint8 // of each operation; maxModelAttempts at most
-	lostAnswers         bool  // a member's answer may be lost
+	writeOnce           bool  // the register is written only once, like the registers of views
+	secondProposerReads bool  // the second proposer only reads
+	attempts            uint8 // of each operation, at most maxModelAttempts
+	lostAnswers         bool  // answers of members may be lost
 	diskLosses          uint8
-	losableDisks        memberSet // members that may lose their disks; all where it is empty
+	losableDisks        memberSet // members that may lose their disks; all members if empty
 	restarts            uint8
-	duplicates          bool // each accept request may also arrive once more, after its round
-	latePrepare         bool // so may prepare requests that were not taken
+	duplicates          bool // each accept request may arrive again after its round has ended
+	latePrepare         bool // prepare requests may also arrive after their round has ended
 }
 
-// transitions makes the successors of states.
+// transitions generates the successors of states.
 type transitions struct {
 	protocol *protocolRules
 	budget   faultBudget
 }
 
-// learnInput is what learning a view depends on.
+// learnInput is everything that the result of learning a view depends on.
 type learnInput struct {
-	manager textID
+	manager internedID
 	self    int
 	view    uint8
 }
 
 type learnOutput struct {
-	manager  textID
+	manager  internedID
 	view     uint8
 	absences uint8
 }
 
-// initial is the state in which the founders know the first view, and the joining member knows it as well.
-func (x *transitions) initial() modelState {
-	var w modelState
-	for member := range w.members {
-		x.learn(&w, member, 1)
-		w.members[member].complete = member != joiningMember
+// initial returns the initial state. The founders and the joining member know the first view.
+func (t *transitions) initial() modelState {
+	var model modelState
+	for member := range model.members {
+		t.learn(&model, member, 1)
+		model.members[member].rebuilt = member != joiningMember
 	}
-	if x.budget.secondProposerReads {
-		w.proposers[1].operation = firstRead
+	if t.budget.secondProposerReads {
+		model.proposers[1].operation = firstRead
 	}
-	return w
+	return model
 }
 
-// learn lets the real manager of a member take a view.
-func (x *transitions) learn(w *modelState, member int, view uint8) {
-	m := &w.members[member]
+// learn makes a member learn a view, by the real replicaset.Manager.
+func (t *transitions) learn(model *modelState, member int, view uint8) {
+	m := &model.members[member]
 	in := learnInput{m.manager, member, view}
-	out, found := x.protocol.learned[in]
+	out, found := t.protocol.learned[in]
 	if !found {
-		out = x.protocol.learnView(in)
-		x.protocol.learned[in] = out
+		out = t.protocol.learnView(in)
+		t.protocol.learned[in] = out
 	}
 	m.manager, m.view, m.absences = out.manager, out.view, out.absences
 }
 
 func (r *protocolRules) learnView(in learnInput) learnOutput {
 	store := storage.NewMemory()
-	for key, value := range r.managerTable(in.manager) {
+	for key, value := range r.decodeManagerTable(in.manager) {
 		if err := store.Write(storage.Change{Table: replicaset.TableName, Key: key, Value: value}); err != nil {
 			panic(err)
 		}
@@ -115,151 +115,153 @@
 	return learnOutput{manager: r.internTable(table), view: uint8(manager.View().Version), absences: uint8(manager.Absences())}
 }
 
-// eachStep calls visit with every step that is possible, the state after it, and what is wrong with it.
-func (x *transitions) eachStep(w *modelState, visit func(taken step, after *modelState, problem string)) {
+// eachStep calls visit for every possible step, with the state after it and a description of the violation, if any.
+func (t *transitions) eachStep(model *modelState, visit func(taken step, after *modelState, problem string)) {
 	visitStep := func(taken step, act func(after *modelState) string) {
-		after := *w
+		after := *model
 		visit(taken, &after, act(&after))
 	}
-	for p := range w.proposers {
-		x.eachOfProposer(w, p, visitStep)
+	for p := range model.proposers {
+		t.eachProposerStep(model, p, visitStep)
 	}
-	for m := range w.members {
-		x.eachOfMember(w, m, visitStep)
+	for m := range model.members {
+		t.eachMemberStep(model, m, visitStep)
 	}
-	for i, late := range w.late {
-		for m := range w.members {
-			if late.to.has(m) {
-				visitStep(step{stepLateRequest, uint8(i), uint8(m)}, func(after *modelState) string { return x.arrive(after, i, m) })
+	for i, late := range model.lateRequests {
+		for m := range model.members {
+			if late.pendingMembers.has(m) {
+				visitStep(step{stepLateRequest, uint8(i), uint8(m)}, func(after *modelState) string { return t.deliverLateRequest(after, i, m) })
 			}
 		}
 	}
 }
 
-type visitStep func(taken step, act func(after *modelState) string)
+type stepVisitor func(taken step, act func(after *modelState) string)
 
-func (x *transitions) eachOfProposer(w *modelState, p int, visit visitStep) {
-	state := &w.proposers[p]
-	home := proposerHome(p)
+func (t *transitions) eachProposerStep(model *modelState, p int, visit stepVisitor) {
+	state := &model.proposers[p]
+	home := hostingMember(p)
 	if state.phase == idle {
-		if state.operation < firstRead+readsEach && w.members[home].view > 0 {
-			visit(step{stepBegin, uint8(p), 0}, func(after *modelState) string { x.begin(after, p); return "" })
+		if state.operation < firstRead+readsPerProposer && model.members[home].view > 0 {
+			visit(step{stepBegin, uint8(p), 0}, func(after *modelState) string { t.beginOperation(after, p); return "" })
 		}
 		return
 	}
-	if state.called != 0 {
-		visit(step{stepTimeout, uint8(p), 0}, func(after *modelState) string { return x.nextAttempt(after, p, errAttemptsOver) })
+	if state.delivered != 0 {
+		visit(step{stepTimeout, uint8(p), 0}, func(after *modelState) string { return t.nextAttempt(after, p, errNoAttemptLeft) })
 	}
-	if w.restarts < x.budget.restarts {
+	if model.restarts < t.budget.restarts {
 		visit(step{stepRestart, uint8(p), 0}, func(after *modelState) string {
 			after.restarts++
-			x.restart(after, p)
+			t.restartProposer(after, p)
 			return ""
 		})
 	}
-	for m := range w.members {
-		if !inView(state.view, m) || state.called.has(m) {
+	for m := range model.members {
+		if !inView(state.view, m) || state.delivered.has(m) {
 			continue
 		}
 		kinds := []stepKind{stepCall}
-		if m != home && x.budget.lostAnswers {
+		if m != home && t.budget.lostAnswers {
 			kinds = append(kinds, stepCallLost)
 		}
-		if w.committed && w.members[m].view == 1 {
+		if model.secondViewCommitted && model.members[m].view == 1 {
 			kinds = append(kinds, stepCallLearns)
-			if x.mayCopy(w, joiningMember, m) {
+			if t.mayCopy(model, joiningMember, m) {
 				kinds = append(kinds, stepCallCopies)
 			}
 		}
 		for _, kind := range kinds {
-			visit(step{kind, uint8(p), uint8(m)}, func(after *modelState) string { return x.call(after, p, m, kind) })
+			visit(step{kind, uint8(p), uint8(m)}, func(after *modelState) string { return t.deliverRequest(after, p, m, kind) })
 		}
 	}
 }
 
-func (x *transitions) eachOfMember(w *modelState, m int, visit visitStep) {
-	member := &w.members[m]
-	if w.diskLosses < x.budget.diskLosses && m != joiningMember && (x.budget.losableDisks == 0 || x.budget.losableDisks.has(m)) {
-		visit(step{stepLoseDisk, uint8(m), 0}, func(after *modelState) string { x.loseDisk(after, m); return "" })
+func (t *transitions) eachMemberStep(model *modelState, m int, visit stepVisitor) {
+	member := &model.members[m]
+	if model.diskLosses < t.budget.diskLosses && m != joiningMember && (t.budget.losableDisks == 0 || t.budget.losableDisks.has(m)) {
+		visit(step{stepLoseDisk, uint8(m), 0}, func(after *modelState) string { t.loseDisk(after, m); return "" })
 	}
-	if x.budget.replacement && !w.committed && m != replacedMember && m != joiningMember && x.mayCommit(w) {
+	if t.budget.replacement && !model.secondViewCommitted && m != replacedMember && m != joiningMember && t.mayCommit(model) {
 		visit(step{stepCommit, uint8(m), 0}, func(after *modelState) string {
-			after.committed = true
-			x.learn(after, m, 2)
+			after.secondViewCommitted = true
+			t.learn(after, m, 2)
 			return ""
 		})
 	}
 	for view := member.view + 1; int(view) < len(modelViews); view++ {
-		if x.mayLearn(w, m, view) {
-			visit(step{stepLearn, uint8(m), view}, func(after *modelState) string { x.learn(after, m, view); return "" })
+		if t.mayLearn(model, m, view) {
+			visit(step{stepLearn, uint8(m), view}, func(after *modelState) string { t.learn(after, m, view); return "" })
 		}
 	}
-	for giver := range w.members {
-		if giver != m && x.mayCopy(w, m, giver) {
-			visit(step{stepCopy, uint8(m), uint8(giver)}, func(after *modelState) string { x.copyFrom(after, m, giver); return "" })
+	for source := range model.members {
+		if source != m && t.mayCopy(model, m, source) {
+			visit(step{stepCopy, uint8(m), uint8(source)}, func(after *modelState) string { t.copyFrom(after, m, source); return "" })
 		}
 	}
 }
 
-// mayCommit reports whether the members that stay can commit the next view: no member accepts one without itself.
-func (x *transitions) mayCommit(w *modelState) bool {
-	for m := range w.members {
-		if inView(1, m) && m != replacedMember && (!w.members[m].ready() || w.members[m].view != 1) {
+// mayCommit reports whether the remaining members can commit the next view. The replaced member does not accept a view without
+// itself.
+func (t *transitions) mayCommit(model *modelState) bool {
+	for m := range model.members {
+		if inView(1, m) && m != replacedMember && (!model.members[m].ready() || model.members[m].view != 1) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayLearn reports whether a member can learn a view from another one. Those that committed it learn it in any case.
-func (x *transitions) mayLearn(w *modelState, m int, view uint8) bool {
-	if view == 2 && w.committed && w.members[m].view == 1 && inView(1, m) && m != replacedMember {
+// mayLearn reports whether a member can learn a view from another member. The members that committed a view can always learn it.
+func (t *transitions) mayLearn(model *modelState, m int, view uint8) bool {
+	if view == 2 && model.secondViewCommitted && model.members[m].view == 1 && inView(1, m) && m != replacedMember {
 		return true
 	}
-	for other := range w.members {
-		if other != m && w.members[other].view == view {
+	for other := range model.members {
+		if other != m && model.members[other].view == view {
 			return true
 		}
 	}
 	return false
 }
 
-// mayCopy reports whether a member that is rebuilt gets a copy from another one now. It waits until each round is over that
-// may have counted an answer of its lost disk. A round begins with its first call: its proposer may have been frozen.
-func (x *transitions) mayCopy(w *modelState, m, giver int) bool {
-	member, other := &w.members[m], &w.members[giver]
-	if member.ready() || member.copied.has(giver) || !inView(member.view, m) || !inView(member.view, giver) || !other.ready() {
+// mayCopy reports whether a member that is being rebuilt can get a copy from another member now. It must wait until all rounds have
+// ended that may have counted an answer from its lost disk. A round counts from its first call, since its proposer may have been
+// frozen before.
+func (t *transitions) mayCopy(model *modelState, m, source int) bool {
+	member, other := &model.members[m], &model.members[source]
+	if member.ready() || member.copySources.has(source) || !inView(member.view, m) || !inView(member.view, source) || !other.ready() {
 		return false
 	}
-	for p := range w.proposers {
-		if state := &w.proposers[p]; state.called != 0 && state.diskLost.has(m) && !x.protocol.omitted.copiesDuringOpenRounds {
+	for p := range model.proposers {
+		if state := &model.proposers[p]; state.delivered != 0 && state.diskLost.has(m) && !t.protocol.omitted.copiesDuringOpenRounds {
 			return false
 		}
 	}
 	return other.view <= member.view
 }
 
-func (x *transitions) copyFrom(w *modelState, m, giver int) {
-	member, other := &w.members[m], &w.members[giver]
-	if other.view < member.view && !x.protocol.omitted.copiesBeforeLearningView {
-		x.learn(w, giver, member.view)
+func (t *transitions) copyFrom(model *modelState, m, source int) {
+	member, other := &model.members[m], &model.members[source]
+	if other.view < member.view && !t.protocol.omitted.copiesBeforeLearningView {
+		t.learn(model, source, member.view)
 	}
-	member.copied = member.copied.with(giver)
-	member.copies[giver] = other.stored
-	needed := rebuild.SnapshotsNeeded(modelViews[member.view], uint64(member.absences))
-	if x.protocol.omitted.rebuildsFromOneCopy {
-		needed = 1
+	member.copySources = member.copySources.with(source)
+	member.copies[source] = other.stored
+	copiesNeeded := rebuild.SnapshotsNeeded(modelViews[member.view], uint64(member.absences))
+	if t.protocol.omitted.rebuildsFromOneCopy {
+		copiesNeeded = 1
 	}
-	if member.copied.count() < needed {
+	if member.copySources.count() < copiesNeeded {
 		return
 	}
-	var copies []storedTexts
-	for one, stored := range member.copies {
-		if member.copied.has(one) {
+	var copies []storedIDs
+	for source, stored := range member.copies {
+		if member.copySources.has(source) {
 			copies = append(copies, stored)
 		}
 	}
-	member.stored = x.protocol.merge(copies)
-	member.complete, member.membership = true, member.absences
-	member.copied, member.copies = 0, [modelMembers]storedTexts{}
+	member.stored = t.protocol.merge(copies)
+	member.rebuilt, member.rebuiltAtAbsences = true, member.absences
+	member.copySources, member.copies = 0, [modelMembers]storedIDs{}
 }
--- a/internal/controlplane/register/register.go
+++ b/internal/controlplane/register/register.go
@@ -127,9 +127,9 @@
 	if latest.Accepted == (ProposalNumber{}) {
 		return latest.State.Value, nil
 	}
-	state, err := r.stateAccepted(ctx, reading, latest.Accepted, cached)
+	state, err := r.acceptedStateFor(ctx, reading, latest.Accepted, cached)
 	if err != nil {
-		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("read register %s: %w: %w", r.config.Name, errIncomplete, err), 0)
+		return nil, rpcerror.WrapNotExecuted(fmt.Errorf("read register %s: %w: %w", r.config.Name, errValueIncomplete, err), 0)
 	}
 	return state.Value, nil
 }
--- a/internal/controlplane/register/registertest/store.go
+++ b/internal/controlplane/register/registertest/store.go
@@ -1,4 +1,4 @@
-// Package registertest holds what simulations of registers share.
+// Package registertest provides helpers that the simulations of registers share. Only tests use it.
 package registertest
 
 import (
@@ -8,18 +8,18 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// ErrKilled is the error of a process that was killed.
+// ErrKilled is the error of operations of a killed process.
 var ErrKilled = errors.New("the process was killed")
 
-// ProcessStore is the store of one process: it writes to a disk, which outlasts the process, until the process is killed. Its
-// methods may be called from any goroutine.
+// ProcessStore is the store of one process. It writes to a disk that outlives the process, and rejects writes after the process
+// was killed. Its methods are safe for concurrent use.
 type ProcessStore struct {
 	storage.SnapshotStore
 	mutex  sync.Mutex
 	killed bool
 }
 
-// NewProcessStore makes the store of a process on a disk.
+// NewProcessStore returns the store of a new process that uses a disk.
 func NewProcessStore(disk storage.SnapshotStore) *ProcessStore {
 	return &ProcessStore{SnapshotStore: disk}
 }
@@ -34,14 +34,14 @@
 	return s.SnapshotStore.Write(changes...)
 }
 
-// Kill ends all writes. It waits for one that is in progress.
+// Kill marks the process as killed. It waits for a write in progress, and all later writes fail.
 func (s *ProcessStore) Kill() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.killed = true
 }
 
-// Alive reports whether the process was not killed.
+// Alive reports whether the process has not been killed.
 func (s *ProcessStore) Alive() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/controlplane/register/registertest/store_test.go
+++ b/internal/controlplane/register/registertest/store_test.go
@@ -14,12 +14,12 @@
 		store := NewProcessStore(disk)
 		change := storage.Change{Table: "table", Key: "key", Value: []byte("value")}
 
-		convey.Convey("a process that runs writes to the disk", func() {
+		convey.Convey("a running process writes to the disk", func() {
 			convey.So(store.Alive(), convey.ShouldBeTrue)
 			convey.So(store.Write(change), convey.ShouldBeNil)
 			convey.So(disk.Tables(), convey.ShouldResemble, []string{"table"})
 		})
-		convey.Convey("a process that was killed writes nothing", func() {
+		convey.Convey("a killed process writes nothing", func() {
 			store.Kill()
 			convey.So(store.Alive(), convey.ShouldBeFalse)
 			convey.So(store.Write(change), convey.ShouldWrap, ErrKilled)
--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	storedFolder   = "testdata/stored"
-	storedDump     = "testdata/stored.json" // the tables' bytes in hex
-	updateVariable = "GOLDEN_UPDATE"        // set to 1, the stored data is made anew
-	storedSelf     = "10.0.0.1:7000"
-	storedOther    = "10.0.0.3:7000"
+	storedDirectory    = "testdata/stored"
+	storedDumpFile     = "testdata/stored.json" // contents of the tables in hexadecimal
+	updateVariable     = "GOLDEN_UPDATE"        // if set to 1, the golden files are written anew
+	storedSelfAddress  = "10.0.0.1:7000"
+	storedOtherAddress = "10.0.0.3:7000"
 )
 
-// storedText is a value that is stored in chunks, one of which it has twice.
+// storedText returns a value that is stored in chunks. One chunk occurs twice.
 func storedText(version int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"routes":[`, version)
@@ -36,42 +36,42 @@
 }
 
 var (
-	storedFirst = replicaset.View{Version: 1, Members: []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}}
-	storedNext  = replicaset.View{
+	storedFirstView = replicaset.View{Version: 1, Members: []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}}
+	storedNextView  = replicaset.View{
 		Version: 4, Members: []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.4:7000"},
 		Zones: map[string]string{"10.0.0.4:7000": "north"}, Replaced: "10.0.0.2:7000", JoinedIncarnation: 1 << 63,
 	}
-	// The sums of the chunks of the newest large value, in order; two are the same.
-	storedSums = []string{
+	// storedChunkSums are the checksums of the chunks of the newest large value, in order. Two chunks are equal.
+	storedChunkSums = []string{
 		"898271eda4ae47c18b9b45a342ca8b21", "0fb94a82852c73ac623e8479cf593d08", "18f8d2eb4a387bbc1e37ec099a732680",
 		"18f8d2eb4a387bbc1e37ec099a732680", "d2b4efc57ffa2967c28f6892b6b390f4",
 	}
 )
 
-// storedAcceptors are those of the registers of a coordinator, all of which may vote.
+// storedAcceptors are the acceptors of a coordinator's registers. All of them may vote.
 type storedAcceptors struct {
 	configuration, small *Acceptor
 	founding             *Founding
 	succession           *Succession
 }
 
-func acceptorsOn(store storage.Store) storedAcceptors {
+func newStoredAcceptors(store storage.Store) storedAcceptors {
 	ready := func() bool { return true }
-	view := func() replicaset.View { return replicaset.View{Version: 3, Members: storedFirst.Members} }
+	view := func() replicaset.View { return replicaset.View{Version: 3, Members: storedFirstView.Members} }
 	return storedAcceptors{
 		configuration: NewAcceptor(AcceptorConfig{Name: "configuration", Store: store, Ready: ready, View: view}),
 		small:         NewAcceptor(AcceptorConfig{Name: "small", Store: store, Ready: ready, View: view}),
-		founding: NewFounding(FoundingConfig{Self: storedSelf, Store: store, Ready: ready,
-			Founders: func() []string { return storedFirst.Members }}),
-		succession: NewSuccession(SuccessionConfig{Self: storedSelf, Store: store, Ready: ready, View: view}),
+		founding: NewFounding(FoundingConfig{Self: storedSelfAddress, Store: store, Ready: ready,
+			Founders: func() []string { return storedFirstView.Members }}),
+		succession: NewSuccession(SuccessionConfig{Self: storedSelfAddress, Store: store, Ready: ready, View: view}),
 	}
 }
 
-// writeStoredRegisters makes the votes of one member.
+// writeStoredRegisters makes one member promise and accept the proposals that the golden files contain.
 func writeStoredRegisters(t *testing.T, store storage.Store) {
-	acceptors := acceptorsOn(store)
-	accept := func(acceptor *Acceptor, view uint64, proposalNumber ProposalNumber, value state) {
-		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: view, ProposalNumber: proposalNumber, State: value})
+	acceptors := newStoredAcceptors(store)
+	accept := func(acceptor *Acceptor, view uint64, proposalNumber ProposalNumber, accepted state) {
+		answer, err := acceptor.accept(context.Background(), acceptRequest{ViewVersion: view, ProposalNumber: proposalNumber, State: accepted})
 		if err != nil || answer.Outcome != granted {
 			t.Fatalf("%+v, %v", answer, err)
 		}
@@ -82,13 +82,13 @@
 			t.Fatalf("%+v, %v", answer, err)
 		}
 	}
-	first := state{Value: []byte(storedText(1)), Sequence: 1, History: []ProposalNumber{{1, storedSelf}}}
-	accept(acceptors.configuration, 3, ProposalNumber{1, storedSelf}, first)
-	accept(acceptors.configuration, 3, ProposalNumber{2, storedOther}, first.next([]byte(storedText(2)), ProposalNumber{2, storedOther}))
-	promise(acceptors.configuration, 3, ProposalNumber{300, storedSelf})
-	accept(acceptors.small, 3, ProposalNumber{70000, storedOther}, state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{{70000, storedOther}, {7, storedSelf}}})
-	accept(acceptors.founding.acceptor, 1, ProposalNumber{1, storedOther}, state{Value: encodeView(t, storedFirst), Sequence: 1, History: []ProposalNumber{{1, storedOther}}})
-	accept(acceptors.succession.acceptor, 3, ProposalNumber{5, storedSelf}, state{Value: encodeView(t, storedNext), Sequence: 1, History: []ProposalNumber{{5, storedSelf}}})
+	first := state{Value: []byte(storedText(1)), Sequence: 1, History: []ProposalNumber{{1, storedSelfAddress}}}
+	accept(acceptors.configuration, 3, ProposalNumber{1, storedSelfAddress}, first)
+	accept(acceptors.configuration, 3, ProposalNumber{2, storedOtherAddress}, first.next([]byte(storedText(2)), ProposalNumber{2, storedOtherAddress}))
+	promise(acceptors.configuration, 3, ProposalNumber{300, storedSelfAddress})
+	accept(acceptors.small, 3, ProposalNumber{70000, storedOtherAddress}, state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{{70000, storedOtherAddress}, {7, storedSelfAddress}}})
+	accept(acceptors.founding.acceptor, 1, ProposalNumber{1, storedOtherAddress}, state{Value: encodeView(t, storedFirstView), Sequence: 1, History: []ProposalNumber{{1, storedOtherAddress}}})
+	accept(acceptors.succession.acceptor, 3, ProposalNumber{5, storedSelfAddress}, state{Value: encodeView(t, storedNextView), Sequence: 1, History: []ProposalNumber{{5, storedSelfAddress}}})
 }
 
 func encodeView(t *testing.T, view replicaset.View) []byte {
@@ -99,7 +99,7 @@
 	return encoded
 }
 
-// dumpTables writes tables down, each value in hex.
+// dumpTables encodes tables as JSON, with each value in hexadecimal.
 func dumpTables(tables storage.Tables) string {
 	values := make(map[string]map[string]string)
 	for name, table := range tables {
@@ -110,13 +110,13 @@
 	}
 	text, err := json.MarshalIndent(values, "", " ")
 	if err != nil {
-		panic(err) // maps of texts can be written
+		panic(err) // maps of strings can always be encoded
 	}
 	return string(text) + "\n"
 }
 
-func openStored(t *testing.T, folder string) *storage.FileStore {
-	store, _, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
+func openFileStore(t *testing.T, directory string) *storage.FileStore {
+	store, _, err := storage.Open(storage.OperatingSystem{}, directory, storage.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,30 +124,30 @@
 	return store
 }
 
-func makeStoredRegisters(t *testing.T) {
-	os.RemoveAll(storedFolder)
-	store := openStored(t, storedFolder)
+func updateStoredRegisters(t *testing.T) {
+	os.RemoveAll(storedDirectory)
+	store := openFileStore(t, storedDirectory)
 	writeStoredRegisters(t, store)
-	if err := os.WriteFile(storedDump, []byte(dumpTables(store.Snapshot())), 0o644); err != nil {
+	if err := os.WriteFile(storedDumpFile, []byte(dumpTables(store.Snapshot())), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestReadsStoredDataOfRegisters(t *testing.T) {
 	if os.Getenv(updateVariable) == "1" {
-		makeStoredRegisters(t)
+		updateStoredRegisters(t)
 	}
-	golden, err := os.ReadFile(storedDump)
+	golden, err := os.ReadFile(storedDumpFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	Convey("Given registers that an earlier build stored", t, func() {
-		folder := t.TempDir()
-		So(os.CopyFS(folder, os.DirFS(storedFolder)), ShouldBeNil)
-		store := openStored(t, folder)
+		directory := t.TempDir()
+		So(os.CopyFS(directory, os.DirFS(storedDirectory)), ShouldBeNil)
+		store := openFileStore(t, directory)
 		So(dumpTables(store.Snapshot()), ShouldEqual, string(golden))
-		acceptors := acceptorsOn(store)
-		loads := func(acceptor *Acceptor, view uint64, expected acceptorState) {
+		acceptors := newStoredAcceptors(store)
+		expectLoaded := func(acceptor *Acceptor, view uint64, expected acceptorState) {
 			loaded, err := acceptor.load(view)
 			So(err, ShouldBeNil)
 			So(loaded, ShouldResemble, expected)
@@ -156,35 +156,35 @@
 		Convey("the large value is assembled from its chunks", func() {
 			loaded, err := acceptors.configuration.load(3)
 			So(err, ShouldBeNil)
-			So(loaded.promised, ShouldResemble, ProposalNumber{Counter: 300, Member: storedSelf})
-			So(loaded.accepted.ProposalNumber, ShouldResemble, ProposalNumber{Counter: 2, Member: storedOther})
-			So(loaded.accepted.State, ShouldResemble, state{Value: []byte(storedText(2)), Sequence: 2, History: []ProposalNumber{{2, storedOther}, {1, storedSelf}}})
+			So(loaded.promised, ShouldResemble, ProposalNumber{Counter: 300, Member: storedSelfAddress})
+			So(loaded.accepted.ProposalNumber, ShouldResemble, ProposalNumber{Counter: 2, Member: storedOtherAddress})
+			So(loaded.accepted.State, ShouldResemble, state{Value: []byte(storedText(2)), Sequence: 2, History: []ProposalNumber{{2, storedOtherAddress}, {1, storedSelfAddress}}})
 			So(loaded.accepted.Manifest.Bytes, ShouldEqual, len(storedText(2)))
 			So(loaded.accepted.Manifest.Sum, ShouldEqual, chunks.SumOf([]byte(storedText(2))))
 			var sums []string
 			for _, sum := range loaded.accepted.Manifest.Sums() {
 				sums = append(sums, chunkKey(sum))
 			}
-			So(sums, ShouldResemble, storedSums)
+			So(sums, ShouldResemble, storedChunkSums)
 		})
 		Convey("a small value is inline", func() {
-			proposalNumber := ProposalNumber{Counter: 70000, Member: storedOther}
-			value := state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{proposalNumber, {Counter: 7, Member: storedSelf}}}
-			loads(acceptors.small, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			proposalNumber := ProposalNumber{Counter: 70000, Member: storedOtherAddress}
+			value := state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{proposalNumber, {Counter: 7, Member: storedSelfAddress}}}
+			expectLoaded(acceptors.small, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
-		Convey("the first view and the next one are read", func() {
-			proposalNumber := ProposalNumber{Counter: 1, Member: storedOther}
-			value := state{Value: encodeView(t, storedFirst), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			loads(acceptors.founding.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+		Convey("the first view and the next view are loaded", func() {
+			proposalNumber := ProposalNumber{Counter: 1, Member: storedOtherAddress}
+			value := state{Value: encodeView(t, storedFirstView), Sequence: 1, History: []ProposalNumber{proposalNumber}}
+			expectLoaded(acceptors.founding.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 			next, found, err := acceptors.succession.Pending(replicaset.View{Version: 3})
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
-			So(next, ShouldResemble, storedNext)
-			proposalNumber = ProposalNumber{Counter: 5, Member: storedSelf}
-			value = state{Value: encodeView(t, storedNext), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			loads(acceptors.succession.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			So(next, ShouldResemble, storedNextView)
+			proposalNumber = ProposalNumber{Counter: 5, Member: storedSelfAddress}
+			value = state{Value: encodeView(t, storedNextView), Sequence: 1, History: []ProposalNumber{proposalNumber}}
+			expectLoaded(acceptors.succession.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
-		Convey("this build writes the same, so that the earlier one can read it", func() {
+		Convey("this build stores the same bytes, so that the earlier build can read them", func() {
 			memory := storage.NewMemory()
 			writeStoredRegisters(t, memory)
 			So(dumpTables(memory.Snapshot()), ShouldEqual, string(golden))
--- a/internal/controlplane/register/valuefetch.go
+++ b/internal/controlplane/register/valuefetch.go
@@ -10,76 +10,79 @@
 )
 
 const (
-	// maxChunkBatchBytes is how many bytes of packed chunks one call pushes or fetches: 0.1 s of a link of 3 Mbit/s.
+	// maxChunkBatchBytes is the maximum total length of the packed chunks that one call pushes or fetches. A link of 3 Mbit/s
+	// transfers them in 0.1 s.
 	maxChunkBatchBytes = 32 << 10
-	// typicalChunkBytes is about the length of a packed chunk, by which the chunks to fetch in one call are counted.
+	// typicalChunkBytes is the approximate length of a packed chunk. It determines how many chunks one call requests.
 	typicalChunkBytes = 256
-	// fetchTimeout bounds one call that fetches chunks. It bounds no transfer as a whole: chunks that have arrived are kept.
+	// fetchTimeout is the timeout of one call that fetches chunks. It does not limit the whole transfer, since chunks that have
+	// arrived are kept.
 	fetchTimeout = time.Second
 )
 
 var (
-	// errIncomplete is the failure to get the value of a state that a majority has reported.
-	errIncomplete = errors.New("the value is not at hand and did not arrive")
-	// errNoChunksReceived is the failure of a fetch that brought none of the missing chunks.
-	errNoChunksReceived = errors.New("the member holds none of the parts")
+	// errValueIncomplete is returned if the value of a state that a majority has reported cannot be obtained.
+	errValueIncomplete = errors.New("the value is not cached and could not be fetched completely")
+	// errNoChunksReceived is returned if a member's reply contains none of the missing chunks.
+	errNoChunksReceived = errors.New("the member has none of the requested chunks")
 )
 
-// completeValue puts the value into the newest of a round's answers, all of which leave it out where it is large or cached.
-func (r *Register) completeValue(ctx context.Context, answered *round, cached cachedState) error {
-	latest, _ := answered.latest()
+// completeValue sets the value in those answers of a round that have the newest state. Answers omit values that are large or
+// cached by the proposer.
+func (r *Register) completeValue(ctx context.Context, majority *round, cached cachedState) error {
+	latest, _ := majority.latest()
 	if latest.Accepted == (ProposalNumber{}) {
 		return nil
 	}
-	state, err := r.stateAccepted(ctx, answered, latest.Accepted, cached)
+	state, err := r.acceptedStateFor(ctx, majority, latest.Accepted, cached)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errIncomplete, err)
+		return fmt.Errorf("%w: %w", errValueIncomplete, err)
 	}
-	for i := range answered.granted {
-		if answered.granted[i].Accepted == latest.Accepted {
-			answered.granted[i].State = state
+	for i := range majority.granted {
+		if majority.granted[i].Accepted == latest.Accepted {
+			majority.granted[i].State = state
 		}
 	}
 	return nil
 }
 
-// stateAccepted returns the state that was accepted under a proposal number, from the cache or from a round's answers.
-func (r *Register) stateAccepted(ctx context.Context, answered *round, proposalNumber ProposalNumber, cached cachedState) (state, error) {
+// acceptedStateFor returns the state that was accepted with a proposal number, from the cache or from the answers of a round.
+func (r *Register) acceptedStateFor(ctx context.Context, majority *round, proposalNumber ProposalNumber, cached cachedState) (state, error) {
 	if cached.proposalNumber == proposalNumber {
 		return cached.state, nil
 	}
-	var manifested *reply
-	for i, answer := range answered.granted {
+	var withManifest *reply
+	for i, answer := range majority.granted {
 		if answer.Accepted != proposalNumber {
 			continue
 		}
 		if answer.Manifest == nil { // the value is inline
 			return r.cacheState(cached.view, proposalNumber, answer.State).state, nil
 		}
-		manifested = &answered.granted[i]
+		withManifest = &majority.granted[i]
 	}
-	value, err := r.assemble(ctx, answered, proposalNumber, *manifested.Manifest, cached)
+	value, err := r.assembleValue(ctx, majority, proposalNumber, *withManifest.Manifest, cached)
 	if err != nil {
 		return state{}, err
 	}
-	assembled := manifested.State
-	assembled.Value = value
-	return r.cacheState(cached.view, proposalNumber, assembled).state, nil
+	complete := withManifest.State
+	complete.Value = value
+	return r.cacheState(cached.view, proposalNumber, complete).state, nil
 }
 
-// assemble gets a value from chunks that are at hand and fetches the others from the members that have it.
-func (r *Register) assemble(
-	ctx context.Context, answered *round, proposalNumber ProposalNumber, manifest chunks.Manifest, cached cachedState,
+// assembleValue assembles a value from local chunks, and fetches the missing ones from the members that have the value.
+func (r *Register) assembleValue(
+	ctx context.Context, majority *round, proposalNumber ProposalNumber, manifest chunks.Manifest, cached cachedState,
 ) ([]byte, error) {
 	assembler, err := chunks.NewAssembler(manifest, r.chunkSources(cached)...)
 	if err != nil {
 		return nil, err
 	}
 	r.setPartial(assembler)
-	for _, member := range answered.chunkHolders(proposalNumber) {
+	for _, member := range majority.chunkHolders(proposalNumber) {
 		for !assembler.Complete() && ctx.Err() == nil {
-			if err = r.fetch(ctx, member, assembler); err != nil {
-				break // the next member goes on from here
+			if err = r.fetchChunks(ctx, member, assembler); err != nil {
+				break // the next member continues the transfer
 			}
 		}
 	}
@@ -89,8 +92,7 @@
 	return assembler.Content()
 }
 
-// chunkSources are where chunks may be at hand: in the cached state, at the local acceptor, and in what has arrived of a value
-// that is not complete yet.
+// chunkSources returns the local sources of chunks: the cached state, the local acceptor, and a partially transferred value.
 func (r *Register) chunkSources(cached cachedState) []chunks.Source {
 	var sources []chunks.Source
 	if cached.chunking != nil {
@@ -107,15 +109,15 @@
 	return sources
 }
 
-// setPartial keeps what arrives of a value for the next attempt.
+// setPartial keeps the chunks of a partially transferred value for the next attempt.
 func (r *Register) setPartial(assembler *chunks.Assembler) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.partial = assembler
 }
 
-// fetch makes one call for missing chunks.
-func (r *Register) fetch(ctx context.Context, member string, assembler *chunks.Assembler) error {
+// fetchChunks requests missing chunks from a member by one call, and adds them to the assembler.
+func (r *Register) fetchChunks(ctx context.Context, member string, assembler *chunks.Assembler) error {
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	missing := assembler.Missing(maxChunkBatchBytes / typicalChunkBytes)
@@ -124,11 +126,11 @@
 	if err != nil {
 		return err
 	}
-	before := assembler.MissingCount()
+	missingBefore := assembler.MissingCount()
 	if err := assembler.AddPacked(answer.Chunks); err != nil {
 		return err
 	}
-	if assembler.MissingCount() == before {
+	if assembler.MissingCount() == missingBefore {
 		return errNoChunksReceived
 	}
 	return nil
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -18,55 +18,55 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// byteCountingCaller counts the bytes of calls and answers.
+// byteCountingCaller counts the bytes of requests and replies.
 type byteCountingCaller struct {
 	transport.Caller
-	bytes   atomic.Int64
-	largest atomic.Int64 // of one message
+	bytes          atomic.Int64
+	largestMessage atomic.Int64 // length of the largest message
 }
 
 // Call implements transport.Caller.
-func (w *byteCountingCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
-	w.count(request)
-	err := w.Caller.Call(ctx, address, route, request, reply)
-	w.count(reply)
+func (c *byteCountingCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
+	c.count(request)
+	err := c.Caller.Call(ctx, address, route, request, reply)
+	c.count(reply)
 	return err
 }
 
-func (w *byteCountingCaller) count(message any) {
+func (c *byteCountingCaller) count(message any) {
 	content, _ := msgpack.Marshal(message)
-	w.bytes.Add(int64(len(content)))
-	w.largest.Store(max(w.largest.Load(), int64(len(content))))
+	c.bytes.Add(int64(len(content)))
+	c.largestMessage.Store(max(c.largestMessage.Load(), int64(len(content))))
 }
 
-func (w *byteCountingCaller) take() int64 { return w.bytes.Swap(0) }
+func (c *byteCountingCaller) resetBytes() int64 { return c.bytes.Swap(0) }
 
 func TestLargeValueIsTransferredInChunks(t *testing.T) {
-	var first, second, third, most int64
+	var first, second, third, largestMessage int64
 	var read string
 	text := randomText(largeText, 1)
 	runInCluster(t, func(c *cluster) {
-		weighing := &byteCountingCaller{Caller: c.network.Caller(outsider)}
-		register := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: weighing})
+		counting := &byteCountingCaller{Caller: c.network.Caller(outsider)}
+		register := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: counting})
 		change := func(value string) int64 {
 			if _, err := register.Change(c.ctx, replaceBy(value)); err != nil {
 				t.Error(err)
 			}
 			synctest.Wait()
-			return weighing.take()
+			return counting.resetBytes()
 		}
 		first = change(text)
 		second = change(edited(text, "second"))
 		third = change(edited(text, "third"))
-		most = weighing.largest.Load()
+		largestMessage = counting.largestMessage.Load()
 		value, _ := c.process("member-1").register.Read(c.ctx)
 		read = string(value)
 	})
-	convey.Convey("The first change sends it once to each member, in messages of a bounded size", t, func() {
+	convey.Convey("The first change sends the value once to each member, in messages of bounded length", t, func() {
 		convey.So(first, convey.ShouldBeBetween, 3*largeText/2, 3*largeText*3/4)
-		convey.So(most, convey.ShouldBeLessThan, maxInlineChunkBytes+maxInlineChunkBytes/2)
+		convey.So(largestMessage, convey.ShouldBeLessThan, maxInlineChunkBytes+maxInlineChunkBytes/2)
 	})
-	convey.Convey("Later changes send the chunks that differ", t, func() {
+	convey.Convey("Later changes send only the chunks that differ", t, func() {
 		convey.So(second, convey.ShouldBeLessThan, 3*largeText/10)
 		convey.So(third, convey.ShouldBeLessThan, 3*largeText/10)
 		convey.So(read == edited(text, "third"), convey.ShouldBeTrue)
@@ -100,9 +100,9 @@
 	var bytes int64
 	runInCluster(t, func(c *cluster) {
 		c.process("member-0").register.Change(c.ctx, replaceBy(text))
-		weighing := &byteCountingCaller{Caller: c.network.Caller(outsider)}
-		reader := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: weighing})
-		// Each call takes most of the time that a read has.
+		counting := &byteCountingCaller{Caller: c.network.Caller(outsider)}
+		reader := New(Config{Name: testRegister, Self: outsider, View: c.View, Caller: counting})
+		// The delay of one call is about half of the read timeout.
 		c.network.AddRule(networktest.Rule{From: outsider, Path: fetchCall(testRegister).Path(), Delay: 700 * time.Millisecond})
 		for range 20 {
 			ctx, cancel := context.WithTimeout(c.ctx, 1500*time.Millisecond)
@@ -113,9 +113,9 @@
 				break
 			}
 		}
-		bytes = weighing.take()
+		bytes = counting.resetBytes()
 	})
-	convey.Convey("Chunks that have arrived are kept for the next attempt, and sent once", t, func() {
+	convey.Convey("Chunks that have arrived are kept for the next attempt and sent only once", t, func() {
 		convey.So(rpcerror.ExecutionOf(errs[0]), convey.ShouldEqual, rpcerror.NotExecuted)
 		convey.So(errs[len(errs)-1], convey.ShouldBeNil)
 		convey.So(string(value) == text, convey.ShouldBeTrue)
@@ -123,7 +123,7 @@
 	})
 }
 
-func TestReaderFetchesFromAnotherMember(t *testing.T) {
+func TestReaderFetchesFromAnotherMemberAfterTimeout(t *testing.T) {
 	text := randomText(largeText, 1)
 	var value []byte
 	var err error
@@ -135,7 +135,7 @@
 		}
 		value, err = c.proposer(outsider, nil).Read(c.ctx)
 	})
-	convey.Convey("Members that serve no chunks delay a read only until the fetch times out", t, func() {
+	convey.Convey("Members that do not serve chunks delay a read only until the fetch times out", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(value) == text, convey.ShouldBeTrue)
 	})
@@ -144,8 +144,8 @@
 func TestAcceptorStoresOnlyWhatTheManifestNames(t *testing.T) {
 	text := randomText(3*inlineValueBytes, 1)
 	manifest := chunks.NewChunking([]byte(text), nil).Manifest()
-	spoilt := manifest
-	spoilt.Sum[0]++
+	wrongSum := manifest
+	wrongSum.Sum[0]++
 	var packed [][]byte
 	for _, chunk := range chunks.Split([]byte(text)) {
 		packed = append(packed, chunks.Pack(chunk))
@@ -161,13 +161,13 @@
 			convey.So(err, convey.ShouldBeNil)
 			return string(replica.accepted.State.Value)
 		}
-		convey.Convey("a value whose chunks are missing is not stored, and the answer names the missing ones", func() {
+		convey.Convey("a value with missing chunks is not stored, and the reply lists the missing chunks", func() {
 			answer, err := accept(content{Manifest: manifest, Chunks: packed[1:]})
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(answer.Outcome, convey.ShouldEqual, chunksMissing)
 			convey.So(answer.Missing, convey.ShouldResemble, manifest.Chunks[:chunks.SumBytes])
 			convey.So(storedValue(), convey.ShouldBeEmpty)
-			convey.Convey("and is stored once they were pushed", func() {
+			convey.Convey("it is stored after they were pushed", func() {
 				_, err := acceptor.servePush(context.Background(), pushRequest{Chunks: packed[:1]})
 				convey.So(err, convey.ShouldBeNil)
 				answer, err := accept(content{Manifest: manifest})
@@ -176,12 +176,12 @@
 				convey.So(storedValue() == text, convey.ShouldBeTrue)
 			})
 		})
-		convey.Convey("a value that is not what its manifest names is refused as not executed", func() {
-			_, err := accept(content{Manifest: spoilt, Chunks: packed})
+		convey.Convey("a value that does not match its manifest is rejected as not executed", func() {
+			_, err := accept(content{Manifest: wrongSum, Chunks: packed})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			convey.So(storedValue(), convey.ShouldBeEmpty)
 		})
-		convey.Convey("so is what is no packed chunk, and what is no manifest", func() {
+		convey.Convey("malformed chunks and manifests are rejected as not executed", func() {
 			_, err := accept(content{Manifest: manifest, Chunks: [][]byte{{1, 2, 3}}})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 			_, err = acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{{1, 2, 3}}})
@@ -189,7 +189,7 @@
 			_, err = accept(content{Manifest: chunks.Manifest{Bytes: -1}})
 			convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.NotExecuted)
 		})
-		convey.Convey("the bytes of pushed chunks of values that nobody proposes are bounded", func() {
+		convey.Convey("the total length of pushed chunks of values that are not proposed is bounded", func() {
 			for i := range 40 {
 				chunk := chunks.Pack([]byte(randomText(8000, uint64(i))))
 				acceptor.servePush(context.Background(), pushRequest{Chunks: [][]byte{chunk, chunk}})
@@ -202,7 +202,8 @@
 	})
 }
 
-// A member of an older build serves no chunked accept requests, and would take one without a value for an empty value.
+// Members of older builds do not serve chunked accept requests. They would interpret a request without an inline value as an empty
+// value, so they must get the value inline.
 func TestMembersOfOlderBuildsGetInlineValues(t *testing.T) {
 	text := randomText(largeText, 1)
 	var read []byte
@@ -215,13 +216,13 @@
 		c.network.Partition("member-2", true)
 		read, _ = c.process("member-1").register.Read(c.ctx)
 	})
-	convey.Convey("A majority of them has accepted the value", t, func() {
+	convey.Convey("A majority of older builds accepts the value", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(read) == text, convey.ShouldBeTrue)
 	})
 }
 
-// serveAsOlderBuild lets a member answer as one without chunk support.
+// serveAsOlderBuild makes a member behave like an older build without chunk support.
 func (c *cluster) serveAsOlderBuild(address string) {
 	acceptor := c.process(address).register.config.Acceptor
 	mux := transport.NewMux()
@@ -231,8 +232,8 @@
 	c.network.Serve(address, mux)
 }
 
-// All members propose changes of one large value at once.
-func TestConcurrentChangesOfLargeValues(t *testing.T) {
+// All members change the same large value concurrently.
+func TestConcurrentChangesOfLargeValuesAllSucceed(t *testing.T) {
 	text := randomText(largeText, 1)
 	succeeded := 0
 	runInCluster(t, func(c *cluster) {
@@ -255,16 +256,16 @@
 	convey.Convey("All changes succeed", t, func() { convey.So(succeeded, convey.ShouldEqual, 18) })
 }
 
-// transferDelay is that of each message of a change, so that a fault begins in the middle of its transfer.
+// transferDelay is the delay of each message of a change, so that a fault can start during the transfer.
 const transferDelay = 200 * time.Millisecond
 
-// changeUnderFault lets a member change a large value that all have, in messages that take a while, and begins a fault after some of
-// them. It returns the change's error, and what each member reads once the fault has ended.
-func changeUnderFault(t *testing.T, after time.Duration, begin, end func(c *cluster)) (values []string, changeErr error) {
+// changeUnderFault makes a member change a large value by delayed messages, and starts a fault during the transfer. It returns the
+// values that members read after the fault has ended, and the error of the change.
+func changeUnderFault(t *testing.T, faultStart time.Duration, beginFault, endFault func(c *cluster)) (values []string, changeErr error) {
 	t.Helper()
 	runInCluster(t, func(c *cluster) {
-		changing := c.process("member-0").register
-		if _, err := changing.Change(c.ctx, replaceBy(randomText(largeText, 1))); err != nil {
+		changer := c.process("member-0").register
+		if _, err := changer.Change(c.ctx, replaceBy(randomText(largeText, 1))); err != nil {
 			t.Error(err)
 		}
 		synctest.Wait()
@@ -273,13 +274,13 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
 			defer cancel()
-			_, err := changing.Change(ctx, replaceBy(randomText(largeText, 2)))
+			_, err := changer.Change(ctx, replaceBy(randomText(largeText, 2)))
 			changed <- err
 		}()
-		<-time.After(after)
-		begin(c)
+		<-time.After(faultStart)
+		beginFault(c)
 		changeErr = <-changed
-		end(c)
+		endFault(c)
 		c.network.ClearRules()
 		<-time.After(RoundLimit)
 		for _, member := range c.view.Members {
@@ -293,29 +294,30 @@
 	return values, changeErr
 }
 
-// A peer stands still, or is cut off, in the middle of a transfer: at its first message, between its rounds, and in the last one.
-func TestFaultsInTheMiddleOfATransfer(t *testing.T) {
+// A member is frozen or the proposer is partitioned during a transfer: at the first message, between the rounds, and in the last
+// round.
+func TestFaultDuringTransferLeavesOneCompleteValue(t *testing.T) {
 	before, after := randomText(largeText, 1), randomText(largeText, 2)
-	for _, at := range []time.Duration{transferDelay / 2, 3 * transferDelay / 2, 5 * transferDelay / 2} {
-		frozen, frozenErr := changeUnderFault(t, at,
+	for _, faultStart := range []time.Duration{transferDelay / 2, 3 * transferDelay / 2, 5 * transferDelay / 2} {
+		frozen, frozenErr := changeUnderFault(t, faultStart,
 			func(c *cluster) { c.network.Delay("member-1", 4*time.Second) },
 			func(*cluster) { <-time.After(4 * time.Second) })
-		convey.Convey("A member stands still for 4 s: the change is stored by the others, and read by all", t, func() {
+		convey.Convey("If a member is frozen for 4 s, the other members store the change, and all members read it", t, func() {
 			convey.So(frozenErr, convey.ShouldBeNil)
 			for _, value := range frozen {
 				convey.So(value == after, convey.ShouldBeTrue)
 			}
 		})
-		cut, cutErr := changeUnderFault(t, at,
+		partitioned, partitionedErr := changeUnderFault(t, faultStart,
 			func(c *cluster) { c.network.Partition("member-0", true) },
 			func(c *cluster) { c.network.Partition("member-0", false) })
-		convey.Convey("The member that changes it is cut off: afterwards all read one whole value, the new one if that was confirmed", t, func() {
-			for _, value := range cut {
+		convey.Convey("If the proposer is partitioned, all members read the same complete value afterwards: the new one if it was confirmed", t, func() {
+			for _, value := range partitioned {
 				convey.So(value == before || value == after, convey.ShouldBeTrue)
-				convey.So(value == cut[0], convey.ShouldBeTrue)
+				convey.So(value == partitioned[0], convey.ShouldBeTrue)
 			}
-			if cutErr == nil {
-				convey.So(cut[0] == after, convey.ShouldBeTrue)
+			if partitionedErr == nil {
+				convey.So(partitioned[0] == after, convey.ShouldBeTrue)
 			}
 		})
 	}
--- a/internal/controlplane/register/wire_test.go
+++ b/internal/controlplane/register/wire_test.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
+// TestEncodedFormsMatchGoldenFiles guards the encoding of types that are exchanged with other builds or stored.
 func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "accepted state", Value: new(acceptedState)},
@@ -24,7 +24,7 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
+// TestWireConstantsAreUnchanged guards the constants that are exchanged with other builds or stored.
 func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: TablePrefix, Want: "register/"},
