--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestWrongChunksAndManifestsAreRefused(t *testing.T) {
+func TestWrongChunksAndManifestsAreRejected(t *testing.T) {
 	Convey("Given an assembler without any chunk", t, func() {
 		content := configurationBody(100, 3)
 		split := Split(content)
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestParseRefusesTruncatedBodies(t *testing.T) {
+func TestParseRejectsTruncatedBodies(t *testing.T) {
 	Convey("No proper prefix of a valid body is valid", t, func() {
 		for length := range exampleBody {
 			if _, err := Parse([]byte(exampleBody[:length])); err == nil {
--- a/internal/controlplane/configuration/put_test.go
+++ b/internal/controlplane/configuration/put_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestPut(t *testing.T) {
+func TestPutAppliesOnlyUpdatesOfTheCurrentVersion(t *testing.T) {
 	ctx := context.Background()
 	Convey("Given an empty register", t, func() {
 		register := &fakeRegister{}
--- a/internal/controlplane/configuration/resentupdate_test.go
+++ b/internal/controlplane/configuration/resentupdate_test.go
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestAppliedUpdateIsConfirmedThoughValidationRefusesIt(t *testing.T) {
+func TestAppliedUpdateIsConfirmedThoughValidationRejectsIt(t *testing.T) {
 	ctx := context.Background()
 	// An earlier release may have applied a body that this release rejects. Both run at the same time during a rolling update.
 	memberWithApplied := func(request updateRequest) *Configurator {
--- a/internal/controlplane/configuration/simulation_test.go
+++ b/internal/controlplane/configuration/simulation_test.go
@@ -53,7 +53,7 @@
 		memberCount := 3 + int(seed%2)*2
 		s = &simulation{cluster: newSimulatedCluster(t, seed, memberCount), checker: newChecker(), random: rand.New(rand.NewPCG(seed, 0)), membersStarted: memberCount}
 		ctx, cancel := context.WithTimeout(context.Background(), faultTime)
-		deadline, stopDeadline := context.WithTimeout(context.Background(), faultTime+recoveryTime)
+		deadline, cancelDeadline := context.WithTimeout(context.Background(), faultTime+recoveryTime)
 		var running sync.WaitGroup
 		for number := range operatorCount {
 			o := &operator{number: number, cluster: s.cluster, checker: s.checker, random: rand.New(rand.NewPCG(seed, uint64(number)+1))}
@@ -68,7 +68,7 @@
 		running.Wait()
 		s.checkFinalState()
 		cancel()
-		stopDeadline()
+		cancelDeadline()
 		s.cluster.stopAll()
 		<-time.After(drainTime)
 	})
@@ -190,11 +190,11 @@
 		}
 		defaultCount = count
 	}
-	var all []uint64
+	var seeds []uint64
 	for seed := range uint64(defaultCount) {
-		all = append(all, seed)
+		seeds = append(seeds, seed)
 	}
-	return all
+	return seeds
 }
 
 // report prints the violations in a schedule, and how to repeat the simulation.
@@ -224,13 +224,13 @@
 	answers, replaced := 0, uint64(0)
 	t.Run("schedules", func(t *testing.T) {
 		workers := runtime.GOMAXPROCS(0)
-		all := seedsToSimulate(t, scheduleCount)
+		seeds := seedsToSimulate(t, scheduleCount)
 		for worker := range workers {
 			t.Run(fmt.Sprintf("worker %d", worker), func(t *testing.T) {
 				t.Parallel()
-				for index := worker; index < len(all) && !failed.Load(); index += workers {
-					s := simulate(t, all[index])
-					s.report(t, all[index])
+				for index := worker; index < len(seeds) && !failed.Load(); index += workers {
+					s := simulate(t, seeds[index])
+					s.report(t, seeds[index])
 					if t.Failed() {
 						failed.Store(true) // one failed schedule is enough to investigate
 					}
--- a/internal/controlplane/configuration/simulationchecker_test.go
+++ b/internal/controlplane/configuration/simulationchecker_test.go
@@ -25,7 +25,7 @@
 }
 
 // observedAnswers records how members have answered an update.
-type observedAnswers struct{ confirmed, refused bool }
+type observedAnswers struct{ confirmed, rejected bool }
 
 // checker checks every answer of a member, including those that the operator never received.
 type checker struct {
@@ -92,14 +92,14 @@
 		if c.answersByRequest[update].confirmed {
 			c.addViolation("%s rejects with %d an update that was confirmed: %+v", address, status, update)
 		}
-		c.answersByRequest[update].refused = true
+		c.answersByRequest[update].rejected = true
 		return true
 	}
 	return false
 }
 
 func (c *checker) checkConfirmed(address string, update sentUpdate) {
-	if c.answersByRequest[update].refused {
+	if c.answersByRequest[update].rejected {
 		c.addViolation("%s confirms an update that was rejected: %+v", address, update)
 	}
 	if other, found := c.confirmedByBase[update.ifMatch]; found && other != update {
@@ -131,7 +131,7 @@
 	}
 	c.highestVersion = max(c.highestVersion, version)
 	for update, answers := range c.answersByRequest {
-		if update.version == version && update.body == body && answers.refused && !answers.confirmed && !c.hasSameBodyElsewhere(update) {
+		if update.version == version && update.body == body && answers.rejected && !answers.confirmed && !c.hasSameBodyElsewhere(update) {
 			c.addViolation("read of %s returns an update that was rejected: %+v", address, update)
 		}
 	}
@@ -167,7 +167,7 @@
 		if answers.confirmed && !inForce[[2]uint64{update.ifMatch, update.version}] {
 			c.addViolation("confirmed update is not in the history: %+v", update)
 		}
-		if answers.refused && update.ifMatch == version && update.version > version {
+		if answers.rejected && update.ifMatch == version && update.version > version {
 			c.addViolation("rejected update is based on the version in force: %+v", update)
 		}
 	}
--- a/internal/controlplane/configuration/simulationnetwork_test.go
+++ b/internal/controlplane/configuration/simulationnetwork_test.go
@@ -31,7 +31,7 @@
 
 var (
 	errUnreachable = errors.New("no process serves the address")
-	errRefused     = errors.New("the call was rejected")
+	errRejected    = errors.New("the call was rejected")
 )
 
 // direction identifies a one-way link from one member to another.
@@ -218,9 +218,9 @@
 		case http.StatusOK:
 			return msgpack.Unmarshal(answer.Body.Bytes(), reply)
 		case http.StatusServiceUnavailable, http.StatusNotFound:
-			return rpcerror.WrapNotExecuted(errRefused, 0)
+			return rpcerror.WrapNotExecuted(errRejected, 0)
 		}
-		return rpcerror.WrapMayHaveExecuted(errRefused)
+		return rpcerror.WrapMayHaveExecuted(errRejected)
 	case <-ctx.Done():
 		return rpcerror.WrapMayHaveExecuted(context.Cause(ctx))
 	}
--- a/internal/controlplane/register/modelproposer_test.go
+++ b/internal/controlplane/register/modelproposer_test.go
@@ -12,8 +12,8 @@
 	model.diskLosses++
 	model.members[m] = memberModel{}
 	for p := range model.proposers {
-		if state := &model.proposers[p]; state.phase != idle {
-			state.diskLost = state.diskLost.with(m)
+		if proposer := &model.proposers[p]; proposer.phase != idle {
+			proposer.diskLost = proposer.diskLost.with(m)
 		}
 		if hostingMember(p) == m {
 			t.restartProposer(model, p)
@@ -23,49 +23,49 @@
 
 // restartProposer kills and restarts a proposer's process. The outcome of its operation remains unknown.
 func (t *transitions) restartProposer(model *modelState, p int) {
-	state := &model.proposers[p]
-	operation := state.operation
-	if state.phase != idle {
+	proposer := &model.proposers[p]
+	operation := proposer.operation
+	if proposer.phase != idle {
 		t.closeRound(model, p)
 		operation++
 	}
-	*state = proposerModel{operation: operation}
+	*proposer = proposerModel{operation: operation}
 }
 
 // beginOperation begins a proposer's next operation.
 func (t *transitions) beginOperation(model *modelState, p int) {
-	state := &model.proposers[p]
-	*state = proposerModel{operation: state.operation, counter: state.counter, longestReturnedAtBegin: model.longestReturned}
+	proposer := &model.proposers[p]
+	*proposer = proposerModel{operation: proposer.operation, counter: proposer.counter, longestReturnedAtBegin: model.longestReturned}
 	t.beginAttempt(model, p)
 }
 
 func (t *transitions) beginAttempt(model *modelState, p int) {
-	state := &model.proposers[p]
-	state.counter++
-	state.proposalNumber, state.view = state.counter, model.members[hostingMember(p)].view
-	state.proposed, state.value = 0, 0
+	proposer := &model.proposers[p]
+	proposer.counter++
+	proposer.proposalNumber, proposer.view = proposer.counter, model.members[hostingMember(p)].view
+	proposer.proposed, proposer.value = 0, 0
 	t.openRound(model, p, preparing)
 }
 
 func (t *transitions) openRound(model *modelState, p int, phase proposerPhase) {
-	state := &model.proposers[p]
-	state.phase, state.delivered, state.answered, state.conflicts, state.newerView, state.diskLost = phase, 0, 0, 0, 0, 0
-	state.grants, state.grantCount = [3]internedID{}, 0
+	proposer := &model.proposers[p]
+	proposer.phase, proposer.delivered, proposer.answered, proposer.conflicts, proposer.newerView, proposer.diskLost = phase, 0, 0, 0, 0, 0
+	proposer.grants, proposer.grantCount = [3]internedID{}, 0
 }
 
 // closeRound ends a round. Requests that members have not received stay in flight.
 func (t *transitions) closeRound(model *modelState, p int) {
-	state := &model.proposers[p]
-	pending := membersOfView(state.view) &^ state.delivered
+	proposer := &model.proposers[p]
+	pending := membersOfView(proposer.view) &^ proposer.delivered
 	if t.budget.duplicates {
-		pending = membersOfView(state.view)
+		pending = membersOfView(proposer.view)
 	}
-	if pending == 0 || state.phase == preparing && !t.budget.latePrepare {
+	if pending == 0 || proposer.phase == preparing && !t.budget.latePrepare {
 		return
 	}
 	for i := range model.lateRequests {
 		if model.lateRequests[i].pendingMembers == 0 {
-			model.lateRequests[i] = lateRequest{uint8(p), state.phase, state.proposalNumber, state.view, state.proposed, pending}
+			model.lateRequests[i] = lateRequest{uint8(p), proposer.phase, proposer.proposalNumber, proposer.view, proposer.proposed, pending}
 			return
 		}
 	}
@@ -73,14 +73,14 @@
 
 // nextAttempt ends a failed attempt, and begins another one if the budget allows it.
 func (t *transitions) nextAttempt(model *modelState, p int, err error) string {
-	state := &model.proposers[p]
+	proposer := &model.proposers[p]
 	t.closeRound(model, p)
 	var mismatch *viewError
 	if errors.As(err, &mismatch) {
 		t.learn(model, hostingMember(p), uint8(mismatch.view.Version))
 	}
-	state.attempt++
-	if state.attempt == t.budget.attempts || model.members[hostingMember(p)].view == 0 {
+	proposer.attempt++
+	if proposer.attempt == t.budget.attempts || model.members[hostingMember(p)].view == 0 {
 		return t.endWithError(model, p, err)
 	}
 	t.beginAttempt(model, p)
@@ -89,10 +89,10 @@
 
 // deliverRequest delivers the request of an open round to a member.
 func (t *transitions) deliverRequest(model *modelState, p, m int, kind stepKind) string {
-	state, member := &model.proposers[p], &model.members[m]
+	proposer, member := &model.proposers[p], &model.members[m]
 	in := voteInput{
-		stored: member.stored, view: member.view, ready: member.ready(), phase: state.phase,
-		proposer: uint8(p), proposalNumber: state.proposalNumber, requestView: state.view, proposed: state.proposed,
+		stored: member.stored, view: member.view, ready: member.ready(), phase: proposer.phase,
+		proposer: uint8(p), proposalNumber: proposer.proposalNumber, requestView: proposer.view, proposed: proposer.proposed,
 	}
 	if kind == stepCallLearns || kind == stepCallCopies {
 		in.learnedView = 2
@@ -103,10 +103,10 @@
 	}
 	out := t.protocol.vote(in)
 	member.stored = out.stored
-	if state.delivered == 0 {
-		state.diskLost = 0
+	if proposer.delivered == 0 {
+		proposer.diskLost = 0
 	}
-	state.delivered = state.delivered.with(m)
+	proposer.delivered = proposer.delivered.with(m)
 	if kind == stepCallLost {
 		return ""
 	}
@@ -117,41 +117,41 @@
 
 // countAnswer counts an answer by the real round.
 func (t *transitions) countAnswer(model *modelState, p, m int, out voteOutput) string {
-	state := &model.proposers[p]
-	view := modelViews[state.view]
-	openRound := &round{view: view, granted: make([]reply, state.grantCount), conflicts: int(state.conflicts), newer: modelViews[state.newerView]}
+	proposer := &model.proposers[p]
+	view := modelViews[proposer.view]
+	counted := &round{view: view, granted: make([]reply, proposer.grantCount), conflicts: int(proposer.conflicts), newer: modelViews[proposer.newerView]}
 	next := answer{reply: reply{Outcome: out.outcome, View: modelViews[out.view], Promised: ProposalNumber{Counter: uint64(out.promised)}}}
 	if out.failed {
 		next = answer{err: errNoAnswer}
 	}
-	openRound.count(next)
-	state.answered = state.answered.with(m)
-	state.conflicts, state.newerView = uint8(openRound.conflicts), uint8(openRound.newer.Version)
-	state.counter = max(state.counter, uint8(openRound.highestPromised.Counter))
-	if len(openRound.granted) > int(state.grantCount) {
-		state.grants[state.grantCount] = out.accepted
-		state.grantCount++
-		slices.Sort(state.grants[:state.grantCount])
-	}
-	switch outstanding := len(view.Members) - state.answered.count(); {
-	case len(openRound.granted) >= view.Quorum():
+	counted.count(next)
+	proposer.answered = proposer.answered.with(m)
+	proposer.conflicts, proposer.newerView = uint8(counted.conflicts), uint8(counted.newer.Version)
+	proposer.counter = max(proposer.counter, uint8(counted.highestPromised.Counter))
+	if len(counted.granted) > int(proposer.grantCount) {
+		proposer.grants[proposer.grantCount] = out.accepted
+		proposer.grantCount++
+		slices.Sort(proposer.grants[:proposer.grantCount])
+	}
+	switch outstanding := len(view.Members) - proposer.answered.count(); {
+	case len(counted.granted) >= view.Quorum():
 		return t.continueAfterMajority(model, p)
-	case len(openRound.granted)+outstanding < view.Quorum():
-		return t.nextAttempt(model, p, openRound.failure())
+	case len(counted.granted)+outstanding < view.Quorum():
+		return t.nextAttempt(model, p, counted.failure())
 	}
 	return ""
 }
 
 // continueAfterMajority continues an operation after a majority has granted a round.
 func (t *transitions) continueAfterMajority(model *modelState, p int) string {
-	state := &model.proposers[p]
-	if state.phase == accepting {
+	proposer := &model.proposers[p]
+	if proposer.phase == accepting {
 		t.closeRound(model, p)
-		return t.endWithValue(model, p, state.value)
+		return t.endWithValue(model, p, proposer.value)
 	}
 	decided := t.protocol.decide(decisionInput{
-		grants: state.grants, grantCount: state.grantCount, proposals: state.proposals, proposalCount: state.proposalCount,
-		proposer: uint8(p), operation: state.operation, proposalNumber: state.proposalNumber, view: state.view,
+		grants: proposer.grants, grantCount: proposer.grantCount, proposals: proposer.proposals, proposalCount: proposer.proposalCount,
+		proposer: uint8(p), operation: proposer.operation, proposalNumber: proposer.proposalNumber, view: proposer.view,
 	})
 	t.closeRound(model, p)
 	switch {
@@ -160,10 +160,10 @@
 	case decided.committed:
 		return t.endWithValue(model, p, decided.value)
 	case decided.proposes:
-		state.proposals[state.proposalCount] = decided.proposed
-		state.proposalCount++
+		proposer.proposals[proposer.proposalCount] = decided.proposed
+		proposer.proposalCount++
 	}
-	state.proposed, state.value = decided.proposed, decided.value
+	proposer.proposed, proposer.value = decided.proposed, decided.value
 	t.openRound(model, p, accepting)
 	return ""
 }
@@ -184,9 +184,9 @@
 
 // endWithValue ends an operation with a value, and checks the value against all values returned before.
 func (t *transitions) endWithValue(model *modelState, p int, value internedID) string {
-	state := &model.proposers[p]
-	operation, longestAtBegin := state.operation, t.protocol.interned[state.longestReturnedAtBegin]
-	*state = proposerModel{operation: max(operation+1, firstRead), counter: state.counter}
+	proposer := &model.proposers[p]
+	operation, longestAtBegin := proposer.operation, t.protocol.interned[proposer.longestReturnedAtBegin]
+	*proposer = proposerModel{operation: max(operation+1, firstRead), counter: proposer.counter}
 	returned, longest := t.protocol.interned[value], t.protocol.interned[model.longestReturned]
 	if len(returned) > len(longest) {
 		model.longestReturned = value
@@ -217,10 +217,10 @@
 
 // endWithError ends an operation with an error.
 func (t *transitions) endWithError(model *modelState, p int, err error) string {
-	state := &model.proposers[p]
-	if state.operation == 0 && certainlyNotExecuted(state, err) {
+	proposer := &model.proposers[p]
+	if proposer.operation == 0 && certainlyNotExecuted(proposer, err) {
 		model.notExecuted = model.notExecuted.with(p)
 	}
-	*state = proposerModel{operation: max(state.operation+1, firstRead), counter: state.counter}
+	*proposer = proposerModel{operation: max(proposer.operation+1, firstRead), counter: proposer.counter}
 	return t.checkTokens(model, t.protocol.interned[model.longestReturned])
 }
--- a/internal/controlplane/register/modelsteps_test.go
+++ b/internal/controlplane/register/modelsteps_test.go
@@ -16,7 +16,7 @@
 const (
 	stepBegin       stepKind = iota // a proposer begins its next operation
 	stepCall                        // a member receives the request of an open round, and its answer arrives
-	stepCallLost                    // the same, but the answer is lost
+	stepCallLost                    // as stepCall, but the answer is lost
 	stepCallLearns                  // as stepCall, and the member learns the next view while it stores its vote
 	stepCallCopies                  // as stepCallLearns, and the member gives the joining member a copy without the vote
 	stepTimeout                     // a round ends without a majority
@@ -139,15 +139,15 @@
 type stepVisitor func(taken step, act func(after *modelState) string)
 
 func (t *transitions) eachProposerStep(model *modelState, p int, visit stepVisitor) {
-	state := &model.proposers[p]
+	proposer := &model.proposers[p]
 	home := hostingMember(p)
-	if state.phase == idle {
-		if state.operation < firstRead+readsPerProposer && model.members[home].view > 0 {
+	if proposer.phase == idle {
+		if proposer.operation < firstRead+readsPerProposer && model.members[home].view > 0 {
 			visit(step{stepBegin, uint8(p), 0}, func(after *modelState) string { t.beginOperation(after, p); return "" })
 		}
 		return
 	}
-	if state.delivered != 0 {
+	if proposer.delivered != 0 {
 		visit(step{stepTimeout, uint8(p), 0}, func(after *modelState) string { return t.nextAttempt(after, p, errNoAttemptLeft) })
 	}
 	if model.restarts < t.budget.restarts {
@@ -158,7 +158,7 @@
 		})
 	}
 	for m := range model.members {
-		if !inView(state.view, m) || state.delivered.has(m) {
+		if !inView(proposer.view, m) || proposer.delivered.has(m) {
 			continue
 		}
 		kinds := []stepKind{stepCall}
@@ -234,7 +234,7 @@
 		return false
 	}
 	for p := range model.proposers {
-		if state := &model.proposers[p]; state.delivered != 0 && state.diskLost.has(m) && !t.protocol.omitted.copiesDuringOpenRounds {
+		if proposer := &model.proposers[p]; proposer.delivered != 0 && proposer.diskLost.has(m) && !t.protocol.omitted.copiesDuringOpenRounds {
 			return false
 		}
 	}
