--- a/internal/controlplane/chunks/assembler.go
+++ b/internal/controlplane/chunks/assembler.go
@@ -1,6 +1,6 @@
 package chunks
 
-// Assembler assembles one content from its chunks. It is not safe for concurrent use.
+// Assembler assembles a large value, the content, from its chunks. It is not safe for concurrent use.
 type Assembler struct {
 	manifest Manifest
 	order    []Sum // checksums in the order of the content; a checksum may occur more than once
--- a/internal/controlplane/chunks/chunking.go
+++ b/internal/controlplane/chunks/chunking.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Chunking is a content that is split into chunks. Each chunk is packed when it is first needed. Its methods are safe for
+// Chunking is content that is split into chunks. Each chunk is packed when it is first needed. Its methods are safe for
 // concurrent use.
 type Chunking struct {
 	manifest Manifest
@@ -13,7 +13,7 @@
 	packed map[Sum][]byte
 }
 
-// NewChunking splits a content. It reuses the packed chunks of an earlier chunking, which may be nil.
+// NewChunking splits content into chunks. It reuses the packed chunks of an earlier chunking, which may be nil.
 func NewChunking(content []byte, earlier *Chunking) *Chunking {
 	split := Split(content)
 	manifest := NewManifest(content, split)
--- a/internal/controlplane/chunks/chunks_test.go
+++ b/internal/controlplane/chunks/chunks_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestSmallEditChangesFewChunks(t *testing.T) {
-	Convey("Given a large content and an edited version of it", t, func() {
+	Convey("Given large content and an edited version of it", t, func() {
 		before := configurationBody(1830, 41)
 		after := bytes.Replace(configurationBody(1830, 42), []byte(`"timeoutMs":3004`), []byte(`"timeoutMs":35000`), 1)
 		known := make(map[Sum][]byte)
@@ -93,7 +93,7 @@
 		assembler, err := NewAssembler(manifestOf(content))
 		So(err, ShouldBeNil)
 
-		Convey("a chunk of another content is ignored", func() {
+		Convey("a chunk of other content is ignored", func() {
 			So(assembler.Add([]byte("other")), ShouldBeFalse)
 			So(assembler.MissingCount(), ShouldEqual, len(split))
 		})
@@ -107,7 +107,7 @@
 			So(assembler.Add(split[0]), ShouldBeFalse)
 			So(assembler.MissingCount(), ShouldEqual, len(split)-1)
 		})
-		Convey("an incomplete content is an error", func() {
+		Convey("incomplete content is an error", func() {
 			_, err := assembler.Content()
 			So(err, ShouldWrap, ErrContent)
 		})
--- a/internal/controlplane/chunks/doc.go
+++ b/internal/controlplane/chunks/doc.go
@@ -6,7 +6,7 @@
 // order. The receiver creates an [Assembler] from the manifest and its local chunk sources, and requests the missing chunks.
 // [Assembler.Content] then returns the content, verified against the manifest.
 //
-// A chunk boundary depends only on the bytes directly before it, so a small edit of a large content changes few chunks.
+// A chunk boundary depends only on the bytes directly before it, so a small edit of large content changes few chunks.
 // Boundaries are placed by a Gear rolling hash (Xia et al., "Ddelta: A Deduplication-Inspired Fast Delta Compression
 // Approach", Performance Evaluation 79, 2014). FastCDC (USENIX ATC 2016) uses the same hash.
 //
--- a/internal/controlplane/chunks/manifest.go
+++ b/internal/controlplane/chunks/manifest.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// MaxContentBytes is the maximum length of a content, so that a malformed manifest cannot make a receiver allocate all its memory.
+// MaxContentBytes is the maximum length of the content, so that a malformed manifest cannot make a receiver allocate all its memory.
 const MaxContentBytes = 16 << 20
 
 // Errors for manifests and contents that were not received as sent.
@@ -16,14 +16,14 @@
 	ErrContent = errors.New("the chunks do not form the content that the manifest describes")
 )
 
-// Manifest identifies a content and lists its chunks in order.
+// Manifest identifies content by its checksum and lists its chunks in order.
 type Manifest struct {
 	Sum    Sum    `msgpack:"s"` // checksum of the content
 	Bytes  int    `msgpack:"n"` // length of the content
 	Chunks []byte `msgpack:"p"` // concatenated checksums of the chunks
 }
 
-// NewManifest returns the manifest of a content, given the chunks into which it was split.
+// NewManifest returns the manifest of content, given the chunks into which it was split.
 func NewManifest(content []byte, split [][]byte) Manifest {
 	sums := make([]Sum, 0, len(split))
 	for _, chunk := range split {
--- a/internal/controlplane/chunks/split.go
+++ b/internal/controlplane/chunks/split.go
@@ -1,7 +1,7 @@
 package chunks
 
 const (
-	// minChunkBytes is the minimum length of a chunk. Only the last chunk of a content may be shorter.
+	// minChunkBytes is the minimum length of a chunk. Only the last chunk may be shorter.
 	minChunkBytes = 512
 	// maxChunkBytes is the maximum length of a chunk. A change costs the bytes of the manifest (16 per chunk) and those of the
 	// chunks around the change. Chunks of a few kilobytes keep both costs low for contents of 50 KB to 1 MB.
@@ -25,7 +25,7 @@
 	return table
 }
 
-// Split splits a content into chunks. The chunks share the content's memory.
+// Split splits content into chunks. The chunks share its memory.
 func Split(content []byte) [][]byte {
 	var split [][]byte
 	for len(content) > 0 {
--- a/internal/controlplane/chunks/sum.go
+++ b/internal/controlplane/chunks/sum.go
@@ -5,10 +5,10 @@
 // SumBytes is the length of a checksum, which is a SHA-256 hash truncated to 128 bits.
 const SumBytes = 16
 
-// Sum is the checksum of a chunk or of a whole content.
+// Sum is the checksum of a chunk or of the complete content.
 type Sum [SumBytes]byte
 
-// SumOf returns the checksum of a chunk or of a whole content.
+// SumOf returns the checksum of a chunk or of the complete content.
 func SumOf(content []byte) Sum {
 	digest := sha256.Sum256(content)
 	return Sum(digest[:SumBytes])
--- a/internal/controlplane/register/modelrules_test.go
+++ b/internal/controlplane/register/modelrules_test.go
@@ -38,9 +38,9 @@
 	learned   map[learnInput]learnOutput
 }
 
-func newProtocolRules(omitted omittedRules, once bool) *protocolRules {
+func newProtocolRules(omitted omittedRules, onlyOneWrite bool) *protocolRules {
 	return &protocolRules{
-		omitted: omitted, writeOnce: once, interned: []string{""}, ids: map[string]internedID{"": 0},
+		omitted: omitted, writeOnce: onlyOneWrite, interned: []string{""}, ids: map[string]internedID{"": 0},
 		votes: make(map[voteInput]voteOutput), decisions: make(map[decisionInput]decisionOutput),
 		merges: make(map[[3]storedIDs]storedIDs), learned: make(map[learnInput]learnOutput),
 	}
@@ -50,10 +50,10 @@
 	if id, found := r.ids[string(encoded)]; found {
 		return id
 	}
-	number := internedID(len(r.interned))
+	newID := internedID(len(r.interned))
 	r.interned = append(r.interned, string(encoded))
-	r.ids[string(encoded)] = number
-	return number
+	r.ids[string(encoded)] = newID
+	return newID
 }
 
 func (r *protocolRules) encode(value any) internedID {
--- a/internal/controlplane/register/modelstate_test.go
+++ b/internal/controlplane/register/modelstate_test.go
@@ -88,7 +88,7 @@
 	newerView              uint8 // version of a newer view that a member has reported
 	grants                 [3]internedID
 	grantCount             uint8
-	diskLost               memberSet  // members that lost their disks since the round was opened
+	diskLost               memberSet  // members that lost their disks since the round's first call
 	proposed               internedID // state that the accept round proposes
 	proposals              [maxModelAttempts]internedID
 	proposalCount          uint8
@@ -130,9 +130,9 @@
 
 // operationOf returns a proposer's operation. The first operations append a token to the value; for a write-once register they set
 // the value only if there is none. Later operations are reads.
-func operationOf(proposer, operation int, once bool) func([]byte) ([]byte, error) {
+func operationOf(proposer, operation int, onlyOneWrite bool) func([]byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
-		if operation >= firstRead || once && current != nil {
+		if operation >= firstRead || onlyOneWrite && current != nil {
 			return current, nil
 		}
 		return append([]byte(string(current)), tokenOf(proposer, operation)), nil
--- a/internal/controlplane/register/modelsteps_test.go
+++ b/internal/controlplane/register/modelsteps_test.go
@@ -256,8 +256,8 @@
 		return
 	}
 	var copies []storedIDs
-	for source, stored := range member.copies {
-		if member.copySources.has(source) {
+	for from, stored := range member.copies {
+		if member.copySources.has(from) {
 			copies = append(copies, stored)
 		}
 	}
