--- a/internal/controlplane/configuration/wire_test.go
+++ b/internal/controlplane/configuration/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles guards the encoding of types that are exchanged with other builds or stored.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "learn", Value: new(Announcement)},
 		goldentest.Form{Name: "learn reply", Value: new(AnnouncementReply)},
@@ -22,8 +22,8 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged guards the constants that are exchanged with other builds.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: AnnounceCall.Path(), Want: "/configuration/learn"},
 	)
--- a/internal/controlplane/register/wire_test.go
+++ b/internal/controlplane/register/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles guards the encoding of types that are exchanged with other builds or stored.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "accepted state", Value: new(acceptedState)},
 		goldentest.Form{Name: "ballot", Value: new(ProposalNumber)},
@@ -24,8 +24,8 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged guards the constants that are exchanged with other builds or stored.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: TablePrefix, Want: "register/"},
 		goldentest.Constant{Have: promisedKey, Want: "promised"},
