--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -69,7 +69,7 @@
 	if settings.DataDirectory == "" {
 		return nil, errNoDisk
 	}
-	store, opened, err := storage.Open(storage.OperatingSystem{}, settings.DataDirectory, storeOptions(settings.Limits))
+	store, opened, err := storage.Open(storage.OSFileSystem{}, settings.DataDirectory, storeOptions(settings.Limits))
 	if err != nil {
 		return nil, fmt.Errorf("open the store in %s: %w", settings.DataDirectory, err)
 	}
--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -193,7 +193,7 @@
 			disk.LosePowerAt(operation, operation%2 == 0)
 			<-c.run(c.start("member-2", store, false))
 			store.Close()
-			store, _, err = storage.Open(disk.Restore(rand.New(rand.NewPCG(uint64(operation), 0))), "/data", storage.Options{})
+			store, _, err = storage.Open(disk.RestorePower(rand.New(rand.NewPCG(uint64(operation), 0))), "/data", storage.Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -23,7 +23,7 @@
 )
 
 // unsyncedFileSystem is the machine's files without the wait for the disk; the process here only ends, and the power stays.
-type unsyncedFileSystem struct{ storage.OperatingSystem }
+type unsyncedFileSystem struct{ storage.OSFileSystem }
 
 type unsyncedFile struct{ storage.File }
 
@@ -32,7 +32,7 @@
 
 // Create implements storage.FileSystem.
 func (u unsyncedFileSystem) Create(name string) (storage.File, error) {
-	file, err := u.OperatingSystem.Create(name)
+	file, err := u.OSFileSystem.Create(name)
 	return unsyncedFile{file}, err
 }
 
@@ -78,7 +78,7 @@
 			So(file.Size(), ShouldBeLessThan, maxFileBytes)
 
 			began := time.Now()
-			reopened, _, err := storage.Open(storage.OperatingSystem{}, directory, storage.Options{})
+			reopened, _, err := storage.Open(storage.OSFileSystem{}, directory, storage.Options{})
 			took := time.Since(began)
 			So(err, ShouldBeNil)
 			defer reopened.Close()
--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -116,7 +116,7 @@
 }
 
 func openStored(t *testing.T, folder string) *storage.FileStore {
-	store, _, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
+	store, _, err := storage.Open(storage.OSFileSystem{}, folder, storage.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/replicaset/stored_test.go
+++ b/internal/controlplane/replicaset/stored_test.go
@@ -55,7 +55,7 @@
 }
 
 func openStored(t *testing.T, folder string) *storage.FileStore {
-	store, _, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
+	store, _, err := storage.Open(storage.OSFileSystem{}, folder, storage.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/replication/largestate_test.go
+++ b/internal/controlplane/replication/largestate_test.go
@@ -111,7 +111,7 @@
 		opened := make(map[string]time.Duration)
 		open := func(address string) storage.Store {
 			began := time.Now()
-			store, _, err := storage.Open(storage.OperatingSystem{}, filepath.Join(directory, address), storage.Options{})
+			store, _, err := storage.Open(storage.OSFileSystem{}, filepath.Join(directory, address), storage.Options{})
 			So(err, ShouldBeNil)
 			stores[address] = &observedStore{FileStore: store, written: make(chan struct{}, 1)}
 			opened[address] = time.Since(began)
--- a/internal/controlplane/replication/simulateddisk_test.go
+++ b/internal/controlplane/replication/simulateddisk_test.go
@@ -40,7 +40,7 @@
 	}
 	f.disk.LosePower()
 	f.store.Close()
-	return newSimulatedStore(f.disk.Restore(random))
+	return newSimulatedStore(f.disk.RestorePower(random))
 }
 
 // makeDurable makes changes durable on a node.
--- a/internal/controlplane/replication/stored_test.go
+++ b/internal/controlplane/replication/stored_test.go
@@ -51,7 +51,7 @@
 func (storedHandler) Deposed(*Term)                    {}
 
 func openStored(t *testing.T, folder string) *storage.FileStore {
-	store, _, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
+	store, _, err := storage.Open(storage.OSFileSystem{}, folder, storage.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/storage/changes.go
+++ b/internal/controlplane/storage/changes.go
@@ -8,7 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// appendChanges appends the encoding of changes.
+// appendChanges appends the MessagePack encoding of changes to buffer and returns the extended buffer.
 func appendChanges(buffer []byte, changes []Change) ([]byte, error) {
 	output := bytes.NewBuffer(buffer)
 	encoder := msgpack.GetEncoder()
@@ -26,7 +26,7 @@
 	return output.Bytes(), nil
 }
 
-// decodeChanges decodes the payload of a record.
+// decodeChanges decodes the payload of a record, which is a sequence of encoded changes.
 func decodeChanges(payload []byte) ([]Change, error) {
 	reader := bytes.NewReader(payload)
 	decoder := msgpack.NewDecoder(reader)
--- a/internal/controlplane/storage/commitqueue.go
+++ b/internal/controlplane/storage/commitqueue.go
@@ -5,95 +5,97 @@
 	"sync"
 )
 
-// commit is one write that waits for the disk.
-type commit struct {
+// pendingWrite is a call of Write that waits until its changes are durable.
+type pendingWrite struct {
 	changes []Change
 	encoded []byte
-	done    chan error
+	done    chan error // receives the result of the write
 }
 
-// commitQueue hands the writes of many goroutines to the writer.
+// commitQueue passes the writes of many goroutines to the writer goroutine.
 type commitQueue struct {
-	wake chan struct{} // holds a token while there may be something to do
+	wake chan struct{} // has one buffered token while the writer may have work
 
-	mutex      sync.Mutex
-	waiting    []*commit
-	closed     bool
-	rejectWith error // the error of all further writes; nil while they are taken
+	mutex         sync.Mutex
+	pending       []*pendingWrite
+	closed        bool
+	terminalError error // the error of all further writes; nil while the queue accepts writes
 }
 
-// add queues a write, unless the store has failed or is closed.
-func (q *commitQueue) add(c *commit) error {
+// add queues a write. It returns an error if the store has failed or is closed.
+func (q *commitQueue) add(write *pendingWrite) error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.rejectWith != nil {
-		return q.rejectWith
+	if q.terminalError != nil {
+		return q.terminalError
 	}
-	q.waiting = append(q.waiting, c)
+	q.pending = append(q.pending, write)
 	q.signal()
 	return nil
 }
 
-// take removes the oldest writes, of at least one and about limit bytes together.
-func (q *commitQueue) take(limit int) []*commit {
+// takeBatch removes the oldest writes from the queue and returns them. The batch has at least one write if the queue is not
+// empty. It has more only while their encodings together are at most limit bytes long.
+func (q *commitQueue) takeBatch(limit int) []*pendingWrite {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	count, size := 0, 0
-	for count < len(q.waiting) {
-		size += len(q.waiting[count].encoded)
+	for count < len(q.pending) {
+		size += len(q.pending[count].encoded)
 		if count > 0 && size > limit {
 			break
 		}
 		count++
 	}
-	batch := q.waiting[:count:count]
-	q.waiting = q.waiting[count:]
-	if len(q.waiting) == 0 {
-		q.waiting = nil
+	batch := q.pending[:count:count]
+	q.pending = q.pending[count:]
+	if len(q.pending) == 0 {
+		q.pending = nil
 	}
 	return batch
 }
 
-// fail lets no more writes in and tells whether this was the first failure.
+// fail makes all further writes return err. It reports whether this is the first failure of the store.
 func (q *commitQueue) fail(err error) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	first := q.rejectWith == nil || q.closed && errors.Is(q.rejectWith, ErrClosed)
+	first := q.terminalError == nil || q.closed && errors.Is(q.terminalError, ErrClosed)
 	if first {
-		q.rejectWith = err
+		q.terminalError = err
 	}
 	return first
 }
 
-// close takes no more writes, which fail with err; those that are queued are still carried out.
+// close makes further writes return err. Writes that are already queued are still executed.
 func (q *commitQueue) close(err error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.closed = true
-	if q.rejectWith == nil {
-		q.rejectWith = err
+	if q.terminalError == nil {
+		q.terminalError = err
 	}
 	q.signal()
 }
 
-// failure is why a write that is queued cannot be carried out any more.
+// failure returns the error of queued writes after the store has failed. It returns nil while they can still be executed, also
+// after close.
 func (q *commitQueue) failure() error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if errors.Is(q.rejectWith, ErrClosed) {
+	if errors.Is(q.terminalError, ErrClosed) {
 		return nil
 	}
-	return q.rejectWith
+	return q.terminalError
 }
 
-// finished tells whether the queue is closed and empty.
-func (q *commitQueue) finished() bool {
+// drained reports whether the queue is closed and empty.
+func (q *commitQueue) drained() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.closed && len(q.waiting) == 0
+	return q.closed && len(q.pending) == 0
 }
 
-// signal wakes the writer.
+// signal wakes the writer goroutine.
 func (q *commitQueue) signal() {
 	select {
 	case q.wake <- struct{}{}:
--- a/internal/controlplane/storage/compaction.go
+++ b/internal/controlplane/storage/compaction.go
@@ -6,23 +6,25 @@
 	"time"
 )
 
-// snapshotRecordBytes is the length in bytes at which a snapshot record is ended.
-const snapshotRecordBytes = 1 << 20
+// minSnapshotRecordBytes is the payload length in bytes at which a snapshot record is written and the next one is started.
+const minSnapshotRecordBytes = 1 << 20
 
-// compactionThreshold is the length above which the file is compacted. It grows with the live data, so that compaction costs a
-// bounded part of all writing, and keeps the old and the new file within the limit together while that is possible.
+// compactionThreshold returns the file length in bytes above which the file is compacted. It grows with the live data, so that
+// compaction is a bounded share of all bytes written. Where possible, it keeps the old and the new file together within
+// Options.SizeLimit.
 func (s *FileStore) compactionThreshold() int64 {
-	live := s.contents.bytes // only this goroutine changes it
+	live := s.contents.estimatedBytes // read without the lock because only this goroutine modifies it
 	limit := s.options.SizeLimit
-	margin := min(maxBatchBytes, limit/8) // the file is longer than the threshold by up to one batch
-	threshold := min(compactionGrowth*live, limit-live-margin)
+	margin := min(maxBatchBytes, limit/8) // the file can exceed the threshold by one batch
+	threshold := min(compactionGrowthFactor*live, limit-live-margin)
 	threshold = max(threshold, live+live/4)
 	return max(threshold, min(s.options.CompactAbove, limit/4))
 }
 
-// compactIfLong compacts the file if it is too long. Where there is no space for that, the file stays in use as it is.
-func (s *FileStore) compactIfLong() error {
-	if s.length <= s.compactionThreshold() || time.Now().Before(s.compactNotBefore) {
+// compactIfNeeded compacts the file if it is longer than the threshold. If the disk has no space for the new file, the store
+// continues with the current one and retries after CompactionBackoff.
+func (s *FileStore) compactIfNeeded() error {
+	if s.fileLength <= s.compactionThreshold() || time.Now().Before(s.compactNotBefore) {
 		return nil
 	}
 	err := s.compact()
@@ -33,26 +35,26 @@
 	return err
 }
 
-// compact replaces the file by one that holds only the live data. The new file has all of it synced before it takes the
-// name, and nothing is written to it before the name is synced; so whichever of the two files a loss of power leaves
-// under the name, it holds every acknowledged write. After ErrWriteRejected the present file stays the store's.
+// compact replaces the file by a new one that holds only the live data. The new file is synced before it is renamed over the
+// old one. Nothing is appended to it before the directory is synced. A power loss may leave either file under the name, and
+// both hold every acknowledged write. If the error is ErrWriteRejected, the store continues with the current file.
 func (s *FileStore) compact() error {
-	next, err := s.files.Create(s.path(temporaryName))
+	next, err := s.files.Create(s.path(temporaryFileName))
 	if err != nil {
-		return rejectedWrite(fmt.Errorf("compact store: %w", err))
+		return newWriteRejectedError(fmt.Errorf("compact store: %w", err))
 	}
-	writer := snapshotWriter{file: next, fileNumber: newFileNumber()}
+	writer := snapshotWriter{file: next, fileID: newFileID()}
 	if err := s.writeSnapshot(&writer); err != nil {
-		_ = next.Close()                          // the file is given up
-		_ = s.files.Remove(s.path(temporaryName)) // to free its space; what stays is emptied by the next attempt
-		return rejectedWrite(fmt.Errorf("compact store: %w", err))
+		_ = next.Close()                              // the file is discarded
+		_ = s.files.Remove(s.path(temporaryFileName)) // frees the space; if it fails, the next attempt truncates the file
+		return newWriteRejectedError(fmt.Errorf("compact store: %w", err))
 	}
 	if err := s.replaceFile(next); err != nil {
-		_ = next.Close() // the store ends with the error before
+		_ = next.Close() // the store fails with the earlier error
 		return fmt.Errorf("compact store: %w", err)
 	}
 	previous := s.file
-	s.file, s.fileNumber, s.length = next, writer.fileNumber, writer.length
+	s.file, s.fileID, s.fileLength = next, writer.fileID, writer.length
 	if previous != nil {
 		return previous.Close()
 	}
@@ -60,10 +62,10 @@
 }
 
 func (s *FileStore) writeSnapshot(writer *snapshotWriter) error {
-	if err := writer.write(encodeHeader(writer.fileNumber)); err != nil {
+	if err := writer.write(encodeFileHeader(writer.fileID)); err != nil {
 		return err
 	}
-	// Values are immutable and only this goroutine changes the tables, so reading them needs no lock.
+	// No lock is needed for reading: values are immutable, and only this goroutine modifies the tables.
 	for name, table := range s.contents.tables {
 		for key, value := range table {
 			if err := writer.add(Change{Table: name, Key: key, Value: value}); err != nil {
@@ -74,26 +76,26 @@
 	if err := writer.flush(); err != nil {
 		return err
 	}
-	return writer.record(snapshotEnd, nil)
+	return writer.writeRecord(snapshotEndKind, nil)
 }
 
-// replaceFile syncs the new file and gives it the name.
+// replaceFile syncs the new file, renames it over the current one and syncs the directory.
 func (s *FileStore) replaceFile(next File) error {
 	if err := next.Sync(); err != nil {
 		return err
 	}
-	if err := s.files.Rename(s.path(temporaryName), s.path(fileName)); err != nil {
+	if err := s.files.Rename(s.path(temporaryFileName), s.path(fileName)); err != nil {
 		return err
 	}
 	return s.files.SyncDirectory(s.directory)
 }
 
-// snapshotWriter writes the beginning of a new file.
+// snapshotWriter writes the file header and the snapshot records of a new file.
 type snapshotWriter struct {
-	file       File
-	fileNumber uint64
-	length     int64
-	payload    []byte
+	file    File
+	fileID  uint64
+	length  int64
+	payload []byte // of the next record
 }
 
 func (w *snapshotWriter) add(change Change) error {
@@ -102,7 +104,7 @@
 		return err
 	}
 	w.payload = payload
-	if len(w.payload) < snapshotRecordBytes {
+	if len(w.payload) < minSnapshotRecordBytes {
 		return nil
 	}
 	return w.flush()
@@ -112,13 +114,13 @@
 	if len(w.payload) == 0 {
 		return nil
 	}
-	err := w.record(snapshotRecord, w.payload)
+	err := w.writeRecord(snapshotRecordKind, w.payload)
 	w.payload = w.payload[:0]
 	return err
 }
 
-func (w *snapshotWriter) record(kind recordKind, payload []byte) error {
-	head := appendRecordHead(nil, w.fileNumber, w.length, kind, payload)
+func (w *snapshotWriter) writeRecord(kind recordKind, payload []byte) error {
+	head := appendRecordHeader(nil, w.fileID, w.length, kind, payload)
 	if err := w.write(head); err != nil {
 		return err
 	}
--- a/internal/controlplane/storage/contents.go
+++ b/internal/controlplane/storage/contents.go
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// entryOverhead is the estimated cost of a key on disk beyond its names and its value, in bytes.
-const entryOverhead = 16
+// entryOverheadBytes is the estimated length on disk of an entry without its table name, key and value, in bytes.
+const entryOverheadBytes = 16
 
-// Tables is the content of a store by table name. Its values must not be modified.
+// Tables maps table names to tables, which map keys to values. The values must not be modified.
 type Tables = map[string]map[string][]byte
 
-// SnapshotStore is a Store that can also copy all of its tables as of one moment.
+// SnapshotStore is a Store that also returns consistent snapshots of all its tables.
 type SnapshotStore interface {
 	Store
-	// Snapshot returns a copy of all tables as they were at one moment between two writes.
+	// Snapshot returns a copy of all tables. It has all changes of a write or none.
 	Snapshot() Tables
 }
 
-// guardedContents are the tables of a store and its reading methods, for any number of goroutines.
+// guardedContents holds the tables of a store and implements the read methods. They are safe for concurrent use.
 type guardedContents struct {
 	mutex    sync.RWMutex // guards contents
 	contents *contents
@@ -49,25 +49,25 @@
 	return g.contents.snapshot()
 }
 
-// contents are tables together with an estimate of their size on disk. The caller guards them.
+// contents holds tables and an estimate of their size on disk. It is not safe for concurrent use.
 type contents struct {
-	tables Tables
-	bytes  int64
+	tables         Tables
+	estimatedBytes int64
 }
 
 func newContents() *contents { return &contents{tables: Tables{}} }
 
 func entrySize(table, key string, value []byte) int64 {
-	return int64(len(table) + len(key) + len(value) + entryOverhead)
+	return int64(len(table) + len(key) + len(value) + entryOverheadBytes)
 }
 
 func (c *contents) apply(changes []Change) {
 	for _, change := range changes {
-		c.applyOne(change)
+		c.applyChange(change)
 	}
 }
 
-func (c *contents) applyOne(change Change) {
+func (c *contents) applyChange(change Change) {
 	switch {
 	case change.Value != nil:
 		c.set(change)
@@ -86,7 +86,7 @@
 		c.tables[change.Table] = table
 	}
 	table[change.Key] = change.Value
-	c.bytes += entrySize(change.Table, change.Key, change.Value)
+	c.estimatedBytes += entrySize(change.Table, change.Key, change.Value)
 }
 
 func (c *contents) remove(name, key string) {
@@ -95,7 +95,7 @@
 	if !found {
 		return
 	}
-	c.bytes -= entrySize(name, key, value)
+	c.estimatedBytes -= entrySize(name, key, value)
 	delete(table, key)
 	if len(table) == 0 {
 		delete(c.tables, name)
@@ -104,7 +104,7 @@
 
 func (c *contents) clear(name string) {
 	for key, value := range c.tables[name] {
-		c.bytes -= entrySize(name, key, value)
+		c.estimatedBytes -= entrySize(name, key, value)
 	}
 	delete(c.tables, name)
 }
@@ -125,7 +125,7 @@
 	return copied
 }
 
-// cloneChanges copies changes so that the caller may reuse its buffers.
+// cloneChanges returns a deep copy of changes, so that the caller may reuse its buffers.
 func cloneChanges(changes []Change) []Change {
 	cloned := slices.Clone(changes)
 	for i := range cloned {
--- a/internal/controlplane/storage/export_test.go
+++ b/internal/controlplane/storage/export_test.go
@@ -1,6 +1,6 @@
 package storage
 
-// What the tests of the file's format use.
+// Functions that the tests of the file format use.
 var (
 	DecodeChanges = decodeChanges
 	AppendChanges = appendChanges
--- a/internal/controlplane/storage/failure_test.go
+++ b/internal/controlplane/storage/failure_test.go
@@ -22,42 +22,43 @@
 	}
 }
 
-// runScriptToFailure runs the script on a store that is expected to fail during it, and returns the acknowledged writes.
-func runScriptToFailure(store *storage.FileStore, expected error) int {
+// runScriptUntilFailure runs the script on a store that is expected to fail during it. It returns the number of acknowledged
+// writes.
+func runScriptUntilFailure(store *storage.FileStore, expected error) int {
 	convey.So(isClosed(store.Failed()), convey.ShouldBeFalse)
 	acknowledged := runScript(store, 0)
 	convey.So(acknowledged, convey.ShouldBeBetween, 0, scriptLength)
 	<-store.Failed()
-	err := store.Write(script(acknowledged)...)
+	err := store.Write(scriptedWrite(acknowledged)...)
 	convey.So(errors.Is(err, expected), convey.ShouldBeTrue)
 	return acknowledged
 }
 
-func TestFailedSyncOrRollBackEndsTheStore(t *testing.T) {
-	convey.Convey("A store whose disk fails to sync fails for good", t, func() {
+func TestStoreFailsAfterFailedSyncOrRollback(t *testing.T) {
+	convey.Convey("A store fails for good after a failed sync", t, func() {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
 		disk.FailSyncAt(5)
-		runScriptToFailure(store, storagetest.ErrSync)
+		runScriptUntilFailure(store, storagetest.ErrSync)
 	})
 	convey.Convey("A store that cannot truncate an incomplete write fails for good, and recovers when it is reopened", t, func() {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
-		convey.So(store.Write(script(0)...), convey.ShouldBeNil)
+		convey.So(store.Write(scriptedWrite(0)...), convey.ShouldBeNil)
 		disk.SetFreeSpace(20)
 		disk.FailTruncate()
-		err := store.Write(script(1)...)
+		err := store.Write(scriptedWrite(1)...)
 		convey.So(errors.Is(err, storagetest.ErrTruncate), convey.ShouldBeTrue)
 		convey.So(errors.Is(err, storage.ErrWriteRejected), convey.ShouldBeFalse)
 		convey.So(rpcerror.ExecutionOf(err), convey.ShouldEqual, rpcerror.MayHaveExecuted)
 		<-store.Failed()
 		disk.SetCapacity(0)
-		convey.So(errors.Is(store.Write(script(1)...), storagetest.ErrTruncate), convey.ShouldBeTrue)
-		reopened, opened := mustOpen(t, disk.Kill(), directory, storage.Options{})
+		convey.So(errors.Is(store.Write(scriptedWrite(1)...), storagetest.ErrTruncate), convey.ShouldBeTrue)
+		reopened, opened := mustOpen(t, disk.KillProcess(), directory, storage.Options{})
 		convey.So(opened.TruncatedBytes, convey.ShouldEqual, 20)
 		checkContent(t, reopened, 1)
 	})
-	convey.Convey("Open fails on a full disk without a store, and makes one once there is space", t, func() {
+	convey.Convey("Open fails on a full disk without a store, and creates one once there is space", t, func() {
 		disk := storagetest.NewDisk()
 		disk.SetCapacity(10)
 		_, _, err := storage.Open(disk, directory, storage.Options{})
@@ -69,7 +70,7 @@
 	})
 }
 
-// openCorrupted opens a store on a file in which one byte differs.
+// openCorrupted opens a store with the given file content, in which it corrupts one byte.
 func openCorrupted(content []byte, position int) (*storage.FileStore, storage.OpenResult, error) {
 	content[position] ^= 0x20
 	disk := storagetest.NewDisk()
@@ -77,50 +78,50 @@
 	return storage.Open(disk, directory, storage.Options{})
 }
 
-func TestCorruptionIsDetected(t *testing.T) {
-	complete := func() []byte {
+func TestOpenDetectsCorruptRecords(t *testing.T) {
+	fileOfAllWrites := func() []byte {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
 		runScript(store, 0)
 		store.Close()
 		return disk.ReadFile(logFile)
 	}
-	oneLess := func() []byte {
+	fileWithoutLastWrite := func() []byte {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
 		for i := range scriptLength - 1 {
-			store.Write(script(i)...)
+			store.Write(scriptedWrite(i)...)
 		}
 		store.Close()
 		return disk.ReadFile(logFile)
 	}
-	lastRecord := len(oneLess())
+	lastRecordOffset := len(fileWithoutLastWrite())
 	convey.Convey("A corrupt byte anywhere before the last record is ErrCorrupt", t, func() {
-		for position := range lastRecord {
-			_, _, err := openCorrupted(complete(), position)
+		for position := range lastRecordOffset {
+			_, _, err := openCorrupted(fileOfAllWrites(), position)
 			if !errors.Is(err, storage.ErrCorrupt) {
 				t.Fatalf("byte %d: got %v", position, err)
 			}
 		}
 	})
-	convey.Convey("A corrupt last record cannot be told from an incomplete one and is truncated", t, func() {
-		for position := lastRecord; position < len(complete()); position++ {
-			store, opened, err := openCorrupted(complete(), position)
+	convey.Convey("A corrupt last record is truncated, as it cannot be distinguished from an incomplete one", t, func() {
+		for position := lastRecordOffset; position < len(fileOfAllWrites()); position++ {
+			store, opened, err := openCorrupted(fileOfAllWrites(), position)
 			if err != nil {
 				t.Fatalf("byte %d: got %v", position, err)
 			}
-			if opened.TruncatedBytes != int64(len(complete())-lastRecord) || checkContent(t, store, scriptLength-1) != scriptLength-1 {
-				t.Fatalf("byte %d: %d bytes are truncated", position, opened.TruncatedBytes)
+			if opened.TruncatedBytes != int64(len(fileOfAllWrites())-lastRecordOffset) || checkContent(t, store, scriptLength-1) != scriptLength-1 {
+				t.Fatalf("byte %d: %d bytes were truncated, or the content is wrong", position, opened.TruncatedBytes)
 			}
 			store.Close()
 		}
 	})
-	convey.Convey("A record inside a value does not pass for one of the file", t, func() {
+	convey.Convey("A copy of a record inside a value is not read as a record of the file", t, func() {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
-		convey.So(store.Write(script(0)...), convey.ShouldBeNil)
-		own := disk.ReadFile(logFile)
-		convey.So(store.Write(storage.Change{Table: "a", Key: "files", Value: append(own, complete()...)}), convey.ShouldBeNil)
+		convey.So(store.Write(scriptedWrite(0)...), convey.ShouldBeNil)
+		fileBeforeWrite := disk.ReadFile(logFile)
+		convey.So(store.Write(storage.Change{Table: "a", Key: "files", Value: append(fileBeforeWrite, fileOfAllWrites()...)}), convey.ShouldBeNil)
 		store.Close()
 		content := disk.ReadFile(logFile)
 		store, opened, err := openCorrupted(content, len(content)-1)
@@ -129,7 +130,7 @@
 		checkContent(t, store, 1)
 		store.Close()
 	})
-	convey.Convey("A corrupt byte in a file of a new store is ErrCorrupt, as the file had been synced", t, func() {
+	convey.Convey("A corrupt byte in the file of a new store is ErrCorrupt, as the file had been synced", t, func() {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
 		store.Close()
--- a/internal/controlplane/storage/filesystem.go
+++ b/internal/controlplane/storage/filesystem.go
@@ -13,37 +13,37 @@
 	directoryPermissions = 0o700
 )
 
-// File is an open file that is read and written at its current position.
+// File is an open file. Reads and writes start at its current position.
 type File interface {
 	io.ReadWriteSeeker
 	io.Closer
 	// Truncate sets the file's length in bytes.
 	Truncate(length int64) error
-	// Sync returns once the file's content will survive a loss of power.
+	// Sync returns once the file's content survives a power loss.
 	Sync() error
 }
 
-// FileSystem is the part of an operating system's files that a FileStore needs. Names are paths.
+// FileSystem is the set of file operations that a FileStore needs. Names are paths.
 type FileSystem interface {
-	// MakeDirectory makes a directory that lasts, with its parents, unless it is there.
+	// MakeDirectory creates a directory and its parents durably. It does nothing if the directory exists.
 	MakeDirectory(name string) error
-	// Create makes an empty file, or empties the one that has the name.
+	// Create creates an empty file, or truncates an existing one.
 	Create(name string) (File, error)
-	// Open opens a file for reading and writing; the error is fs.ErrNotExist where there is none.
+	// Open opens a file for reading and writing. The error is fs.ErrNotExist if there is none.
 	Open(name string) (File, error)
-	// Rename gives a file another name, in the place of a file that has it.
+	// Rename renames a file and replaces any file that has the new name.
 	Rename(from, to string) error
-	// Remove deletes a file; the error is fs.ErrNotExist where there is none.
+	// Remove deletes a file. The error is fs.ErrNotExist if there is none.
 	Remove(name string) error
-	// SyncDirectory returns once the names in a directory will survive a loss of power.
+	// SyncDirectory returns once the names in a directory survive a power loss.
 	SyncDirectory(name string) error
 }
 
-// OperatingSystem is the FileSystem of the machine.
-type OperatingSystem struct{}
+// OSFileSystem is the FileSystem of the operating system.
+type OSFileSystem struct{}
 
 // MakeDirectory implements FileSystem.
-func (o OperatingSystem) MakeDirectory(name string) error {
+func (o OSFileSystem) MakeDirectory(name string) error {
 	if _, err := os.Stat(name); !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -54,7 +54,7 @@
 }
 
 // Create implements FileSystem.
-func (OperatingSystem) Create(name string) (File, error) {
+func (OSFileSystem) Create(name string) (File, error) {
 	file, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC, filePermissions)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 }
 
 // Open implements FileSystem.
-func (OperatingSystem) Open(name string) (File, error) {
+func (OSFileSystem) Open(name string) (File, error) {
 	file, err := os.OpenFile(name, os.O_RDWR, filePermissions)
 	if err != nil {
 		return nil, err
@@ -72,17 +72,17 @@
 }
 
 // Rename implements FileSystem.
-func (OperatingSystem) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove implements FileSystem.
-func (OperatingSystem) Remove(name string) error { return os.Remove(name) }
+func (OSFileSystem) Remove(name string) error { return os.Remove(name) }
 
 // SyncDirectory implements FileSystem.
-func (OperatingSystem) SyncDirectory(name string) error {
+func (OSFileSystem) SyncDirectory(name string) error {
 	directory, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = directory.Close() }() // it is only read
+	defer func() { _ = directory.Close() }() // a close error is harmless, as nothing was written
 	return directory.Sync()
 }
--- a/internal/controlplane/storage/fulldisk_test.go
+++ b/internal/controlplane/storage/fulldisk_test.go
@@ -14,77 +14,79 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// rejectedChange is a write that no reader may ever see.
+// rejectedChange is written only while the disk is full, so that it must never be visible.
 var rejectedChange = storage.Change{Table: "last", Key: "refused", Value: make([]byte, 40)}
 
-// freeSpaces are the bytes that a disk has left when it gets full: none, or a part of a record.
-var freeSpaces = []int{0, 1, 12, 13, 14, 40, 67}
+// freeSpaceSizes are the numbers of free bytes with which a disk is tested. All are too few for the record of rejectedChange,
+// which has a header of 13 bytes and 68 bytes in all.
+var freeSpaceSizes = []int{0, 1, 12, 13, 14, 40, 67}
 
-func shouldBeRejected(t *testing.T, err error) {
+func requireRejected(t *testing.T, err error) {
 	t.Helper()
 	if !errors.Is(err, storage.ErrWriteRejected) || rpcerror.ExecutionOf(err) != rpcerror.NotExecuted || !storage.IsFull(err) {
-		t.Fatalf("the write of a full disk failed with %v", err)
+		t.Fatalf("the write on a full disk failed with %v, expected a rejection", err)
 	}
 }
 
-// writeScript makes the writes of a script in between.
-func writeScript(t *testing.T, store *storage.FileStore, from, to int) {
+// writeRange executes the writes of the script in the range [from, to).
+func writeRange(t *testing.T, store *storage.FileStore, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
-		if err := store.Write(script(i)...); err != nil {
+		if err := store.Write(scriptedWrite(i)...); err != nil {
 			t.Fatalf("write %d: %v", i, err)
 		}
 	}
-	synctest.Wait() // the writer may compact the file after it has answered
+	synctest.Wait() // the writer may compact the file after the last write returned
 }
 
-// shouldHoldExactly fails unless the store holds so many writes of the script and nothing else.
-func shouldHoldExactly(t *testing.T, store *storage.FileStore, writes int) {
+// requireExactContent fails the test unless the store holds the first writes of the script and nothing else.
+func requireExactContent(t *testing.T, store *storage.FileStore, writes int) {
 	t.Helper()
 	if content := store.Snapshot(); !reflect.DeepEqual(content, contentAfter(writes)) {
-		t.Fatalf("after %d writes the store holds %v", writes, content)
+		t.Fatalf("after %d writes the store holds the wrong content %v", writes, content)
 	}
 }
 
-// shouldRejectTwice makes two writes on a disk with so much free space: the disk rejects one, and the other comes during the
-// backoff.
-func shouldRejectTwice(t *testing.T, disk *storagetest.Disk, store *storage.FileStore, free int) {
+// requireTwoRejections executes two writes on a disk with little free space. The disk rejects the first one. The store rejects
+// the second one because of the backoff, without an operation on the disk.
+func requireTwoRejections(t *testing.T, disk *storagetest.Disk, store *storage.FileStore, freeBytes int) {
 	t.Helper()
-	disk.SetFreeSpace(free)
-	shouldBeRejected(t, store.Write(rejectedChange))
+	disk.SetFreeSpace(freeBytes)
+	requireRejected(t, store.Write(rejectedChange))
 	before := disk.Operations()
-	shouldBeRejected(t, store.Write(rejectedChange))
+	requireRejected(t, store.Write(rejectedChange))
 	if disk.Operations() != before {
-		t.Fatal("a write was tried during the backoff")
+		t.Fatal("the store accessed the disk during the backoff")
 	}
 }
 
-// The disk is full at each write in turn, for a while, and then there is space again. The file is compacted meanwhile.
-func TestStoreRecoversFromAFullDisk(t *testing.T) {
+// Guards against a store that stays unusable, or loses or duplicates a write, after a full disk. The disk is full before each
+// write in turn and has space again later. With compactOften, the file is also compacted.
+func TestStoreAcceptsWritesAgainAfterFullDisk(t *testing.T) {
 	for _, options := range []storage.Options{{}, compactOften} {
-		for _, free := range freeSpaces {
-			for at := range scriptLength {
+		for _, freeBytes := range freeSpaceSizes {
+			for writesBefore := range scriptLength {
 				virtualtime.Test(t, func(t *testing.T) {
 					disk := storagetest.NewDisk()
 					store, _ := mustOpen(t, disk, directory, options)
-					writeScript(t, store, 0, at)
-					shouldRejectTwice(t, disk, store, free)
-					shouldHoldExactly(t, store, at)
+					writeRange(t, store, 0, writesBefore)
+					requireTwoRejections(t, disk, store, freeBytes)
+					requireExactContent(t, store, writesBefore)
 					time.Sleep(storage.RejectionBackoff)
-					shouldRejectTwice(t, disk, store, free)
+					requireTwoRejections(t, disk, store, freeBytes)
 					disk.SetCapacity(0)
 					time.Sleep(storage.RejectionBackoff)
-					writeScript(t, store, at, scriptLength)
-					shouldHoldExactly(t, store, scriptLength)
+					writeRange(t, store, writesBefore, scriptLength)
+					requireExactContent(t, store, scriptLength)
 					if isClosed(store.Failed()) {
 						t.Fatal("the store has failed")
 					}
 					store.Close()
 					reopened, opened := mustOpen(t, disk, directory, options)
 					if opened.TruncatedBytes > 0 {
-						t.Fatalf("%d bytes were left of a rejected write", opened.TruncatedBytes)
+						t.Fatalf("Open truncated %d bytes, expected that the rollback had removed the rejected write", opened.TruncatedBytes)
 					}
-					shouldHoldExactly(t, reopened, scriptLength)
+					requireExactContent(t, reopened, scriptLength)
 					reopened.Close()
 				})
 			}
@@ -92,50 +94,52 @@
 	}
 }
 
-// Power fails, or the process is killed, while the disk is full or soon after. Rejected writes do not reappear.
-func TestRejectedWritesDoNotReappear(t *testing.T) {
-	for _, free := range freeSpaces {
-		for at := range scriptLength {
+// Guards against a rejected write that reappears after a power loss or a kill of the process. Either happens while the disk is
+// full or soon after.
+func TestRejectedWritesDoNotReappearAfterCrash(t *testing.T) {
+	for _, freeBytes := range freeSpaceSizes {
+		for writesBefore := range scriptLength {
 			for operation := range 10 {
-				seed := uint64(operation*1000 + at)
+				seed := uint64(operation*1000 + writesBefore)
 				virtualtime.Test(t, func(t *testing.T) {
-					endAfterRejection(t, free, at, operation, seed)
+					checkCrashAfterRejection(t, freeBytes, writesBefore, operation, seed)
 				})
 			}
 		}
 	}
 }
 
-// endAfterRejection runs a script with a rejected write at one place, until power fails at a later operation; if that is 0
-// the process is killed while the disk is full, which it stays for the next process.
-func endAfterRejection(t *testing.T, free, at, operation int, seed uint64) {
+// checkCrashAfterRejection runs the script with a rejected write after the first writesBefore writes. Power is lost at a later
+// operation. If operation is 0, the process is killed instead while the disk is full, and the disk stays full for the next
+// process.
+func checkCrashAfterRejection(t *testing.T, freeBytes, writesBefore, operation int, seed uint64) {
 	disk := storagetest.NewDisk()
 	store, _ := mustOpen(t, disk, directory, compactOften)
-	writeScript(t, store, 0, at)
+	writeRange(t, store, 0, writesBefore)
 	if operation > 0 {
 		disk.LosePowerAt(operation, seed%2 == 0)
 	}
-	disk.SetFreeSpace(free)
+	disk.SetFreeSpace(freeBytes)
 	err := store.Write(rejectedChange)
-	unclear := !errors.Is(err, storage.ErrWriteRejected) // as power failed within the write
-	acknowledged := at
+	mayBeDurable := !errors.Is(err, storage.ErrWriteRejected) // because power was lost during the write
+	acknowledged := writesBefore
 	if operation > 0 {
 		disk.SetCapacity(0)
 		time.Sleep(storage.RejectionBackoff)
-		acknowledged = runScript(store, at)
+		acknowledged = runScript(store, writesBefore)
 		store.Close()
 		disk.LosePower()
-		disk = disk.Restore(rand.New(rand.NewPCG(seed, 0)))
+		disk = disk.RestorePower(rand.New(rand.NewPCG(seed, 0)))
 	} else {
 		store.Close()
-		disk = disk.Kill()
+		disk = disk.KillProcess()
 		disk.SetFreeSpace(0)
 	}
 	reopened, _ := mustOpen(t, disk, directory, compactOften)
 	defer reopened.Close()
 	if _, found := reopened.Table("last")["refused"]; found {
-		if !unclear {
-			t.Fatalf("free %d, write %d, operation %d: the rejected write is there", free, at, operation)
+		if !mayBeDurable {
+			t.Fatalf("%d free bytes, %d writes before, operation %d: the rejected write is visible", freeBytes, writesBefore, operation)
 		}
 		disk.SetCapacity(0)
 		reopened.Write(storage.Change{Table: "last", Key: "refused"})
@@ -143,39 +147,40 @@
 	checkContent(t, reopened, acknowledged)
 }
 
-// A compaction for which there is no space is put off, and leaves the space to the writes.
-func TestCompactionBacksOffOnAFullDisk(t *testing.T) {
-	const value, writes = 500, 40
+// Guards against a compaction that fills the disk and makes writes fail. A compaction without enough space removes its file and
+// is retried only after CompactionBackoff, and writes continue meanwhile.
+func TestCompactionIsRetriedAfterBackoffOnFullDisk(t *testing.T) {
+	const valueBytes, writes = 500, 40
 	virtualtime.Test(t, func(t *testing.T) {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: 1})
-		change := storage.Change{Table: "a", Key: "k", Value: make([]byte, value)}
+		change := storage.Change{Table: "a", Key: "k", Value: make([]byte, valueBytes)}
 		write := func() {
 			t.Helper()
 			if err := store.Write(change); err != nil {
 				t.Fatal(err)
 			}
-			synctest.Wait() // the writer compacts after it has answered
+			synctest.Wait() // the writer compacts after the write returned
 		}
 		write()
-		disk.SetFreeSpace(2*value + value/2)
+		disk.SetFreeSpace(2*valueBytes + valueBytes/2)
 		write()
-		write() // three times the live data: there is no space for the new file
+		write() // the file has three times the live data, but there is no space for a new one
 		length := len(disk.ReadFile(logFile))
-		if length < 3*value {
-			t.Fatalf("the file was compacted, it has %d bytes", length)
+		if length < 3*valueBytes {
+			t.Fatalf("the file has %d bytes, expected that it was not compacted", length)
 		}
 		if left := disk.ReadFile(logFile + ".new"); left != nil {
-			t.Fatalf("%d bytes of the new file are left", len(left))
+			t.Fatalf("the file of the failed compaction was not removed, it has %d bytes", len(left))
 		}
 		disk.SetCapacity(0)
 		write()
 		if now := len(disk.ReadFile(logFile)); now <= length {
-			t.Fatal("compaction was tried again at once")
+			t.Fatal("the file was compacted before the backoff ended")
 		}
 		time.Sleep(storage.CompactionBackoff)
 		write()
-		if now := len(disk.ReadFile(logFile)); now > 2*value {
+		if now := len(disk.ReadFile(logFile)); now > 2*valueBytes {
 			t.Fatalf("the file was not compacted once there was space, it has %d bytes", now)
 		}
 		for range writes {
@@ -183,46 +188,47 @@
 		}
 		store.Close()
 		reopened, _ := mustOpen(t, disk, directory, storage.Options{})
-		if got := len(reopened.Table("a")["k"]); got != value {
+		if got := len(reopened.Table("a")["k"]); got != valueBytes {
 			t.Fatalf("the store holds %d bytes", got)
 		}
 		reopened.Close()
 	})
 }
 
-// The disk is full from each operation of a compaction on. No acknowledged write is lost.
-func TestFullDiskDuringCompaction(t *testing.T) {
-	for free := range 400 {
+// Guards against a lost write when the disk becomes full during compaction. Each number of free bytes in turn makes the disk
+// full at a different point of the script.
+func TestFullDiskDuringCompactionLosesNoAcknowledgedWrite(t *testing.T) {
+	for freeBytes := range 400 {
 		virtualtime.Test(t, func(t *testing.T) {
 			disk := storagetest.NewDisk()
 			store, _ := mustOpen(t, disk, directory, compactOften)
 			acknowledged := 0
-			disk.SetFreeSpace(free)
-			for acknowledged < scriptLength && store.Write(script(acknowledged)...) == nil {
+			disk.SetFreeSpace(freeBytes)
+			for acknowledged < scriptLength && store.Write(scriptedWrite(acknowledged)...) == nil {
 				acknowledged++
 			}
-			shouldHoldExactly(t, store, acknowledged)
-			after, _ := mustOpen(t, disk.Kill(), directory, compactOften)
-			defer after.Close()
-			shouldHoldExactly(t, after, acknowledged)
+			requireExactContent(t, store, acknowledged)
+			reopened, _ := mustOpen(t, disk.KillProcess(), directory, compactOften)
+			defer reopened.Close()
+			requireExactContent(t, reopened, acknowledged)
 		})
 	}
 }
 
-// A store that exists is opened and read on a full disk.
-func TestOpenOnAFullDisk(t *testing.T) {
+// Guards against an Open that needs free space: an existing store must be readable after a restart on a full disk.
+func TestExistingStoreOpensOnFullDisk(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{})
-		writeScript(t, store, 0, scriptLength)
+		writeRange(t, store, 0, scriptLength)
 		store.Close()
 		disk.SetFreeSpace(0)
 		reopened, opened := mustOpen(t, disk, directory, storage.Options{})
 		if opened != (storage.OpenResult{}) {
-			t.Fatalf("opened: %+v", opened)
+			t.Fatalf("Open returned %+v, expected the zero value", opened)
 		}
-		shouldHoldExactly(t, reopened, scriptLength)
-		shouldBeRejected(t, reopened.Write(rejectedChange))
+		requireExactContent(t, reopened, scriptLength)
+		requireRejected(t, reopened.Write(rejectedChange))
 		reopened.Close()
 	})
 }
--- a/internal/controlplane/storage/fuzz_test.go
+++ b/internal/controlplane/storage/fuzz_test.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
 )
 
-// Any file either is an error, or opens and then holds the same when it is reopened.
+// FuzzOpen checks that Open either rejects a file, or returns the same content when the store is opened a second time.
 func FuzzOpen(f *testing.F) {
 	disk := storagetest.NewDisk()
 	store, _, err := storage.Open(disk, directory, storage.Options{})
@@ -29,23 +29,23 @@
 		if err != nil {
 			return
 		}
-		held := store.Snapshot()
+		before := store.Snapshot()
 		store.Close()
 		reopened, opened, err := storage.Open(disk, directory, storage.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer reopened.Close()
-		if opened.TruncatedBytes != 0 || !reflect.DeepEqual(reopened.Snapshot(), held) {
-			t.Errorf("reopened, %d bytes were truncated, and it holds %v instead of %v", opened.TruncatedBytes, reopened.Snapshot(), held)
+		if opened.TruncatedBytes != 0 || !reflect.DeepEqual(reopened.Snapshot(), before) {
+			t.Errorf("the second Open truncated %d bytes, and the store holds %v, expected %v", opened.TruncatedBytes, reopened.Snapshot(), before)
 		}
 	})
 }
 
-// What decodes is encoded and decoded to the same again.
+// FuzzDecodeChanges checks that decoded changes are unchanged after encoding and decoding them again.
 func FuzzDecodeChanges(f *testing.F) {
 	for i := range 7 {
-		encoded, err := storage.AppendChanges(nil, script(i))
+		encoded, err := storage.AppendChanges(nil, scriptedWrite(i))
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -61,9 +61,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := storage.DecodeChanges(encoded)
-		if err != nil || !reflect.DeepEqual(again, changes) {
-			t.Errorf("%v became %v (%v)", changes, again, err)
+		decoded, err := storage.DecodeChanges(encoded)
+		if err != nil || !reflect.DeepEqual(decoded, changes) {
+			t.Errorf("%v was decoded as %v (error %v) after encoding", changes, decoded, err)
 		}
 	})
 }
--- a/internal/controlplane/storage/memory.go
+++ b/internal/controlplane/storage/memory.go
@@ -1,12 +1,12 @@
 package storage
 
-// Memory is a Store without a disk, for tests and for processes that have none.
+// Memory is a Store in memory only, for tests and for processes without a disk.
 type Memory struct {
 	guardedContents
-	failure error // of all writes; guarded by the mutex of the contents
+	failure error // the error of all writes; guarded by guardedContents.mutex
 }
 
-// NewMemory makes an empty Memory.
+// NewMemory returns an empty Memory.
 func NewMemory() *Memory { return &Memory{guardedContents: newGuardedContents()} }
 
 // Write implements Store.
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// Fail makes every later Write return an error, as a broken disk would, until Fail(nil).
+// Fail makes later calls of Write return err, as a broken disk would. Fail(nil) ends this.
 func (m *Memory) Fail(err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controlplane/storage/options.go
+++ b/internal/controlplane/storage/options.go
@@ -1,19 +1,19 @@
 package storage
 
-// Options tune a FileStore. The zero value is the default.
+// Options configures a FileStore. Zero fields have default values.
 type Options struct {
-	// CompactAbove is the length in bytes below which the file is not compacted, unless that is too long for SizeLimit.
+	// CompactAbove is the length in bytes up to which the file is not compacted, unless SizeLimit requires it.
 	CompactAbove int64
-	// SizeLimit is what the file and the one that compaction writes should take together, in bytes. It can be kept while the live data is
-	// less than three eighths of it.
+	// SizeLimit bounds the size in bytes of the file and the one that compaction writes, together. The bound holds while the
+	// live data is less than three eighths of it.
 	SizeLimit int64
 }
 
-// OpenResult tells what Open found.
+// OpenResult describes what Open found.
 type OpenResult struct {
-	// Empty is true where no store had ever been completely made in the directory.
+	// Empty is true if the directory had no completely created store, so that Open created one.
 	Empty bool
-	// TruncatedBytes is the length of the incomplete last record that was truncated.
+	// TruncatedBytes is the length of the incomplete last record that Open truncated.
 	TruncatedBytes int64
 }
 
--- a/internal/controlplane/storage/powerloss_test.go
+++ b/internal/controlplane/storage/powerloss_test.go
@@ -10,13 +10,14 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
 )
 
-// scriptLength is the number of writes of a script; with compactOften the file is compacted several times meanwhile.
+// scriptLength is the number of writes of the script. With compactOften, the file is compacted several times during them.
 const scriptLength = 14
 
 var compactOften = storage.Options{CompactAbove: 300}
 
-// script is a fixed sequence of writes, each of several changes in two tables.
-func script(i int) []storage.Change {
+// scriptedWrite returns the changes of one write of the script, a fixed sequence of writes. Each changes several keys of two
+// tables.
+func scriptedWrite(i int) []storage.Change {
 	changes := []storage.Change{
 		{Table: "last", Key: "write", Value: fmt.Appendf(nil, "%d", i)},
 		{Table: "keys", Key: fmt.Sprintf("key-%d", i%5), Value: make([]byte, 10+i)},
@@ -30,27 +31,28 @@
 	return changes
 }
 
-// contentAfter is what a store holds after the first writes of the script.
+// contentAfter returns the content of a store after the first writes of the script.
 func contentAfter(writes int) storage.Tables {
 	model := storage.NewMemory()
 	for i := range writes {
-		model.Write(script(i)...)
+		model.Write(scriptedWrite(i)...)
 	}
 	return model.Snapshot()
 }
 
-// runScript makes writes from the first one on until one fails, and returns how many were acknowledged.
+// runScript executes the writes of the script from an index on until one fails. It returns how many of the script's writes are
+// acknowledged, including those before the index.
 func runScript(store *storage.FileStore, from int) int {
 	for i := from; i < scriptLength; i++ {
-		if store.Write(script(i)...) != nil {
+		if store.Write(scriptedWrite(i)...) != nil {
 			return i
 		}
 	}
 	return scriptLength
 }
 
-// checkContent fails unless the store holds the acknowledged writes, or those and the one that was under way. It returns
-// how many it holds.
+// checkContent fails the test unless the store holds exactly the acknowledged writes, or those and the next one, which may
+// have been in progress. It returns how many writes the store holds.
 func checkContent(t *testing.T, store *storage.FileStore, acknowledged int) int {
 	t.Helper()
 	content := store.Snapshot()
@@ -63,10 +65,10 @@
 	return 0
 }
 
-// runUntilPowerLoss runs the script until power is lost at an operation. It returns the number of acknowledged writes, and
-// whether power was lost before the script was over.
-func runUntilPowerLoss(disk *storagetest.Disk, from, operation int, late bool) (acknowledged int, lost bool) {
-	disk.LosePowerAt(operation, late)
+// runUntilPowerLoss opens a store and runs the script until power is lost at an operation. It returns the number of acknowledged
+// writes, and whether power was lost before the end of the script.
+func runUntilPowerLoss(disk *storagetest.Disk, from, operation int, afterOperation bool) (acknowledged int, lost bool) {
+	disk.LosePowerAt(operation, afterOperation)
 	acknowledged = from
 	store, _, err := storage.Open(disk, directory, compactOften)
 	if err == nil {
@@ -78,15 +80,16 @@
 	return acknowledged, lost
 }
 
-// Power is lost at each operation in turn; the disk keeps random parts of what was not synced.
+// Guards against the loss of an acknowledged write. Power is lost at each operation in turn, and random parts of the unsynced
+// data survive.
 func TestAcknowledgedWritesSurvivePowerLoss(t *testing.T) {
 	for operation, more := 1, true; more; operation++ {
 		for seed := range uint64(12) {
 			random := rand.New(rand.NewPCG(seed, uint64(operation)))
 			disk := storagetest.NewDisk()
-			acknowledged, cut := runUntilPowerLoss(disk, 0, operation, seed%2 == 0)
-			more = cut
-			store, opened := mustOpen(t, disk.Restore(random), directory, compactOften)
+			acknowledged, lost := runUntilPowerLoss(disk, 0, operation, seed%2 == 0)
+			more = lost
+			store, opened := mustOpen(t, disk.RestorePower(random), directory, compactOften)
 			if opened.Empty && acknowledged > 0 {
 				t.Fatalf("operation %d, seed %d: the store is empty after %d writes", operation, seed, acknowledged)
 			}
@@ -96,52 +99,52 @@
 	}
 }
 
-// A second loss of power strikes while the store recovers from the first, or soon after.
-func TestAcknowledgedWritesSurviveASecondPowerLoss(t *testing.T) {
+// Guards against the loss of an acknowledged write when power is lost a second time while the store recovers, or soon after.
+func TestAcknowledgedWritesSurvivePowerLossDuringRecovery(t *testing.T) {
 	for operation := 1; operation < 60; operation++ {
 		for second := 1; second <= 8; second++ {
 			seed := uint64(operation*100 + second)
 			random := rand.New(rand.NewPCG(seed, 0))
 			disk := storagetest.NewDisk()
-			first, _ := runUntilPowerLoss(disk, 0, operation, second%2 == 0)
-			disk = disk.Restore(random)
+			firstAcknowledged, _ := runUntilPowerLoss(disk, 0, operation, second%2 == 0)
+			disk = disk.RestorePower(random)
 
-			between := disk.Kill()
-			store, _ := mustOpen(t, between, directory, compactOften)
-			held := checkContent(t, store, first)
+			recovering := disk.KillProcess()
+			store, _ := mustOpen(t, recovering, directory, compactOften)
+			held := checkContent(t, store, firstAcknowledged)
 			store.Close()
 
-			again, _ := runUntilPowerLoss(between, held, second, operation%2 == 0)
-			store, _ = mustOpen(t, between.Restore(random), directory, compactOften)
-			checkContent(t, store, again)
+			secondAcknowledged, _ := runUntilPowerLoss(recovering, held, second, operation%2 == 0)
+			store, _ = mustOpen(t, recovering.RestorePower(random), directory, compactOften)
+			checkContent(t, store, secondAcknowledged)
 			store.Close()
 		}
 	}
 }
 
-// A killed process may leave writes that were never synced. A new process that shows them must not lose them any more,
-// nor what it writes itself.
+// Guards against reads that a later power loss reverts. A killed process may leave unsynced writes. A new process that
+// returns them to readers must sync them first, and a power loss must then lose neither them nor its own writes.
 func TestUnsyncedWritesOfAKilledProcessAreSyncedOnOpen(t *testing.T) {
 	for operation, more := 1, true; more; operation++ {
 		for seed := range uint64(8) {
 			random := rand.New(rand.NewPCG(seed, uint64(operation)))
 			disk := storagetest.NewDisk()
-			held, cut := runUntilPowerLoss(disk, 0, operation, seed%2 == 0)
-			more = cut
-			disk = disk.Kill()
+			held, lost := runUntilPowerLoss(disk, 0, operation, seed%2 == 0)
+			more = lost
+			disk = disk.KillProcess()
 			store, _ := mustOpen(t, disk, directory, storage.Options{})
 			held = checkContent(t, store, held)
 			if seed%4 > 1 {
-				if err := store.Write(script(held)...); err != nil {
+				if err := store.Write(scriptedWrite(held)...); err != nil {
 					t.Fatal(err)
 				}
 				held++
 			}
 			store.Close()
 
-			store, _ = mustOpen(t, disk.Restore(random), directory, compactOften)
+			store, _ = mustOpen(t, disk.RestorePower(random), directory, compactOften)
 			if content := store.Snapshot(); !reflect.DeepEqual(content, contentAfter(held)) {
-				t.Fatalf("operation %d, seed %d: %d writes were read, then %v", operation, seed, held, content)
+				t.Fatalf("operation %d, seed %d: the store held %d writes before the power loss, and holds %v after it", operation, seed, held, content)
 			}
 			store.Close()
 		}
--- a/internal/controlplane/storage/storagetest/contract.go
+++ b/internal/controlplane/storage/storagetest/contract.go
@@ -1,4 +1,5 @@
-// Package storagetest holds what tests of stores share: the contract of storage.Store, and a file system that loses power.
+// Package storagetest provides tests of the storage.Store contract, and a file system in memory that simulates power losses,
+// full disks and failed syncs.
 package storagetest
 
 import (
@@ -12,10 +13,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// errTornRead is the fault of a store whose reader saw one half of a write.
-var errTornRead = errors.New("read half of a write")
+// errPartialWriteVisible is reported when a snapshot has only some changes of a write.
+var errPartialWriteVisible = errors.New("a snapshot has only a part of a write")
 
-// RunStoreContract checks what every Store must do. Each call of open must return an empty store.
+// RunStoreContract tests the behavior that every Store must have. Each call of open must return an empty store.
 func RunStoreContract(t *testing.T, open func(t *testing.T) storage.SnapshotStore) {
 	convey.Convey("An empty store has no tables", t, func() {
 		store := open(t)
@@ -25,9 +26,9 @@
 		convey.So(store.Write(), convey.ShouldBeNil)
 	})
 	convey.Convey("A store applies the changes of a write in order", t, func() { checkOrder(open(t)) })
-	convey.Convey("A store deletes keys, clears tables, and keeps empty values", t, func() { checkDeletion(open(t)) })
-	convey.Convey("A store's tables are copies, and so are what it was given", t, func() { checkCopies(open(t)) })
-	convey.Convey("Nobody sees half of a write", t, func() { checkAtomicity(open(t)) })
+	convey.Convey("A store deletes keys, clears tables, and stores empty values", t, func() { checkDeletion(open(t)) })
+	convey.Convey("A store copies the values that it is given and the tables that it returns", t, func() { checkCopies(open(t)) })
+	convey.Convey("A snapshot never has only a part of a write", t, func() { checkAtomicity(open(t)) })
 }
 
 func set(table, key, value string) storage.Change {
@@ -67,7 +68,7 @@
 	convey.So(store.Table("a"), convey.ShouldResemble, map[string][]byte{"k": []byte("1")})
 }
 
-// checkAtomicity writes two tables together, from several goroutines, and reads them in between.
+// checkAtomicity writes the same value to two tables from several goroutines, and compares the tables meanwhile.
 func checkAtomicity(store storage.SnapshotStore) {
 	const writers, writes = 4, 25
 	errs := make([]error, writers+1)
@@ -84,7 +85,7 @@
 		for range writes {
 			snapshot := store.Snapshot()
 			if string(snapshot["a"]["k"]) != string(snapshot["b"]["k"]) {
-				errs[writers] = fmt.Errorf("%w: %s together with %s", errTornRead, snapshot["a"]["k"], snapshot["b"]["k"])
+				errs[writers] = fmt.Errorf("%w: %s and %s differ", errPartialWriteVisible, snapshot["a"]["k"], snapshot["b"]["k"])
 			}
 		}
 	})
--- a/internal/controlplane/storage/storagetest/disk.go
+++ b/internal/controlplane/storage/storagetest/disk.go
@@ -10,30 +10,31 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// Disk is a file system in memory. It remembers what was synced, and a loss of power leaves any part of the rest: a
-// write may be there, missing or torn, independently of others, and so may a name that was made, renamed or removed.
+// Disk is a file system in memory that simulates power losses. Synced data survives a power loss. Each unsynced write
+// independently survives, is lost or is torn, which means that only a part of it survives. Each unsynced creation, renaming or
+// removal of a name independently survives or is lost.
 type Disk struct {
 	mutex                   sync.Mutex
-	current                 map[string]*inode // by path, as processes see it
+	current                 map[string]*inode // by path, as running processes see them
 	durable                 map[string]*inode // by path, as of the last sync of the directory
 	operations              int
-	powerLossAt             int // operation at which power is lost; 0 for never
+	powerLossAt             int // number of the operation at which power is lost; 0 for never
 	powerLossAfterOperation bool
-	failSyncAt              int  // operation from which syncs fail; 0 for never
-	capacity                int  // bytes of all files together; 0 for no bound
-	failTruncate            bool // the lengths of files cannot be set
-	powerless               bool
+	failSyncAt              int  // number of the operation from which on syncs fail; 0 for never
+	capacityBytes           int  // limit of the total length of all files; 0 for no limit
+	failTruncate            bool // whether Truncate fails
+	powerLost               bool
 }
 
-// inode is a file's content under whatever names.
+// inode is the content of a file, independent of its names.
 type inode struct {
-	content []byte // as processes see it
-	synced  []byte
+	content []byte // as running processes see it
+	synced  []byte // as of the last sync
 	edits   []edit // since the last sync
 	renamed bool
 }
 
-// edit is one write, or a setting of the length where data is nil.
+// edit is one write at an offset. If data is nil, it sets the file's length to offset instead.
 type edit struct {
 	offset int
 	data   []byte
@@ -55,12 +56,12 @@
 	return append(slices.Clone(content), make([]byte, length-len(content))...)
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk() *Disk {
 	return &Disk{current: make(map[string]*inode), durable: make(map[string]*inode)}
 }
 
-// ReadFile returns a file's content, synced or not.
+// ReadFile returns the content of a file, including unsynced writes. It returns nil if there is no such file.
 func (d *Disk) ReadFile(name string) []byte {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -70,7 +71,7 @@
 	return slices.Clone(d.current[name].content)
 }
 
-// WriteFile puts a file on the disk, synced.
+// WriteFile creates or replaces a file and syncs it.
 func (d *Disk) WriteFile(name string, content []byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -78,7 +79,7 @@
 	d.current[name], d.durable[name] = file, file
 }
 
-// names lists all names that are or were in use, in a fixed order.
+// names returns the sorted names of all files, including durable names that were removed or renamed since.
 func (d *Disk) names() []string {
 	var names []string
 	for name := range d.current {
@@ -91,26 +92,26 @@
 	return slices.Compact(names)
 }
 
-// operate counts an operation and carries it out unless power fails before.
-func (d *Disk) operate(operation func() error) error {
-	if d.powerless {
+// runOperation counts an operation and executes it. It returns ErrPowerLost if power is lost before or just after it.
+func (d *Disk) runOperation(operation func() error) error {
+	if d.powerLost {
 		return ErrPowerLost
 	}
 	d.operations++
 	if d.operations == d.powerLossAt {
-		d.powerless = true
+		d.powerLost = true
 		if !d.powerLossAfterOperation {
 			return ErrPowerLost
 		}
 	}
 	err := operation()
-	if d.powerless {
+	if d.powerLost {
 		return ErrPowerLost
 	}
 	return err
 }
 
-// MakeDirectory implements storage.FileSystem; directories need not be made.
+// MakeDirectory implements storage.FileSystem. It does nothing, as files need no directory.
 func (d *Disk) MakeDirectory(string) error { return nil }
 
 // Create implements storage.FileSystem.
@@ -118,7 +119,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	file := &inode{}
-	err := d.operate(func() error {
+	err := d.runOperation(func() error {
 		d.current[name] = file
 		return nil
 	})
@@ -132,7 +133,7 @@
 func (d *Disk) Open(name string) (storage.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.powerless {
+	if d.powerLost {
 		return nil, ErrPowerLost
 	}
 	file := d.current[name]
@@ -146,7 +147,7 @@
 func (d *Disk) Rename(from, to string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.operate(func() error {
+	return d.runOperation(func() error {
 		file := d.current[from]
 		if file == nil {
 			return fmt.Errorf("rename %s: %w", from, fs.ErrNotExist)
@@ -162,10 +163,10 @@
 func (d *Disk) Remove(name string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.current[name] == nil && !d.powerless {
+	if d.current[name] == nil && !d.powerLost {
 		return fmt.Errorf("remove %s: %w", name, fs.ErrNotExist)
 	}
-	return d.operate(func() error {
+	return d.runOperation(func() error {
 		delete(d.current, name)
 		return nil
 	})
@@ -175,7 +176,7 @@
 func (d *Disk) SyncDirectory(directory string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.operate(func() error {
+	return d.runOperation(func() error {
 		if d.syncFails() {
 			return ErrSync
 		}
@@ -196,8 +197,8 @@
 	}
 }
 
-// used is the length of all files together.
-func (d *Disk) used() int {
+// usedBytes returns the total length of all files.
+func (d *Disk) usedBytes() int {
 	total := 0
 	for _, file := range d.current {
 		total += len(file.content)
--- a/internal/controlplane/storage/storagetest/faults.go
+++ b/internal/controlplane/storage/storagetest/faults.go
@@ -9,82 +9,82 @@
 )
 
 var (
-	// ErrPowerLost is the failure of every operation from a loss of power until Restore.
-	ErrPowerLost = errors.New("no power")
-	// ErrFull is the failure of writes to a full disk.
+	// ErrPowerLost is the error of every operation after a power loss.
+	ErrPowerLost = errors.New("power lost")
+	// ErrFull is the error of writes to a full disk.
 	ErrFull = fmt.Errorf("the disk is full: %w", syscall.ENOSPC)
-	// ErrSync is the failure of a sync that was made to fail.
-	ErrSync = errors.New("the disk failed to sync")
-	// ErrTruncate is the failure to set a file's length that was made to fail.
-	ErrTruncate = errors.New("the disk failed to set a length")
+	// ErrSync is the error of syncs after FailSyncAt.
+	ErrSync = errors.New("injected sync failure")
+	// ErrTruncate is the error of Truncate after FailTruncate.
+	ErrTruncate = errors.New("injected truncate failure")
 )
 
-// LosePowerAt makes power fail at an operation, counted from 1 from now on: before it or, where late, after it, but before
-// its caller hears of it.
-func (d *Disk) LosePowerAt(operation int, late bool) {
+// LosePowerAt schedules a power loss at an operation. Operations are counted from 1, starting with the next one. Power is lost
+// before the operation or, with afterOperation, after it but before it returns to its caller.
+func (d *Disk) LosePowerAt(operation int, afterOperation bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.powerLossAt, d.powerLossAfterOperation = d.operations+operation, late
+	d.powerLossAt, d.powerLossAfterOperation = d.operations+operation, afterOperation
 }
 
-// FailSyncAt makes the syncs fail that come after a number of operations from now.
+// FailSyncAt makes all syncs fail from an operation on. Operations are counted from 1, starting with the next one.
 func (d *Disk) FailSyncAt(operation int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.failSyncAt = d.operations + operation
 }
 
-// SetCapacity bounds the length of all files together, in bytes.
+// SetCapacity limits the total length of all files, in bytes. 0 removes the limit.
 func (d *Disk) SetCapacity(bytes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.capacity = bytes
+	d.capacityBytes = bytes
 }
 
-// SetFreeSpace bounds the length of all files together to a number of bytes more than it is now.
+// SetFreeSpace limits the total length of all files to its current value plus a number of bytes.
 func (d *Disk) SetFreeSpace(bytes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.capacity = d.used() + bytes
+	d.capacityBytes = d.usedBytes() + bytes
 }
 
-// FailTruncate makes it fail from now on to set the length of a file.
+// FailTruncate makes all later calls of Truncate fail.
 func (d *Disk) FailTruncate() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.failTruncate = true
 }
 
-// Operations counts the operations so far that change the disk or sync it.
+// Operations returns the number of operations so far that modified or synced the disk.
 func (d *Disk) Operations() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.operations
 }
 
-// LosePower makes power fail now.
+// LosePower simulates a power loss now.
 func (d *Disk) LosePower() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.powerless = true
+	d.powerLost = true
 }
 
-// Kill returns the disk as a new process finds it after the last one was killed while the power stayed: with all writes,
-// synced or not. Files that were open before are of no use any more.
-func (d *Disk) Kill() *Disk {
+// KillProcess simulates that the process is killed without a power loss. It returns the disk as a new process finds it, with
+// all writes, synced or not. Operations on d and its open files fail from then on.
+func (d *Disk) KillProcess() *Disk {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.powerless = true
+	d.powerLost = true
 	return &Disk{current: d.current, durable: d.durable}
 }
 
-// Restore returns the disk as it may be found after the power failed: a part of what was not synced is lost, which the
-// random source chooses. Files that were open before are of no use any more.
-func (d *Disk) Restore(random *rand.Rand) *Disk {
+// RestorePower returns the disk as a new process may find it after a power loss. The random source selects which unsynced
+// writes and names are lost. Files that were opened before must not be used any more.
+func (d *Disk) RestorePower(random *rand.Rand) *Disk {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	restored := NewDisk()
-	survivors := make(map[*inode]*inode)
+	restoredInodes := make(map[*inode]*inode)
 	for _, name := range d.names() {
 		file := d.durable[name]
 		if d.current[name] != file && random.IntN(2) == 0 {
@@ -93,24 +93,24 @@
 		if file == nil {
 			continue
 		}
-		if survivors[file] == nil {
-			content := file.survivor(random)
-			survivors[file] = &inode{content: content, synced: content}
+		if restoredInodes[file] == nil {
+			content := file.contentAfterPowerLoss(random)
+			restoredInodes[file] = &inode{content: content, synced: content}
 		}
-		restored.current[name], restored.durable[name] = survivors[file], survivors[file]
+		restored.current[name], restored.durable[name] = restoredInodes[file], restoredInodes[file]
 	}
 	return restored
 }
 
-// survivor is what a loss of power leaves of a file.
-func (i *inode) survivor(random *rand.Rand) []byte {
+// contentAfterPowerLoss returns a random content that the file may have after a power loss.
+func (i *inode) contentAfterPowerLoss(random *rand.Rand) []byte {
 	content := i.synced
 	if random.IntN(4) == 0 {
 		return content
 	}
 	for _, edit := range i.edits {
 		switch random.IntN(3) {
-		case 0: // missing
+		case 0: // the edit is lost
 		case 1:
 			content = edit.applyTo(content)
 		case 2:
@@ -120,7 +120,7 @@
 	return content
 }
 
-// torn is a part of a write, from the beginning, the end or the middle. A length is set or not.
+// torn returns a random part of a write, from its beginning, middle or end. It returns an edit of the length unchanged.
 func (e edit) torn(random *rand.Rand) edit {
 	if len(e.data) == 0 {
 		return e
--- a/internal/controlplane/storage/storagetest/openfile.go
+++ b/internal/controlplane/storage/storagetest/openfile.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// openFile is a file of a Disk together with a position in it.
+// openFile is an open file of a Disk. It implements storage.File.
 type openFile struct {
 	disk     *Disk
 	inode    *inode
@@ -18,7 +18,7 @@
 func (f *openFile) Read(buffer []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
-	if f.disk.powerless {
+	if f.disk.powerLost {
 		return 0, ErrPowerLost
 	}
 	if f.position >= len(f.inode.content) {
@@ -29,14 +29,14 @@
 	return count, nil
 }
 
-// Write implements io.Writer. On a full disk it writes what fits.
+// Write implements io.Writer. On a full disk it writes as many bytes as there is space for and returns ErrFull.
 func (f *openFile) Write(data []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	written := 0
-	err := f.disk.operate(func() error {
+	err := f.disk.runOperation(func() error {
 		fitting := data[:min(len(data), f.freeSpace())]
-		f.edit(edit{offset: f.position, data: append([]byte{}, fitting...)})
+		f.applyEdit(edit{offset: f.position, data: append([]byte{}, fitting...)})
 		f.position += len(fitting)
 		written = len(fitting)
 		if written < len(data) {
@@ -48,15 +48,15 @@
 }
 
 func (f *openFile) freeSpace() int {
-	if f.disk.capacity == 0 {
+	if f.disk.capacityBytes == 0 {
 		return int(^uint(0) >> 1)
 	}
-	return max(0, f.disk.capacity-f.disk.used())
+	return max(0, f.disk.capacityBytes-f.disk.usedBytes())
 }
 
-func (f *openFile) edit(one edit) {
-	f.inode.edits = append(f.inode.edits, one)
-	f.inode.content = one.applyTo(f.inode.content)
+func (f *openFile) applyEdit(change edit) {
+	f.inode.edits = append(f.inode.edits, change)
+	f.inode.content = change.applyTo(f.inode.content)
 }
 
 // Seek implements io.Seeker.
@@ -78,20 +78,20 @@
 func (f *openFile) Truncate(length int64) error {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
-	return f.disk.operate(func() error {
+	return f.disk.runOperation(func() error {
 		if f.disk.failTruncate {
 			return ErrTruncate
 		}
-		f.edit(edit{offset: int(length)})
+		f.applyEdit(edit{offset: int(length)})
 		return nil
 	})
 }
 
-// Sync implements storage.File. A new file that was not renamed lasts from then on.
+// Sync implements storage.File. It also makes the name of a new file durable, unless the file was renamed.
 func (f *openFile) Sync() error {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
-	return f.disk.operate(func() error {
+	return f.disk.runOperation(func() error {
 		if f.disk.syncFails() {
 			return ErrSync
 		}
--- a/internal/controlplane/storage/store.go
+++ b/internal/controlplane/storage/store.go
@@ -7,14 +7,14 @@
 	Value []byte `msgpack:"v"`
 }
 
-// Store is a set of durable tables. All methods may be called at any time from any goroutine.
+// Store is a set of durable tables. All methods are safe for concurrent use.
 type Store interface {
-	// Tables lists the tables that hold a key, sorted.
+	// Tables returns the sorted names of the tables that have at least one key.
 	Tables() []string
-	// Table returns a copy of a table; its values must not be modified.
+	// Table returns a copy of a table. Its values must not be modified.
 	Table(name string) map[string][]byte
-	// Write applies changes in order, all or none, and returns once they will survive a loss of power. After an error
-	// whose rpcerror.Execution is NotExecuted the store is as it was before, and takes later writes. After any other error
-	// the changes may or may not be there, and the store takes no more writes.
+	// Write applies the changes in order, all or none of them. It returns once they survive a power loss. After an error whose
+	// rpcerror.Execution is NotExecuted the store is unchanged and accepts later writes. After any other error the changes may
+	// or may not have been applied, and the store accepts no more writes.
 	Write(changes ...Change) error
 }
--- a/internal/controlplane/storage/stored_test.go
+++ b/internal/controlplane/storage/stored_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	storedFolder   = "testdata/stored"
-	updateVariable = "GOLDEN_UPDATE" // set to 1, the stored data is made anew
+	storedDirectory = "testdata/stored"
+	updateVariable  = "GOLDEN_UPDATE" // environment variable; the value 1 rewrites the stored data
 )
 
-// storedWrites are the writes of the stored data: the first ones are in its snapshot records, the others in write records.
+// storedWrites are the writes of the stored data. The first three are in its snapshot records, the others in write records.
 var storedWrites = [][]storage.Change{
 	{
 		{Table: "register/configuration", Key: "promised", Value: []byte{0x82, 0xa1}},
@@ -23,22 +23,22 @@
 		{Table: "group/jobs/render", Key: "j/1", Value: []byte("first")},
 	},
 	{{Table: "gone", Key: "a", Value: make([]byte, 1000)}, {Table: "gone", Key: "b", Value: []byte("b")}},
-	{{Table: "gone", Key: "a"}}, // the file is far longer than what it holds from here on: it is compacted
+	{{Table: "gone", Key: "a"}}, // compacts the file, which is now far longer than the live data
 	{{Table: "group/jobs/render", Key: "j/1", Value: []byte("second")}, {Table: "group/jobs/render", Key: "j/2", Value: []byte{0, 0xff}}},
 	{{Table: "gone"}},
 	{{Table: "register/configuration", Key: "promised"}, {Table: "register/configuration", Key: "accepted", Value: []byte("accepted")}},
 }
 
-// storedTables are what the writes leave.
+// storedTables is the content of a store after storedWrites.
 var storedTables = storage.Tables{
 	"register/configuration": {"empty": {}, "accepted": []byte("accepted")},
 	"group/jobs/render":      {"j/1": []byte("second"), "j/2": {0, 0xff}},
 }
 
-func makeStoredTables(t *testing.T) {
-	os.RemoveAll(storedFolder)
+func writeStoredData(t *testing.T) {
+	os.RemoveAll(storedDirectory)
 	for _, writes := range [][][]storage.Change{storedWrites[:3], storedWrites[3:]} {
-		store, _, err := storage.Open(storage.OperatingSystem{}, storedFolder, storage.Options{CompactAbove: 1, SizeLimit: 1 << 20})
+		store, _, err := storage.Open(storage.OSFileSystem{}, storedDirectory, storage.Options{CompactAbove: 1, SizeLimit: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,27 +53,27 @@
 	}
 }
 
-func TestReadsStoredDataOfTheFile(t *testing.T) {
+func TestOpenReadsFileOfEarlierBuild(t *testing.T) {
 	if os.Getenv(updateVariable) == "1" {
-		makeStoredTables(t)
+		writeStoredData(t)
 	}
-	Convey("Given a file that an earlier build wrote", t, func() {
-		folder := t.TempDir()
-		So(os.CopyFS(folder, os.DirFS(storedFolder)), ShouldBeNil)
-		before, err := os.ReadFile(filepath.Join(folder, "store.log"))
+	Convey("Given a file written by an earlier build", t, func() {
+		copiedDirectory := t.TempDir()
+		So(os.CopyFS(copiedDirectory, os.DirFS(storedDirectory)), ShouldBeNil)
+		before, err := os.ReadFile(filepath.Join(copiedDirectory, "store.log"))
 		So(err, ShouldBeNil)
-		store, opened, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
+		store, opened, err := storage.Open(storage.OSFileSystem{}, copiedDirectory, storage.Options{})
 		So(err, ShouldBeNil)
 		defer store.Close()
 
-		Convey("all of it is read, and nothing is truncated or written", func() {
+		Convey("Open reads all of it without truncating or writing anything", func() {
 			So(opened, ShouldResemble, storage.OpenResult{})
 			So(store.Snapshot(), ShouldResemble, storedTables)
-			after, err := os.ReadFile(filepath.Join(folder, "store.log"))
+			after, err := os.ReadFile(filepath.Join(copiedDirectory, "store.log"))
 			So(err, ShouldBeNil)
 			So(after, ShouldResemble, before)
 		})
-		Convey("it has records of all kinds", func() {
+		Convey("it contains records of all kinds", func() {
 			for _, kind := range []string{"\xf5RC\x0aS", "\xf5RC\x0aE", "\xf5RC\x0aW"} {
 				So(string(before), ShouldContainSubstring, kind)
 			}
--- a/internal/controlplane/storage/wire_test.go
+++ b/internal/controlplane/storage/wire_test.go
@@ -9,45 +9,45 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the encoding of the stored types.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "change", Value: new(Change)},
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the constants of the file format.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: fileName, Want: "store.log"},
 		goldentest.Constant{Have: fileMagic, Want: "PLSTORE1"},
 		goldentest.Constant{Have: recordMagic, Want: "\xf5RC\n"},
-		goldentest.Constant{Have: snapshotRecord, Want: 83},
-		goldentest.Constant{Have: snapshotEnd, Want: 69},
-		goldentest.Constant{Have: writeRecord, Want: 87},
+		goldentest.Constant{Have: snapshotRecordKind, Want: 83},
+		goldentest.Constant{Have: snapshotEndKind, Want: 69},
+		goldentest.Constant{Have: writeRecordKind, Want: 87},
 	)
 }
 
-// TestWireRecord pins the file: its header, and a record with its head and its changes.
-func TestWireRecord(t *testing.T) {
-	const fileNumber, offset = 7, 20
+// TestEncodedFileMatchesGoldenBytes checks the encoding of a file with its header and one record.
+func TestEncodedFileMatchesGoldenBytes(t *testing.T) {
+	const fileID, offset = 7, 20
 	changes := []Change{{Table: "text 1", Key: "text 2", Value: []byte{3, 4}}, {Table: "text 5", Key: "text 6"}}
 	payload, err := appendChanges(nil, changes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := append(appendRecordHead(encodeHeader(fileNumber), fileNumber, offset, writeRecord, payload), payload...)
+	whole := append(appendRecordHeader(encodeFileHeader(fileID), fileID, offset, writeRecordKind, payload), payload...)
 	const want = "504c53544f5245310700000000000000f0f32e20f552430a572100000086251462a6746578742031a6746578742032c4020304a6746578742035a6746578742036c0"
 	if have := hex.EncodeToString(whole); have != want {
 		t.Errorf("encoded as %s, want %s", have, want)
 	}
 	stored, _ := hex.DecodeString(want)
-	if number, err := decodeHeader(stored[:headerLength]); err != nil || number != fileNumber {
-		t.Errorf("the header has the number %d: %v", number, err)
+	if decodedID, err := decodeFileHeader(stored[:fileHeaderLength]); err != nil || decodedID != fileID {
+		t.Errorf("the header has the file ID %d (error %v)", decodedID, err)
 	}
-	rest := stored[headerLength:]
-	read, err := readRecord(bytes.NewReader(rest), fileNumber, offset, int64(len(rest)))
-	if err != nil || read.kind != writeRecord || !reflect.DeepEqual(read.changes, changes) {
-		t.Errorf("read as %+v: %v", read, err)
+	rest := stored[fileHeaderLength:]
+	read, err := readRecord(bytes.NewReader(rest), fileID, offset, int64(len(rest)))
+	if err != nil || read.kind != writeRecordKind || !reflect.DeepEqual(read.changes, changes) {
+		t.Errorf("decoded %+v (error %v)", read, err)
 	}
 }
--- a/internal/controlplane/storage/writer.go
+++ b/internal/controlplane/storage/writer.go
@@ -5,40 +5,42 @@
 	"fmt"
 )
 
-// run is the writer: it takes what is queued, until the store is closed.
-func (s *FileStore) run() {
-	defer close(s.ended)
+// runWriter is the writer goroutine. It executes the queued writes until the store is closed.
+func (s *FileStore) runWriter() {
+	defer close(s.writerDone)
 	for range s.queue.wake {
-		for batch := s.queue.take(maxBatchBytes); len(batch) > 0; batch = s.queue.take(maxBatchBytes) {
-			s.commit(batch)
+		for batch := s.queue.takeBatch(maxBatchBytes); len(batch) > 0; batch = s.queue.takeBatch(maxBatchBytes) {
+			s.commitBatch(batch)
 		}
-		if s.queue.finished() {
+		if s.queue.drained() {
 			return
 		}
 	}
 }
 
-// commit makes a batch durable and answers its writers.
-func (s *FileStore) commit(batch []*commit) {
+// commitBatch makes a batch durable, applies it to the tables and sends each caller of Write its result. Then it compacts the
+// file if needed.
+func (s *FileStore) commitBatch(batch []*pendingWrite) {
 	err := s.queue.failure()
 	if err == nil {
 		err = s.append(batch)
 	}
 	if err == nil {
-		s.apply(batch)
+		s.applyBatch(batch)
 	}
-	for _, c := range batch {
-		c.done <- err
+	for _, write := range batch {
+		write.done <- err
 	}
 	if err == nil {
-		err = s.compactIfLong()
+		err = s.compactIfNeeded()
 	}
 	if err != nil && !errors.Is(err, ErrWriteRejected) {
 		s.fail(err)
 	}
 }
 
-func (s *FileStore) append(batch []*commit) error {
+// append appends a batch to the file as one record and syncs the file.
+func (s *FileStore) append(batch []*pendingWrite) error {
 	if err := s.rejection.current(); err != nil {
 		return err
 	}
@@ -46,11 +48,11 @@
 	if len(batch) == 1 {
 		payload = batch[0].encoded
 	} else {
-		for _, c := range batch {
-			payload = append(payload, c.encoded...)
+		for _, write := range batch {
+			payload = append(payload, write.encoded...)
 		}
 	}
-	s.buffer = appendRecordHead(s.buffer[:0], s.fileNumber, s.length, writeRecord, payload)
+	s.buffer = appendRecordHeader(s.buffer[:0], s.fileID, s.fileLength, writeRecordKind, payload)
 	s.buffer = append(s.buffer, payload...)
 	if written, err := s.file.Write(s.buffer); err != nil {
 		return s.rollBack(written, err)
@@ -58,21 +60,22 @@
 	if err := s.file.Sync(); err != nil {
 		return fmt.Errorf("sync store: %w", err)
 	}
-	s.length += int64(len(s.buffer))
+	s.fileLength += int64(len(s.buffer))
 	if len(s.buffer) > maxBatchBytes {
 		s.buffer = nil
 	}
 	return nil
 }
 
-func (s *FileStore) apply(batch []*commit) {
+func (s *FileStore) applyBatch(batch []*pendingWrite) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, c := range batch {
-		s.contents.apply(c.changes)
+	for _, write := range batch {
+		s.contents.apply(write.changes)
 	}
 }
 
+// fail makes the store fail for good.
 func (s *FileStore) fail(err error) {
 	if s.queue.fail(err) {
 		close(s.failed)
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -278,7 +278,7 @@
 
 func openStored(t *testing.T, folder string) *storage.FileStore {
 	t.Helper()
-	store, _, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
+	store, _, err := storage.Open(storage.OSFileSystem{}, folder, storage.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/systemtest/commandchecker_test.go
+++ b/internal/systemtest/commandchecker_test.go
@@ -89,7 +89,7 @@
 
 // historyOnDisk reads the history of applied changes from the disk of a core machine that has ended.
 func historyOnDisk(m *machine) (state configuration.State, err error) {
-	store, _, err := storage.Open(storage.OperatingSystem{}, m.dataDirectory, storage.Options{})
+	store, _, err := storage.Open(storage.OSFileSystem{}, m.dataDirectory, storage.Options{})
 	if err != nil {
 		return state, err
 	}
