--- a/cmd/puffinlink/apply.go
+++ b/cmd/puffinlink/apply.go
@@ -47,7 +47,7 @@
 	if same {
 		return c.report(applied{Version: parsed.Version, BuiltOn: builtOn})
 	}
-	request := operatorclient.Request{Method: http.MethodPut, Path: control.Path, IfMatch: builtOn, Body: body}
+	request := operatorclient.Request{Method: http.MethodPut, Path: control.ConfigurationPath, IfMatch: builtOn, Body: body}
 	if _, err := c.send(request); err != nil {
 		return explainApply(err, builtOn)
 	}
@@ -59,7 +59,7 @@
 	if c.IfMatch != nil {
 		return fmt.Sprint(*c.IfMatch), false, nil
 	}
-	answer, err := c.send(operatorclient.Request{Method: http.MethodGet, Path: control.Path})
+	answer, err := c.send(operatorclient.Request{Method: http.MethodGet, Path: control.ConfigurationPath})
 	var refused *operatorclient.RefusedError
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return "0", false, nil // there is none yet
--- a/internal/controlplane/configuration/simulationoperators_test.go
+++ b/internal/controlplane/configuration/simulationoperators_test.go
@@ -134,7 +134,7 @@
 
 // put lets a member answer an update, and the checker check the answer.
 func (o *operator) put(address string, update sentUpdate, resumeDelay time.Duration) int {
-	put := request(http.MethodPut, control.Path, []byte(update.body))
+	put := request(http.MethodPut, control.ConfigurationPath, []byte(update.body))
 	put.Header.Set("If-Match", strconv.FormatUint(update.ifMatch, 10))
 	answer, sent := o.exchange(address, put, resumeDelay)
 	if !sent {
@@ -170,7 +170,7 @@
 
 func (o *operator) readOnce(address string) (version uint64, read bool) {
 	newest := o.checker.newest()
-	answer, sent := o.exchange(address, request(http.MethodGet, control.Path, nil), o.randomBelow(maxResumeDelay))
+	answer, sent := o.exchange(address, request(http.MethodGet, control.ConfigurationPath, nil), o.randomBelow(maxResumeDelay))
 	if !sent || answer.Code != http.StatusOK && answer.Code != http.StatusNotFound {
 		return 0, false
 	}
--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -1,6 +1,6 @@
-// Package control serves the operators' API of the configuration: GET, and PUT as a compare-and-swap by If-Match. A PUT whose
-// outcome is not known in time is answered by 503, and may be sent again unchanged. Package operations serves the rest of the
-// operators' API.
+// Package control implements the part of the operator HTTP API that reads and changes the configuration. PUT is a
+// compare-and-swap on the version in If-Match. If the outcome of a PUT is not known in time, the response is 503, and the
+// operator may send the same request again. Package operations implements the rest of the operator API.
 package control
 
 import (
@@ -17,33 +17,33 @@
 	"puffinlink.example/puffinlink/internal/controlplane/entitytag"
 )
 
-// Path is the path of the configuration.
-const Path = "/-/configuration"
+// ConfigurationPath is the URL path of the configuration.
+const ConfigurationPath = "/-/configuration"
 
 const (
-	// responseTimeout bounds the time to a response; callers turn to another node after a second.
+	// responseTimeout bounds the time to a response. It is below one second because clients then try another node.
 	responseTimeout = 900 * time.Millisecond
-	// changeTimeout bounds a change, which continues after its request was answered as uncertain.
+	// changeTimeout bounds a change. A change may continue after its request got the response that the outcome is unknown.
 	changeTimeout = 3 * time.Second
-	// maxConcurrentChanges bounds the changes in flight, and with them the memory that their bodies take.
+	// maxConcurrentChanges bounds the changes in flight and so the memory for their bodies.
 	maxConcurrentChanges = 32
 )
 
-// Configurator changes and reads the configuration.
+// Configurator reads and changes the configuration. Put applies a change if ifMatch is the current version.
 type Configurator interface {
 	Put(ctx context.Context, ifMatch uint64, body []byte) configuration.Outcome
 	Read(ctx context.Context) (version uint64, body []byte, err error)
 }
 
-// Handler is the http.Handler of Path; it answers any other path with 404.
+// Handler is the http.Handler of ConfigurationPath. It responds to any other path with 404.
 type Handler struct {
 	lifetime     context.Context
 	configurator Configurator
 	logger       *zap.Logger
-	inFlight     chan struct{} // one token for each change
+	inFlight     chan struct{} // has one element for each change in flight
 }
 
-// New makes a Handler. Changes that are still in flight end with lifetime.
+// New returns a Handler. The end of lifetime cancels the changes in flight.
 func New(lifetime context.Context, configurator Configurator, logger *zap.Logger) *Handler {
 	return &Handler{
 		lifetime:     lifetime,
@@ -55,8 +55,8 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != Path {
-		writeError(w, http.StatusNotFound, "no such path; the configuration is at "+Path)
+	if r.URL.Path != ConfigurationPath {
+		writeError(w, http.StatusNotFound, "unknown path; the configuration is at "+ConfigurationPath)
 		return
 	}
 	switch r.Method {
@@ -66,7 +66,7 @@
 		h.put(w, r)
 	default:
 		w.Header().Set("Allow", "GET, HEAD, PUT")
-		writeError(w, http.StatusMethodNotAllowed, "use GET or PUT")
+		writeError(w, http.StatusMethodNotAllowed, "method not allowed; use GET or PUT")
 	}
 }
 
@@ -76,9 +76,9 @@
 	version, body, err := h.configurator.Read(ctx)
 	switch {
 	case err != nil:
-		writeError(w, http.StatusServiceUnavailable, "no majority holds an answer at the moment; try another mixer")
+		writeError(w, http.StatusServiceUnavailable, "no majority replied in time; try another mixer")
 	case version == 0:
-		writeError(w, http.StatusNotFound, "no configuration has been taken yet; send the first with If-Match: 0")
+		writeError(w, http.StatusNotFound, "no configuration has been accepted yet; send the first one with If-Match: 0")
 	default:
 		w.Header().Set("ETag", entitytag.Format(version))
 		writeBody(w, http.StatusOK, body)
@@ -94,7 +94,7 @@
 	select {
 	case h.inFlight <- struct{}{}:
 	default:
-		writeError(w, http.StatusServiceUnavailable, "too many orders are under way; send it again")
+		writeError(w, http.StatusServiceUnavailable, "too many changes are in flight; send the change again")
 		return
 	}
 	body, status, err := readBody(w, r)
@@ -103,12 +103,12 @@
 		writeError(w, status, err.Error())
 		return
 	}
-	h.writeOutcome(w, h.applyChange(ifMatch, body)) //nolint:contextcheck // a change outlasts its request: it ends with the lifetime
+	h.writeOutcome(w, h.applyChange(ifMatch, body)) //nolint:contextcheck // a change may outlive its request, so its context is h.lifetime
 }
 
-// applyChange runs a change for which the caller has put a token into h.inFlight, and takes the token out at its end. After
-// responseTimeout the change is reported as uncertain but continues, so that a slow majority still accepts it and the caller's
-// retry finds it accepted.
+// applyChange executes a change. The caller has added an element to h.inFlight, which the end of the change removes. After
+// responseTimeout applyChange returns that the outcome is unknown, but the change continues. A slow majority can then still
+// accept it, and a retry by the operator finds it accepted.
 func (h *Handler) applyChange(ifMatch uint64, body []byte) configuration.Outcome {
 	outcomes := make(chan configuration.Outcome, 1)
 	go func() {
@@ -123,48 +123,48 @@
 	case outcome := <-outcomes:
 		return outcome
 	case <-timer.C:
-		return configuration.Outcome{Kind: configuration.Unclear, Err: errUncertain}
+		return configuration.Outcome{Kind: configuration.Unclear, Err: errOutcomeUnknown}
 	}
 }
 
-// errUncertain answers a change without a clear outcome.
-var errUncertain = errors.New("the change may or may not be taken; send it again unchanged")
+// errOutcomeUnknown is the response to a change whose outcome is unknown.
+var errOutcomeUnknown = errors.New("the change may or may not have been accepted; send it again unchanged")
 
-// Errors of requests. Operators read their texts.
+// Errors of invalid requests. Operators see their texts in responses.
 var (
-	errIfMatchMissing   = errors.New("If-Match is missing; give the version that the change builds on, 0 for the first")
-	errIfMatchMalformed = errors.New("If-Match is not a version; give the version that the change builds on, 0 for the first")
-	errBodyTooLong      = errors.New("the body is too long; send at most " + strconv.Itoa(configuration.MaxBodyBytes) + " bytes")
-	errBodyTruncated    = errors.New("the body is cut short; send it whole")
-	errBodyNotReceived  = errors.New("the body did not arrive; send it again")
+	errIfMatchMissing   = errors.New("If-Match is missing; set it to the version that the change is based on, or to 0 for the first configuration")
+	errIfMatchMalformed = errors.New("If-Match is not a version; set it to the version that the change is based on, or to 0 for the first configuration")
+	errBodyTooLarge     = errors.New("the body is too large; send at most " + strconv.Itoa(configuration.MaxBodyBytes) + " bytes")
+	errBodyTruncated    = errors.New("the body is truncated; send it completely")
+	errBodyNotReceived  = errors.New("the body was not received in time; send it again")
 )
 
-// acceptedBody is the body of the response to an accepted change.
-type acceptedBody struct {
+// acceptedResponse is the body of the response to an accepted change.
+type acceptedResponse struct {
 	Version uint64 `json:"version"`
 }
 
 func (h *Handler) writeOutcome(w http.ResponseWriter, outcome configuration.Outcome) {
 	switch outcome.Kind {
 	case configuration.Accepted:
-		WriteJSON(w, http.StatusOK, acceptedBody{Version: outcome.Version})
+		WriteJSON(w, http.StatusOK, acceptedResponse{Version: outcome.Version})
 	case configuration.Invalid:
 		writeError(w, http.StatusBadRequest, outcome.Err.Error())
 	case configuration.Conflict:
 		writeError(w, http.StatusPreconditionFailed, outcome.Err.Error())
 	default:
-		// Operators' pages name this event.
+		// The operator documentation mentions this message.
 		h.logger.Info("configuration change outcome unknown", zap.Stringer("outcome", outcome.Kind), zap.Error(outcome.Err))
-		writeError(w, http.StatusServiceUnavailable, uncertainText(outcome.Err))
+		writeError(w, http.StatusServiceUnavailable, unknownOutcomeMessage(outcome.Err))
 	}
 }
 
-// uncertainText tells the operator what to do about a change without a clear outcome.
-func uncertainText(err error) string {
+// unknownOutcomeMessage returns the error message for a change whose outcome is unknown. It tells the operator what to do.
+func unknownOutcomeMessage(err error) string {
 	if errors.Is(err, configuration.ErrOlderThanHistory) || errors.Is(err, configuration.ErrBaseNotInForce) {
 		return err.Error()
 	}
-	return errUncertain.Error()
+	return errOutcomeUnknown.Error()
 }
 
 // parseIfMatch reads a version, with or without the quotes of an entity tag.
@@ -179,8 +179,8 @@
 	return version, nil
 }
 
-// readBody reads a request's body. With an error it returns the status of the response, which makes the caller retry only
-// where the bytes failed to arrive in time.
+// readBody reads the body of a request. If it fails, it also returns the status of the response. Only the status for a body
+// that was not received in time makes clients retry.
 func readBody(w http.ResponseWriter, r *http.Request) (body []byte, status int, err error) {
 	body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, configuration.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -188,7 +188,7 @@
 	case err == nil:
 		return body, http.StatusOK, nil
 	case errors.As(err, &tooLarge):
-		return nil, http.StatusRequestEntityTooLarge, errBodyTooLong
+		return nil, http.StatusRequestEntityTooLarge, errBodyTooLarge
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return nil, http.StatusBadRequest, errBodyTruncated
 	}
--- a/internal/controlplane/control/control_test.go
+++ b/internal/controlplane/control/control_test.go
@@ -21,26 +21,26 @@
 
 var errNoMajority = errors.New("no majority")
 
-// fakeConfigurator returns what the test sets.
+// fakeConfigurator returns the results that the test sets and records the arguments of Put.
 type fakeConfigurator struct {
 	outcome configuration.Outcome
 	version uint64
 	body    string
 	readErr error
-	// hold makes calls wait until it is closed or their context ends, if set.
-	hold chan struct{}
+	// released, if set, makes calls block until it is closed or their context is done.
+	released chan struct{}
 
-	ifMatch uint64
-	put     string
-	putErr  error // why the context of a held order ended
+	putIfMatch    uint64
+	putBody       string
+	putContextErr error // the context's error if it was done while Put was blocked
 }
 
 func (f *fakeConfigurator) wait(ctx context.Context) error {
-	if f.hold == nil {
+	if f.released == nil {
 		return nil
 	}
 	select {
-	case <-f.hold:
+	case <-f.released:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -48,8 +48,8 @@
 }
 
 func (f *fakeConfigurator) Put(ctx context.Context, ifMatch uint64, body []byte) configuration.Outcome {
-	f.putErr = f.wait(ctx)
-	f.ifMatch, f.put = ifMatch, string(body)
+	f.putContextErr = f.wait(ctx)
+	f.putIfMatch, f.putBody = ifMatch, string(body)
 	return f.outcome
 }
 
@@ -60,7 +60,7 @@
 	return f.version, []byte(f.body), f.readErr
 }
 
-func call(handler http.Handler, method, path, ifMatch, body string) *httptest.ResponseRecorder {
+func sendRequest(handler http.Handler, method, path, ifMatch, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	if ifMatch != "" {
 		request.Header.Set("If-Match", ifMatch)
@@ -70,30 +70,30 @@
 	return recorder
 }
 
-func TestPut(t *testing.T) {
+func TestPutReturnsStatusOfOutcome(t *testing.T) {
 	Convey("Given a handler", t, func() {
 		fake := &fakeConfigurator{outcome: configuration.Outcome{Kind: configuration.Accepted, Version: 7}}
 		handler := New(context.Background(), fake, zap.NewNop())
 
-		Convey("an accepted change is answered by 200, and arrives as it was sent", func() {
-			answer := call(handler, "PUT", Path, "5", "the body")
-			So(answer.Code, ShouldEqual, 200)
-			So(answer.Header().Get("Content-Type"), ShouldEqual, "application/json")
-			So(answer.Body.String(), ShouldEqual, `{"version":7}`)
-			So(fake.ifMatch, ShouldEqual, 5)
-			So(fake.put, ShouldEqual, "the body")
+		Convey("an accepted change gets status 200, and Put gets the version and body of the request", func() {
+			response := sendRequest(handler, "PUT", ConfigurationPath, "5", "the body")
+			So(response.Code, ShouldEqual, 200)
+			So(response.Header().Get("Content-Type"), ShouldEqual, "application/json")
+			So(response.Body.String(), ShouldEqual, `{"version":7}`)
+			So(fake.putIfMatch, ShouldEqual, 5)
+			So(fake.putBody, ShouldEqual, "the body")
 		})
 		Convey("If-Match may have the quotes of an entity tag", func() {
-			So(call(handler, "PUT", Path, `"18446744073709551615"`, "").Code, ShouldEqual, 200)
-			So(fake.ifMatch, ShouldEqual, uint64(18446744073709551615))
+			So(sendRequest(handler, "PUT", ConfigurationPath, `"18446744073709551615"`, "").Code, ShouldEqual, 200)
+			So(fake.putIfMatch, ShouldEqual, uint64(18446744073709551615))
 		})
-		Convey("a missing or malformed If-Match is answered by 400", func() {
+		Convey("a missing or malformed If-Match gets status 400", func() {
 			for _, ifMatch := range []string{"", "*", "-1", "five", "5,6"} {
-				answer := call(handler, "PUT", Path, ifMatch, "the body")
-				So(answer.Code, ShouldEqual, 400)
-				So(answer.Body.String(), ShouldContainSubstring, `"error":"If-Match is`)
+				response := sendRequest(handler, "PUT", ConfigurationPath, ifMatch, "the body")
+				So(response.Code, ShouldEqual, 400)
+				So(response.Body.String(), ShouldContainSubstring, `"error":"If-Match is`)
 			}
-			So(fake.put, ShouldBeEmpty)
+			So(fake.putBody, ShouldBeEmpty)
 		})
 		Convey("each outcome has its status", func() {
 			cases := []struct {
@@ -111,60 +111,60 @@
 			}
 			for _, c := range cases {
 				fake.outcome = c.outcome
-				answer := call(handler, "PUT", Path, "5", "")
-				So(answer.Code, ShouldEqual, c.status)
-				So(answer.Body.String(), ShouldContainSubstring, c.text)
-				So(answer.Body.String(), ShouldStartWith, `{"error":`)
+				response := sendRequest(handler, "PUT", ConfigurationPath, "5", "")
+				So(response.Code, ShouldEqual, c.status)
+				So(response.Body.String(), ShouldContainSubstring, c.text)
+				So(response.Body.String(), ShouldStartWith, `{"error":`)
 			}
 		})
-		Convey("a body over the limit is answered by 413, and is not in flight any more", func() {
+		Convey("a body over the limit gets status 413, and its change is not counted as in flight", func() {
 			long := strings.Repeat("x", configuration.MaxBodyBytes+1)
-			So(call(handler, "PUT", Path, "5", long).Code, ShouldEqual, 413)
+			So(sendRequest(handler, "PUT", ConfigurationPath, "5", long).Code, ShouldEqual, 413)
 			So(len(handler.inFlight), ShouldEqual, 0)
-			So(fake.put, ShouldBeEmpty)
+			So(fake.putBody, ShouldBeEmpty)
 		})
 		Convey("other paths and methods are rejected", func() {
-			So(call(handler, "PUT", "/other", "5", "").Code, ShouldEqual, 404)
-			answer := call(handler, "POST", Path, "5", "")
-			So(answer.Code, ShouldEqual, 405)
-			So(answer.Header().Get("Allow"), ShouldEqual, "GET, HEAD, PUT")
+			So(sendRequest(handler, "PUT", "/other", "5", "").Code, ShouldEqual, 404)
+			response := sendRequest(handler, "POST", ConfigurationPath, "5", "")
+			So(response.Code, ShouldEqual, 405)
+			So(response.Header().Get("Allow"), ShouldEqual, "GET, HEAD, PUT")
 		})
 	})
 }
 
-func TestSlowChangesAreUncertainInTime(t *testing.T) {
+func TestSlowChangeHasUnknownOutcomeInTime(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("It is answered as uncertain in time, and continues up to its time-out", t, func() {
-			fake := &fakeConfigurator{hold: make(chan struct{})}
+		Convey("The response comes within the response timeout, and the change continues until its own timeout", t, func() {
+			fake := &fakeConfigurator{released: make(chan struct{})}
 			handler := New(context.Background(), fake, zap.NewNop())
-			began := time.Now()
-			So(call(handler, "PUT", Path, "5", "the body").Code, ShouldEqual, 503)
-			So(time.Since(began), ShouldEqual, responseTimeout)
+			started := time.Now()
+			So(sendRequest(handler, "PUT", ConfigurationPath, "5", "the body").Code, ShouldEqual, 503)
+			So(time.Since(started), ShouldEqual, responseTimeout)
 			So(len(handler.inFlight), ShouldEqual, 1)
 			<-time.After(changeTimeout - responseTimeout)
 			synctest.Wait()
-			So(fake.putErr, ShouldEqual, context.DeadlineExceeded)
+			So(fake.putContextErr, ShouldEqual, context.DeadlineExceeded)
 			So(len(handler.inFlight), ShouldEqual, 0)
 		})
-		Convey("It ends with the handler's lifetime", t, func() {
+		Convey("The end of the handler's lifetime cancels the change", t, func() {
 			lifetime, end := context.WithCancel(context.Background())
-			fake := &fakeConfigurator{hold: make(chan struct{})}
+			fake := &fakeConfigurator{released: make(chan struct{})}
 			handler := New(lifetime, fake, zap.NewNop())
-			So(call(handler, "PUT", Path, "5", "the body").Code, ShouldEqual, 503)
+			So(sendRequest(handler, "PUT", ConfigurationPath, "5", "the body").Code, ShouldEqual, 503)
 			end()
 			synctest.Wait()
-			So(fake.putErr, ShouldEqual, context.Canceled)
+			So(fake.putContextErr, ShouldEqual, context.Canceled)
 		})
-		Convey("More than a bounded number at once are rejected", t, func() {
-			hold := make(chan struct{})
-			handler := New(context.Background(), blockedPuts{hold}, zap.NewNop())
+		Convey("A change over the limit of concurrent changes is rejected", t, func() {
+			released := make(chan struct{})
+			handler := New(context.Background(), blockingConfigurator{released}, zap.NewNop())
 			statuses := make(chan int, maxConcurrentChanges)
 			for range maxConcurrentChanges {
-				go func() { statuses <- call(handler, "PUT", Path, "5", "").Code }()
+				go func() { statuses <- sendRequest(handler, "PUT", ConfigurationPath, "5", "").Code }()
 			}
 			synctest.Wait()
-			So(call(handler, "PUT", Path, "5", "").Code, ShouldEqual, 503)
-			close(hold)
+			So(sendRequest(handler, "PUT", ConfigurationPath, "5", "").Code, ShouldEqual, 503)
+			close(released)
 			for range maxConcurrentChanges {
 				So(<-statuses, ShouldEqual, 200)
 			}
@@ -172,48 +172,50 @@
 	})
 }
 
-// blockedPuts accepts every change once its channel is closed.
-type blockedPuts struct{ hold chan struct{} }
+// blockingConfigurator blocks each change until its channel is closed, and then accepts it.
+type blockingConfigurator struct{ released chan struct{} }
 
-func (h blockedPuts) Put(context.Context, uint64, []byte) configuration.Outcome {
-	<-h.hold
+func (b blockingConfigurator) Put(context.Context, uint64, []byte) configuration.Outcome {
+	<-b.released
 	return configuration.Outcome{Kind: configuration.Accepted, Version: 7}
 }
 
-func (blockedPuts) Read(context.Context) (uint64, []byte, error) { return 0, nil, errNoMajority }
+func (blockingConfigurator) Read(context.Context) (uint64, []byte, error) {
+	return 0, nil, errNoMajority
+}
 
-func TestGet(t *testing.T) {
+func TestGetReturnsCurrentConfiguration(t *testing.T) {
 	Convey("Given a handler", t, func() {
 		fake := &fakeConfigurator{}
 		handler := New(context.Background(), fake, zap.NewNop())
-		Convey("before the first configuration the response is 404", func() {
-			So(call(handler, "GET", Path, "", "").Code, ShouldEqual, 404)
+		Convey("the response before the first configuration is 404", func() {
+			So(sendRequest(handler, "GET", ConfigurationPath, "", "").Code, ShouldEqual, 404)
 		})
-		Convey("the response is the newest configuration", func() {
+		Convey("the response is the current configuration", func() {
 			fake.version, fake.body = 7, `{"version": 7}`
-			answer := call(handler, "GET", Path, "", "")
-			So(answer.Code, ShouldEqual, 200)
-			So(answer.Body.String(), ShouldEqual, `{"version": 7}`)
-			So(answer.Header().Get("ETag"), ShouldEqual, `"7"`)
-			So(answer.Header().Get("Content-Type"), ShouldEqual, "application/json")
+			response := sendRequest(handler, "GET", ConfigurationPath, "", "")
+			So(response.Code, ShouldEqual, 200)
+			So(response.Body.String(), ShouldEqual, `{"version": 7}`)
+			So(response.Header().Get("ETag"), ShouldEqual, `"7"`)
+			So(response.Header().Get("Content-Type"), ShouldEqual, "application/json")
 		})
-		Convey("without a majority the response is 503", func() {
+		Convey("the response without a majority is 503", func() {
 			fake.readErr = errNoMajority
-			So(call(handler, "GET", Path, "", "").Code, ShouldEqual, 503)
+			So(sendRequest(handler, "GET", ConfigurationPath, "", "").Code, ShouldEqual, 503)
 		})
 	})
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("A slow read is answered in time", t, func() {
-			fake := &fakeConfigurator{hold: make(chan struct{})}
+		Convey("A slow read gets its response within the response timeout", t, func() {
+			fake := &fakeConfigurator{released: make(chan struct{})}
 			handler := New(context.Background(), fake, zap.NewNop())
-			began := time.Now()
-			So(call(handler, "GET", Path, "", "").Code, ShouldEqual, 503)
-			So(time.Since(began), ShouldEqual, responseTimeout)
+			started := time.Now()
+			So(sendRequest(handler, "GET", ConfigurationPath, "", "").Code, ShouldEqual, 503)
+			So(time.Since(started), ShouldEqual, responseTimeout)
 		})
 	})
 }
 
-func TestServer(t *testing.T) {
+func TestServerRejectsTruncatedBody(t *testing.T) {
 	Convey("Given a server on loopback", t, func() {
 		fake := &fakeConfigurator{outcome: configuration.Outcome{Kind: configuration.Accepted, Version: 7}}
 		server := NewServer(New(context.Background(), fake, zap.NewNop()), zap.NewNop())
@@ -226,26 +228,26 @@
 			So(server.Close(), ShouldBeNil)
 			So(<-served, ShouldEqual, http.ErrServerClosed)
 		})
-		send := func(text string) string {
+		send := func(request string) string {
 			connection, err := net.Dial("tcp", address)
 			So(err, ShouldBeNil)
 			defer connection.Close()
-			_, err = io.WriteString(connection, text)
+			_, err = io.WriteString(connection, request)
 			So(err, ShouldBeNil)
 			So(connection.(*net.TCPConn).CloseWrite(), ShouldBeNil)
-			answer, err := io.ReadAll(connection)
+			response, err := io.ReadAll(connection)
 			So(err, ShouldBeNil)
-			return string(answer)
+			return string(response)
 		}
-		head := "PUT " + Path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nIf-Match: 0\r\n"
+		requestHead := "PUT " + ConfigurationPath + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nIf-Match: 0\r\n"
 		Convey("a complete body is accepted", func() {
-			So(send(head+"Content-Length: 4\r\n\r\nbody"), ShouldStartWith, "HTTP/1.1 200 ")
-			So(fake.put, ShouldEqual, "body")
+			So(send(requestHead+"Content-Length: 4\r\n\r\nbody"), ShouldStartWith, "HTTP/1.1 200 ")
+			So(fake.putBody, ShouldEqual, "body")
 		})
 		Convey("a truncated body is rejected", func() {
-			So(send(head+"Content-Length: 9\r\n\r\nbody"), ShouldStartWith, "HTTP/1.1 400 ")
-			So(send(head+"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"), ShouldStartWith, "HTTP/1.1 400 ")
-			So(fake.put, ShouldBeEmpty)
+			So(send(requestHead+"Content-Length: 9\r\n\r\nbody"), ShouldStartWith, "HTTP/1.1 400 ")
+			So(send(requestHead+"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"), ShouldStartWith, "HTTP/1.1 400 ")
+			So(fake.putBody, ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/controlplane/control/response.go
+++ b/internal/controlplane/control/response.go
@@ -7,13 +7,13 @@
 	"github.com/go-json-experiment/json"
 )
 
-// Failure is the body of a response that reports an error. Error says what is wrong and what to do about it.
-type Failure struct {
+// ErrorResponse is the body of an error response. Error describes the error and what to do about it.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-func writeError(w http.ResponseWriter, status int, text string) {
-	WriteJSON(w, status, Failure{Error: text})
+func writeError(w http.ResponseWriter, status int, message string) {
+	WriteJSON(w, status, ErrorResponse{Error: message})
 }
 
 // WriteJSON writes a response with a JSON body.
--- a/internal/controlplane/control/server.go
+++ b/internal/controlplane/control/server.go
@@ -7,6 +7,7 @@
 	"go.uber.org/zap"
 )
 
+// Limits of the server, see the fields of http.Server.
 const (
 	headerTimeout  = 5 * time.Second
 	readTimeout    = 15 * time.Second
@@ -15,7 +16,8 @@
 	maxHeaderBytes = 32 << 10
 )
 
-// NewServer makes a server of a control address, with bounds on slow and idle clients. Calls must end within 15 s.
+// NewServer returns an HTTP server for the operator API, with limits for slow and idle clients. Handlers must respond within
+// 15 s.
 func NewServer(handler http.Handler, logger *zap.Logger) *http.Server {
 	return &http.Server{
 		Handler:           handler,
--- a/internal/controlplane/control/wire_test.go
+++ b/internal/controlplane/control/wire_test.go
@@ -6,17 +6,17 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the JSON encoding of the response bodies.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSONExperiment,
-		goldentest.Form{Name: "accepted", Value: new(acceptedBody)},
-		goldentest.Form{Name: "failure", Value: new(Failure)},
+		goldentest.Form{Name: "accepted", Value: new(acceptedResponse)},
+		goldentest.Form{Name: "failure", Value: new(ErrorResponse)},
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the URL path that operators use.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
-		goldentest.Constant{Have: Path, Want: "/-/configuration"},
+		goldentest.Constant{Have: ConfigurationPath, Want: "/-/configuration"},
 	)
 }
--- a/internal/controlplane/operations/api.go
+++ b/internal/controlplane/operations/api.go
@@ -95,4 +95,4 @@
 }
 
 // Failure is the body of a response that reports an error, as for the configuration.
-type Failure = control.Failure
+type Failure = control.ErrorResponse
--- a/internal/controlplane/operations/operations.go
+++ b/internal/controlplane/operations/operations.go
@@ -72,7 +72,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == control.Path { // without the bound on requests
+	if r.URL.Path == control.ConfigurationPath { // without the bound on requests
 		h.options.Next.ServeHTTP(w, r)
 		return
 	}
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -133,10 +133,10 @@
 func checkOtherPaths(t *testing.T) {
 	Convey("All other paths, and the configuration, are served by the next handler", t, func() {
 		handler := newFakeCore().handler()
-		for _, path := range []string{control.Path, "/", "/-/other", "/-/searchers/i-1"} {
+		for _, path := range []string{control.ConfigurationPath, "/", "/-/other", "/-/searchers/i-1"} {
 			So(request(handler, "GET", path, nil).Code, ShouldEqual, http.StatusTeapot)
 		}
-		So(request(handler, "PUT", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
+		So(request(handler, "PUT", control.ConfigurationPath, nil).Code, ShouldEqual, http.StatusTeapot)
 		So(request(handler, "POST", StatusPath, nil).Code, ShouldEqual, http.StatusTeapot)
 	})
 }
@@ -162,7 +162,7 @@
 		answer := request(handler, "GET", StatusPath, nil)
 		So(answer.Code, ShouldEqual, http.StatusServiceUnavailable)
 		So(answer.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
-		So(request(handler, "GET", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
+		So(request(handler, "GET", control.ConfigurationPath, nil).Code, ShouldEqual, http.StatusTeapot)
 		close(c.block)
 		for range maxRequests {
 			So(<-answers, ShouldEqual, http.StatusOK)
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -117,7 +117,7 @@
 
 func (o *operator) get() (version uint64, read bool) {
 	m, sent := o.pick(), time.Now()
-	got := o.call(m, httptest.NewRequest(http.MethodGet, control.Path, nil))
+	got := o.call(m, httptest.NewRequest(http.MethodGet, control.ConfigurationPath, nil))
 	if got.status == 0 {
 		return 0, false
 	}
@@ -130,7 +130,7 @@
 func (o *operator) put(requested change) (accepted bool) {
 	for range operatorAttempts {
 		m, sent := o.pick(), time.Now()
-		request := httptest.NewRequest(http.MethodPut, control.Path, strings.NewReader(requested.body))
+		request := httptest.NewRequest(http.MethodPut, control.ConfigurationPath, strings.NewReader(requested.body))
 		request.Header.Set("If-Match", strconv.FormatUint(requested.builtOn, 10))
 		got := o.call(m, request)
 		if got.status != 0 {
