--- a/internal/dataplane/proxy/reset_test.go
+++ b/internal/dataplane/proxy/reset_test.go
@@ -54,7 +54,7 @@
 			number++
 			client := &http.Transport{}
 			defer client.CloseIdleConnections()
-			relay.Arm(closed, after)
+			relay.ResetAt(closed, after)
 			request, err := http.NewRequest(http.MethodPost, "http://"+relay.Address()+testPrefix+string(numbered(number)), strings.NewReader(testJob))
 			So(err, ShouldBeNil)
 			answer, err := client.RoundTrip(request)
@@ -66,7 +66,7 @@
 			return err
 		}
 		So(send(resettest.Requests, resettest.NoReset), ShouldBeNil)
-		lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
+		lengths := [2]int{relay.ForwardedBytes(resettest.Requests), relay.ForwardedBytes(resettest.Responses)}
 		Convey("a job that did not arrive whole is not handed in; one whose answer is lost is, once", func() {
 			wrong := 0
 			for after := range lengths[resettest.Requests] {
--- a/internal/jobs/workerclient/reset_test.go
+++ b/internal/jobs/workerclient/reset_test.go
@@ -51,12 +51,12 @@
 				client := NewHTTPClient()
 				defer client.CloseIdleConnections()
 				worker := newCaller(client, relay.Address(), "i-1", func() bool { return true })
-				relay.Arm(resetAt, resettest.NoReset)
+				relay.ResetAt(resetAt, resettest.NoReset)
 				if usedBefore {
 					_, err := worker.post(context.Background(), worker.renewal, []byte("{}"), eventTimeout)
 					convey.So(err, convey.ShouldBeNil)
 				}
-				relay.Arm(resetAt, after)
+				relay.ResetAt(resetAt, after)
 				command := startCommand(0, execution)
 				body := appendStart(nil, &command, time.Hour.Milliseconds(), 1)
 				_, err := worker.post(context.Background(), worker.start, body, eventTimeout)
@@ -65,7 +65,7 @@
 			const firstAttemptNumber = 1000 // so that all calls have one length
 			_, err := send(firstAttemptNumber, resettest.Requests, resettest.NoReset)
 			convey.So(err, convey.ShouldBeNil)
-			lengths := [2]int{relay.Passed(resettest.Requests), relay.Passed(resettest.Responses)}
+			lengths := [2]int{relay.ForwardedBytes(resettest.Requests), relay.ForwardedBytes(resettest.Responses)}
 			execution, wrong := uint64(firstAttemptNumber), 0
 			var resetsInRequest [][]byte
 			for _, resetAt := range []resettest.Direction{resettest.Requests, resettest.Responses} {
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -10,24 +10,24 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// BenchmarkCall is one call of the size of a heartbeat and its answer, both sides together.
+// BenchmarkCall measures a call with the size of a heartbeat, including the callee's work.
 func BenchmarkCall(b *testing.B) {
-	server := httptest.NewServer(handlers(transport.NewIdentity(testCluster, "node-a")))
+	server := httptest.NewServer(newTestMux(transport.NewIdentity(testCluster, "node-a")))
 	defer server.Close()
 	client := transport.NewClientFor(testCluster)
 	defer client.Close()
 	b.ReportAllocs()
-	before := processorTime()
+	before := processCPUTime()
 	for b.Loop() {
 		if _, err := echoCall.Call(context.Background(), client, server.Listener.Addr().String(), sample); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(processCPUTime()-before)/float64(b.N), "cpu-ns/op")
 }
 
-// processorTime is what the whole process has used.
-func processorTime() time.Duration {
+// processCPUTime returns the CPU time that the process has used.
+func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/transport/boundedlistener.go
+++ b/internal/transport/boundedlistener.go
@@ -7,40 +7,42 @@
 	"sync"
 )
 
-// BoundedListener limits how many connections a server has open. At the limit, a new connection closes the one that has been
-// idle for longest; while none is idle, new ones wait in the listen queue of the system.
+// BoundedListener is a net.Listener that limits the number of open connections of a server. At the limit, it closes the least
+// recently used idle connection for a new one. While no connection is idle, new ones wait in the listen queue of the operating
+// system.
 //
-// A part of the limit may be reserved for some callers, see Reserve.
+// A part of the limit can be reserved for some hosts, see Reserve.
 type BoundedListener struct {
 	net.Listener
 	limit      int
 	reserved   int
-	isReserved func(host string) bool // nil where nothing is reserved
+	isReserved func(host string) bool // nil if nothing is reserved
 
 	mu           sync.Mutex
 	stateChanged sync.Cond
 	open         map[net.Conn]*boundedConnection
-	unreserved   int       // open connections of callers for whom nothing is reserved
+	unreserved   int       // number of open connections from hosts without reserved connections
 	idle         list.List // of net.Conn, least recently used first
 	closed       bool
 }
 
-// boundedConnection is what is known of an open connection.
+// boundedConnection is the state of an open connection.
 type boundedConnection struct {
-	idle     *list.Element // nil while it is not idle
-	reserved bool          // of a caller for whom a part is reserved
+	idleElement *list.Element // in BoundedListener.idle; nil while the connection is in use
+	reserved    bool          // whether it is from a host with reserved connections
 }
 
-// NewBoundedListener makes a BoundedListener. The http.Server that accepts from it must have its ConnState as ConnState hook.
+// NewBoundedListener returns a BoundedListener. The http.Server that accepts from it must have BoundedListener.ConnState as its
+// ConnState hook.
 func NewBoundedListener(listener net.Listener, limit int) *BoundedListener {
 	l := &BoundedListener{Listener: listener, limit: limit, open: make(map[net.Conn]*boundedConnection)}
 	l.stateChanged.L = &l.mu
 	return l
 }
 
-// Reserve keeps a number of connections for callers on some hosts. Other callers never fill them: beyond the rest of the limit a new
-// one of theirs closes the one of theirs that has been idle for longest, or is closed itself while none is idle. It is to be called
-// before the first Accept.
+// Reserve reserves a number of connections for some hosts. Other hosts share the rest of the limit. When the rest is used up, a
+// new connection from another host closes the least recently used idle connection from another host. If none of these is idle,
+// the new connection is closed instead. Reserve must be called before the first Accept.
 func (l *BoundedListener) Reserve(connections int, isReserved func(host string) bool) {
 	l.reserved, l.isReserved = connections, isReserved
 }
@@ -60,7 +62,8 @@
 	}
 }
 
-// admit counts a new connection, unless its caller would fill what is reserved for others.
+// admit adds a new connection to the open ones. It returns false if the connection would use one that is reserved for other
+// hosts.
 func (l *BoundedListener) admit(connection net.Conn) bool {
 	reserved := l.isReserved == nil || l.isReserved(hostOf(connection.RemoteAddr()))
 	l.mu.Lock()
@@ -92,7 +95,8 @@
 	return l.Listener.Close()
 }
 
-// waitBelowLimit waits until one more connection may be open, or the listener is closed.
+// waitBelowLimit waits until one more connection may be opened or the listener is closed. It closes an idle connection if
+// needed.
 func (l *BoundedListener) waitBelowLimit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,11 +107,11 @@
 	}
 }
 
-// oldestIdle is the connection that has been idle for longest, of callers for whom a part is reserved or of the others; nil where
-// none is idle. It needs the mutex.
+// oldestIdle returns the least recently used idle connection, either among the hosts with reserved connections or among the
+// other hosts. It returns nil if none of them is idle. The caller must hold l.mu.
 func (l *BoundedListener) oldestIdle(reserved bool) net.Conn {
 	for element := l.idle.Front(); element != nil; element = element.Next() {
-		connection := element.Value.(net.Conn) //nolint:forcetypeassert // the list has nothing else
+		connection := element.Value.(net.Conn) //nolint:forcetypeassert // the list has only connections
 		if l.open[connection].reserved == reserved {
 			return connection
 		}
@@ -115,7 +119,7 @@
 	return nil
 }
 
-// closeIdle closes an idle connection, if there is one. It needs the mutex.
+// closeIdle closes an idle connection. It returns false if connection is nil. The caller must hold l.mu.
 func (l *BoundedListener) closeIdle(connection net.Conn) bool {
 	if connection == nil {
 		return false
@@ -125,21 +129,21 @@
 	return true
 }
 
-// ConnState notes which connections are idle or closed. It is for http.Server.ConnState.
+// ConnState records the state of a connection. It is the value for http.Server.ConnState.
 func (l *BoundedListener) ConnState(connection net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.open[connection]
-	if known == nil {
+	tracked := l.open[connection]
+	if tracked == nil {
 		return // closed by closeIdle
 	}
-	if known.idle != nil {
-		l.idle.Remove(known.idle)
-		known.idle = nil
+	if tracked.idleElement != nil {
+		l.idle.Remove(tracked.idleElement)
+		tracked.idleElement = nil
 	}
 	switch state {
 	case http.StateIdle:
-		known.idle = l.idle.PushBack(connection)
+		tracked.idleElement = l.idle.PushBack(connection)
 	case http.StateClosed, http.StateHijacked:
 		l.remove(connection)
 	default:
@@ -148,20 +152,20 @@
 	l.stateChanged.Signal()
 }
 
-// remove takes a connection off the counts. It needs the mutex.
+// remove removes a connection from the open ones. The caller must hold l.mu.
 func (l *BoundedListener) remove(connection net.Conn) {
-	known := l.open[connection]
-	if known.idle != nil {
-		l.idle.Remove(known.idle)
+	tracked := l.open[connection]
+	if tracked.idleElement != nil {
+		l.idle.Remove(tracked.idleElement)
 	}
-	if !known.reserved {
+	if !tracked.reserved {
 		l.unreserved--
 	}
 	delete(l.open, connection)
 }
 
-// Open is how many connections are open.
-func (l *BoundedListener) Open() int {
+// OpenConnections returns the number of open connections.
+func (l *BoundedListener) OpenConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
--- a/internal/transport/boundedlistener_test.go
+++ b/internal/transport/boundedlistener_test.go
@@ -15,27 +15,28 @@
 
 const listenerTimeout = 20 * time.Second
 
-// boundedServer serves on a loopback address; calls of /wait are answered once the channel is closed.
-func boundedServer(t *testing.T, most int, reserved ...string) (inbound *transport.BoundedListener, waiting chan struct{}, letGo chan struct{}) {
+// startBoundedServer starts a server with a BoundedListener on a loopback address. Each request to /wait sends to started and
+// blocks until release is closed.
+func startBoundedServer(t *testing.T, limit int, reserved ...string) (bounded *transport.BoundedListener, started chan struct{}, release chan struct{}) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	waiting, letGo = make(chan struct{}, most), make(chan struct{})
+	started, release = make(chan struct{}, limit), make(chan struct{})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", func(http.ResponseWriter, *http.Request) {})
-	mux.HandleFunc("/wait", func(http.ResponseWriter, *http.Request) { waiting <- struct{}{}; <-letGo })
-	inbound = transport.NewBoundedListener(listener, most)
-	inbound.Reserve(len(reserved), func(host string) bool { return slices.Contains(reserved, host) })
-	server := &http.Server{Handler: mux, ConnState: inbound.ConnState}
+	mux.HandleFunc("/wait", func(http.ResponseWriter, *http.Request) { started <- struct{}{}; <-release })
+	bounded = transport.NewBoundedListener(listener, limit)
+	bounded.Reserve(len(reserved), func(host string) bool { return slices.Contains(reserved, host) })
+	server := &http.Server{Handler: mux, ConnState: bounded.ConnState}
 	served := make(chan struct{})
-	go func() { server.Serve(inbound); close(served) }()
+	go func() { server.Serve(bounded); close(served) }()
 	t.Cleanup(func() { server.Close(); <-served })
-	return inbound, waiting, letGo
+	return bounded, started, release
 }
 
-// callOn sends a request on a connection and tells whether it was answered.
-func callOn(t *testing.T, connection net.Conn, path string) error {
+// sendRequestOn sends a request on a connection. It returns an error if there is no response.
+func sendRequestOn(t *testing.T, connection net.Conn, path string) error {
 	t.Helper()
 	connection.SetDeadline(time.Now().Add(listenerTimeout))
 	if _, err := io.WriteString(connection, "GET "+path+" HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
@@ -46,13 +47,13 @@
 	return err
 }
 
-// dialOne opens a connection.
-func dialOne(t *testing.T, address string) net.Conn {
+// dialFromLoopback opens a connection from 127.0.0.1.
+func dialFromLoopback(t *testing.T, address string) net.Conn {
 	t.Helper()
 	return dialFrom(t, "127.0.0.1", address)
 }
 
-// dialFrom opens a connection from a host.
+// dialFrom opens a connection from the local address host.
 func dialFrom(t *testing.T, host, address string) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{Timeout: listenerTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
@@ -64,89 +65,91 @@
 	return connection
 }
 
-func TestBoundedListener(t *testing.T) {
-	convey.Convey("A server that is limited to three connections", t, func() {
-		inbound, waiting, letGo := boundedServer(t, 3)
-		address := inbound.Addr().String()
-		convey.Convey("closes the one that has been idle for longest for a new one", func() {
-			oldest := dialOne(t, address)
-			convey.So(callOn(t, oldest, "/"), convey.ShouldBeNil)
+func TestBoundedListenerLimitsOpenConnections(t *testing.T) {
+	convey.Convey("A server with a limit of three connections", t, func() {
+		bounded, started, release := startBoundedServer(t, 3)
+		address := bounded.Addr().String()
+		convey.Convey("closes the least recently used idle connection for a new one", func() {
+			oldest := dialFromLoopback(t, address)
+			convey.So(sendRequestOn(t, oldest, "/"), convey.ShouldBeNil)
 			for range 5 {
-				convey.So(callOn(t, dialOne(t, address), "/"), convey.ShouldBeNil)
-				convey.So(inbound.Open(), convey.ShouldBeLessThanOrEqualTo, 3)
+				convey.So(sendRequestOn(t, dialFromLoopback(t, address), "/"), convey.ShouldBeNil)
+				convey.So(bounded.OpenConnections(), convey.ShouldBeLessThanOrEqualTo, 3)
 			}
 			oldest.SetDeadline(time.Now().Add(listenerTimeout))
 			_, err := io.Copy(io.Discard, oldest)
-			convey.So(err, convey.ShouldBeNil) // its end
+			convey.So(err, convey.ShouldBeNil) // the server closed the connection
 		})
-		convey.Convey("lets a new one wait while none is idle", func() {
-			answered := make(chan error, 3)
+		convey.Convey("makes a new connection wait while none is idle", func() {
+			results := make(chan error, 3)
 			for range 3 {
-				connection := dialOne(t, address)
-				go func() { answered <- callOn(t, connection, "/wait") }()
-				<-waiting
+				connection := dialFromLoopback(t, address)
+				go func() { results <- sendRequestOn(t, connection, "/wait") }()
+				<-started
 			}
-			late := make(chan error, 1)
-			connection := dialOne(t, address) // into the listener's queue
-			go func() { late <- callOn(t, connection, "/") }()
-			convey.So(inbound.Open(), convey.ShouldEqual, 3)
-			close(letGo)
+			waitingResult := make(chan error, 1)
+			connection := dialFromLoopback(t, address) // waits in the listen queue
+			go func() { waitingResult <- sendRequestOn(t, connection, "/") }()
+			convey.So(bounded.OpenConnections(), convey.ShouldEqual, 3)
+			close(release)
 			for range 3 {
-				convey.So(<-answered, convey.ShouldBeNil)
+				convey.So(<-results, convey.ShouldBeNil)
 			}
-			convey.So(<-late, convey.ShouldBeNil)
-			convey.So(inbound.Open(), convey.ShouldBeLessThanOrEqualTo, 3)
+			convey.So(<-waitingResult, convey.ShouldBeNil)
+			convey.So(bounded.OpenConnections(), convey.ShouldBeLessThanOrEqualTo, 3)
 		})
 	})
 }
 
-// Callers for whom nothing is reserved fill the rest with calls that last: those for whom a part is reserved are answered all the same.
-func TestReservedConnections(t *testing.T) {
+// Guards against a host that cannot connect to its reserved connections because other hosts have used up the limit. The other
+// hosts occupy the rest of the limit with long calls.
+func TestReservedConnectionsAreNotUsedByOtherHosts(t *testing.T) {
 	const peer, otherPeer = "127.0.0.2", "127.0.0.3"
-	convey.Convey("A server of four connections, of which two are reserved for two hosts", t, func() {
-		inbound, waiting, letGo := boundedServer(t, 4, peer, otherPeer)
-		address := inbound.Addr().String()
-		answered := make(chan error, 2)
-		for range cap(answered) {
-			connection := dialOne(t, address)
-			go func() { answered <- callOn(t, connection, "/wait") }()
-			<-waiting
+	convey.Convey("A server with a limit of four connections, two of which are reserved for two hosts", t, func() {
+		bounded, started, release := startBoundedServer(t, 4, peer, otherPeer)
+		address := bounded.Addr().String()
+		results := make(chan error, 2)
+		for range cap(results) {
+			connection := dialFromLoopback(t, address)
+			go func() { results <- sendRequestOn(t, connection, "/wait") }()
+			<-started
 		}
-		convey.Convey("a further caller of the others is turned away", func() {
-			convey.So(callOn(t, dialOne(t, address), "/"), convey.ShouldNotBeNil)
-			convey.So(inbound.Open(), convey.ShouldEqual, 2)
-			close(letGo)
+		convey.Convey("closes a further connection from another host", func() {
+			convey.So(sendRequestOn(t, dialFromLoopback(t, address), "/"), convey.ShouldNotBeNil)
+			convey.So(bounded.OpenConnections(), convey.ShouldEqual, 2)
+			close(release)
 		})
-		convey.Convey("the hosts are answered, also once others were turned away", func() {
+		convey.Convey("serves the two hosts, also after it closed connections from other hosts", func() {
 			for range 3 {
-				dialOne(t, address)
-				convey.So(callOn(t, dialFrom(t, peer, address), "/"), convey.ShouldBeNil)
-				convey.So(callOn(t, dialFrom(t, otherPeer, address), "/"), convey.ShouldBeNil)
+				dialFromLoopback(t, address)
+				convey.So(sendRequestOn(t, dialFrom(t, peer, address), "/"), convey.ShouldBeNil)
+				convey.So(sendRequestOn(t, dialFrom(t, otherPeer, address), "/"), convey.ShouldBeNil)
 			}
-			convey.So(inbound.Open(), convey.ShouldBeLessThanOrEqualTo, 4)
-			close(letGo)
+			convey.So(bounded.OpenConnections(), convey.ShouldBeLessThanOrEqualTo, 4)
+			close(release)
 		})
-		convey.Convey("once calls have ended, their idle connections make room for others, and the hosts' stay", func() {
-			kept := dialFrom(t, peer, address)
-			convey.So(callOn(t, kept, "/"), convey.ShouldBeNil)
-			close(letGo)
-			for range cap(answered) {
-				convey.So(<-answered, convey.ShouldBeNil)
+		convey.Convey("closes idle connections of other hosts, but not of the two hosts, for new ones from other hosts", func() {
+			reserved := dialFrom(t, peer, address)
+			convey.So(sendRequestOn(t, reserved, "/"), convey.ShouldBeNil)
+			close(release)
+			for range cap(results) {
+				convey.So(<-results, convey.ShouldBeNil)
 			}
 			for range 4 {
-				callUntilAnswered(t, address)
+				requestUntilResponse(t, address)
 			}
-			convey.So(callOn(t, kept, "/"), convey.ShouldBeNil)
+			convey.So(sendRequestOn(t, reserved, "/"), convey.ShouldBeNil)
 		})
 	})
 }
 
-// callUntilAnswered opens connections until a call is answered: a connection counts as idle a little after its last answer.
-func callUntilAnswered(t *testing.T, address string) {
+// requestUntilResponse opens connections until a request gets a response. Retries are needed because the server marks a
+// connection as idle shortly after its last response.
+func requestUntilResponse(t *testing.T, address string) {
 	t.Helper()
-	for limit := time.Now().Add(listenerTimeout); callOn(t, dialOne(t, address), "/") != nil; {
-		if time.Now().After(limit) {
-			t.Fatal("no call is answered")
+	for deadline := time.Now().Add(listenerTimeout); sendRequestOn(t, dialFromLoopback(t, address), "/") != nil; {
+		if time.Now().After(deadline) {
+			t.Fatal("no request got a response in time")
 		}
 	}
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -19,48 +19,49 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// Client is the Caller that speaks HTTP. Its methods may be called from any goroutine.
+// Client is a Caller that sends calls over HTTP. Its methods are safe for concurrent use.
 type Client struct {
 	cluster      string
-	roundTripper http.RoundTripper // used directly: an http.Client would follow redirects with the body
-	countsWrites bool              // the connections of roundTripper count their writes, so that a SendTracker works
+	roundTripper http.RoundTripper // used directly because an http.Client would follow redirects with the body
+	countsWrites bool              // whether roundTripper has connections of DialFunc, so that a SendTracker works
 	directory    *directory
-	callIDPrefix string // of the IDs of this client's calls; random
+	callIDPrefix string // random; the IDs of this client's calls start with it
 	callCount    atomic.Uint64
 }
 
-// NewClientFor makes a client, with a connection pool of its own, of a process of a cluster. It is given back by Close.
+// NewClientFor returns a client for a process of a cluster. The client has its own connection pool, which Close releases.
 func NewClientFor(cluster string) *Client {
 	client := NewClientWithTransport(cluster, &http.Transport{
 		DialContext:         DialFunc(NewDialer()),
-		MaxIdleConnsPerHost: idlePerAddress,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnectionsPerAddress,
+		IdleConnTimeout:     idleConnectionTimeout,
 		DisableCompression:  true,
 	})
 	client.countsWrites = true
 	return client
 }
 
-// NewClient makes a client for servers made by NewMux, which belong to no cluster.
+// NewClient returns a client for servers of NewMux, which belong to no cluster.
 func NewClient() *Client { return NewClientFor("") }
 
-// NewClientWithTransport makes a client that sends its requests by roundTripper, such as a simulated network. Where no
-// connection can be opened, RoundTrip must return a *net.OpError whose Op is "dial": such a call counts as not executed.
+// NewClientWithTransport returns a client that sends its requests through roundTripper, for example a simulated network. If no
+// connection can be opened, RoundTrip must return a *net.OpError whose Op is "dial". The client then reports the call as not
+// executed.
 func NewClientWithTransport(cluster string, roundTripper http.RoundTripper) *Client {
 	return &Client{cluster: cluster, roundTripper: roundTripper, directory: newDirectory(), callIDPrefix: rand.Text() + "."}
 }
 
-// errUnknownProcess is the cause of an at-most-once call that is not sent; the address follows it.
-var errUnknownProcess = errors.New("nobody is known to serve")
+// errProcessUnknown is the cause of the error of an at-most-once call that was not sent. The address follows in the text.
+var errProcessUnknown = errors.New("no known process serves")
 
-// Close closes idle connections. The client can still be used.
+// Close closes idle connections. The client remains usable.
 func (c *Client) Close() {
 	if idle, ok := c.roundTripper.(interface{ CloseIdleConnections() }); ok {
 		idle.CloseIdleConnections()
 	}
 }
 
-// Call implements Caller. An idempotent call that is rejected because the same node was restarted is sent once more, at once.
+// Call implements Caller. An idempotent call that is rejected because the node was restarted is immediately sent once more.
 func (c *Client) Call(ctx context.Context, address string, route Route, request, reply any) error {
 	body, err := msgpack.Marshal(request)
 	if err != nil {
@@ -77,21 +78,22 @@
 	return err
 }
 
-// callAtMostOnce sends a call to a known process only. On first contact it asks for the identity of the process first.
+// callAtMostOnce sends an at-most-once call, which must be addressed to a known process. If no process is known at the address,
+// it requests the identity of the process first.
 func (c *Client) callAtMostOnce(ctx context.Context, address string, route Route, body []byte, reply any) error {
 	if _, known := c.directory.lookup(address); !known {
 		if _, err := identityCall.Call(ctx, c, address, identityRequest{}); err != nil {
-			return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: who serves the address: %w", route.Path(), err), rpcerror.RetryAfter(err))
+			return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: identify the process at the address: %w", route.Path(), err), rpcerror.RetryAfter(err))
 		}
 	}
 	call := c.newOutgoingCall(address, route, body)
 	if _, known := call.addressee.(Process); !known {
-		return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: %w %s", route.Path(), errUnknownProcess, address), 0)
+		return rpcerror.WrapNotExecuted(fmt.Errorf("%s not sent: %w %s", route.Path(), errProcessUnknown, address), 0)
 	}
 	return c.roundTrip(ctx, call, reply)
 }
 
-// roundTrip sends a call on one connection, with no retry, and accepts a response of the addressee to this very call.
+// roundTrip sends a call on one connection without retries. It accepts only the addressee's response to this call.
 func (c *Client) roundTrip(ctx context.Context, call *outgoingCall, reply any) error {
 	var tracker SendTracker
 	response, err := c.roundTripper.RoundTrip(call.httpRequest(ctx, &tracker))
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// decode sets a reply wholly or not at all, so that no part of an unreadable response is left in it.
+// decode sets reply only if the whole content can be decoded, so that reply never has a part of an invalid response.
 func decode(content []byte, reply any) error {
 	target := reflect.ValueOf(reply).Elem()
 	decoded := reflect.New(target.Type())
@@ -126,8 +128,8 @@
 	return nil
 }
 
-// classify wraps the error of a call without a response: it was not executed if no connection was opened, or if no byte was
-// sent on it.
+// classify wraps the error of a call without a response. The call was not executed if no connection was opened or no byte of
+// the request was sent.
 func (c *Client) classify(call *outgoingCall, err error, tracker *SendTracker) error {
 	err = fmt.Errorf("call %s: %w", call, err)
 	var operation *net.OpError
@@ -137,22 +139,22 @@
 	return rpcerror.WrapMayHaveExecuted(err)
 }
 
-// StatusError is the cause of a call that was answered by another status than 200.
+// StatusError is the cause of the error of a call whose response has a status other than 200.
 type StatusError struct {
 	URL    string // address and path
 	Status int
-	Text   string // of the body
+	Text   string // start of the body
 }
 
 // Error implements the error interface.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("%s answered %d: %s", e.URL, e.Status, e.Text)
+	return fmt.Sprintf("%s responded with status %d: %s", e.URL, e.Status, e.Text)
 }
 
-// responseError is the error of a response with another status than 200. Responses of 503 and 404, the latter of a build
-// that lacks the path, say that the call was not executed.
+// responseError returns the error for a response whose status is not 200. The statuses 503 and 404 mean that the call was not
+// executed. A callee of an older build without the path responds with 404.
 func responseError(call *outgoingCall, response *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorTextBytes))
 	err := &StatusError{URL: call.String(), Status: response.StatusCode, Text: string(bytes.TrimSpace(text))}
 	if response.StatusCode != http.StatusServiceUnavailable && response.StatusCode != http.StatusNotFound {
 		return rpcerror.WrapMayHaveExecuted(err)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -23,10 +23,10 @@
 
 const retryAfter = 250 * time.Millisecond
 
-// Endpoints of the tests: one for each outcome of a call, and one that nobody serves.
+// Endpoints of the tests: one for each outcome of a call, and one without a handler.
 var (
 	echoCall    = transport.NewIdempotent[echo, echo]("/echo")
-	refuseCall  = transport.NewIdempotent[echo, echo]("/refuse")
+	rejectCall  = transport.NewIdempotent[echo, echo]("/refuse")
 	failCall    = transport.NewIdempotent[echo, echo]("/fail")
 	hangCall    = transport.NewIdempotent[echo, echo]("/hang")
 	unknownCall = transport.NewIdempotent[echo, echo]("/unknown")
@@ -39,17 +39,17 @@
 	State  map[string][]byte `msgpack:"s"`
 }
 
-// testCluster is a name with characters that must be escaped.
+// testCluster is a cluster name with characters that must be escaped in headers.
 const testCluster = "cluster */1"
 
-// handlers serve one path for each outcome of a call.
-func handlers(self transport.Identity) *transport.Mux {
+// newTestMux returns a Mux with one endpoint for each outcome of a call.
+func newTestMux(self transport.Identity) *transport.Mux {
 	mux := transport.NewMuxFor(self)
 	transport.Handle(mux, echoCall, func(_ context.Context, request echo) (echo, error) { return request, nil })
-	transport.Handle(mux, refuseCall, func(context.Context, echo) (echo, error) {
+	transport.Handle(mux, rejectCall, func(context.Context, echo) (echo, error) {
 		return echo{}, rpcerror.WrapNotExecuted(errors.New("not the leader"), retryAfter)
 	})
-	transport.Handle(mux, failCall, func(context.Context, echo) (echo, error) { return echo{}, errors.New("broke down midway") })
+	transport.Handle(mux, failCall, func(context.Context, echo) (echo, error) { return echo{}, errors.New("failed during execution") })
 	transport.Handle(mux, hangCall, func(ctx context.Context, _ echo) (echo, error) {
 		<-ctx.Done()
 		return echo{}, ctx.Err()
@@ -57,136 +57,137 @@
 	return mux
 }
 
-// fixture is a transport with a served address and one without a listener.
-type fixture struct {
+// transportFixture is a caller, an address with a server and an address without a listener.
+type transportFixture struct {
 	caller           transport.Caller
 	served, unserved string
-	replace          func(http.Handler) // puts another process at the served address
+	replace          func(http.Handler) // replaces the process at the served address
 }
 
 var sample = echo{Text: "text", Number: 1 << 60, State: map[string][]byte{"a": {}, "b": {1, 0, 255}}}
 
-func (s fixture) call(ctx context.Context, address string, endpoint transport.Idempotent[echo, echo]) (echo, error) {
-	return endpoint.Call(ctx, s.caller, address, sample)
+func (f transportFixture) call(ctx context.Context, address string, endpoint transport.Idempotent[echo, echo]) (echo, error) {
+	return endpoint.Call(ctx, f.caller, address, sample)
 }
 
-// runContract checks what every transport promises to its callers. All processes are of the caller's cluster.
-func runContract(t *testing.T, open func(t *testing.T, handler http.Handler) fixture) {
+// runContract tests the behavior that every transport must have. open returns a transport whose caller and processes belong to
+// testCluster.
+func runContract(t *testing.T, open func(t *testing.T, handler http.Handler) transportFixture) {
 	Convey("Given a transport", t, func() {
 		first := transport.NewIdentity(testCluster, "node-a")
-		s := open(t, handlers(first))
-		checkOutcomes(t, s)
-		checkIdentities(t, s, first)
-		checkAtMostOnceCalls(t, s, first)
-		Convey("a response reaches its own call among many that are cancelled", func() { checkCancellations(t, s) })
+		f := open(t, newTestMux(first))
+		checkOutcomes(t, f)
+		checkIdentities(t, f, first)
+		checkAtMostOnceCalls(t, f, first)
+		Convey("each response reaches its own call while other calls are cancelled", func() { checkCancellations(t, f) })
 	})
 }
 
-// checkOutcomes checks the outcomes of a call.
-func checkOutcomes(t *testing.T, s fixture) {
-	Convey("a reply comes back as it was sent", func() {
-		reply, err := s.call(t.Context(), s.served, echoCall)
+// checkOutcomes checks the reply or error of a call for each outcome at the callee.
+func checkOutcomes(t *testing.T, f transportFixture) {
+	Convey("a reply is received as it was sent", func() {
+		reply, err := f.call(t.Context(), f.served, echoCall)
 		So(err, ShouldBeNil)
 		So(reply, ShouldResemble, sample)
 	})
-	Convey("a rejection is not executed, and says when to retry", func() {
-		_, err := s.call(t.Context(), s.served, refuseCall)
+	Convey("a rejected call is not executed, and its error has the delay before a retry", func() {
+		_, err := f.call(t.Context(), f.served, rejectCall)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		So(rpcerror.RetryAfter(err), ShouldEqual, retryAfter)
 		So(err.Error(), ShouldContainSubstring, "not the leader")
 	})
 	Convey("a call whose handler fails may have been executed", func() {
-		_, err := s.call(t.Context(), s.served, failCall)
+		_, err := f.call(t.Context(), f.served, failCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 	Convey("a call that times out may have been executed", func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 		defer cancel()
-		_, err := s.call(ctx, s.served, hangCall)
+		_, err := f.call(ctx, f.served, hangCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 	})
 	Convey("a call to an address without a listener is not executed", func() {
-		_, err := s.call(t.Context(), s.unserved, echoCall)
+		_, err := f.call(t.Context(), f.unserved, echoCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
-	Convey("a call of a path that is not served is not executed", func() {
-		_, err := s.call(t.Context(), s.served, unknownCall)
+	Convey("a call to a path without a handler is not executed", func() {
+		_, err := f.call(t.Context(), f.served, unknownCall)
 		So(err, ShouldNotBeNil)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
-// checkIdentities checks that a call is executed by its addressee or not at all.
-func checkIdentities(t *testing.T, s fixture, first transport.Identity) {
-	met := func() {
-		_, err := s.call(t.Context(), s.served, echoCall)
+// checkIdentities checks that a call is executed by its addressee or by no process.
+func checkIdentities(t *testing.T, f transportFixture, first transport.Identity) {
+	callSucceeds := func() {
+		_, err := f.call(t.Context(), f.served, echoCall)
 		So(err, ShouldBeNil)
 	}
-	Convey("a restarted process is reached by the first call", func() {
-		met()
-		s.replace(handlers(transport.NewIdentity(first.Cluster, first.Node)))
-		_, err := s.call(t.Context(), s.served, echoCall)
+	Convey("the first call after a restart of the process succeeds", func() {
+		callSucceeds()
+		f.replace(newTestMux(transport.NewIdentity(first.Cluster, first.Node)))
+		_, err := f.call(t.Context(), f.served, echoCall)
 		So(err, ShouldBeNil)
 	})
 	Convey("another machine at the address rejects the call as not executed, and executes the next one", func() {
-		met()
+		callSucceeds()
 		other := transport.NewIdentity(first.Cluster, "node-b")
-		s.replace(handlers(other))
-		_, err := s.call(t.Context(), s.served, echoCall)
+		f.replace(newTestMux(other))
+		_, err := f.call(t.Context(), f.served, echoCall)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		var misdirected *transport.MisdirectedError
 		So(errors.As(err, &misdirected), ShouldBeTrue)
 		So(misdirected.Intended, ShouldResemble, transport.Process{Identity: first})
 		So(misdirected.Actual, ShouldResemble, other)
-		met()
+		callSucceeds()
 	})
-	Convey("a process of another cluster rejects each call, also on first contact", func() {
-		s.replace(handlers(transport.NewIdentity("another", first.Node)))
+	Convey("a process of another cluster rejects each call, also the first one", func() {
+		f.replace(newTestMux(transport.NewIdentity("another", first.Node)))
 		for range 3 {
-			_, err := s.call(t.Context(), s.served, echoCall)
+			_, err := f.call(t.Context(), f.served, echoCall)
 			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 			So(err.Error(), ShouldContainSubstring, "another/node-a/")
 		}
 	})
 }
 
-// checkAtMostOnceCalls checks at-most-once calls.
-func checkAtMostOnceCalls(t *testing.T, s fixture, first transport.Identity) {
+// checkAtMostOnceCalls checks that at-most-once calls are sent only to known processes and executed once.
+func checkAtMostOnceCalls(t *testing.T, f transportFixture, first transport.Identity) {
 	send := func() error {
-		_, err := countCall.Call(t.Context(), s.caller, s.served, echo{})
+		_, err := countCall.Call(t.Context(), f.caller, f.served, echo{})
 		return err
 	}
-	Convey("an at-most-once call is executed once, also on first contact", func() {
+	Convey("an at-most-once call is executed once, also if it is the first call to the process", func() {
 		process := newCountingCallee(first)
-		s.replace(process)
+		f.replace(process)
 		So(send(), ShouldBeNil)
 		So(send(), ShouldBeNil)
 		So(process.executions.Load(), ShouldEqual, 2)
 	})
-	Convey("a restarted process does not execute it, but the next one", func() {
+	Convey("a restarted process rejects the first at-most-once call and executes the next one", func() {
 		before, after := newCountingCallee(first), newCountingCallee(transport.NewIdentity(first.Cluster, first.Node))
-		s.replace(before)
+		f.replace(before)
 		So(send(), ShouldBeNil)
-		s.replace(after)
+		f.replace(after)
 		So(rpcerror.ExecutionOf(send()), ShouldEqual, rpcerror.NotExecuted)
 		So(before.executions.Load(), ShouldEqual, 1)
 		So(after.executions.Load(), ShouldEqual, 0)
 		So(send(), ShouldBeNil)
 		So(after.executions.Load(), ShouldEqual, 1)
 	})
-	Convey("where the process at the address is not known, it is not sent", func() {
-		_, err := countCall.Call(t.Context(), s.caller, s.unserved, echo{})
+	Convey("an at-most-once call is not sent while the process at the address is unknown", func() {
+		_, err := countCall.Call(t.Context(), f.caller, f.unserved, echo{})
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
 }
 
-// checkCancellations makes many calls at once, of which many are cancelled at any moment.
-func checkCancellations(t *testing.T, s fixture) {
+// checkCancellations sends many concurrent calls and cancels some of them at random times.
+func checkCancellations(t *testing.T, f transportFixture) {
 	const callers, callsEach = 16, 60
-	var wrong, answered atomic.Int64
+	var wrongReplies, replies atomic.Int64
 	var calling sync.WaitGroup
 	for caller := range callers {
 		random := rand.New(rand.NewPCG(uint64(caller), 0))
@@ -198,23 +199,23 @@
 					stop := time.AfterFunc(time.Duration(random.IntN(500))*time.Microsecond, cancel)
 					defer stop.Stop()
 				}
-				reply, err := echoCall.Call(ctx, s.caller, s.served, request)
+				reply, err := echoCall.Call(ctx, f.caller, f.served, request)
 				if err == nil {
-					answered.Add(1)
+					replies.Add(1)
 				}
 				if err == nil && (reply.Number != request.Number || reply.Text != request.Text) || err != nil && reply.Number != 0 {
-					wrong.Add(1)
+					wrongReplies.Add(1)
 				}
 				cancel()
 			}
 		})
 	}
 	calling.Wait()
-	So(wrong.Load(), ShouldEqual, 0)
-	So(answered.Load(), ShouldBeGreaterThan, callers*callsEach/2)
+	So(wrongReplies.Load(), ShouldEqual, 0)
+	So(replies.Load(), ShouldBeGreaterThan, callers*callsEach/2)
 }
 
-// countingCallee serves countCall and counts how often it is executed.
+// countingCallee is a callee that counts the executions of countCall.
 type countingCallee struct {
 	*transport.Mux
 	executions atomic.Int64
@@ -228,7 +229,7 @@
 	return c
 }
 
-// swappableHandler serves one handler after the other.
+// swappableHandler is an http.Handler that tests can replace while it serves.
 type swappableHandler struct{ handler atomic.Value }
 
 func (s *swappableHandler) set(handler http.Handler) { s.handler.Store(&handler) }
@@ -238,9 +239,9 @@
 	(*s.handler.Load().(*http.Handler)).ServeHTTP(w, r)
 }
 
-// TestClientKeepsTheContractOverTCP replaces processes behind connections that stay open.
+// TestClientKeepsTheContractOverTCP runs the contract over TCP. When it replaces a process, the connections stay open.
 func TestClientKeepsTheContractOverTCP(t *testing.T) {
-	runContract(t, func(_ *testing.T, handler http.Handler) fixture {
+	runContract(t, func(_ *testing.T, handler http.Handler) transportFixture {
 		var serving swappableHandler
 		serving.set(handler)
 		server := httptest.NewServer(&serving)
@@ -253,17 +254,17 @@
 			server.CloseClientConnections()
 			server.Close()
 		})
-		return fixture{caller: client, served: server.Listener.Addr().String(), unserved: unused.Addr().String(), replace: serving.set}
+		return transportFixture{caller: client, served: server.Listener.Addr().String(), unserved: unused.Addr().String(), replace: serving.set}
 	})
 }
 
 func TestClientKeepsTheContractInMemory(t *testing.T) {
-	runContract(t, func(_ *testing.T, handler http.Handler) fixture {
+	runContract(t, func(_ *testing.T, handler http.Handler) transportFixture {
 		network := networktest.New(1)
 		network.Serve("served:1", handler)
 		network.Serve("nowhere:1", nil)
 		replace := func(handler http.Handler) { network.Serve("served:1", handler) }
-		return fixture{caller: network.CallerOf(testCluster, "caller:1"), served: "served:1", unserved: "nowhere:1", replace: replace}
+		return transportFixture{caller: network.CallerOf(testCluster, "caller:1"), served: "served:1", unserved: "nowhere:1", replace: replace}
 	})
 }
 
@@ -288,21 +289,21 @@
 	})
 }
 
-// FuzzRequests sends any bytes to a handler: its response is a success exactly if they can be decoded.
+// FuzzRequests checks that a handler accepts a request body if and only if it can be decoded.
 func FuzzRequests(f *testing.F) {
 	encoded, _ := msgpack.Marshal(echo{Text: "text", State: map[string][]byte{"a": {1}}})
 	f.Add(encoded)
 	f.Add(encoded[:len(encoded)/2])
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte("text"))
-	mux := handlers(transport.Identity{})
+	mux := newTestMux(transport.Identity{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		recorder := httptest.NewRecorder()
 		mux.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, echoCall.Path(), strings.NewReader(string(body))))
 		var request echo
-		readable := msgpack.Unmarshal(body, &request) == nil
-		if succeeded := recorder.Code == http.StatusOK; succeeded != readable {
-			t.Fatalf("answered %d, readable %v", recorder.Code, readable)
+		decodable := msgpack.Unmarshal(body, &request) == nil
+		if succeeded := recorder.Code == http.StatusOK; succeeded != decodable {
+			t.Fatalf("got status %d, but the body is decodable: %v", recorder.Code, decodable)
 		}
 	})
 }
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	dialTimeout      = 800 * time.Millisecond
-	unackedTimeoutMS = 1500 // until unacknowledged bytes close a connection, in the option's unit
-	tcpUserTimeout   = 18   // TCP_USER_TIMEOUT on Linux, which package syscall lacks
-	keepAlivePeriod  = time.Second
+	dialTimeout             = 800 * time.Millisecond
+	unacknowledgedTimeoutMS = 1500 // time after which unacknowledged bytes close a connection; milliseconds, as TCP_USER_TIMEOUT requires
+	tcpUserTimeoutOption    = 18   // number of TCP_USER_TIMEOUT on Linux, which package syscall doesn't define
+	keepAlivePeriod         = time.Second
 )
 
-// NewDialer makes a dialer whose connections are closed by the system soon after the peer stops to acknowledge bytes.
+// NewDialer returns a dialer. The operating system closes its connections soon after the peer stops acknowledging bytes.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod, Control: func(_, _ string, c syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := c.Control(func(descriptor uintptr) {
-			failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, unackedTimeoutMS)
+			optionErr = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeoutOption, unacknowledgedTimeoutMS)
 		})
-		return errors.Join(err, failed)
+		return errors.Join(err, optionErr)
 	}}
 }
 
-// DialFunc returns a function for http.Transport.DialContext whose connections a SendTracker can follow. A connection is reset
-// when it is closed, so that bytes in its send buffer do not arrive later.
+// DialFunc returns a function for http.Transport.DialContext. Its connections count their writes for a SendTracker. Closing one
+// resets it, so that bytes in its send buffer do not arrive later.
 func DialFunc(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dialer.DialContext(ctx, network, address)
@@ -36,20 +36,20 @@
 			return nil, err
 		}
 		if tcpConn, ok := connection.(*net.TCPConn); ok {
-			tcpConn.SetLinger(0) // without the option, a close sends what is left in the buffer
+			tcpConn.SetLinger(0) // otherwise the operating system sends the rest of the send buffer after Close
 		}
 		return &writeCountingConn{Conn: connection}, nil
 	}
 }
 
-// writeCountingConn counts the calls of Write that sent bytes, or may be sending some at this moment.
+// writeCountingConn counts the calls of Write that have sent bytes or may be sending bytes.
 type writeCountingConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
-// Write implements net.Conn. A call counts before it begins, and no more once it has failed without a byte: where the count
-// has not changed when the connection is closed, no byte will ever be sent.
+// Write implements net.Conn. It increments the count before it writes, and decrements it if the write fails without sending a
+// byte. So if the count is unchanged when the connection is closed, no byte was sent and none will be.
 func (c *writeCountingConn) Write(content []byte) (int, error) {
 	c.writes.Add(1)
 	sent, err := c.Conn.Write(content)
@@ -59,12 +59,12 @@
 	return sent, err
 }
 
-var errNoSystemConnection = errors.New("not a connection of the system")
+var errNoSyscallConn = errors.New("the connection does not implement syscall.Conn")
 
 // SyscallConn implements syscall.Conn.
 func (c *writeCountingConn) SyscallConn() (syscall.RawConn, error) {
 	if syscallConn, ok := c.Conn.(syscall.Conn); ok {
 		return syscallConn.SyscallConn()
 	}
-	return nil, errNoSystemConnection
+	return nil, errNoSyscallConn
 }
--- a/internal/transport/directory.go
+++ b/internal/transport/directory.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// directory caches which process serves which address. An entry may be stale: the process that is there then rejects the call.
+// directory caches which process serves each address. An entry may be stale. The process at the address then rejects the call.
 type directory struct {
 	mutex     sync.RWMutex
-	processes map[string]knownProcess
+	processes map[string]directoryEntry
 }
 
-// knownProcess is an entry: an identity, and a reading of the process's clock.
-type knownProcess struct {
+// directoryEntry is the identity of a process and a reading of its clock.
+type directoryEntry struct {
 	identity         Identity
-	headerText       string        // of identity, as each call needs it
-	clock            time.Duration // since the process's start
-	clockRequestedAt time.Time     // when the call was sent whose response gave clock
+	headerText       string        // identity.String(), cached because each call needs it
+	clock            time.Duration // time since the start of the process
+	clockRequestedAt time.Time     // when the call was sent whose response contained clock
 }
 
-// clockAfter is the process's clock at now plus delay. It may be ahead by the time that the call took which read the clock.
-func (p knownProcess) clockAfter(now time.Time, delay time.Duration) time.Duration {
+// clockAfter returns the estimated clock of the process at now plus delay. It may be ahead by the duration of the call that
+// read the clock.
+func (p directoryEntry) clockAfter(now time.Time, delay time.Duration) time.Duration {
 	return p.clock + now.Sub(p.clockRequestedAt) + delay
 }
 
-func newDirectory() *directory { return &directory{processes: make(map[string]knownProcess)} }
+func newDirectory() *directory { return &directory{processes: make(map[string]directoryEntry)} }
 
-func (d *directory) lookup(address string) (knownProcess, bool) {
+func (d *directory) lookup(address string) (directoryEntry, bool) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
 	process, known := d.processes[address]
 	return process, known
 }
 
-// add inserts an entry for an address without one. An entry that another call has added in the meantime stays.
-func (d *directory) add(address string, actual knownProcess) {
+// add inserts an entry unless the address has one. Another call may have added one in the meantime.
+func (d *directory) add(address string, actual directoryEntry) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if _, known := d.processes[address]; !known {
@@ -42,8 +43,8 @@
 	}
 }
 
-// replace updates the entry of a restarted process, unless another call has changed it in the meantime.
-func (d *directory) replace(address string, intended Identity, actual knownProcess) {
+// replace replaces the entry of a process that was restarted. It does nothing if another call has changed the entry meanwhile.
+func (d *directory) replace(address string, intended Identity, actual directoryEntry) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.processes[address].identity == intended {
@@ -51,7 +52,8 @@
 	}
 }
 
-// remove deletes the entry of a process that is not at the address any more; the next call is a first contact.
+// remove deletes the entry of a process that no longer serves the address. The next call is then addressed to any process. It
+// does nothing if another call has changed the entry meanwhile.
 func (d *directory) remove(address string, intended Identity) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/transport/endpoint.go
+++ b/internal/transport/endpoint.go
@@ -2,14 +2,15 @@
 
 import "context"
 
-// Route is the path of an endpoint together with its kind: an IdempotentRoute or an AtMostOnceRoute.
+// Route is the path and the kind of an endpoint. It is an IdempotentRoute or an AtMostOnceRoute.
 type Route interface {
-	// Path is the path of the URL.
+	// Path returns the path of the URL.
 	Path() string
 	idempotent() bool
 }
 
-// IdempotentRoute is the route of an idempotent call. Code that retries a call which may have been executed takes this type.
+// IdempotentRoute is the route of an idempotent call. Code that retries calls that may have been executed must require this
+// type.
 type IdempotentRoute struct{ path string }
 
 // Path implements Route.
@@ -23,22 +24,22 @@
 func (r AtMostOnceRoute) Path() string     { return r.path }
 func (r AtMostOnceRoute) idempotent() bool { return false }
 
-// Idempotent is the endpoint of an internal call that has the same effect when it is executed several times, also late, and
-// also by several processes one after the other.
+// Idempotent is the endpoint of an internal call that may be executed several times, late, and by several processes one after
+// the other. The effect must be the same as of one execution.
 type Idempotent[Request, Reply any] struct{ route IdempotentRoute }
 
-// NewIdempotent declares an endpoint. Each is declared once, for caller and callee.
+// NewIdempotent declares an endpoint. Caller and callee share the declaration.
 func NewIdempotent[Request, Reply any](path string) Idempotent[Request, Reply] {
 	return Idempotent[Request, Reply]{IdempotentRoute{path}}
 }
 
-// Route returns the route without the types, for code that chooses among several endpoints.
+// Route returns the route without the type parameters, for code that selects one of several endpoints.
 func (e Idempotent[Request, Reply]) Route() IdempotentRoute { return e.route }
 
 // Path returns the path of the URL.
 func (e Idempotent[Request, Reply]) Path() string { return e.route.path }
 
-// Call sends a request to the process at an address, host:port. Errors are those of Caller.
+// Call sends a request to the process at an address, host:port. Errors are as described at Caller.
 func (e Idempotent[Request, Reply]) Call(ctx context.Context, caller Caller, address string, request Request) (reply Reply, err error) {
 	err = caller.Call(ctx, address, e.route, request, &reply)
 	return reply, err
@@ -46,21 +47,21 @@
 
 func (e Idempotent[Request, Reply]) endpoint(Request, Reply) Route { return e.route }
 
-// AtMostOnce is the endpoint of an internal call that must not be executed a second time, nor long after it was sent.
+// AtMostOnce is the endpoint of an internal call that must be executed at most once, and not long after it was sent.
 type AtMostOnce[Request, Reply any] struct{ route AtMostOnceRoute }
 
-// NewAtMostOnce declares an endpoint. Each is declared once, for caller and callee.
+// NewAtMostOnce declares an endpoint. Caller and callee share the declaration.
 func NewAtMostOnce[Request, Reply any](path string) AtMostOnce[Request, Reply] {
 	return AtMostOnce[Request, Reply]{AtMostOnceRoute{path}}
 }
 
-// Route returns the route without the types, for code that chooses among several endpoints.
+// Route returns the route without the type parameters, for code that selects one of several endpoints.
 func (e AtMostOnce[Request, Reply]) Route() AtMostOnceRoute { return e.route }
 
 // Path returns the path of the URL.
 func (e AtMostOnce[Request, Reply]) Path() string { return e.route.path }
 
-// Call sends a request to the process at an address, host:port. Errors are those of Caller.
+// Call sends a request to the process at an address, host:port. Errors are as described at Caller.
 func (e AtMostOnce[Request, Reply]) Call(ctx context.Context, caller Caller, address string, request Request) (reply Reply, err error) {
 	err = caller.Call(ctx, address, e.route, request, &reply)
 	return reply, err
--- a/internal/transport/handle.go
+++ b/internal/transport/handle.go
@@ -14,15 +14,16 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// errDuplicateCall rejects a duplicate of a call. It does not say that the call was not executed, as the first copy may have been.
-var errDuplicateCall = errors.New("this call was received before and is not carried out again")
+// errDuplicateCall is the response to a duplicate of a call. The caller must treat the call as possibly executed, because the
+// first copy may have been executed.
+var errDuplicateCall = errors.New("duplicate call: it was received before and is not executed again")
 
-// errLateCall rejects a call whose caller has given up long ago.
-var errLateCall = errors.New("this call came too late and is not carried out")
+// errLateCall is the response to a call that arrived long after it was sent.
+var errLateCall = errors.New("the call arrived too late and is not executed")
 
-// Handle serves an endpoint. A handler's rpcerror.NotExecuted error reaches the caller as such, with its RetryAfter; of any
-// other error the caller learns that the call may have been executed. It panics, as http.ServeMux does, for a path that is
-// served already.
+// Handle registers the handler of an endpoint. If the handler returns an rpcerror.NotExecuted error, the caller gets the same
+// classification and its RetryAfter. For any other error, the caller learns that the call may have been executed. Handle
+// panics, as http.ServeMux does, if the path has a handler already.
 func Handle[Request, Reply any](m *Mux, endpoint Endpoint[Request, Reply], handler func(context.Context, Request) (Reply, error)) {
 	var (
 		zeroRequest Request
@@ -58,7 +59,7 @@
 	})
 }
 
-// replyBuffers hold encoded replies.
+// replyBuffers is a pool of buffers for encoded replies.
 var replyBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 func writeError(w http.ResponseWriter, err error) {
@@ -71,7 +72,7 @@
 }
 
 func writeReply(w http.ResponseWriter, reply any) {
-	buffer := replyBuffers.Get().(*bytes.Buffer) //nolint:forcetypeassert // the pool has nothing else
+	buffer := replyBuffers.Get().(*bytes.Buffer) //nolint:forcetypeassert // the pool has only buffers
 	defer func() {
 		if buffer.Cap() <= maxPooledBufferBytes {
 			replyBuffers.Put(buffer)
--- a/internal/transport/identity.go
+++ b/internal/transport/identity.go
@@ -7,49 +7,49 @@
 	"strconv"
 )
 
-// Identity names one process, from its start to its end.
+// Identity identifies one run of a process.
 type Identity struct {
-	Cluster     string // name of the system that the process belongs to
-	Node        string // the machine's name
-	Incarnation uint64 // drawn at each start
+	Cluster     string // name of the cluster of the process
+	Node        string // name of the machine
+	Incarnation uint64 // random, new at each start of the process
 }
 
-// NewIdentity names a process that starts now. The incarnation is random and not a time, which could be repeated after a
-// clock was set back.
+// NewIdentity returns the identity of a process that starts now. The incarnation is random and not a time, because a time
+// could repeat after the clock was set back.
 func NewIdentity(cluster, node string) Identity {
 	var random [8]byte
 	rand.Read(random[:]) // never fails, as documented
 	return Identity{Cluster: cluster, Node: node, Incarnation: binary.BigEndian.Uint64(random[:])}
 }
 
-// String returns the identity as headers have it: cluster/node/incarnation, the names escaped as in paths of URLs.
+// String returns the identity in the format of headers: cluster/node/incarnation, with the names escaped as in URL paths.
 func (i Identity) String() string {
-	return url.PathEscape(i.Cluster) + separator + url.PathEscape(i.Node) + separator + strconv.FormatUint(i.Incarnation, incarnationBase)
+	return url.PathEscape(i.Cluster) + headerSeparator + url.PathEscape(i.Node) + headerSeparator + strconv.FormatUint(i.Incarnation, incarnationBase)
 }
 
-// sameNode tells whether two identities are the same or incarnations of one node.
+// sameNode reports whether two identities are equal or are incarnations of the same node.
 func (i Identity) sameNode(other Identity) bool {
 	return i.Cluster == other.Cluster && i.Node == other.Node
 }
 
-// Addressee is the process that a call is to: a FirstContact or a Process.
+// Addressee specifies which process may execute a call. It is an AnyProcess or a Process.
 type Addressee interface {
-	// headerText is the addressee as ToHeader has it, without the call.
+	// headerText returns the addressee in the format of ToHeader, without the call ID.
 	headerText() string
-	// matches tells whether a process is the addressee.
+	// matches reports whether a process may execute the call.
 	matches(process Identity) bool
 }
 
-// FirstContact addresses whichever process of a cluster serves an address. It is for callers who do not know the process yet.
-type FirstContact struct{ Cluster string }
+// AnyProcess addresses any process of a cluster. A caller uses it while it doesn't know the process at a network address.
+type AnyProcess struct{ Cluster string }
 
-func (f FirstContact) headerText() string {
-	return url.PathEscape(f.Cluster) + separator + wildcard + separator + wildcard
+func (a AnyProcess) headerText() string {
+	return url.PathEscape(a.Cluster) + headerSeparator + headerWildcard + headerSeparator + headerWildcard
 }
 
-func (f FirstContact) matches(process Identity) bool { return f.Cluster == process.Cluster }
+func (a AnyProcess) matches(process Identity) bool { return a.Cluster == process.Cluster }
 
-// Process addresses one process and no other.
+// Process addresses exactly one process.
 type Process struct{ Identity }
 
 func (p Process) headerText() string { return p.String() }
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Mux is the http.Handler of the internal calls that one process serves. Endpoints are added by Handle.
+// Mux is the http.Handler of the internal calls that a process serves. Handle adds endpoints.
 type Mux struct {
 	identity      Identity
 	identityText  string
@@ -17,17 +17,17 @@
 	receivedCalls callIDSet
 }
 
-// NewMuxFor makes an empty Mux of a process.
+// NewMuxFor returns a Mux for a process. It serves only the identity call until endpoints are added.
 func NewMuxFor(self Identity) *Mux {
 	m := &Mux{identity: self, identityText: self.String(), started: time.Now(), mux: http.NewServeMux()}
 	Handle(m, identityCall, func(context.Context, identityRequest) (identityReply, error) { return identityReply{}, nil })
 	return m
 }
 
-// NewMux makes an empty Mux of a process of its own, of no cluster.
+// NewMux returns a Mux for a new process identity that belongs to no cluster.
 func NewMux() *Mux { return NewMuxFor(NewIdentity("", "")) }
 
-// identityCall asks who serves an address; the headers of the response say it.
+// identityCall requests the identity of the process at an address. The identity is in the headers of the response.
 var identityCall = NewIdempotent[identityRequest, identityReply]("/transport/identity")
 
 type (
@@ -35,11 +35,11 @@
 	identityReply   struct{}
 )
 
-// ServeHTTP implements http.Handler. It rejects calls to another process, by 421 and before it reads their body.
+// ServeHTTP implements http.Handler. It rejects calls to another process with status 421, before it reads their body.
 func (m *Mux) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	header := r.Header.Get(ToHeader)
-	w.Header().Set(FromHeader, m.identityText+separator+callIDOf(header))
-	if processOf(header) != m.identityText { // the caller does not know this process yet
+	w.Header().Set(FromHeader, m.identityText+headerSeparator+callIDOf(header))
+	if processOf(header) != m.identityText { // the caller doesn't know this process yet
 		w.Header().Set(ClockHeader, formatClock(m.clock()))
 	}
 	if err := m.checkAddressee(header); err != nil {
@@ -49,10 +49,11 @@
 	m.mux.ServeHTTP(w, r)
 }
 
-// clock is how long ago this process started, in milliseconds, including the time in which it was suspended.
+// clock returns the time since the start of this process in milliseconds. It includes time in which the process was suspended.
 func (m *Mux) clock() int64 { return time.Since(m.started).Milliseconds() }
 
-// checkAddressee checks that a call is to this process. One without the header comes from an older build and is accepted.
+// checkAddressee returns an error if a call is not addressed to this process. It accepts a call without the header, which an
+// older build sent.
 func (m *Mux) checkAddressee(header string) error {
 	if header == "" || processOf(header) == m.identityText {
 		return nil
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// wrongAddresseeError rejects a call to another process. Its text is read by callers of other builds.
+// wrongAddresseeError is the response to a call that is addressed to another process. Callers of other builds get its text.
 type wrongAddresseeError struct {
 	addressee    Addressee
 	identityText string // of the process that rejects the call
@@ -75,16 +76,17 @@
 
 // Error implements the error interface.
 func (e *wrongAddresseeError) Error() string {
-	return fmt.Sprintf("the call means %s, this is %s", e.addressee.headerText(), e.identityText)
+	return fmt.Sprintf("the call is addressed to %s, but this process is %s", e.addressee.headerText(), e.identityText)
 }
 
-// startsTooLate tells whether the latest start of a call has passed. Calls of older builds have none.
+// startsTooLate reports whether the latest time at which a call may start has passed. Calls from older builds have no such
+// time.
 func (m *Mux) startsTooLate(r *http.Request) bool {
 	latestStart, err := strconv.ParseInt(r.Header.Get(UntilHeader), 10, 64)
 	return err == nil && m.clock() > latestStart
 }
 
-// firstReceipt tells whether a call was not received before. Calls of older builds have no ID.
+// firstReceipt reports whether a call was not received before. Calls from older builds have no ID and count as new.
 func (m *Mux) firstReceipt(r *http.Request) bool {
 	id := callIDOf(r.Header.Get(ToHeader))
 	return id == "" || m.receivedCalls.add(id)
--- a/internal/transport/outgoingcall.go
+++ b/internal/transport/outgoingcall.go
@@ -16,25 +16,25 @@
 	path        string
 	addressee   Addressee
 	toHeader    string // value of ToHeader
-	id          string // unique among all calls of all clients
+	id          string // unique among the calls of all clients
 	body        []byte
 	sentAt      time.Time
 	latestStart string // value of UntilHeader; empty for an idempotent call
 }
 
-// newOutgoingCall addresses a call to the process that is known to serve the address, or to whoever does.
+// newOutgoingCall addresses a call to the known process at the address, or to any process if none is known.
 func (c *Client) newOutgoingCall(address string, route Route, body []byte) *outgoingCall {
 	call := &outgoingCall{address: address, path: route.Path(), body: body, sentAt: time.Now()}
 	call.id = c.callIDPrefix + strconv.FormatUint(c.callCount.Add(1), incarnationBase)
 	if known, ok := c.directory.lookup(address); ok {
-		call.addressee, call.toHeader = Process{known.identity}, known.headerText+separator+call.id
+		call.addressee, call.toHeader = Process{known.identity}, known.headerText+headerSeparator+call.id
 		if !route.idempotent() {
 			call.latestStart = formatClock(known.clockAfter(call.sentAt, maxStartDelay).Milliseconds())
 		}
 		return call
 	}
-	call.addressee = FirstContact{c.cluster}
-	call.toHeader = call.addressee.headerText() + separator + call.id
+	call.addressee = AnyProcess{c.cluster}
+	call.toHeader = call.addressee.headerText() + headerSeparator + call.id
 	return call
 }
 
--- a/internal/transport/resets_test.go
+++ b/internal/transport/resets_test.go
@@ -13,31 +13,31 @@
 	"puffinlink.example/puffinlink/internal/transport/resettest"
 )
 
-// executionCounter counts at the callee how often each request was executed.
+// executionCounter is a callee that counts how often each request was executed.
 type executionCounter struct {
 	*transport.Mux
-	executions [1 << 13]atomic.Int32 // by the request's number
+	executions [1 << 13]atomic.Int32 // by request number
 }
 
-// resetFixture is a callee behind a relay.
+// resetFixture is a callee behind a relay that can reset connections.
 type resetFixture struct {
 	callee *executionCounter
 	server *httptest.Server
 	relay  *resettest.Relay
-	number uint64
+	number uint64 // of the latest request
 }
 
 func newResetFixture(t *testing.T) *resetFixture {
-	b := &resetFixture{callee: &executionCounter{Mux: transport.NewMuxFor(transport.NewIdentity(testCluster, "node-a"))}}
-	run := func(_ context.Context, request echo) (echo, error) {
-		b.callee.executions[request.Number].Add(1)
+	f := &resetFixture{callee: &executionCounter{Mux: transport.NewMuxFor(transport.NewIdentity(testCluster, "node-a"))}}
+	execute := func(_ context.Context, request echo) (echo, error) {
+		f.callee.executions[request.Number].Add(1)
 		return request, nil
 	}
-	transport.Handle(b.callee.Mux, atMostOnceCall, run)
-	transport.Handle(b.callee.Mux, idempotentCall, run)
-	b.server = httptest.NewServer(b.callee)
-	b.relay = resettest.New(t, b.server.Listener.Addr().String())
-	return b
+	transport.Handle(f.callee.Mux, atMostOnceCall, execute)
+	transport.Handle(f.callee.Mux, idempotentCall, execute)
+	f.server = httptest.NewServer(f.callee)
+	f.relay = resettest.New(t, f.server.Listener.Addr().String())
+	return f
 }
 
 var (
@@ -45,7 +45,7 @@
 	idempotentCall = transport.NewIdempotent[echo, echo]("/run-again")
 )
 
-// outcome is how one call ended for its caller; the callee may not have received all of it yet.
+// outcome is the result of a call at its caller. The callee may still be receiving the request.
 type outcome struct {
 	number    uint64
 	direction resettest.Direction
@@ -53,15 +53,15 @@
 	err       error
 }
 
-// callKind is a way to send a call.
-type callKind struct {
+// callVariant is a kind of call and the state of the client before it.
+type callVariant struct {
 	name          string
-	reused        bool // the connection, to a known process
-	needsIdentity bool // of the process, which is not known, and is requested first
+	reused        bool // whether the client knows the process and has an open connection to it
+	needsIdentity bool // whether the client doesn't know the process and has to request its identity first
 	send          func(ctx context.Context, client *transport.Client, address string, request echo) (echo, error)
 }
 
-var callKinds = []callKind{
+var callVariants = []callVariant{
 	{"idempotent, on a new connection", false, false, sendIdempotent},
 	{"idempotent, on a reused connection", true, false, sendIdempotent},
 	{"at-most-once, on a new connection", false, true, sendAtMostOnce},
@@ -76,64 +76,65 @@
 	return idempotentCall.Call(ctx, client, address, request)
 }
 
-// call makes one call whose connection is reset at an offset of one direction.
-func (b *resetFixture) call(t *testing.T, kind callKind, direction resettest.Direction, offset int) outcome {
+// call sends one request on a connection that is reset at an offset of one direction.
+func (f *resetFixture) call(t *testing.T, variant callVariant, direction resettest.Direction, offset int) outcome {
 	client := transport.NewClientFor(testCluster)
 	defer client.Close()
-	b.relay.Arm(direction, resettest.NoReset)
-	if kind.reused {
-		if _, err := sendIdempotent(t.Context(), client, b.relay.Address(), echo{}); err != nil {
+	f.relay.ResetAt(direction, resettest.NoReset)
+	if variant.reused {
+		if _, err := sendIdempotent(t.Context(), client, f.relay.Address(), echo{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.relay.Arm(direction, offset)
-	b.number++
-	request := echo{Number: b.number, Text: "so that the call has some length"}
-	reply, err := kind.send(t.Context(), client, b.relay.Address(), request)
+	f.relay.ResetAt(direction, offset)
+	f.number++
+	request := echo{Number: f.number, Text: "so that the call has some length"}
+	reply, err := variant.send(t.Context(), client, f.relay.Address(), request)
 	if err == nil && (reply.Number != request.Number || reply.Text != request.Text) {
-		t.Fatalf("reply %v to %v", reply, request)
+		t.Fatalf("got the reply %v to the request %v", reply, request)
 	}
-	return outcome{b.number, direction, offset, err}
+	return outcome{f.number, direction, offset, err}
 }
 
-// TestConnectionsResetAtEachByte resets a connection at each byte of a request and of its response.
+// TestConnectionsResetAtEachByte guards against a call that is reported as not executed although it was, or is executed twice
+// because of a retry. It resets a connection at each byte of a request and of its response.
 func TestConnectionsResetAtEachByte(t *testing.T) {
-	for _, kind := range callKinds {
-		Convey("A call that is "+kind.name, t, func() {
-			b := newResetFixture(t)
-			So(b.call(t, kind, resettest.Requests, resettest.NoReset).err, ShouldBeNil)
-			lengths := [2]int{b.relay.Passed(resettest.Requests), b.relay.Passed(resettest.Responses)}
+	for _, variant := range callVariants {
+		Convey("A call that is "+variant.name, t, func() {
+			f := newResetFixture(t)
+			So(f.call(t, variant, resettest.Requests, resettest.NoReset).err, ShouldBeNil)
+			lengths := [2]int{f.relay.ForwardedBytes(resettest.Requests), f.relay.ForwardedBytes(resettest.Responses)}
 			var outcomes []outcome
 			for _, direction := range []resettest.Direction{resettest.Requests, resettest.Responses} {
 				for offset := range lengths[direction] {
-					outcomes = append(outcomes, b.call(t, kind, direction, offset))
+					outcomes = append(outcomes, f.call(t, variant, direction, offset))
 				}
 			}
-			last := b.call(t, kind, resettest.Responses, lengths[resettest.Responses])
+			last := f.call(t, variant, resettest.Responses, lengths[resettest.Responses])
 			So(last.err, ShouldBeNil)
-			b.server.Close() // returns when all that was received has been executed
+			f.server.Close() // returns once all received requests have been executed
 			violations := 0
-			for _, r := range outcomes {
-				if !b.isConsistent(kind, r) {
+			for _, result := range outcomes {
+				if !f.isConsistent(variant, result) {
 					violations++
-					t.Errorf("%s, reset after byte %d of direction %d: executed %d times, error %v", kind.name, r.offset, r.direction, b.callee.executions[r.number].Load(), r.err)
+					t.Errorf("%s, reset after byte %d of direction %d: executed %d times, error %v", variant.name, result.offset, result.direction, f.callee.executions[result.number].Load(), result.err)
 				}
 			}
 			So(violations, ShouldEqual, 0)
-			So(b.callee.executions[last.number].Load(), ShouldEqual, 1)
+			So(f.callee.executions[last.number].Load(), ShouldEqual, 1)
 		})
 	}
 }
 
-// isConsistent tells whether the outcome of a call whose connection was reset is right.
-func (b *resetFixture) isConsistent(kind callKind, r outcome) bool {
-	executions := b.callee.executions[r.number].Load()
-	if r.err == nil || executions > 1 {
+// isConsistent reports whether the outcome of a call whose connection was reset agrees with the number of its executions.
+func (f *resetFixture) isConsistent(variant callVariant, result outcome) bool {
+	executions := f.callee.executions[result.number].Load()
+	if result.err == nil || executions > 1 {
 		return false
 	}
-	if kind.needsIdentity {
-		return executions == 0 || rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted
+	if variant.needsIdentity {
+		return executions == 0 || rpcerror.ExecutionOf(result.err) == rpcerror.MayHaveExecuted
 	}
-	executedBefore := r.direction == resettest.Responses // the request had arrived, and the response comes after the execution
-	return rpcerror.ExecutionOf(r.err) == rpcerror.MayHaveExecuted && (executions == 1) == executedBefore
+	executedBefore := result.direction == resettest.Responses // the callee responds only after the execution
+	return rpcerror.ExecutionOf(result.err) == rpcerror.MayHaveExecuted && (executions == 1) == executedBefore
 }
--- a/internal/transport/resettest/relay.go
+++ b/internal/transport/resettest/relay.go
@@ -1,4 +1,4 @@
-// Package resettest relays TCP connections on the loopback interface, for tests that reset a connection at each byte of a
+// Package resettest relays TCP connections on the loopback interface. Tests use it to reset a connection at each byte of a
 // request and of its response.
 package resettest
 
@@ -8,30 +8,31 @@
 	"testing"
 )
 
-// Direction is one of the two directions of a connection.
+// Direction is a direction of a connection.
 type Direction int
 
-// The directions.
+// Directions of a connection.
 const (
-	Requests  Direction = iota // from the client
-	Responses                  // to the client
+	Requests  Direction = iota // from the client to the server
+	Responses                  // from the server to the client
 )
 
-// NoReset is the offset for Arm by which connections are not reset.
+// NoReset is the offset for ResetAt that disables resets.
 const NoReset = -1
 
-// Relay forwards and counts bytes, and resets the connection at an offset of one direction.
+// Relay forwards TCP connections to a target address. It counts the forwarded bytes and can reset a connection at an offset of
+// one direction.
 type Relay struct {
 	listener net.Listener
 	target   string
 
 	mutex          sync.Mutex
-	passed         [2]int // bytes by Direction since the last Arm
+	forwardedBytes [2]int // by Direction, since the last call of ResetAt
 	resetDirection Direction
 	resetOffset    int // in bytes, or NoReset
 }
 
-// New makes a relay to an address. It is closed at the end of the test.
+// New starts a relay to an address. The end of the test closes it.
 func New(t testing.TB, target string) *Relay {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,66 +40,68 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	r := &Relay{listener: listener, target: target, resetOffset: NoReset}
-	go r.run()
+	go r.acceptConnections()
 	return r
 }
 
-// Address is where the relay listens, host:port.
+// Address returns the address on which the relay listens, host:port.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Arm starts to count from 0, and has the connection reset when a byte beyond the offset is to be forwarded in that direction.
-func (r *Relay) Arm(direction Direction, offset int) {
+// ResetAt sets the byte counts to 0. From then on, the relay forwards only offset bytes in the direction, and resets the
+// connection instead of forwarding the next byte.
+func (r *Relay) ResetAt(direction Direction, offset int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.passed, r.resetDirection, r.resetOffset = [2]int{}, direction, offset
+	r.forwardedBytes, r.resetDirection, r.resetOffset = [2]int{}, direction, offset
 }
 
-// Passed is how many bytes were forwarded in a direction since the last Arm.
-func (r *Relay) Passed(direction Direction) int {
+// ForwardedBytes returns the number of bytes forwarded in a direction since the last call of ResetAt.
+func (r *Relay) ForwardedBytes(direction Direction) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.passed[direction]
+	return r.forwardedBytes[direction]
 }
 
-// allow tells how many of some bytes are forwarded, and whether the connection is reset then.
-func (r *Relay) allow(direction Direction, bytes int) (pass int, reset bool) {
+// countForwarded returns how many of the received bytes to forward, and whether to reset the connection afterwards. It adds
+// these bytes to the count.
+func (r *Relay) countForwarded(direction Direction, received int) (forwarded int, reset bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	pass = bytes
+	forwarded = received
 	if r.resetOffset != NoReset && direction == r.resetDirection {
-		pass = min(bytes, r.resetOffset-r.passed[direction])
-		reset = pass < bytes
+		forwarded = min(received, r.resetOffset-r.forwardedBytes[direction])
+		reset = forwarded < received
 	}
-	r.passed[direction] += pass
-	return pass, reset
+	r.forwardedBytes[direction] += forwarded
+	return forwarded, reset
 }
 
-func (r *Relay) run() {
+func (r *Relay) acceptConnections() {
 	for {
-		caller, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		callee, err := net.Dial("tcp", r.target)
+		server, err := net.Dial("tcp", r.target)
 		if err != nil {
-			caller.Close()
+			client.Close()
 			return
 		}
-		both := [2]*net.TCPConn{caller.(*net.TCPConn), callee.(*net.TCPConn)} //nolint:forcetypeassert // of a listener and a dial by TCP
-		go r.pass(Requests, both[0], both[1])
-		go r.pass(Responses, both[1], both[0])
+		ends := [2]*net.TCPConn{client.(*net.TCPConn), server.(*net.TCPConn)} //nolint:forcetypeassert // both are TCP connections
+		go r.forward(Requests, ends[0], ends[1])
+		go r.forward(Responses, ends[1], ends[0])
 	}
 }
 
-func (r *Relay) pass(direction Direction, from, to *net.TCPConn) {
+func (r *Relay) forward(direction Direction, from, to *net.TCPConn) {
 	defer from.Close()
 	defer to.Close()
 	buffer := make([]byte, 4096)
 	for {
-		read, err := from.Read(buffer)
-		pass, reset := r.allow(direction, read)
-		if pass > 0 {
-			if _, err := to.Write(buffer[:pass]); err != nil {
+		received, err := from.Read(buffer)
+		forwarded, reset := r.countForwarded(direction, received)
+		if forwarded > 0 {
+			if _, err := to.Write(buffer[:forwarded]); err != nil {
 				return
 			}
 		}
--- a/internal/transport/responses_test.go
+++ b/internal/transport/responses_test.go
@@ -20,8 +20,8 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// serveAndDial serves a handler and makes a client for it.
-func serveAndDial(t *testing.T, handler http.Handler) (client *transport.Client, address string) {
+// startServerAndClient starts a server with a handler. It returns a client and the address of the server.
+func startServerAndClient(t *testing.T, handler http.Handler) (client *transport.Client, address string) {
 	server := httptest.NewServer(handler)
 	client = transport.NewClientFor(testCluster)
 	t.Cleanup(func() {
@@ -31,7 +31,7 @@
 	return client, server.Listener.Addr().String()
 }
 
-// withFromHeader serves a mux and changes FromHeader in its responses.
+// withFromHeader returns a handler that replaces FromHeader in the responses of mux. It removes the header if change returns "".
 func withFromHeader(mux http.Handler, change func(from string) string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
@@ -59,14 +59,14 @@
 		var change atomic.Value
 		same := func(from string) string { return from }
 		change.Store(same)
-		client, address := serveAndDial(t, withFromHeader(handlers(self), func(from string) string { return change.Load().(func(string) string)(from) }))
+		client, address := startServerAndClient(t, withFromHeader(newTestMux(self), func(from string) string { return change.Load().(func(string) string)(from) }))
 		_, err := echoCall.Call(t.Context(), client, address, sample)
 		So(err, ShouldBeNil)
 
 		for name, wrong := range map[string]func(string) string{
-			"a response to another call": func(from string) string { return from + "1" },
-			"a response to no call":      func(from string) string { process, _ := splitHeader(from); return process + "/" },
-			"a response without a name":  func(string) string { return "" },
+			"a response to another call":    func(from string) string { return from + "1" },
+			"a response to no call":         func(from string) string { process, _ := splitHeader(from); return process + "/" },
+			"a response without FromHeader": func(string) string { return "" },
 			"another process's response": func(from string) string {
 				_, call := splitHeader(from)
 				return transport.NewIdentity(testCluster, "node-a").String() + "/" + call
@@ -78,9 +78,9 @@
 		} {
 			Convey(name+" is rejected, and the call may have been executed", func() {
 				change.Store(wrong)
-				for _, endpoint := range []transport.Idempotent[echo, echo]{echoCall, refuseCall, failCall} {
+				for _, endpoint := range []transport.Idempotent[echo, echo]{echoCall, rejectCall, failCall} {
 					change.Store(same)
-					_, _ = echoCall.Call(t.Context(), client, address, sample) // so that the process is known
+					_, _ = echoCall.Call(t.Context(), client, address, sample) // so that the client knows the process
 					change.Store(wrong)
 					reply, err := endpoint.Call(t.Context(), client, address, sample)
 					So(err, ShouldNotBeNil)
@@ -90,8 +90,8 @@
 			})
 		}
 	})
-	Convey("On first contact another cluster's response is rejected", t, func() {
-		client, address := serveAndDial(t, withFromHeader(handlers(self), func(from string) string {
+	Convey("Another cluster's response to the first call is rejected", t, func() {
+		client, address := startServerAndClient(t, withFromHeader(newTestMux(self), func(from string) string {
 			_, call := splitHeader(from)
 			return transport.NewIdentity("another", "node-a").String() + "/" + call
 		}))
@@ -100,34 +100,34 @@
 	})
 }
 
-func TestOlderBuilds(t *testing.T) {
-	Convey("A response without a name is accepted on first contact, each time", t, func() {
-		client, address := serveAndDial(t, withFromHeader(handlers(transport.NewIdentity(testCluster, "node-a")), func(string) string { return "" }))
+func TestOlderBuildsCanCallAndBeCalled(t *testing.T) {
+	Convey("A response without FromHeader is accepted while the client knows no process at the address, each time", t, func() {
+		client, address := startServerAndClient(t, withFromHeader(newTestMux(transport.NewIdentity(testCluster, "node-a")), func(string) string { return "" }))
 		for range 2 {
 			_, err := echoCall.Call(t.Context(), client, address, sample)
 			So(err, ShouldBeNil)
 		}
 	})
-	Convey("But an at-most-once call is not sent to a process without a name", t, func() {
+	Convey("An at-most-once call is not sent to a process that sends no FromHeader", t, func() {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
-		client, address := serveAndDial(t, withFromHeader(process, func(string) string { return "" }))
+		client, address := startServerAndClient(t, withFromHeader(process, func(string) string { return "" }))
 		_, err := countCall.Call(t.Context(), client, address, echo{})
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 		So(process.executions.Load(), ShouldEqual, 0)
 	})
-	Convey("A call without an addressee is accepted", t, func() {
+	Convey("A call without ToHeader is accepted", t, func() {
 		body, err := msgpack.Marshal(sample)
 		So(err, ShouldBeNil)
 		recorder := httptest.NewRecorder()
-		handlers(transport.NewIdentity(testCluster, "node-a")).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, echoCall.Path(), bytes.NewReader(body)))
+		newTestMux(transport.NewIdentity(testCluster, "node-a")).ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, echoCall.Path(), bytes.NewReader(body)))
 		So(recorder.Code, ShouldEqual, http.StatusOK)
 	})
-	Convey("A call whose addressee cannot be read is rejected", t, func() {
+	Convey("A call with a malformed ToHeader is rejected", t, func() {
 		for _, header := range []string{"/", "a/b/c", "a/b/?/c", "%zz/*/*/c", "a/b/1/c/d", "*"} {
 			request := httptest.NewRequest(http.MethodPost, echoCall.Path(), strings.NewReader("\x80"))
 			request.Header.Set(transport.ToHeader, header)
 			recorder := httptest.NewRecorder()
-			handlers(transport.NewIdentity("a", "b")).ServeHTTP(recorder, request)
+			newTestMux(transport.NewIdentity("a", "b")).ServeHTTP(recorder, request)
 			So(recorder.Code, ShouldEqual, http.StatusMisdirectedRequest)
 		}
 	})
@@ -135,16 +135,16 @@
 
 func TestRedirectsAreNotFollowed(t *testing.T) {
 	Convey("A redirect is not followed, as the call would be executed by another process", t, func() {
-		var elsewhere atomic.Int64
-		_, target := serveAndDial(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
+		var redirectedCalls atomic.Int64
+		_, target := startServerAndClient(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { redirectedCalls.Add(1) }))
 		for _, status := range []int{http.StatusTemporaryRedirect, http.StatusPermanentRedirect, http.StatusSeeOther} {
-			client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			client, address := startServerAndClient(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Location", "http://"+target+r.URL.Path)
 				w.WriteHeader(status)
 			}))
 			_, err := echoCall.Call(t.Context(), client, address, echo{})
 			So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
-			So(elsewhere.Load(), ShouldEqual, 0)
+			So(redirectedCalls.Load(), ShouldEqual, 0)
 		}
 	})
 }
@@ -161,17 +161,18 @@
 		}
 		So(deliver("a"), ShouldEqual, http.StatusOK)
 		So(deliver("b"), ShouldEqual, http.StatusOK)
-		So(deliver("a"), ShouldEqual, http.StatusInternalServerError) // unclear to the caller: the first one ran
+		So(deliver("a"), ShouldEqual, http.StatusInternalServerError) // not a rejection as not executed, because the first copy was executed
 		So(process.executions.Load(), ShouldEqual, 2)
 	})
 }
 
-// TestLateAtMostOnceCallsAreRejected delivers calls after their time-out, as at a callee that was suspended.
+// TestLateAtMostOnceCallsAreRejected guards against an at-most-once call that is executed long after its caller timed out. This
+// can happen at a callee that was suspended while the call was in its socket's buffer.
 func TestLateAtMostOnceCallsAreRejected(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
-		repeatable := transport.NewIdempotent[echo, echo]("/other")
-		transport.Handle(process.Mux, repeatable, func(context.Context, echo) (echo, error) {
+		idempotent := transport.NewIdempotent[echo, echo]("/other")
+		transport.Handle(process.Mux, idempotent, func(context.Context, echo) (echo, error) {
 			return echo{Number: uint64(process.executions.Add(1))}, nil
 		})
 		network := networktest.New(1)
@@ -188,17 +189,17 @@
 		if err := send(countCall); err != nil || process.executions.Load() != 1 {
 			t.Fatal(err, process.executions.Load())
 		}
-		time.Sleep(time.Hour) // the clock that was learned stays good
+		time.Sleep(time.Hour) // the client's reading of the callee's clock remains valid
 		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, Times: 1})
-		network.AddRule(networktest.Rule{Path: repeatable.Path(), Delay: 20 * time.Second, Times: 1})
+		network.AddRule(networktest.Rule{Path: idempotent.Path(), Delay: 20 * time.Second, Times: 1})
 		if err := send(countCall); rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
-			t.Error("a call that has not arrived yet was reported as not executed:", err)
+			t.Error("a call that the callee had not received yet was reported as not executed:", err)
 		}
 		time.Sleep(time.Minute)
 		if executions := process.executions.Load(); executions != 1 {
-			t.Errorf("a call that arrived 19 s after its time-out was executed: %d executions", executions)
+			t.Errorf("a call that arrived 19 s after its timeout was executed: %d executions", executions)
 		}
-		if err := send(repeatable); err == nil {
+		if err := send(idempotent); err == nil {
 			t.Error("a call that is delayed by 20 s got a reply within 1 s")
 		}
 		time.Sleep(time.Minute)
@@ -206,16 +207,16 @@
 			t.Errorf("a late idempotent call was not executed: %d executions", executions)
 		}
 		if err := send(countCall); err != nil || process.executions.Load() != 3 {
-			t.Error("a call in time was rejected:", err)
+			t.Error("a call that arrived in time was rejected:", err)
 		}
 	})
 }
 
 func TestRepliesAreDecodedWhollyOrNotAtAll(t *testing.T) {
-	Convey("A response that is truncated within a field leaves the reply as it was", t, func() {
+	Convey("A response that is truncated within a field leaves the reply unchanged", t, func() {
 		encoded, err := msgpack.Marshal(sample)
 		So(err, ShouldBeNil)
-		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(encoded[:len(encoded)-1]) }))
+		client, address := startServerAndClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(encoded[:len(encoded)-1]) }))
 		reply := echo{Text: "before"}
 		err = client.Call(t.Context(), address, echoCall.Route(), sample, &reply)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
--- a/internal/transport/sendtracker.go
+++ b/internal/transport/sendtracker.go
@@ -9,24 +9,24 @@
 	"sync"
 )
 
-// SendTracker follows one request on its way through net/http. That package retries some requests by itself when a reused
-// connection turns out to be broken. A SendTracker allows this only while no byte of the request has been written to that
-// connection, whatever the request's method and headers are. It works on connections of DialFunc; any other counts as written
-// to. The zero value is ready for one request.
+// SendTracker records whether net/http has sent any byte of a request. Package net/http retries some requests by itself when a
+// reused connection turns out to be broken. With a SendTracker, it retries only while no byte of the request has been written
+// to that connection, independent of the method and headers of the request. SendTracker requires connections of DialFunc. It
+// assumes that bytes were written to any other connection. The zero value is ready for one request.
 type SendTracker struct {
 	mutex         sync.Mutex
-	sentElsewhere bool               // bytes were written to an earlier connection, or to one that does not count its writes
-	connection    *writeCountingConn // the newest one of the request
-	writesBefore  int64              // of connection, when it was taken for the request
+	sentElsewhere bool               // bytes may have been written to an earlier connection, or to one that doesn't count its writes
+	connection    *writeCountingConn // the latest one of the request; nil before the first
+	writesBefore  int64              // write count of connection before the request was written
 }
 
-// WithTrace returns the context that the request must have.
+// WithTrace returns a copy of ctx with the trace that the request must have.
 func (s *SendTracker) WithTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.GotConn})
 }
 
-// GotConn notes the connection that the request is written to. Callers with an httptrace.ClientTrace of their own call it
-// there instead of using WithTrace, as net/http would join two traces of a request by reflection, which is slow.
+// GotConn records the connection that the request is written to. Callers with their own httptrace.ClientTrace call GotConn from
+// it instead of using WithTrace. Package net/http would combine two traces of a request by reflection, which is slow.
 func (s *SendTracker) GotConn(info httptrace.GotConnInfo) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,23 +39,23 @@
 	s.connection, s.writesBefore = countingConn, countingConn.writes.Load()
 }
 
-// mayHaveSent needs the mutex.
+// mayHaveSent reports whether bytes of the request may have been sent. The caller must hold s.mutex.
 func (s *SendTracker) mayHaveSent() bool {
 	return s.sentElsewhere || s.connection != nil && s.connection.writes.Load() != s.writesBefore
 }
 
-// NothingSent tells, once the request has failed, that no byte of it was or will be sent.
+// NothingSent reports whether no byte of the request was sent. If the request has failed, none will be sent later either.
 func (s *SendTracker) NothingSent() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return !s.mayHaveSent()
 }
 
-// errAlreadySent keeps net/http from retrying a request.
+// errAlreadySent prevents net/http from retrying a request.
 var errAlreadySent = errors.New("the request may have been sent already")
 
-// GetBody returns a function for http.Request.GetBody, by which net/http gets the body for a retry: it fails once bytes of
-// the request may have been sent.
+// GetBody returns a function for http.Request.GetBody, which net/http calls before a retry. The function returns an error if
+// bytes of the request may have been sent.
 func (s *SendTracker) GetBody(body []byte) func() (io.ReadCloser, error) {
 	return func() (io.ReadCloser, error) {
 		if !s.NothingSent() {
--- a/internal/transport/sendtracker_test.go
+++ b/internal/transport/sendtracker_test.go
@@ -18,15 +18,15 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// resettingServer resets each connection when its second request has been read. It counts the requests that were read.
-type resettingServer struct{ read atomic.Int64 }
+// resettingServer resets each connection after reading its second request. It counts the requests that it has read.
+type resettingServer struct{ requestsRead atomic.Int64 }
 
-func (b *resettingServer) serve(t *testing.T) (address string) {
+func (s *resettingServer) start(t *testing.T) (address string) {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		b.read.Add(1)
-		served := r.Context().Value(servedKey{}).(*atomic.Int64)
-		if served.Add(1) == 2 {
+		s.requestsRead.Add(1)
+		requestsOnConnection := r.Context().Value(requestCountKey{}).(*atomic.Int64)
+		if requestsOnConnection.Add(1) == 2 {
 			connection, _, err := w.(http.Hijacker).Hijack()
 			if err == nil {
 				connection.(*net.TCPConn).SetLinger(0)
@@ -35,34 +35,35 @@
 		}
 	}))
 	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return context.WithValue(ctx, servedKey{}, new(atomic.Int64))
+		return context.WithValue(ctx, requestCountKey{}, new(atomic.Int64))
 	}
 	server.Start()
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-type servedKey struct{}
+// requestCountKey is the context key of the number of requests on a connection.
+type requestCountKey struct{}
 
 func TestNetHTTPDoesNotRetryTrackedRequests(t *testing.T) {
 	body := []byte("body")
-	// The two kinds of request that net/http retries on its own when a reused connection breaks without a response.
+	// Package net/http retries these two kinds of requests by itself when a reused connection breaks without a response.
 	kinds := map[string]func(*http.Request){
 		"with an idempotency key": func(r *http.Request) { r.Header.Set("Idempotency-Key", "1") },
 		"by an idempotent method": func(r *http.Request) { r.Method = http.MethodOptions },
 	}
-	send := func(client *http.Transport, address string, change func(*http.Request), guarded bool) error {
+	send := func(client *http.Transport, address string, change func(*http.Request), tracked bool) error {
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+"/", bytes.NewReader(body))
 		So(err, ShouldBeNil)
 		change(request)
 		var tracker transport.SendTracker
-		if guarded {
+		if tracked {
 			request = request.WithContext(tracker.WithTrace(request.Context()))
 			request.GetBody = tracker.GetBody(body)
 		}
 		response, err := client.RoundTrip(request)
 		if err != nil {
-			So(!guarded || !tracker.NothingSent(), ShouldBeTrue)
+			So(!tracked || !tracker.NothingSent(), ShouldBeTrue)
 			return err
 		}
 		io.Copy(io.Discard, response.Body)
@@ -70,39 +71,39 @@
 	}
 	for name, change := range kinds {
 		Convey("Given a reused connection that breaks after a request "+name, t, func() {
-			var broken resettingServer
-			address := broken.serve(t)
+			var server resettingServer
+			address := server.start(t)
 			client := &http.Transport{DialContext: transport.DialFunc(transport.NewDialer())}
 			defer client.CloseIdleConnections()
 			So(send(client, address, change, true), ShouldBeNil)
 			Convey("net/http retries it", func() {
 				So(send(client, address, change, false), ShouldBeNil)
-				So(broken.read.Load(), ShouldEqual, 3)
+				So(server.requestsRead.Load(), ShouldEqual, 3)
 			})
-			Convey("but not while a SendTracker follows it", func() {
+			Convey("net/http does not retry it with a SendTracker", func() {
 				So(send(client, address, change, true), ShouldNotBeNil)
-				So(broken.read.Load(), ShouldEqual, 2)
+				So(server.requestsRead.Load(), ShouldEqual, 2)
 			})
 		})
 	}
 }
 
 func TestACallOnABrokenConnectionIsNotRetried(t *testing.T) {
-	Convey("Given a callee that breaks the connection of each second call after its execution", t, func() {
+	Convey("Given a callee that closes the connection of each second call after its execution", t, func() {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
 		var calls atomic.Int64
-		client, address := serveAndDial(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		client, address := startServerAndClient(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			process.ServeHTTP(w, r)
 			if calls.Add(1)%2 == 0 {
-				panic(http.ErrAbortHandler) // the answer is still in the server's buffer
+				panic(http.ErrAbortHandler) // closes the connection while the response is still in the server's buffer
 			}
 		}))
-		repeatable := transport.NewIdempotent[echo, echo](countCall.Path())
-		Convey("a call is executed once, and reported as maybe executed", func() {
+		idempotent := transport.NewIdempotent[echo, echo](countCall.Path())
+		Convey("a call is executed once and reported as possibly executed", func() {
 			for pair := range int64(4) {
-				_, err := repeatable.Call(t.Context(), client, address, echo{})
+				_, err := idempotent.Call(t.Context(), client, address, echo{})
 				So(err, ShouldBeNil)
-				_, err = repeatable.Call(t.Context(), client, address, echo{})
+				_, err = idempotent.Call(t.Context(), client, address, echo{})
 				So(err, ShouldNotBeNil)
 				So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.MayHaveExecuted)
 				So(process.executions.Load(), ShouldEqual, 2*pair+2)
@@ -120,25 +121,25 @@
 		_, err := echoCall.Call(ctx, client, "127.0.0.1:1", sample)
 		So(rpcerror.ExecutionOf(err), ShouldEqual, rpcerror.NotExecuted)
 	})
-	Convey("A call that is cancelled at any moment is not reported as not executed if it was", t, func() {
+	Convey("A call that is cancelled at any time is not reported as not executed if it was executed", t, func() {
 		process := newCountingCallee(transport.NewIdentity(testCluster, "node-a"))
-		client, address := serveAndDial(t, process)
-		repeatable := transport.NewIdempotent[echo, echo](countCall.Path())
+		client, address := startServerAndClient(t, process)
+		idempotent := transport.NewIdempotent[echo, echo](countCall.Path())
 		notExecuted := int64(0)
 		const calls = 400
 		for i := range calls {
 			ctx, cancel := context.WithCancel(t.Context())
 			stop := time.AfterFunc(time.Duration(i)*time.Microsecond, cancel)
-			_, err := repeatable.Call(ctx, client, address, echo{})
+			_, err := idempotent.Call(ctx, client, address, echo{})
 			if rpcerror.ExecutionOf(err) == rpcerror.NotExecuted && err != nil {
 				notExecuted++
 			}
 			stop.Stop()
 			cancel()
 		}
-		server := transport.NewClientFor(testCluster) // a last call, after which all others have been received
-		defer server.Close()
-		_, err := repeatable.Call(t.Context(), server, address, echo{})
+		lastClient := transport.NewClientFor(testCluster) // for a last call, after which all others have been received
+		defer lastClient.Close()
+		_, err := idempotent.Call(t.Context(), lastClient, address, echo{})
 		So(err, ShouldBeNil)
 		So(process.executions.Load(), ShouldBeLessThanOrEqualTo, calls+1-notExecuted)
 	})
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -21,26 +21,26 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// Environment variables of the simulation. A schedule that fails names its seed.
+// Environment variables of the simulation. The failure message of a schedule contains its seed.
 const (
-	schedulesVariable = "PUFFINLINK_TRANSPORT_SCHEDULES" // how many schedules, instead of the usual number
-	seedVariable      = "PUFFINLINK_TRANSPORT_SEED"      // replays one schedule
+	schedulesVariable = "PUFFINLINK_TRANSPORT_SCHEDULES" // number of schedules instead of defaultSchedules
+	seedVariable      = "PUFFINLINK_TRANSPORT_SEED"      // seed of the only schedule to run
 	defaultSchedules  = 2100
 )
 
-// Size of a schedule.
+// Size and times of a schedule.
 const (
-	modelAddresses   = 3
-	modelCallers     = 3
-	modelCalls       = 10 // of each caller
-	modelEvents      = 8  // restarts and replacements
-	maxEventInterval = 60 * time.Millisecond
-	modelLimit       = 250 * time.Millisecond // of a call, at most
-	modelLateDelay   = 600 * time.Millisecond
-	modelDrainTime   = 2 * modelLateDelay // after which nothing is under way
+	modelAddresses    = 3
+	modelCallers      = 3
+	modelCalls        = 10 // per caller
+	modelEvents       = 8  // restarts and replacements of processes
+	maxEventInterval  = 60 * time.Millisecond
+	maxCallTimeout    = 250 * time.Millisecond // upper bound of the random timeouts of calls
+	lateDeliveryDelay = 600 * time.Millisecond
+	drainTime         = 2 * lateDeliveryDelay // time after which no message is in flight
 )
 
-// token names one call of the simulation.
+// token identifies one call of the simulation.
 type token struct {
 	Caller, Number int
 }
@@ -61,20 +61,20 @@
 	modelIdempotentCall = transport.NewIdempotent[modelRequest, modelReply]("/model/repeat")
 )
 
-// modelCall is one call with all that is known of it.
+// modelCall is the record of one call.
 type modelCall struct {
 	token      token
 	atMostOnce bool
-	intended   transport.Identity // the process that the caller knew at the address; zero for none
+	intended   transport.Identity // the process at the address that the caller knew before the call; zero for none
 	reply      modelReply
 	err        error
-	executedAt []transport.Identity // in order
+	executedAt []transport.Identity // in the order of the executions
 }
 
-// simulation is one schedule: callers, and processes that replace each other at a few addresses.
+// simulation is one schedule of calls to a few addresses at which processes are restarted and replaced.
 type simulation struct {
 	seed       uint64
-	duplicates bool // requests may arrive twice
+	duplicates bool // whether the network may duplicate requests
 	network    *networktest.Network
 
 	mutex      sync.Mutex
@@ -88,7 +88,7 @@
 	for i := range modelAddresses {
 		s.startProcess(modelAddress(i), fmt.Sprintf("node-%d", i))
 	}
-	faults := networktest.Faults{Lose: 0.08, Delay: 40 * time.Millisecond, Late: 0.1, LateBy: modelLateDelay}
+	faults := networktest.Faults{Lose: 0.08, Delay: 40 * time.Millisecond, Late: 0.1, LateBy: lateDeliveryDelay}
 	if s.duplicates {
 		faults.Duplicate = 0.3
 	}
@@ -98,22 +98,22 @@
 
 func modelAddress(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-// startProcess starts a process at an address, in place of the one there.
+// startProcess starts a process at an address and replaces the one that is there.
 func (s *simulation) startProcess(address, node string) {
 	self := transport.NewIdentity(testCluster, node)
 	mux := transport.NewMuxFor(self)
-	run := func(_ context.Context, request modelRequest) (modelReply, error) {
+	execute := func(_ context.Context, request modelRequest) (modelReply, error) {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		call := s.calls[request.Token]
 		call.executedAt = append(call.executedAt, self)
-		if request.Token.Number%5 == 4 { // so that handlers fail as well, and after the execution
-			return modelReply{}, rpcerror.WrapMayHaveExecuted(errors.New("failed in the middle"))
+		if request.Token.Number%5 == 4 { // some handlers fail after the execution
+			return modelReply{}, rpcerror.WrapMayHaveExecuted(errors.New("failed after execution"))
 		}
 		return modelReply{Token: request.Token, Responder: self, Bulk: request.Bulk}, nil
 	}
-	transport.Handle(mux, modelAtMostOnceCall, run)
-	transport.Handle(mux, modelIdempotentCall, run)
+	transport.Handle(mux, modelAtMostOnceCall, execute)
+	transport.Handle(mux, modelIdempotentCall, execute)
 	s.network.Serve(address, mux)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -135,7 +135,7 @@
 	s.violations = append(s.violations, fmt.Sprintf(format, arguments...))
 }
 
-// restartProcesses restarts processes and moves addresses to other machines.
+// restartProcesses restarts processes at random times, or replaces them by processes of other machines.
 func (s *simulation) restartProcesses(random *rand.Rand) {
 	for event := range modelEvents {
 		time.Sleep(time.Duration(random.Int64N(int64(2 * maxEventInterval))))
@@ -150,11 +150,11 @@
 	}
 }
 
-// modelCaller is one process that calls.
+// modelCaller is a process that sends calls.
 type modelCaller struct {
 	simulation *simulation
 	index      int
-	number     int
+	number     int // of the latest call
 	caller     transport.Caller
 	known      map[string]transport.Identity // by address
 }
@@ -162,21 +162,21 @@
 func (c *modelCaller) run(random *rand.Rand) {
 	for range modelCalls {
 		time.Sleep(1 + time.Duration(random.Int64N(int64(maxEventInterval))))
-		limit := time.Duration(1 + random.Int64N(int64(modelLimit)))
-		c.call(modelAddress(random.IntN(modelAddresses)), random.IntN(2) == 0, limit, random.IntN(200))
+		timeout := time.Duration(1 + random.Int64N(int64(maxCallTimeout)))
+		c.call(modelAddress(random.IntN(modelAddresses)), random.IntN(2) == 0, timeout, random.IntN(200))
 	}
 }
 
-// call makes one call and records its outcome.
-func (c *modelCaller) call(address string, atMostOnce bool, limit time.Duration, bulk int) *modelCall {
+// call sends one call with a payload of bulkBytes and records its result.
+func (c *modelCaller) call(address string, atMostOnce bool, timeout time.Duration, bulkBytes int) *modelCall {
 	c.number++
 	call := &modelCall{token: token{c.index, c.number}, atMostOnce: atMostOnce, intended: c.known[address]}
 	c.simulation.mutex.Lock()
 	c.simulation.calls[call.token] = call
 	c.simulation.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	request := modelRequest{Token: call.token, Bulk: make([]byte, bulk)}
+	request := modelRequest{Token: call.token, Bulk: make([]byte, bulkBytes)}
 	if atMostOnce {
 		call.reply, call.err = modelAtMostOnceCall.Call(ctx, c.caller, address, request)
 	} else {
@@ -186,7 +186,7 @@
 	return call
 }
 
-// updateKnown records what the caller may conclude about who serves the address.
+// updateKnown updates which process the caller knows at the address, given the result of a call.
 func (c *modelCaller) updateKnown(address string, call *modelCall) {
 	var misdirected *transport.MisdirectedError
 	switch {
@@ -197,7 +197,7 @@
 	}
 }
 
-// run runs the schedule in simulated time.
+// run runs the schedule in virtual time and checks the results.
 func (s *simulation) run() {
 	random := rand.New(rand.NewPCG(s.seed, 1))
 	var running sync.WaitGroup
@@ -206,12 +206,12 @@
 		caller := &modelCaller{simulation: s, index: i, known: map[string]transport.Identity{}}
 		caller.caller = s.network.CallerOf(testCluster, fmt.Sprintf("10.1.0.%d:1", i))
 		callers = append(callers, caller)
-		own := rand.New(rand.NewPCG(random.Uint64(), 2))
-		running.Go(func() { caller.run(own) })
+		callerRandom := rand.New(rand.NewPCG(random.Uint64(), 2))
+		running.Go(func() { caller.run(callerRandom) })
 	}
 	running.Go(func() { s.restartProcesses(rand.New(rand.NewPCG(random.Uint64(), 3))) })
 	running.Wait()
-	time.Sleep(modelDrainTime)
+	time.Sleep(drainTime)
 	synctest.Wait()
 	s.check()
 	s.network.SetFaults(networktest.Faults{})
@@ -222,7 +222,8 @@
 	}
 }
 
-// TestCallsInSimulatedSchedules runs seeded schedules of calls while processes and machines replace each other at the addresses.
+// TestCallsInSimulatedSchedules runs seeded schedules of calls to addresses at which processes are restarted and machines are
+// replaced. It guards against calls that are executed by a wrong process or more than once, and against wrong errors.
 func TestCallsInSimulatedSchedules(t *testing.T) {
 	first, schedules := uint64(1), defaultSchedules
 	if text := os.Getenv(schedulesVariable); text != "" {
@@ -233,10 +234,10 @@
 		schedules = 1
 	}
 	var running sync.WaitGroup
-	parts := uint64(runtime.GOMAXPROCS(0))
-	for part := range parts {
+	workers := uint64(runtime.GOMAXPROCS(0))
+	for worker := range workers {
 		running.Go(func() {
-			for seed := first + part; seed < first+uint64(schedules); seed += parts {
+			for seed := first + worker; seed < first+uint64(schedules); seed += workers {
 				runSchedule(t, seed)
 			}
 		})
@@ -245,7 +246,8 @@
 	t.Logf("%d schedules from seed %d", schedules, first)
 }
 
-// TestSchedulesReplayFromTheirSeed runs schedules twice, as a printed seed is of use only if its schedule can be replayed.
+// TestSchedulesReplayFromTheirSeed runs each schedule twice and compares the results. A seed in a failure message is useful
+// only if it reproduces its schedule.
 func TestSchedulesReplayFromTheirSeed(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		outcomes := [2]string{}
@@ -257,16 +259,16 @@
 			})
 		}
 		if outcomes[0] != outcomes[1] {
-			t.Errorf("seed %d has two outcomes:\n%s\n%s", seed, outcomes[0], outcomes[1])
+			t.Errorf("seed %d has two different results:\n%s\n%s", seed, outcomes[0], outcomes[1])
 		}
 	}
 }
 
-// outcomes lists how each call ended and how often it was executed.
+// outcomes returns a text with the result of each call and the number of its executions.
 func (s *simulation) outcomes() string {
 	var lines []string
 	for token, call := range s.calls {
-		lines = append(lines, fmt.Sprintf("%v was executed %d times, replied to: %v", token, len(call.executedAt), call.err == nil))
+		lines = append(lines, fmt.Sprintf("%v was executed %d times, got a reply: %v", token, len(call.executedAt), call.err == nil))
 	}
 	slices.Sort(lines)
 	return strings.Join(lines, "; ")
@@ -276,8 +278,8 @@
 	virtualtime.Test(t, func(*testing.T) {
 		s := newSimulation(seed)
 		s.run()
-		for _, fault := range s.violations {
-			t.Errorf("%s (replay: %s=%d)", fault, seedVariable, seed)
+		for _, violation := range s.violations {
+			t.Errorf("%s (replay: %s=%d)", violation, seedVariable, seed)
 		}
 	})
 }
--- a/internal/transport/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -6,11 +6,11 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the constants of the protocol.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
-		goldentest.Constant{Have: separator, Want: "/"},
-		goldentest.Constant{Have: wildcard, Want: "*"},
+		goldentest.Constant{Have: headerSeparator, Want: "/"},
+		goldentest.Constant{Have: headerWildcard, Want: "*"},
 		goldentest.Constant{Have: ToHeader, Want: "Puffinlink-To"},
 		goldentest.Constant{Have: FromHeader, Want: "Puffinlink-From"},
 		goldentest.Constant{Have: ClockHeader, Want: "Puffinlink-Clock"},
@@ -22,8 +22,8 @@
 	)
 }
 
-// TestWireForms pins the bodies of the call that asks for an identity, and the texts of headers.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the encoding of the identity call and the format of header values.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "identity request", Value: new(identityRequest)},
 		goldentest.Form{Name: "identity reply", Value: new(identityReply)},
@@ -31,7 +31,7 @@
 	identity := Identity{Cluster: "a/b", Node: "c", Incarnation: 71}
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: identity.String(), Want: "a%2Fb/c/1z"},
-		goldentest.Constant{Have: FirstContact{"a/b"}.headerText(), Want: "a%2Fb/*/*"},
+		goldentest.Constant{Have: AnyProcess{"a/b"}.headerText(), Want: "a%2Fb/*/*"},
 		goldentest.Constant{Have: Process{identity}.headerText(), Want: "a%2Fb/c/1z"},
 	)
 }
