--- a/internal/controlplane/storage/fulldisk_test.go
+++ b/internal/controlplane/storage/fulldisk_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// rejectedChange is written only while the disk is full, so that it must never be visible.
+// rejectedChange is written only while the disk is full. It must never be visible, unless power is lost during its write.
 var rejectedChange = storage.Change{Table: "last", Key: "refused", Value: make([]byte, 40)}
 
 // freeSpaceSizes are the numbers of free bytes with which a disk is tested. All are too few for the record of rejectedChange,
@@ -150,7 +150,10 @@
 // Guards against a compaction that fills the disk and makes writes fail. A compaction without enough space removes its file and
 // is retried only after CompactionBackoff, and writes continue meanwhile.
 func TestCompactionIsRetriedAfterBackoffOnFullDisk(t *testing.T) {
-	const valueBytes, writes = 500, 40
+	const (
+		valueBytes = 500
+		writes     = 40 // after the retried compaction
+	)
 	virtualtime.Test(t, func(t *testing.T) {
 		disk := storagetest.NewDisk()
 		store, _ := mustOpen(t, disk, directory, storage.Options{CompactAbove: 1})
--- a/internal/controlplane/storage/record.go
+++ b/internal/controlplane/storage/record.go
@@ -14,11 +14,11 @@
 // the record's bytes elsewhere, for example inside a value, is not valid as a record.
 const (
 	fileMagic          = "PLSTORE1"
-	fileHeaderLength   = len(fileMagic) + 8 + 4
+	fileHeaderLength   = len(fileMagic) + 8 + 4 // magic number, file ID, checksum; bytes
 	recordMagic        = "\xf5RC\x0a"
-	recordHeaderLength = len(recordMagic) + 1 + 4 + 4
+	recordHeaderLength = len(recordMagic) + 1 + 4 + 4 // magic number, kind, payload length, checksum; bytes
 	maxPayloadBytes    = 256 << 20
-	checksumLength     = 4
+	checksumLength     = 4 // bytes
 )
 
 // recordKind is the kind of a record.
@@ -27,7 +27,8 @@
 const (
 	// snapshotRecordKind is the kind of a record that holds a part of the tables at the time of the file's creation.
 	snapshotRecordKind recordKind = 'S'
-	// snapshotEndKind is the kind of the empty record that ends the snapshot. A new file is renamed to its final name only once this record is synced.
+	// snapshotEndKind is the kind of the empty record that ends the snapshot. A new file is renamed to its final name only once
+	// this record is synced.
 	snapshotEndKind recordKind = 'E'
 	// writeRecordKind is the kind of a record that holds one batch of writes. Each one is synced before the next one is written.
 	writeRecordKind recordKind = 'W'
--- a/internal/controlplane/storage/storagetest/contract.go
+++ b/internal/controlplane/storage/storagetest/contract.go
@@ -70,19 +70,22 @@
 
 // checkAtomicity writes the same value to two tables from several goroutines, and compares the tables meanwhile.
 func checkAtomicity(store storage.SnapshotStore) {
-	const writers, writes = 4, 25
+	const (
+		writers         = 4
+		writesPerWriter = 25
+	)
 	errs := make([]error, writers+1)
 	var running sync.WaitGroup
 	for writer := range writers {
 		running.Go(func() {
-			for i := range writes {
+			for i := range writesPerWriter {
 				value := fmt.Sprintf("%d-%d", writer, i)
 				errs[writer] = errors.Join(errs[writer], store.Write(set("a", "k", value), set("b", "k", value)))
 			}
 		})
 	}
 	running.Go(func() {
-		for range writes {
+		for range writesPerWriter {
 			snapshot := store.Snapshot()
 			if string(snapshot["a"]["k"]) != string(snapshot["b"]["k"]) {
 				errs[writers] = fmt.Errorf("%w: %s and %s differ", errPartialWriteVisible, snapshot["a"]["k"], snapshot["b"]["k"])
--- a/internal/controlplane/storage/wire_test.go
+++ b/internal/controlplane/storage/wire_test.go
@@ -30,7 +30,10 @@
 
 // TestEncodedFileMatchesGoldenBytes checks the encoding of a file with its header and one record.
 func TestEncodedFileMatchesGoldenBytes(t *testing.T) {
-	const fileID, offset = 7, 20
+	const (
+		fileID = 7
+		offset = 20
+	)
 	changes := []Change{{Table: "text 1", Key: "text 2", Value: []byte{3, 4}}, {Table: "text 5", Key: "text 6"}}
 	payload, err := appendChanges(nil, changes)
 	if err != nil {
--- a/internal/transport/boundedlistener.go
+++ b/internal/transport/boundedlistener.go
@@ -15,7 +15,7 @@
 type BoundedListener struct {
 	net.Listener
 	limit      int
-	reserved   int
+	reserved   int                    // part of limit
 	isReserved func(host string) bool // nil if nothing is reserved
 
 	mu           sync.Mutex
--- a/internal/transport/boundedlistener_test.go
+++ b/internal/transport/boundedlistener_test.go
@@ -104,7 +104,10 @@
 // Guards against a host that cannot connect to its reserved connections because other hosts have used up the limit. The other
 // hosts occupy the rest of the limit with long calls.
 func TestReservedConnectionsAreNotUsedByOtherHosts(t *testing.T) {
-	const peer, otherPeer = "127.0.0.2", "127.0.0.3"
+	const (
+		peer      = "127.0.0.2"
+		otherPeer = "127.0.0.3"
+	)
 	convey.Convey("A server with a limit of four connections, two of which are reserved for two hosts", t, func() {
 		bounded, started, release := startBoundedServer(t, 4, peer, otherPeer)
 		address := bounded.Addr().String()
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -26,7 +26,7 @@
 // Endpoints of the tests: one for each outcome of a call, and one without a handler.
 var (
 	echoCall    = transport.NewIdempotent[echo, echo]("/echo")
-	rejectCall  = transport.NewIdempotent[echo, echo]("/refuse")
+	rejectCall  = transport.NewIdempotent[echo, echo]("/reject")
 	failCall    = transport.NewIdempotent[echo, echo]("/fail")
 	hangCall    = transport.NewIdempotent[echo, echo]("/hang")
 	unknownCall = transport.NewIdempotent[echo, echo]("/unknown")
@@ -186,14 +186,17 @@
 
 // checkCancellations sends many concurrent calls and cancels some of them at random times.
 func checkCancellations(t *testing.T, f transportFixture) {
-	const callers, callsEach = 16, 60
+	const (
+		callers        = 16
+		callsPerCaller = 60
+	)
 	var wrongReplies, replies atomic.Int64
 	var calling sync.WaitGroup
 	for caller := range callers {
 		random := rand.New(rand.NewPCG(uint64(caller), 0))
 		calling.Go(func() {
-			for i := range callsEach {
-				request := echo{Number: uint64(caller*callsEach + i), Text: strings.Repeat("x", random.IntN(6000))}
+			for i := range callsPerCaller {
+				request := echo{Number: uint64(caller*callsPerCaller + i), Text: strings.Repeat("x", random.IntN(6000))}
 				ctx, cancel := context.WithCancel(t.Context())
 				if random.IntN(3) == 0 {
 					stop := time.AfterFunc(time.Duration(random.IntN(500))*time.Microsecond, cancel)
@@ -212,7 +215,7 @@
 	}
 	calling.Wait()
 	So(wrongReplies.Load(), ShouldEqual, 0)
-	So(replies.Load(), ShouldBeGreaterThan, callers*callsEach/2)
+	So(replies.Load(), ShouldBeGreaterThan, callers*callsPerCaller/2)
 }
 
 // countingCallee is a callee that counts the executions of countCall.
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -10,10 +10,13 @@
 )
 
 const (
-	dialTimeout             = 800 * time.Millisecond
-	unacknowledgedTimeoutMS = 1500 // time after which unacknowledged bytes close a connection; milliseconds, as TCP_USER_TIMEOUT requires
-	tcpUserTimeoutOption    = 18   // number of TCP_USER_TIMEOUT on Linux, which package syscall doesn't define
-	keepAlivePeriod         = time.Second
+	dialTimeout = 800 * time.Millisecond
+	// unacknowledgedTimeoutMS is the time in milliseconds after which unacknowledged bytes close a connection. Milliseconds are
+	// the unit of TCP_USER_TIMEOUT.
+	unacknowledgedTimeoutMS = 1500
+	// tcpUserTimeoutOption is the number of TCP_USER_TIMEOUT on Linux, which package syscall doesn't define.
+	tcpUserTimeoutOption = 18
+	keepAlivePeriod      = time.Second
 )
 
 // NewDialer returns a dialer. The operating system closes its connections soon after the peer stops acknowledging bytes.
--- a/internal/transport/protocol.go
+++ b/internal/transport/protocol.go
@@ -28,7 +28,7 @@
 	maxPooledBufferBytes         = 256 << 10 // larger buffers are not returned to the pool
 	idleConnectionTimeout        = 30 * time.Second
 	maxIdleConnectionsPerAddress = 8
-	maxStartDelay                = 2 * time.Second // time after sending during which an at-most-once call may start
+	maxStartDelay                = 2 * time.Second // time after sending an at-most-once call within which it may start
 )
 
 // Caller sends a request to a node at an address, host:port, and decodes its response into reply, which must be a pointer. It
