--- a/internal/controlplane/storage/fulldisk_test.go
+++ b/internal/controlplane/storage/fulldisk_test.go
@@ -173,8 +173,8 @@
 		if length < 3*valueBytes {
 			t.Fatalf("the file has %d bytes, expected that it was not compacted", length)
 		}
-		if left := disk.ReadFile(logFile + ".new"); left != nil {
-			t.Fatalf("the file of the failed compaction was not removed, it has %d bytes", len(left))
+		if remaining := disk.ReadFile(logFile + ".new"); remaining != nil {
+			t.Fatalf("the file of the failed compaction was not removed, it has %d bytes", len(remaining))
 		}
 		disk.SetCapacity(0)
 		write()
--- a/internal/controlplane/storage/powerloss_test.go
+++ b/internal/controlplane/storage/powerloss_test.go
@@ -111,10 +111,10 @@
 
 			recovering := disk.KillProcess()
 			store, _ := mustOpen(t, recovering, directory, compactOften)
-			held := checkContent(t, store, firstAcknowledged)
+			recoveredWrites := checkContent(t, store, firstAcknowledged)
 			store.Close()
 
-			secondAcknowledged, _ := runUntilPowerLoss(recovering, held, second, operation%2 == 0)
+			secondAcknowledged, _ := runUntilPowerLoss(recovering, recoveredWrites, second, operation%2 == 0)
 			store, _ = mustOpen(t, recovering.RestorePower(random), directory, compactOften)
 			checkContent(t, store, secondAcknowledged)
 			store.Close()
@@ -129,22 +129,22 @@
 		for seed := range uint64(8) {
 			random := rand.New(rand.NewPCG(seed, uint64(operation)))
 			disk := storagetest.NewDisk()
-			held, lost := runUntilPowerLoss(disk, 0, operation, seed%2 == 0)
+			recoveredWrites, lost := runUntilPowerLoss(disk, 0, operation, seed%2 == 0)
 			more = lost
 			disk = disk.KillProcess()
 			store, _ := mustOpen(t, disk, directory, storage.Options{})
-			held = checkContent(t, store, held)
+			recoveredWrites = checkContent(t, store, recoveredWrites)
 			if seed%4 > 1 {
-				if err := store.Write(scriptedWrite(held)...); err != nil {
+				if err := store.Write(scriptedWrite(recoveredWrites)...); err != nil {
 					t.Fatal(err)
 				}
-				held++
+				recoveredWrites++
 			}
 			store.Close()
 
 			store, _ = mustOpen(t, disk.RestorePower(random), directory, compactOften)
-			if content := store.Snapshot(); !reflect.DeepEqual(content, contentAfter(held)) {
-				t.Fatalf("operation %d, seed %d: the store held %d writes before the power loss, and holds %v after it", operation, seed, held, content)
+			if content := store.Snapshot(); !reflect.DeepEqual(content, contentAfter(recoveredWrites)) {
+				t.Fatalf("operation %d, seed %d: the store held %d writes before the power loss, and holds %v after it", operation, seed, recoveredWrites, content)
 			}
 			store.Close()
 		}
--- a/internal/controlplane/storage/wire_test.go
+++ b/internal/controlplane/storage/wire_test.go
@@ -39,17 +39,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := append(appendRecordHeader(encodeFileHeader(fileID), fileID, offset, writeRecordKind, payload), payload...)
-	const want = "504c53544f5245310700000000000000f0f32e20f552430a572100000086251462a6746578742031a6746578742032c4020304a6746578742035a6746578742036c0"
-	if have := hex.EncodeToString(whole); have != want {
-		t.Errorf("encoded as %s, want %s", have, want)
+	encodedFile := append(appendRecordHeader(encodeFileHeader(fileID), fileID, offset, writeRecordKind, payload), payload...)
+	const expected = "504c53544f5245310700000000000000f0f32e20f552430a572100000086251462a6746578742031a6746578742032c4020304a6746578742035a6746578742036c0"
+	if have := hex.EncodeToString(encodedFile); have != expected {
+		t.Errorf("encoded as %s, expected %s", have, expected)
 	}
-	stored, _ := hex.DecodeString(want)
+	stored, _ := hex.DecodeString(expected)
 	if decodedID, err := decodeFileHeader(stored[:fileHeaderLength]); err != nil || decodedID != fileID {
 		t.Errorf("the header has the file ID %d (error %v)", decodedID, err)
 	}
-	rest := stored[fileHeaderLength:]
-	read, err := readRecord(bytes.NewReader(rest), fileID, offset, int64(len(rest)))
+	records := stored[fileHeaderLength:]
+	read, err := readRecord(bytes.NewReader(records), fileID, offset, int64(len(records)))
 	if err != nil || read.kind != writeRecordKind || !reflect.DeepEqual(read.changes, changes) {
 		t.Errorf("decoded %+v (error %v)", read, err)
 	}
