--- a/internal/controlplane/configuration/simulationoperators_test.go
+++ b/internal/controlplane/configuration/simulationoperators_test.go
@@ -135,7 +135,7 @@
 
 // put sends an update to a member and passes the answer to the checker.
 func (o *operator) put(address string, update sentUpdate, resumeDelay time.Duration) int {
-	put := newServerRequest(http.MethodPut, control.Path, []byte(update.body))
+	put := newServerRequest(http.MethodPut, control.ConfigurationPath, []byte(update.body))
 	put.Header.Set("If-Match", strconv.FormatUint(update.ifMatch, 10))
 	answer, sent := o.sendRequest(address, put, resumeDelay)
 	if !sent {
@@ -171,7 +171,7 @@
 
 func (o *operator) readOnce(address string) (version uint64, read bool) {
 	newestAtStart := o.checker.newestVersion()
-	answer, sent := o.sendRequest(address, newServerRequest(http.MethodGet, control.Path, nil), o.randomBelow(maxResumeDelay))
+	answer, sent := o.sendRequest(address, newServerRequest(http.MethodGet, control.ConfigurationPath, nil), o.randomBelow(maxResumeDelay))
 	if !sent || answer.Code != http.StatusOK && answer.Code != http.StatusNotFound {
 		return 0, false
 	}
--- a/internal/controlplane/operations/api.go
+++ b/internal/controlplane/operations/api.go
@@ -95,4 +95,4 @@
 }
 
 // Failure is the body of a response that reports an error. It is the same as for requests for the configuration.
-type Failure = control.Failure
+type Failure = control.ErrorResponse
--- a/internal/controlplane/operations/operations.go
+++ b/internal/controlplane/operations/operations.go
@@ -75,7 +75,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == control.Path { // not subject to the limit on requests
+	if r.URL.Path == control.ConfigurationPath { // not subject to the limit on requests
 		h.options.Next.ServeHTTP(w, r)
 		return
 	}
--- a/internal/controlplane/operations/operations_test.go
+++ b/internal/controlplane/operations/operations_test.go
@@ -139,10 +139,10 @@
 func checkOtherPathsAreServedByNextHandler(t *testing.T) {
 	Convey("All other paths, and the configuration, are served by the next handler", t, func() {
 		handler := newFakeCluster().handler()
-		for _, path := range []string{control.Path, "/", "/-/other", "/-/searchers/i-1"} {
+		for _, path := range []string{control.ConfigurationPath, "/", "/-/other", "/-/searchers/i-1"} {
 			So(request(handler, "GET", path, nil).Code, ShouldEqual, http.StatusTeapot)
 		}
-		So(request(handler, "PUT", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
+		So(request(handler, "PUT", control.ConfigurationPath, nil).Code, ShouldEqual, http.StatusTeapot)
 		So(request(handler, "POST", StatusPath, nil).Code, ShouldEqual, http.StatusTeapot)
 	})
 }
@@ -170,7 +170,7 @@
 		response := request(handler, "GET", StatusPath, nil)
 		So(response.Code, ShouldEqual, http.StatusServiceUnavailable)
 		So(response.Header().Get("Retry-After"), ShouldEqual, retryAfterSeconds)
-		So(request(handler, "GET", control.Path, nil).Code, ShouldEqual, http.StatusTeapot)
+		So(request(handler, "GET", control.ConfigurationPath, nil).Code, ShouldEqual, http.StatusTeapot)
 		close(c.unblock)
 		for range maxConcurrentRequests {
 			So(<-statuses, ShouldEqual, http.StatusOK)
--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -24,7 +24,7 @@
 
 // unsyncedFileSystem is the file system of the machine without syncs. The tests that use it simulate no power loss of the
 // machine, so that the operating system keeps the written data.
-type unsyncedFileSystem struct{ storage.OperatingSystem }
+type unsyncedFileSystem struct{ storage.OSFileSystem }
 
 // unsyncedFile is a file whose Sync does nothing.
 type unsyncedFile struct{ storage.File }
@@ -34,7 +34,7 @@
 
 // Create implements storage.FileSystem.
 func (u unsyncedFileSystem) Create(name string) (storage.File, error) {
-	file, err := u.OperatingSystem.Create(name)
+	file, err := u.OSFileSystem.Create(name)
 	return unsyncedFile{file}, err
 }
 
@@ -81,7 +81,7 @@
 			So(file.Size(), ShouldBeLessThan, maxFileBytes)
 
 			began := time.Now()
-			reopened, _, err := storage.Open(storage.OperatingSystem{}, directory, storage.Options{})
+			reopened, _, err := storage.Open(storage.OSFileSystem{}, directory, storage.Options{})
 			took := time.Since(began)
 			So(err, ShouldBeNil)
 			defer reopened.Close()
--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -116,7 +116,7 @@
 }
 
 func openFileStore(t *testing.T, directory string) *storage.FileStore {
-	store, _, err := storage.Open(storage.OperatingSystem{}, directory, storage.Options{})
+	store, _, err := storage.Open(storage.OSFileSystem{}, directory, storage.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/replication/simulateddisk_test.go
+++ b/internal/controlplane/replication/simulateddisk_test.go
@@ -42,7 +42,7 @@
 	}
 	s.disk.LosePower()
 	s.store.Close()
-	return newSimulatedStore(s.disk.Restore(random))
+	return newSimulatedStore(s.disk.RestorePower(random))
 }
 
 // makeDurable writes changes to the disk of a node.
