--- a/internal/controlplane/rebuild/calls.go
+++ b/internal/controlplane/rebuild/calls.go
@@ -6,41 +6,43 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. Both only read: a snapshot is as of when it was taken, and a chunk of it stays the same.
+// Internal calls. Both are idempotent: a snapshot is fixed when it is taken, so each of its chunks stays the same.
 var (
-	dumpCall  = transport.NewIdempotent[dumpRequest, dumpReply]("/rebuild/dump")
+	chunkCall = transport.NewIdempotent[chunkRequest, chunkReply]("/rebuild/dump")
 	readyCall = transport.NewIdempotent[readyRequest, readyReply]("/rebuild/ready")
 )
 
-// dumpRequest requests a chunk of a snapshot of all replicated tables. The snapshot is taken with chunk 0, once for each attempt.
-type dumpRequest struct {
-	Member   string          `msgpack:"m"` // the receiver of the snapshot
-	View     replicaset.View `msgpack:"v"` // that it works with
-	Attempt  uint64          `msgpack:"a"` // the receiver's number, the same for all chunks
-	Snapshot uint64          `msgpack:"c"` // as the reply with chunk 0 named it; 0 in the request for that one
+// chunkRequest requests one chunk of a snapshot of all replicated tables. The donor takes the snapshot on the request for
+// chunk 0, once per attempt.
+type chunkRequest struct {
+	Member   string          `msgpack:"m"` // address of the receiver
+	View     replicaset.View `msgpack:"v"` // current view of the receiver
+	Attempt  uint64          `msgpack:"a"` // chosen by the receiver; the same for all chunks
+	Snapshot uint64          `msgpack:"c"` // identifier from the reply to chunk 0; 0 in the request for chunk 0
 	Chunk    uint32          `msgpack:"p"`
 }
 
-// dumpReply has the chunk. The whole snapshot is as of one instant after its donor stored the receiver's view.
-type dumpReply struct {
+// chunkReply contains one chunk. The whole snapshot shows the donor's state at one instant, after the donor stored the
+// receiver's view.
+type chunkReply struct {
 	Snapshot uint64           `msgpack:"c"`
-	Chunks   uint32           `msgpack:"n"` // of the whole snapshot
+	Chunks   uint32           `msgpack:"n"` // number of chunks in the snapshot
 	Entries  []storage.Change `msgpack:"e"`
 }
 
-// readyRequest asks whether a process may vote as a member, and stays one.
+// readyRequest asks whether a process may vote as a member, and whether it is about to stop.
 type readyRequest struct{}
 
-// readyReply is the reply. Builds before the last two fields leave them out: such a process counts as one that stays and knows of
-// no joining member.
+// readyReply is the reply to a readyRequest. Earlier builds do not send the last two fields. Such a process counts as one that
+// stays and knows of no joining member.
 type readyReply struct {
 	Ready     bool `msgpack:"r"`
 	Departing bool `msgpack:"d,omitempty"` // the process is about to stop
-	Joining   bool `msgpack:"j,omitempty"` // the process knows of a core node that waits to become a member
+	Joining   bool `msgpack:"j,omitempty"` // the process knows of a core node that is waiting to become a member
 }
 
-// Serve registers the internal calls with which others fetch snapshots, and learn whether this member has been rebuilt.
+// Serve registers the internal calls. Other members use them to fetch snapshots, and to ask whether this member may vote.
 func (r *Rebuilder) Serve(mux *transport.Mux) {
-	transport.Handle(mux, dumpCall, r.handleDump)
+	transport.Handle(mux, chunkCall, r.handleChunk)
 	transport.Handle(mux, readyCall, r.handleReady)
 }
--- a/internal/controlplane/rebuild/cluster_test.go
+++ b/internal/controlplane/rebuild/cluster_test.go
@@ -21,10 +21,10 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// drainTime is how long messages may still be in flight at the end of a test, in simulated time.
-const drainTime = 20 * time.Second
+// inFlightTime is the maximum time that messages remain in flight at the end of a test, in simulated time.
+const inFlightTime = 20 * time.Second
 
-// departures are what the members of a view know of members that stop and join.
+// departures is what a member knows about members that are about to stop or to join.
 type departures struct{ departing, joining, othersDepart bool }
 
 // Departing implements rebuild.Views.
@@ -36,7 +36,7 @@
 // OthersDepart implements rebuild.Views.
 func (d *departures) OthersDepart() bool { return d.othersDepart }
 
-// fixedViews is a view that never changes.
+// fixedViews implements rebuild.Views with a view that never changes.
 type fixedViews struct {
 	departures
 	view replicaset.View
@@ -54,14 +54,14 @@
 // Absences implements rebuild.Views.
 func (v *fixedViews) Absences() uint64 { return 0 }
 
-// changingViews is a view that a test changes.
+// changingViews implements rebuild.Views with a view that a test can change.
 type changingViews struct {
 	departures
 	mutex          sync.Mutex
 	view           replicaset.View
 	changed        chan struct{}
 	absences       uint64
-	ignoresLearned bool // learns no view from others
+	ignoresLearned bool // whether Learn has no effect
 }
 
 func newChangingViews(view replicaset.View, absences uint64) *changingViews {
@@ -92,12 +92,12 @@
 // Learn implements rebuild.Views.
 func (v *changingViews) Learn(view replicaset.View) error {
 	if !v.ignoresLearned {
-		v.set(view, v.Absences())
+		v.setView(view, v.Absences())
 	}
 	return nil
 }
 
-func (v *changingViews) set(view replicaset.View, absences uint64) {
+func (v *changingViews) setView(view replicaset.View, absences uint64) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.view, v.absences = view, absences
@@ -105,15 +105,15 @@
 	v.changed = make(chan struct{})
 }
 
-// cluster is core nodes on a network in memory, to be run in simulated time.
+// cluster is a set of core nodes on an in-memory network in simulated time.
 type cluster struct {
 	t       *testing.T
 	network *networktest.Network
-	views   *fixedViews // of the members that start and build make
+	views   *fixedViews // used by startInFixedView and newCompleteMux
 	ctx     context.Context
 }
 
-// inCluster runs a test in simulated time, in a cluster of a number of members.
+// inCluster runs a test in simulated time, with a cluster whose fixed view has count members. It starts none of them.
 func inCluster(t *testing.T, count int, test func(c *cluster)) {
 	t.Helper()
 	virtualtime.Test(t, func(t *testing.T) {
@@ -124,68 +124,68 @@
 		}
 		test(c)
 		cancel()
-		<-time.After(drainTime)
+		<-time.After(inFlightTime)
 	})
 }
 
-// build makes a member, and the mux of its calls.
-func (c *cluster) build(config rebuild.Config) (*rebuild.Rebuilder, *transport.Mux) {
+// newMember returns a member and the mux with its internal calls.
+func (c *cluster) newMember(config rebuild.Config) (*rebuild.Rebuilder, *transport.Mux) {
 	c.t.Helper()
 	config.Caller, config.Logger = c.network.Caller(config.Self), zap.NewNop()
 	rebuilder, err := rebuild.New(config)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	rebuilder.Register(rebuild.Infallible(union), "data/", "more/")
+	rebuilder.Register(rebuild.Infallible(mergeByKey), "data/", "more/")
 	mux := transport.NewMux()
 	rebuilder.Serve(mux)
 	return rebuilder, mux
 }
 
-// startMember starts a member with views of its own.
+// startMember starts a member with its own views.
 func (c *cluster) startMember(config rebuild.Config) *rebuild.Rebuilder {
 	c.t.Helper()
-	rebuilder, mux := c.build(config)
+	rebuilder, mux := c.newMember(config)
 	c.network.Serve(config.Self, mux)
 	return rebuilder
 }
 
-// start starts a member of the cluster's fixed view.
-func (c *cluster) start(self string, store storage.SnapshotStore, firstStart bool) *rebuild.Rebuilder {
+// startInFixedView starts a member of the cluster's fixed view.
+func (c *cluster) startInFixedView(self string, store storage.SnapshotStore, firstStart bool) *rebuild.Rebuilder {
 	c.t.Helper()
 	return c.startMember(rebuild.Config{Self: self, FirstStart: firstStart, Views: c.views, Store: store})
 }
 
-// serveFrom returns the calls of a member that has its disk.
-func (c *cluster) serveFrom(self string, store storage.SnapshotStore) *transport.Mux {
+// newCompleteMux returns the internal calls of a complete member of the fixed view, which it does not start.
+func (c *cluster) newCompleteMux(self string, store storage.SnapshotStore) *transport.Mux {
 	c.t.Helper()
-	_, mux := c.build(rebuild.Config{Self: self, FirstStart: true, Views: c.views, Store: store})
+	_, mux := c.newMember(rebuild.Config{Self: self, FirstStart: true, Views: c.views, Store: store})
 	return mux
 }
 
-// startComplete starts all members but the last, each with its disk, and returns their stores.
-func (c *cluster) startComplete() []*storage.Memory {
+// startOthersComplete starts all members but the last one as complete members, and returns their stores.
+func (c *cluster) startOthersComplete() []*storage.Memory {
 	c.t.Helper()
 	var stores []*storage.Memory
 	others := c.views.view.Members[:len(c.views.view.Members)-1]
 	for _, self := range others {
 		store := storage.NewMemory()
-		c.start(self, store, true)
-		store.Write(set("data/a", self, "1"), set("more/b", "k", "2"), set(replicaset.TableName, "view", self))
+		c.startInFixedView(self, store, true)
+		store.Write(setChange("data/a", self, "1"), setChange("more/b", "k", "2"), setChange(replicaset.TableName, "view", self))
 		stores = append(stores, store)
 	}
 	return stores
 }
 
-// run rebuilds in the background.
-func (c *cluster) run(rebuilder *rebuild.Rebuilder) <-chan error {
-	ended := make(chan error, 1)
-	go func() { ended <- rebuilder.Run(c.ctx) }()
-	return ended
+// runInBackground calls Run in a goroutine, and returns a channel with its result.
+func (c *cluster) runInBackground(rebuilder *rebuild.Rebuilder) <-chan error {
+	result := make(chan error, 1)
+	go func() { result <- rebuilder.Run(c.ctx) }()
+	return result
 }
 
-// union merges the tables of a group key by key.
-func union(snapshots []storage.Tables) storage.Tables {
+// mergeByKey merges the tables of all snapshots key by key.
+func mergeByKey(snapshots []storage.Tables) storage.Tables {
 	merged := make(storage.Tables)
 	for _, tables := range snapshots {
 		for name, table := range tables {
@@ -198,6 +198,6 @@
 	return merged
 }
 
-func set(table, key, value string) storage.Change {
+func setChange(table, key, value string) storage.Change {
 	return storage.Change{Table: table, Key: key, Value: []byte(value)}
 }
--- a/internal/controlplane/rebuild/config.go
+++ b/internal/controlplane/rebuild/config.go
@@ -11,37 +11,37 @@
 )
 
 var (
-	// ErrNoMerger is the failure of a rebuild that finds a table nobody knows how to merge.
+	// ErrNoMerger means that a snapshot contains a table for which no Merger is registered.
 	ErrNoMerger = errors.New("no merger is registered for the table")
-	// ErrReplaced ends a process that is no member any more: what it holds is out of date, and when it is restarted it announces
-	// itself as a joining member.
+	// ErrReplaced means that this process is no longer a member and must exit. Its state is out of date. After a restart, it
+	// announces itself as a joining member.
 	ErrReplaced = errors.New("another has this member's place among the replicas; the process is to start over as a joining member")
 )
 
-// Views knows the current view. *replicaset.Manager implements it.
+// Views provides the current view and the known changes of the membership. *replicaset.Manager implements it.
 type Views interface {
 	// View returns the current view.
 	View() replicaset.View
-	// Changed is closed at the next change of the view.
+	// Changed returns a channel that is closed when the view changes next.
 	Changed() <-chan struct{}
-	// Learn makes a view that was received from another member the current one if it is newer.
+	// Learn stores a view that another member sent, and makes it the current view if it is newer.
 	Learn(view replicaset.View) error
-	// Absences returns a number that grows each time this process learns that it is no member any more.
+	// Absences returns how often this process has learned that it is no longer a member.
 	Absences() uint64
-	// Departing tells whether this process is about to stop.
+	// Departing reports whether this process is about to stop.
 	Departing() bool
-	// KnowsJoiningMember tells whether a core node that waits to become a member has been heard of lately.
+	// KnowsJoiningMember reports whether a core node that is waiting to become a member was announced recently.
 	KnowsJoiningMember() bool
-	// OthersDepart tells whether every other member is about to stop.
+	// OthersDepart reports whether all other members are about to stop.
 	OthersDepart() bool
 }
 
-// Config names what a Rebuilder works with.
+// Config is the configuration of a Rebuilder.
 type Config struct {
 	Self string // this process's internal address
-	// Incarnation is this process's number in the view with which it became a member; 0 where it never does so.
+	// Incarnation identifies this process in the view in which it becomes a member. It is 0 for a process that never joins.
 	Incarnation uint64
-	FirstStart  bool // whether the system starts for the very first time; then there is nothing to rebuild
+	FirstStart  bool // whether the whole system starts for the first time, so that there is nothing to rebuild
 	Views       Views
 	Store       storage.SnapshotStore
 	Caller      transport.Caller
--- a/internal/controlplane/rebuild/doc.go
+++ b/internal/controlplane/rebuild/doc.go
@@ -1,14 +1,18 @@
-// Package rebuild brings back a core node that lost its disk. Until then the node must not vote, promise or answer
-// reads, as it does not know any more what it has promised.
+// Package rebuild restores the replicated state of a core node that lost its disk. The node fetches snapshots from a majority
+// of the other members, merges them, and writes the result in one write. Until then it must not vote, promise or answer
+// reads, because it no longer knows what it promised.
 //
-// The node waits, and then merges the snapshots of a majority of the other members. Every quorum round counts an answer only
-// within register.RoundLimit of the round's start. So when the snapshots are taken, each round that counted an answer of the
-// lost disk is over, and one of the members that give a snapshot has stored what that round decided.
+// A rebuild loses nothing that was decided. Before the node fetches snapshots, it waits until all quorum rounds that may have
+// counted an answer from the lost disk are over. Each such round counts an answer only within register.RoundLimit of its
+// start. At least one of the members that provide a snapshot has therefore stored what the round decided.
 //
-// A joining member that replaced another one is rebuilt in the same way; package replicaset says why that is safe. What
-// makes a disk complete is therefore bound to the membership: a process that was replaced is incomplete until it has
-// become a member again and was rebuilt, though its disk was kept.
+// A member that joins in the place of another one is rebuilt in the same way. Package replicaset explains why that is safe.
+// Whether a disk is complete therefore depends on the membership. A process that was replaced is incomplete, even if its disk
+// was kept, until it has become a member again and has been rebuilt.
 //
-// The state transfer is a pull: the receiver asks each donor for its snapshot, chunk by chunk. A departing member stays
-// until those that may need its snapshot have been rebuilt ([Rebuilder.HandOver]).
+// The receiver pulls the state: it requests the snapshot of each donor chunk by chunk. A departing member keeps running
+// until the members that may need its snapshot have been rebuilt ([Rebuilder.HandOver]).
+//
+// The coordinator calls the package. Package rebuild never changes the membership, and never interprets the tables: the
+// packages that own the tables register a [Merger] for them.
 package rebuild
--- a/internal/controlplane/rebuild/donate.go
+++ b/internal/controlplane/rebuild/donate.go
@@ -12,30 +12,30 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// notReadyRetryAfter is how long after a refusal a member may be asked again.
+// notReadyRetryAfter is the delay after which a receiver may repeat a request that this member refused.
 const notReadyRetryAfter = 250 * time.Millisecond
 
 var (
-	// errNotReady is the refusal of a member that is itself incomplete.
-	errNotReady = errors.New("this member is being rebuilt itself")
-	// errOtherView is the refusal of a member that works with another view than the receiver, or with one that has no such
-	// receiver: it might still vote in rounds that the snapshot would lack.
-	errOtherView = errors.New("this member works with another view of the replicas")
+	// errNotReady is returned to a receiver if this member is incomplete itself.
+	errNotReady = errors.New("this member is itself being rebuilt")
+	// errViewMismatch is returned to a receiver if this member's view is another one, or does not contain the receiver. This
+	// member might then still vote in rounds that the snapshot would not include.
+	errViewMismatch = errors.New("this member has another view of the replicas")
 )
 
-// handleDump stores the receiver's view before it takes the snapshot: from then on this member votes for nothing in the view
-// before.
-func (r *Rebuilder) handleDump(_ context.Context, request dumpRequest) (dumpReply, error) {
+// handleChunk serves one chunk of a snapshot. It stores the receiver's view before it takes the snapshot, so that this member
+// no longer votes in the previous view.
+func (r *Rebuilder) handleChunk(_ context.Context, request chunkRequest) (chunkReply, error) {
 	if !r.mayDonate() {
-		return dumpReply{}, rpcerror.WrapNotExecuted(errNotReady, notReadyRetryAfter)
+		return chunkReply{}, rpcerror.WrapNotExecuted(errNotReady, notReadyRetryAfter)
 	}
-	if err := r.admit(request); err != nil {
-		return dumpReply{}, rpcerror.WrapNotExecuted(err, notReadyRetryAfter)
+	if err := r.adoptReceiverView(request); err != nil {
+		return chunkReply{}, rpcerror.WrapNotExecuted(err, notReadyRetryAfter)
 	}
 	if request.Chunk > 0 {
-		return r.outgoing.chunk(request)
+		return r.outgoing.laterChunk(request)
 	}
-	return r.outgoing.first(request, func() storage.Tables {
+	return r.outgoing.firstChunk(request, func() storage.Tables {
 		tables := r.config.Store.Snapshot()
 		delete(tables, TableName)
 		delete(tables, replicaset.TableName)
@@ -43,8 +43,8 @@
 	}), nil
 }
 
-// admit learns the receiver's view, and checks that this member works with the same.
-func (r *Rebuilder) admit(request dumpRequest) error {
+// adoptReceiverView learns the receiver's view if it is newer, and checks that this member has the same view.
+func (r *Rebuilder) adoptReceiverView(request chunkRequest) error {
 	if request.View.Version > r.config.Views.View().Version {
 		if err := r.config.Views.Learn(request.View); err != nil {
 			return err
@@ -52,16 +52,17 @@
 	}
 	view := r.config.Views.View()
 	if view.Version != request.View.Version || !view.Has(request.Member) || !r.mayDonate() {
-		return fmt.Errorf("%w: version %d", errOtherView, view.Version)
+		return fmt.Errorf("%w: version %d", errViewMismatch, view.Version)
 	}
 	return nil
 }
 
-// mayDonate tells whether this process may give its snapshot: as a complete member, or as the complete member that the newest
-// view has replaced. The latter votes no more, so that its snapshot has all that it ever voted for.
+// mayDonate reports whether this process may provide a snapshot. It may if it is a complete member, or if it was a complete
+// member until the newest view replaced it. A replaced member no longer votes, so its snapshot includes everything that it
+// voted for.
 func (r *Rebuilder) mayDonate() bool { return r.Ready() || r.wasReplaced() }
 
-// wasReplaced tells whether this process was complete in the view before the current one, and was replaced in this.
+// wasReplaced reports whether the current view replaced this process, and whether this process was complete until then.
 func (r *Rebuilder) wasReplaced() bool {
 	view := r.config.Views.View()
 	absences := r.config.Views.Absences()
--- a/internal/controlplane/rebuild/fetch.go
+++ b/internal/controlplane/rebuild/fetch.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	fetchRetryInterval = 250 * time.Millisecond // after a member gave no snapshot, until it is asked again
-	// minChunkTimeout and maxChunkTimeout bound the calls for a chunk until they are made anew: at first, and after time-outs in
-	// a row, each of which doubles it.
+	fetchRetryInterval = 250 * time.Millisecond // delay between a failed snapshot transfer and the next attempt
+	// minChunkTimeout and maxChunkTimeout bound how long the requests for a chunk may take before they are repeated. The
+	// time-out starts at the minimum, and each consecutive time-out doubles it.
 	minChunkTimeout = 3500 * time.Millisecond
 	maxChunkTimeout = 14 * time.Second
-	// hedgeDelay is how long a chunk is waited for before it is requested once more; there are at most maxChunkCalls calls
-	// for it.
+	// hedgeDelay is the delay before another hedged request for a chunk. At most maxChunkCalls requests are sent before the
+	// time-out.
 	hedgeDelay    = time.Second
 	maxChunkCalls = 3
-	// probeInterval and probeTimeout are those of the small calls that find out whether a donor that gives no chunk is out
-	// of reach.
+	// probeInterval and probeTimeout apply to the probes, which are small requests. They detect whether a donor that does
+	// not send a chunk is unreachable.
 	probeInterval = 500 * time.Millisecond
 	probeTimeout  = time.Second
 )
 
 var (
-	errChunkLate     = errors.New("no call for the chunk got a reply in time")
-	errDonorReturned = errors.New("the donor was out of reach, so that the calls for the chunk are lost")
+	errChunkTimeout        = errors.New("no request for the chunk was answered before the time-out")
+	errDonorReachableAgain = errors.New("the donor was unreachable, so the requests for the chunk are lost")
 )
 
-// donors are the processes that this member fetches snapshots from: the other members, and the one that this very process
-// replaced. A later process at the same address may have voted in the view and have lost that vote, which the replaced
-// member's snapshot would lack; so it asks the members alone.
+// donors returns the processes that this member fetches snapshots from. These are the other members, and the member that this
+// process replaced. A later process at the same address does not use the replaced member as a donor: its predecessor may have
+// voted in the view, and neither its disk nor the snapshot of the replaced member would contain that vote.
 func (r *Rebuilder) donors(view replicaset.View) []string {
 	donors := slices.DeleteFunc(slices.Clone(view.Members), func(member string) bool { return member == r.config.Self })
 	if view.Replaced != "" && r.config.Incarnation != 0 && view.JoinedIncarnation == r.config.Incarnation {
@@ -48,9 +48,9 @@
 	return donors
 }
 
-// collectFrom fetches snapshots from all donors of a view until there are enough. It returns nil when the view changes or the
-// context ends before. A donor that does not reply delays no other.
-func (r *Rebuilder) collectFrom(ctx context.Context, view replicaset.View, changed <-chan struct{}, needed int) []storage.Tables {
+// fetchFromDonors fetches snapshots from all donors of a view in parallel, and returns as soon as it has the needed number. It
+// returns nil if the view changes or the context ends first. A donor that does not reply does not delay the others.
+func (r *Rebuilder) fetchFromDonors(ctx context.Context, view replicaset.View, changed <-chan struct{}, needed int) []storage.Tables {
 	ctx, cancel := context.WithCancel(ctx)
 	var fetching sync.WaitGroup
 	defer fetching.Wait()
@@ -58,7 +58,7 @@
 	donors := r.donors(view)
 	snapshots := make(chan storage.Tables, len(donors))
 	for _, donor := range donors {
-		fetching.Go(func() { r.fetchUntilDone(ctx, donor, view, snapshots) })
+		fetching.Go(func() { r.fetchWithRetries(ctx, donor, view, snapshots) })
 	}
 	collected := make([]storage.Tables, 0, needed)
 	for len(collected) < needed {
@@ -74,10 +74,10 @@
 	return collected
 }
 
-// fetchUntilDone asks one donor until it has given a snapshot.
-func (r *Rebuilder) fetchUntilDone(ctx context.Context, member string, view replicaset.View, snapshots chan<- storage.Tables) {
+// fetchWithRetries fetches the snapshot of one donor, and retries until that succeeds or the context ends.
+func (r *Rebuilder) fetchWithRetries(ctx context.Context, member string, view replicaset.View, snapshots chan<- storage.Tables) {
 	for ctx.Err() == nil {
-		tables, err := r.fetch(ctx, member, view)
+		tables, err := r.fetchSnapshot(ctx, member, view)
 		if err == nil {
 			snapshots <- tables
 			return
@@ -89,9 +89,10 @@
 	}
 }
 
-// fetch gets one donor's snapshot, chunk by chunk. It fails where the donor no longer has that snapshot, as after a restart.
-func (r *Rebuilder) fetch(ctx context.Context, member string, view replicaset.View) (storage.Tables, error) {
-	request := dumpRequest{Member: r.config.Self, View: view, Attempt: rand.Uint64()}
+// fetchSnapshot fetches the snapshot of one donor chunk by chunk. It fails if the donor no longer has the snapshot, for example
+// after a restart.
+func (r *Rebuilder) fetchSnapshot(ctx context.Context, member string, view replicaset.View) (storage.Tables, error) {
+	request := chunkRequest{Member: r.config.Self, View: view, Attempt: rand.Uint64()}
 	tables := make(storage.Tables)
 	for chunks := uint32(1); request.Chunk < chunks; request.Chunk++ {
 		reply, err := r.fetchChunk(ctx, member, request)
@@ -104,15 +105,16 @@
 	return tables, nil
 }
 
-// fetchChunk gets one chunk. Calls that were lost without a sign are made anew: after a time-out that grows, as a slow link
-// needs longer, and at once where the donor was out of reach and has replied again.
-func (r *Rebuilder) fetchChunk(ctx context.Context, member string, request dumpRequest) (dumpReply, error) {
+// fetchChunk fetches one chunk. It repeats the requests after a time-out, because the network may drop them without an error.
+// The time-out grows, because a slow link needs longer. If the donor was unreachable and replies to a probe again, fetchChunk
+// repeats the requests at once.
+func (r *Rebuilder) fetchChunk(ctx context.Context, member string, request chunkRequest) (chunkReply, error) {
 	for timeout := minChunkTimeout; ; {
-		reply, err := r.hedgeChunk(ctx, member, request, timeout)
+		reply, err := r.fetchChunkHedged(ctx, member, request, timeout)
 		switch {
-		case errors.Is(err, errDonorReturned):
+		case errors.Is(err, errDonorReachableAgain):
 			timeout = minChunkTimeout
-		case errors.Is(err, errChunkLate):
+		case errors.Is(err, errChunkTimeout):
 			timeout = min(2*timeout, maxChunkTimeout)
 		default:
 			return reply, err
@@ -120,19 +122,19 @@
 	}
 }
 
-// chunkResult is the result of one call for a chunk.
+// chunkResult is the result of one request for a chunk.
 type chunkResult struct {
-	reply dumpReply
+	reply chunkReply
 	err   error
 }
 
-// hedgeChunk gets one chunk within the time-out, with hedged calls (Dean and Barroso, "The Tail at Scale", Communications of the
-// ACM 56(2), 2013): a request or a reply may be lost without a sign, so another call is made after a delay, though the first
-// may still be under way. A refusal is final.
-func (r *Rebuilder) hedgeChunk(ctx context.Context, member string, request dumpRequest, timeout time.Duration) (dumpReply, error) {
+// fetchChunkHedged fetches one chunk within the time-out, with hedged requests (Dean and Barroso, "The Tail at Scale",
+// Communications of the ACM 56(2), 2013). The network may drop a request or a reply without an error. So another request is
+// sent after hedgeDelay, even though the first one may still be in flight. If the donor refuses a request, that result is final.
+func (r *Rebuilder) fetchChunkHedged(ctx context.Context, member string, request chunkRequest, timeout time.Duration) (chunkReply, error) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	ctx, cancelTimeout := context.WithTimeoutCause(ctx, timeout, errChunkLate)
+	ctx, cancelTimeout := context.WithTimeoutCause(ctx, timeout, errChunkTimeout)
 	defer cancelTimeout()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -144,36 +146,36 @@
 		case <-nextCall.C:
 			sent++
 			calls.Go(func() {
-				reply, err := dumpCall.Call(ctx, r.config.Caller, member, request)
+				reply, err := chunkCall.Call(ctx, r.config.Caller, member, request)
 				results <- chunkResult{reply, err}
 			})
 			if sent < maxChunkCalls {
 				nextCall.Reset(hedgeDelay)
 			} else {
-				calls.Go(func() { r.awaitReturn(ctx, member, cancel) })
+				calls.Go(func() { r.cancelWhenDonorReturns(ctx, member, cancel) })
 			}
 		case result := <-results:
 			if result.err == nil || rpcerror.ExecutionOf(result.err) == rpcerror.NotExecuted {
 				return result.reply, result.err
 			}
 			if failed++; failed == maxChunkCalls && ctx.Err() == nil {
-				return dumpReply{}, result.err
+				return chunkReply{}, result.err
 			}
 		case <-ctx.Done():
-			return dumpReply{}, context.Cause(ctx)
+			return chunkReply{}, context.Cause(ctx)
 		}
 	}
 }
 
-// awaitReturn cancels all calls for a chunk once the donor has been out of reach and has replied again: none of them is still
-// under way then.
-func (r *Rebuilder) awaitReturn(ctx context.Context, member string, cancel context.CancelCauseFunc) {
+// cancelWhenDonorReturns probes the donor. If the donor was unreachable and replies again, it cancels all requests for the
+// chunk, because those were lost in the meantime.
+func (r *Rebuilder) cancelWhenDonorReturns(ctx context.Context, member string, cancel context.CancelCauseFunc) {
 	for unreachable := false; timer.Sleep(ctx, probeInterval); {
-		probe, endProbe := context.WithTimeout(ctx, probeTimeout)
-		_, err := r.requestReady(probe, member)
-		endProbe()
+		probeCtx, cancelProbe := context.WithTimeout(ctx, probeTimeout)
+		_, err := r.requestReady(probeCtx, member)
+		cancelProbe()
 		if err == nil && unreachable {
-			cancel(errDonorReturned)
+			cancel(errDonorReachableAgain)
 			return
 		}
 		unreachable = err != nil
--- a/internal/controlplane/rebuild/handover.go
+++ b/internal/controlplane/rebuild/handover.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	departureInterval = 100 * time.Millisecond // from one round of a departure until the next
-	readyTimeout      = 300 * time.Millisecond // of a request whether a member may vote and stays
+	departureCheckInterval = 100 * time.Millisecond // delay between two checks whether a departing member may stop
+	readyTimeout           = 300 * time.Millisecond // time-out of a readyRequest
 )
 
 func (r *Rebuilder) handleReady(context.Context, readyRequest) (readyReply, error) {
@@ -26,33 +26,33 @@
 	}, nil
 }
 
-// HandOver serves on as a departing member until it may stop (replicaset.Departure.MayStop) or the context ends. Meanwhile it
-// calls leave again and again, which is to send leave requests, so that a joining member replaces this one. It returns what it
-// knew last: where the member may stop, nothing is left that only this process holds.
+// HandOver waits until this departing member may stop (replicaset.Departure.MayStop) or the context ends. Meanwhile, it calls
+// leave repeatedly. That function must send leave requests, so that a joining member replaces this one. HandOver returns the
+// result of the last check. If that result permits the member to stop, no state exists on this process alone.
 func (r *Rebuilder) HandOver(ctx context.Context, leave func(ctx context.Context)) replicaset.Departure {
-	begun := r.config.Views.View()
-	joined := joinedMembers{view: begun, unconfirmed: make(map[string]bool)}
+	initialView := r.config.Views.View()
+	joined := joinedMembers{view: initialView, unconfirmed: make(map[string]bool)}
 	for {
 		var leaving sync.WaitGroup
 		leaving.Go(func() { leave(ctx) })
-		departure := r.observeDeparture(ctx, &joined)
-		departure.WasMember = begun.Has(r.config.Self)
+		departure := r.checkDeparture(ctx, &joined)
+		departure.WasMember = initialView.Has(r.config.Self)
 		leaving.Wait()
-		if departure.MayStop() || !timer.Sleep(ctx, departureInterval) {
+		if departure.MayStop() || !timer.Sleep(ctx, departureCheckInterval) {
 			return departure
 		}
 	}
 }
 
-// joinedMembers are the members that have joined since a departure began, and have not replied yet that they may vote.
+// joinedMembers tracks the members that joined after a departure began and have not yet replied that they may vote.
 type joinedMembers struct {
-	view        replicaset.View // the newest that was observed
-	unconfirmed map[string]bool // by address
+	view        replicaset.View // the newest view passed to update
+	unconfirmed map[string]bool // set of addresses
 }
 
-// observe adds the members that have joined with a newer view. Where views were missed, a member may have been replaced and
-// have joined again, so that each of them counts.
-func (j *joinedMembers) observe(view replicaset.View) {
+// update adds the members that joined with a newer view. If this process missed a view, any member may have been replaced and
+// have joined again, so all members of the newer view are added.
+func (j *joinedMembers) update(view replicaset.View) {
 	missed := view.Version > j.view.Version+1
 	for _, member := range view.Members {
 		if missed || !j.view.Has(member) {
@@ -63,21 +63,22 @@
 	j.view = view
 }
 
-// memberReply is a member's reply to a ready request, or the failure to get one.
+// memberReply is the result of a readyRequest to one member.
 type memberReply struct {
 	member string
 	reply  readyReply
 	err    error
 }
 
-// observeDeparture asks all other members at once, and returns what this member now knows.
-func (r *Rebuilder) observeDeparture(ctx context.Context, joined *joinedMembers) replicaset.Departure {
+// checkDeparture sends a readyRequest to all other members in parallel, and returns what this process then knows about the
+// departure.
+func (r *Rebuilder) checkDeparture(ctx context.Context, joined *joinedMembers) replicaset.Departure {
 	views := r.config.Views
-	joined.observe(views.View())
+	joined.update(views.View())
 	departure := replicaset.Departure{
 		View: joined.view, Self: r.config.Self, JoiningMember: views.KnowsJoiningMember(), OthersDepart: views.OthersDepart(),
 	}
-	for _, answer := range r.askWhetherReady(ctx, joined.view) {
+	for _, answer := range r.requestReadyFromAll(ctx, joined.view) {
 		ready := answer.err == nil && answer.reply.Ready
 		stopsBefore := answer.reply.Departing && answer.member < r.config.Self
 		if ready {
@@ -95,8 +96,8 @@
 	return departure
 }
 
-// askWhetherReady asks all other members of a view at once whether they may vote and stay.
-func (r *Rebuilder) askWhetherReady(ctx context.Context, view replicaset.View) []memberReply {
+// requestReadyFromAll sends a readyRequest to all other members of a view in parallel, and returns all results.
+func (r *Rebuilder) requestReadyFromAll(ctx context.Context, view replicaset.View) []memberReply {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	var replies []memberReply
--- a/internal/controlplane/rebuild/install.go
+++ b/internal/controlplane/rebuild/install.go
@@ -11,12 +11,15 @@
 	"puffinlink.example/puffinlink/internal/timer"
 )
 
-// installInterval is the time between attempts to write the merged snapshots to a full disk.
-const installInterval = 250 * time.Millisecond
+// installRetryInterval is the delay between attempts to write the merged snapshots to a full disk.
+const installRetryInterval = 250 * time.Millisecond
 
-// install replaces all replicated tables by the merged snapshots and marks this member complete, in one write. So a crash
-// leaves it incomplete, and it starts over. absences is this process's number of them when the snapshots were taken. The
-// write is retried while the disk is full: this member votes for nothing before, so the snapshots lack no vote of its own.
+// install replaces all replicated tables with the merged snapshots and marks this member complete, in one write. After a crash
+// during the write, the member is still incomplete and repeats the rebuild. absences is the number of absences when the
+// snapshots were taken.
+//
+// install retries the write while the disk is full. This member does not vote before the write, so the snapshots cannot miss
+// any of its votes.
 func (r *Rebuilder) install(ctx context.Context, snapshots []storage.Tables, absences uint64) error {
 	merged, err := r.mergers.merge(snapshots)
 	if err != nil {
@@ -40,7 +43,7 @@
 			return err
 		}
 		r.config.Logger.Warn("disk full: merged snapshots not written", zap.Error(err))
-		if !timer.Sleep(ctx, installInterval) {
+		if !timer.Sleep(ctx, installRetryInterval) {
 			return context.Cause(ctx)
 		}
 	}
--- a/internal/controlplane/rebuild/merge.go
+++ b/internal/controlplane/rebuild/merge.go
@@ -9,19 +9,19 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// Merger merges a group of tables from the snapshots of a majority of the other members. Each snapshot is as of one instant,
-// and has only tables of the group.
+// Merger merges a group of tables from the snapshots of a majority of the other members. Each snapshot shows the state of a
+// member at one instant, and contains only the tables of the group.
 type Merger func(snapshots []storage.Tables) (storage.Tables, error)
 
-// Infallible makes a Merger of a function that cannot fail.
+// Infallible converts a merge function that returns no error to a Merger.
 func Infallible(merge func(snapshots []storage.Tables) storage.Tables) Merger {
 	return func(snapshots []storage.Tables) (storage.Tables, error) { return merge(snapshots), nil }
 }
 
-// mergers are the registered mergers, each with its tables.
+// mergers is the list of registered mergers, each with its group of tables.
 type mergers struct{ groups []tableGroup }
 
-// tableGroup is the set of tables that one merger merges, by the prefixes of their names.
+// tableGroup is the group of tables that one Merger handles. A table belongs to it if its name has one of the prefixes.
 type tableGroup struct {
 	prefixes []string
 	merge    Merger
@@ -31,7 +31,7 @@
 	return slices.ContainsFunc(g.prefixes, func(prefix string) bool { return strings.HasPrefix(table, prefix) })
 }
 
-// selectFrom returns the group's tables of one snapshot.
+// selectFrom returns the tables of one snapshot that belong to the group.
 func (g tableGroup) selectFrom(tables storage.Tables) storage.Tables {
 	selected := make(storage.Tables)
 	for name, table := range tables {
@@ -46,9 +46,9 @@
 	m.groups = append(m.groups, tableGroup{prefixes, merge})
 }
 
-// merge merges the snapshots of several members.
+// merge merges the snapshots of several members, group by group.
 func (m *mergers) merge(snapshots []storage.Tables) (storage.Tables, error) {
-	if err := m.checkAll(snapshots); err != nil {
+	if err := m.checkTablesHaveMerger(snapshots); err != nil {
 		return nil, err
 	}
 	merged := make(storage.Tables)
@@ -66,8 +66,8 @@
 	return merged, nil
 }
 
-// checkAll returns ErrNoMerger where a table would be left out.
-func (m *mergers) checkAll(snapshots []storage.Tables) error {
+// checkTablesHaveMerger returns ErrNoMerger if a snapshot contains a table that belongs to no group.
+func (m *mergers) checkTablesHaveMerger(snapshots []storage.Tables) error {
 	for _, tables := range snapshots {
 		for name := range tables {
 			known := func(group tableGroup) bool { return group.has(name) }
--- a/internal/controlplane/rebuild/rebuild.go
+++ b/internal/controlplane/rebuild/rebuild.go
@@ -14,25 +14,27 @@
 	"puffinlink.example/puffinlink/internal/timer"
 )
 
-// openRoundsWait is how long after its start a member asks for snapshots. It exceeds the time-out of a quorum round.
+// openRoundsWait is the delay between the start of a member and its first request for a snapshot. It is longer than the time-out
+// of a quorum round, so that all rounds which were open at the start are over.
 const openRoundsWait = 2200 * time.Millisecond
 
-// Rebuilder decides whether this member is complete, and makes it so.
+// Rebuilder determines whether this member's disk is complete, and rebuilds it if it is not.
 type Rebuilder struct {
-	config   Config
-	start    time.Time
-	mergers  mergers
-	outgoing outgoingSnapshots
+	config    Config
+	startedAt time.Time
+	mergers   mergers
+	outgoing  outgoingSnapshots
 
-	membership uint64        // for which this member is complete, as a number of absences; written before complete is closed
-	complete   chan struct{} // closed once this member may take part
-	finished   sync.Once
+	completeAbsences uint64        // number of absences for which this member is complete; written before complete is closed
+	complete         chan struct{} // closed when this member is complete
+	completeOnce     sync.Once
 }
 
-// New reads from the store whether this member is complete. A member whose disk was kept is complete at once unless it was replaced meanwhile, and so is
-// one that starts with the whole system for the first time. It returns the store's error.
+// New returns a Rebuilder, and reads from the store whether this member is complete. A member that kept its disk is complete at
+// once, unless it was replaced in the meantime. A member with a new disk is complete at once only if the whole system starts
+// for the first time. New returns an error if it cannot write to the store.
 func New(config Config) (*Rebuilder, error) {
-	r := &Rebuilder{config: config, start: time.Now(), complete: make(chan struct{})}
+	r := &Rebuilder{config: config, startedAt: time.Now(), complete: make(chan struct{})}
 	marker, marked := config.Store.Table(TableName)[completeKey]
 	absences := config.Views.Absences()
 	switch {
@@ -47,22 +49,22 @@
 	return r, nil
 }
 
-// Register adds a merger for the tables whose names begin with one of the prefixes. No table may belong to two mergers,
-// and all must be registered before Run.
+// Register adds a merger for the tables whose names begin with one of the prefixes. No table may belong to two mergers. All
+// mergers must be registered before Run is called.
 func (r *Rebuilder) Register(merge Merger, prefixes ...string) { r.mergers.add(merge, prefixes) }
 
-// Run rebuilds this member if that is needed, and then returns. It waits for as long as there is no majority of others, or
-// this process is no member. An error other than the context's is final: the store has failed, or a table cannot be
-// merged.
+// Run rebuilds this member if it is incomplete, and then returns. It waits while too few other members provide a snapshot, and
+// while this process is not a member. An error other than that of the context is final: the store has failed, or a table
+// cannot be merged.
 func (r *Rebuilder) Run(ctx context.Context) error {
 	if r.Ready() {
 		return nil
 	}
 	r.config.Logger.Warn("disk empty or incomplete; rebuilding it from the other members")
-	if !timer.Sleep(ctx, openRoundsWait-time.Since(r.start)) {
+	if !timer.Sleep(ctx, openRoundsWait-time.Since(r.startedAt)) {
 		return context.Cause(ctx)
 	}
-	snapshots, absences, err := r.collect(ctx)
+	snapshots, absences, err := r.collectSnapshots(ctx)
 	if err != nil {
 		return err
 	}
@@ -74,15 +76,15 @@
 	return nil
 }
 
-// collect fetches the snapshots of enough other members of the current view, and returns them with the number of absences
-// from before it began.
-func (r *Rebuilder) collect(ctx context.Context) (snapshots []storage.Tables, absences uint64, err error) {
+// collectSnapshots fetches as many snapshots as the rebuild needs in the current view. It also returns the number of absences,
+// which it read before it fetched them.
+func (r *Rebuilder) collectSnapshots(ctx context.Context) (snapshots []storage.Tables, absences uint64, err error) {
 	views := r.config.Views
 	for {
 		changed := views.Changed()
 		absences = views.Absences()
 		if view := views.View(); view.Has(r.config.Self) {
-			snapshots = r.collectFrom(ctx, view, changed, SnapshotsNeeded(view, absences))
+			snapshots = r.fetchFromDonors(ctx, view, changed, SnapshotsNeeded(view, absences))
 			if snapshots != nil && views.View().Version == view.Version {
 				return snapshots, absences, nil
 			}
@@ -95,10 +97,13 @@
 	}
 }
 
-// SnapshotsNeeded is the number of snapshots that a rebuild merges, given how often this process was no member. One that lost
-// its disk needs as many as intersect each majority that it was part of. A joining member needs a quorum, one more where the
-// number of members is even: until it has been rebuilt, too few members may have learned of its view to keep the others
-// from deciding in the view before.
+// SnapshotsNeeded returns the number of snapshots that a rebuild merges. absences is how often this process has learned that it
+// is no longer a member.
+//
+// A member that lost its disk (absences is 0) needs enough snapshots to intersect each majority that it was part of. A joining
+// member needs a quorum, which is one more if the number of members is even. Until it has been rebuilt, few members may have
+// learned its view, and the others could still decide in the previous view. With fewer snapshots it might miss such a
+// decision.
 func SnapshotsNeeded(view replicaset.View, absences uint64) int {
 	if absences > 0 {
 		return max(1, min(view.Quorum(), len(view.Members)-1))
--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -16,18 +16,18 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage/storagetest"
 )
 
-func TestALostDiskIsRebuilt(t *testing.T) {
+func TestLostDiskIsRebuilt(t *testing.T) {
 	var took time.Duration
 	var content storage.Tables
 	var readyBefore, readyAfter, readyAfterRestart bool
 	inCluster(t, 3, func(c *cluster) {
-		c.startComplete()
+		c.startOthersComplete()
 		store := storage.NewMemory()
-		store.Write(set(replicaset.TableName, "view", "own"), set("data/old", "k", "left by an earlier attempt"))
+		store.Write(setChange(replicaset.TableName, "view", "own"), setChange("data/old", "k", "left by an earlier attempt"))
 		start := time.Now()
-		rebuilder := c.start("member-2", store, false)
+		rebuilder := c.startInFixedView("member-2", store, false)
 		readyBefore = rebuilder.Ready()
-		ended := c.run(rebuilder)
+		ended := c.runInBackground(rebuilder)
 		<-rebuilder.Complete()
 		took = time.Since(start)
 		if err := <-ended; err != nil {
@@ -35,9 +35,9 @@
 		}
 		readyAfter = rebuilder.Ready()
 		content = store.Snapshot()
-		readyAfterRestart = c.start("member-2", store, false).Ready()
+		readyAfterRestart = c.startInFixedView("member-2", store, false).Ready()
 	})
-	convey.Convey("A member without its disk has the merged tables of the others 2.2 s after its start", t, func() {
+	convey.Convey("A member that lost its disk has the merged tables of the others 2.2 s after its start", t, func() {
 		convey.So(readyBefore, convey.ShouldBeFalse)
 		convey.So(readyAfter, convey.ShouldBeTrue)
 		convey.So(took, convey.ShouldEqual, 2200*time.Millisecond)
@@ -48,21 +48,21 @@
 			replicaset.TableName: {"view": []byte("own")},
 		})
 	})
-	convey.Convey("After a restart with its disk it is ready at once", t, func() {
+	convey.Convey("After a restart with the rebuilt disk it is ready at once", t, func() {
 		convey.So(readyAfterRestart, convey.ShouldBeTrue)
 	})
 }
 
-func TestARebuildWaitsForAMajorityOfTheOthers(t *testing.T) {
+func TestRebuildWaitsForMajorityOfOthers(t *testing.T) {
 	for _, sizes := range []struct{ members, partitioned int }{{3, 1}, {4, 2}, {5, 2}} {
 		var early, late bool
 		inCluster(t, sizes.members, func(c *cluster) {
-			c.startComplete()
+			c.startOthersComplete()
 			for _, self := range c.views.view.Members[:sizes.partitioned] {
 				c.network.Partition(self, true)
 			}
-			rebuilder := c.start(c.views.view.Members[sizes.members-1], storage.NewMemory(), false)
-			c.run(rebuilder)
+			rebuilder := c.startInFixedView(c.views.view.Members[sizes.members-1], storage.NewMemory(), false)
+			c.runInBackground(rebuilder)
 			<-time.After(time.Minute)
 			early = rebuilder.Ready()
 			c.network.Partition("member-0", false)
@@ -76,114 +76,115 @@
 	}
 }
 
-func TestAFailedMemberDelaysNoRebuild(t *testing.T) {
+func TestUnreachableMemberDoesNotDelayRebuild(t *testing.T) {
 	var took time.Duration
 	inCluster(t, 5, func(c *cluster) {
-		c.startComplete()
+		c.startOthersComplete()
 		c.network.Partition("member-0", true)
 		start := time.Now()
-		rebuilder := c.start("member-4", storage.NewMemory(), false)
-		c.run(rebuilder)
+		rebuilder := c.startInFixedView("member-4", storage.NewMemory(), false)
+		c.runInBackground(rebuilder)
 		<-rebuilder.Complete()
 		took = time.Since(start)
 	})
-	convey.Convey("A majority of the others is enough", t, func() {
+	convey.Convey("The snapshots of a majority are enough", t, func() {
 		convey.So(took, convey.ShouldEqual, 2200*time.Millisecond)
 	})
 }
 
-// A request or a reply is lost without a sign, as in a partition.
-// rebuildTimeWithLosses is how long a rebuild of three members takes from the start where the first requests to one donor are lost.
+// rebuildTimeWithLosses returns how long a rebuild in a cluster of three members takes if the first requests for a chunk to one
+// donor are lost. The network drops a request or its reply without an error, as in a partition.
 func rebuildTimeWithLosses(t *testing.T, lost int) (took time.Duration) {
 	t.Helper()
 	inCluster(t, 3, func(c *cluster) {
-		c.startComplete()
+		c.startOthersComplete()
 		c.network.AddRule(networktest.Rule{To: "member-0", Path: "/rebuild/dump", Lose: true, Times: lost})
 		start := time.Now()
-		rebuilder := c.start("member-2", storage.NewMemory(), false)
-		c.run(rebuilder)
+		rebuilder := c.startInFixedView("member-2", storage.NewMemory(), false)
+		c.runInBackground(rebuilder)
 		<-rebuilder.Complete()
 		took = time.Since(start)
 	})
 	return took
 }
 
-func TestALostChunkIsRequestedAgain(t *testing.T) {
-	convey.Convey("The member is rebuilt within the time to catch up, 4 s", t, func() {
+func TestLostChunkRequestIsHedged(t *testing.T) {
+	convey.Convey("The member is rebuilt within 4 s, the limit for catching up", t, func() {
 		convey.So(rebuildTimeWithLosses(t, 1), convey.ShouldBeLessThan, 4*time.Second)
 	})
 }
 
-// The first calls for a chunk are lost while other calls get through, so that nothing else shows it.
-func TestCallsForAChunkAreMadeAnewAfterATimeOut(t *testing.T) {
-	convey.Convey("Three lost calls cost 3.5 s", t, func() {
+// The first requests for a chunk are lost while probes of the donor still succeed. Only the time-out can detect the loss.
+func TestLostChunkRequestsAreRetriedAfterTimeout(t *testing.T) {
+	convey.Convey("Three lost requests delay the rebuild by the time-out of 3.5 s", t, func() {
 		convey.So(rebuildTimeWithLosses(t, 3), convey.ShouldBeBetween, 5*time.Second, 6*time.Second)
 	})
 }
 
-func TestMembersThatAreBeingRebuiltGiveNoSnapshots(t *testing.T) {
+func TestIncompleteMembersAreNotDonors(t *testing.T) {
 	var ready bool
 	inCluster(t, 3, func(c *cluster) {
-		c.start("member-0", storage.NewMemory(), true)
-		first := c.start("member-1", storage.NewMemory(), false)
-		second := c.start("member-2", storage.NewMemory(), false)
-		c.run(first)
-		c.run(second)
+		c.startInFixedView("member-0", storage.NewMemory(), true)
+		first := c.startInFixedView("member-1", storage.NewMemory(), false)
+		second := c.startInFixedView("member-2", storage.NewMemory(), false)
+		c.runInBackground(first)
+		c.runInBackground(second)
 		<-time.After(time.Minute)
 		ready = first.Ready() || second.Ready()
 	})
-	convey.Convey("Two of three members without their disks are not rebuilt from each other", t, func() {
+	convey.Convey("If two of three members lost their disks, they are not rebuilt from each other", t, func() {
 		convey.So(ready, convey.ShouldBeFalse)
 	})
 }
 
-func TestAFailedRebuildStartsOver(t *testing.T) {
+func TestFailedRebuildIsRepeatedAfterRestart(t *testing.T) {
 	broken := errors.New("broken")
 	var err error
 	var ready, readyLater bool
 	inCluster(t, 3, func(c *cluster) {
-		c.startComplete()
+		c.startOthersComplete()
 		store := storage.NewMemory()
 		store.Fail(broken)
-		rebuilder := c.start("member-2", store, false)
-		err = <-c.run(rebuilder)
+		rebuilder := c.startInFixedView("member-2", store, false)
+		err = <-c.runInBackground(rebuilder)
 		ready = rebuilder.Ready()
 		store.Fail(nil)
-		rebuilder = c.start("member-2", store, false)
+		rebuilder = c.startInFixedView("member-2", store, false)
 		if rebuilder.Ready() {
 			t.Error("ready without a rebuild")
 		}
-		c.run(rebuilder)
+		c.runInBackground(rebuilder)
 		<-rebuilder.Complete()
 		readyLater = rebuilder.Ready()
 	})
-	convey.Convey("A disk that fails leaves the member incomplete, and the next start rebuilds it", t, func() {
+	convey.Convey("If a write fails, the member stays incomplete, and the rebuild after the next start succeeds", t, func() {
 		convey.So(err, convey.ShouldWrap, broken)
 		convey.So(ready, convey.ShouldBeFalse)
 		convey.So(readyLater, convey.ShouldBeTrue)
 	})
 }
 
-func TestATableWithoutAMergerIsAnError(t *testing.T) {
+func TestTableWithoutMergerFailsRebuild(t *testing.T) {
 	var err error
 	var ready bool
 	inCluster(t, 3, func(c *cluster) {
-		c.startComplete()[0].Write(set("unknown", "k", "1"))
-		rebuilder := c.start("member-2", storage.NewMemory(), false)
-		err = <-c.run(rebuilder)
+		c.startOthersComplete()[0].Write(setChange("unknown", "k", "1"))
+		rebuilder := c.startInFixedView("member-2", storage.NewMemory(), false)
+		err = <-c.runInBackground(rebuilder)
 		ready = rebuilder.Ready()
 	})
-	convey.Convey("A table that nobody can merge fails the rebuild", t, func() {
+	convey.Convey("The rebuild fails with ErrNoMerger", t, func() {
 		convey.So(err, convey.ShouldWrap, rebuild.ErrNoMerger)
 		convey.So(ready, convey.ShouldBeFalse)
 	})
 }
 
-// Power is lost at each operation of a rebuild on a disk in turn. After a restart the member is either incomplete or has all tables.
-func TestAPowerLossDuringARebuild(t *testing.T) {
+// A power loss interrupts the rebuild at each disk operation in turn. After the restart, the member must either be incomplete or
+// have all tables.
+func TestPowerLossDuringRebuildLeavesNoPartialState(t *testing.T) {
 	complete, incomplete := 0, 0
 	inCluster(t, 3, func(c *cluster) {
-		c.startComplete()
+		c.startOthersComplete()
 		for operation := 1; operation <= 4; operation++ {
 			disk := storagetest.NewDisk()
 			store, _, err := storage.Open(disk, "/data", storage.Options{})
@@ -191,13 +192,13 @@
 				t.Fatal(err)
 			}
 			disk.LosePowerAt(operation, operation%2 == 0)
-			<-c.run(c.start("member-2", store, false))
+			<-c.runInBackground(c.startInFixedView("member-2", store, false))
 			store.Close()
 			store, _, err = storage.Open(disk.Restore(rand.New(rand.NewPCG(uint64(operation), 0))), "/data", storage.Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.start("member-2", store, false).Ready() {
+			if c.startInFixedView("member-2", store, false).Ready() {
 				complete++
 				if len(store.Table("data/a")) != 2 || len(store.Table("more/b")) != 1 {
 					t.Errorf("operation %d: complete with %v", operation, store.Snapshot())
@@ -208,7 +209,7 @@
 			store.Close()
 		}
 	})
-	convey.Convey("Some restarts find the member complete, and some incomplete", t, func() {
+	convey.Convey("Both outcomes occur", t, func() {
 		convey.So(complete, convey.ShouldBeGreaterThan, 0)
 		convey.So(incomplete, convey.ShouldBeGreaterThan, 0)
 	})
--- a/internal/controlplane/rebuild/snapshots.go
+++ b/internal/controlplane/rebuild/snapshots.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// chunkBytes is about the most that one message carries of a snapshot; only a single entry may be larger. It takes 0.7 s
-	// on a link of 3 Mbit/s.
+	// chunkBytes is the approximate maximum size of a chunk. A chunk is larger only if it consists of a single larger entry.
+	// Its transfer takes 0.7 s on a link of 3 Mbit/s.
 	chunkBytes = 256 << 10
 
-	// entryOverheadBytes is about the size of an entry beside its names and value.
+	// entryOverheadBytes is the approximate size of an entry without its table name, key and value.
 	entryOverheadBytes = 16
 )
 
-// errNoSnapshot is the refusal of a chunk of a snapshot that this process does not hold: it was transferred, or was taken by
-// an earlier process.
-var errNoSnapshot = errors.New("there is no such copy any more")
+// errSnapshotNotHeld is returned to a receiver if this process does not hold the requested chunk. Either the chunk was already
+// transferred, or an earlier process or attempt took the snapshot.
+var errSnapshotNotHeld = errors.New("the requested chunk is no longer held")
 
-// outgoingSnapshots are the snapshots that this member transfers to others that are being rebuilt, one each.
+// outgoingSnapshots holds the snapshots that this member is transferring to members that are being rebuilt, one per receiver.
 type outgoingSnapshots struct {
 	mutex      sync.Mutex
 	byReceiver map[string]chunkedSnapshot
 }
 
-// chunkedSnapshot has all replicated tables as of one instant.
+// chunkedSnapshot is a snapshot of all replicated tables at one instant, split into chunks.
 type chunkedSnapshot struct {
-	attempt uint64             // the receiver's number
-	number  uint64             // this process's, so that no chunk of another process's snapshot is taken for one
-	chunks  [][]storage.Change // nil once received
+	attempt uint64             // chosen by the receiver
+	id      uint64             // random, so that chunks of another snapshot, such as that of an earlier process, are not mixed in
+	chunks  [][]storage.Change // a chunk is nil after the receiver has received it
 }
 
-// first returns the first chunk of a snapshot for a member. The snapshot is taken where this is a new attempt of the
-// member's, and replaces that of the earlier attempt.
-func (o *outgoingSnapshots) first(request dumpRequest, take func() storage.Tables) dumpReply {
+// firstChunk returns the first chunk of a snapshot for a receiver. It takes a snapshot if the receiver began a new attempt, or
+// if the first chunk was already discarded. The new snapshot replaces the earlier one.
+func (o *outgoingSnapshots) firstChunk(request chunkRequest, take func() storage.Tables) chunkReply {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	snapshot, found := o.byReceiver[request.Member]
 	if !found || snapshot.attempt != request.Attempt || snapshot.chunks[0] == nil {
-		snapshot = chunkedSnapshot{attempt: request.Attempt, number: rand.Uint64(), chunks: splitIntoChunks(take(), chunkBytes)}
+		snapshot = chunkedSnapshot{attempt: request.Attempt, id: rand.Uint64(), chunks: splitIntoChunks(take(), chunkBytes)}
 		if o.byReceiver == nil {
 			o.byReceiver = make(map[string]chunkedSnapshot)
 		}
@@ -51,42 +51,43 @@
 	return snapshot.reply(0)
 }
 
-// chunk returns a later chunk. The last one stays until the next snapshot, as its reply may be lost.
-func (o *outgoingSnapshots) chunk(request dumpRequest) (dumpReply, error) {
+// laterChunk returns a chunk other than the first, and discards the chunks before it. The last chunk is kept until the next
+// snapshot, because its reply may be lost.
+func (o *outgoingSnapshots) laterChunk(request chunkRequest) (chunkReply, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	snapshot := o.byReceiver[request.Member]
-	if snapshot.number != request.Snapshot || request.Chunk >= uint32(len(snapshot.chunks)) || snapshot.chunks[request.Chunk] == nil {
-		return dumpReply{}, rpcerror.WrapNotExecuted(errNoSnapshot, notReadyRetryAfter)
+	if snapshot.id != request.Snapshot || request.Chunk >= uint32(len(snapshot.chunks)) || snapshot.chunks[request.Chunk] == nil {
+		return chunkReply{}, rpcerror.WrapNotExecuted(errSnapshotNotHeld, notReadyRetryAfter)
 	}
 	for earlier := range snapshot.chunks[:request.Chunk] {
-		snapshot.chunks[earlier] = nil // was received, as a later one is requested
+		snapshot.chunks[earlier] = nil // the receiver has it, because it requests a later one
 	}
 	return snapshot.reply(request.Chunk), nil
 }
 
-func (s chunkedSnapshot) reply(chunk uint32) dumpReply {
-	return dumpReply{Snapshot: s.number, Chunks: uint32(len(s.chunks)), Entries: s.chunks[chunk]}
+func (s chunkedSnapshot) reply(chunk uint32) chunkReply {
+	return chunkReply{Snapshot: s.id, Chunks: uint32(len(s.chunks)), Entries: s.chunks[chunk]}
 }
 
-// splitIntoChunks splits tables into chunks of about maxBytes. There is always one chunk, which may be empty.
+// splitIntoChunks splits tables into chunks of about maxBytes. It returns at least one chunk, which may be empty.
 func splitIntoChunks(tables storage.Tables, maxBytes int) [][]storage.Change {
-	chunks, sum := [][]storage.Change{nil}, 0
+	chunks, chunkSize := [][]storage.Change{nil}, 0
 	for name, table := range tables {
 		for key, value := range table {
 			size := entryOverheadBytes + len(name) + len(key) + len(value)
 			last := len(chunks) - 1
-			if sum+size > maxBytes && len(chunks[last]) > 0 {
-				chunks, last, sum = append(chunks, nil), last+1, 0
+			if chunkSize+size > maxBytes && len(chunks[last]) > 0 {
+				chunks, last, chunkSize = append(chunks, nil), last+1, 0
 			}
 			chunks[last] = append(chunks[last], storage.Change{Table: name, Key: key, Value: value})
-			sum += size
+			chunkSize += size
 		}
 	}
 	return chunks
 }
 
-// addEntries adds a chunk's entries to the receiver's tables.
+// addEntries adds the entries of a chunk to the tables.
 func addEntries(tables storage.Tables, entries []storage.Change) {
 	for _, entry := range entries {
 		if tables[entry.Table] == nil {
