--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -8,8 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestChunksOfASnapshot(t *testing.T) {
-	holds := func(n *simulatedNode, term, index byte, chunks int) {
+func TestSnapshotIsInstalledOnlyWhenComplete(t *testing.T) {
+	expectState := func(n *simulatedNode, term, index byte, chunks int) {
 		state := map[string][]byte{}
 		for number := range chunks {
 			state[fmt.Sprintf("key %d", number)] = []byte{term, index}
@@ -18,64 +18,64 @@
 	}
 	Convey("Given a replica without a state", t, func() {
 		s, n := singleReplica(defects{})
-		Convey("the state changes with the last chunk and not before", func() {
-			n.expectsChunk(n.appendChunk(7, 3, 0, 3), 1)
-			n.expectsChunk(n.appendChunk(7, 3, 1, 3), 2)
+		Convey("the state changes only with the last chunk", func() {
+			n.expectMissingChunk(n.appendChunk(7, 3, 0, 3), 1)
+			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 2)
 			answer := n.appendChunk(7, 3, 2, 3)
 			So(answer.Outcome, ShouldEqual, accepted)
 			So(answer.Position, ShouldResemble, Position{7, 3})
-			holds(n, 7, 3, 3)
+			expectState(n, 7, 3, 3)
 		})
 		Convey("a duplicate chunk changes nothing", func() {
 			n.appendChunk(7, 3, 0, 3)
-			n.expectsChunk(n.appendChunk(7, 3, 0, 3), 1)
-			n.expectsChunk(n.appendChunk(7, 3, 1, 3), 2)
-			n.expectsChunk(n.appendChunk(7, 3, 1, 3), 2)
+			n.expectMissingChunk(n.appendChunk(7, 3, 0, 3), 1)
+			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 2)
+			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 2)
 			n.appendChunk(7, 3, 2, 3)
-			holds(n, 7, 3, 3)
+			expectState(n, 7, 3, 3)
 		})
-		Convey("where a chunk is lost, the answer to the next one names it", func() {
+		Convey("if a chunk is lost, the reply to the next one names the lost chunk", func() {
 			n.appendChunk(7, 3, 0, 3)
-			n.expectsChunk(n.appendChunk(7, 3, 2, 3), 1)
+			n.expectMissingChunk(n.appendChunk(7, 3, 2, 3), 1)
 			n.appendChunk(7, 3, 1, 3)
 			n.appendChunk(7, 3, 2, 3)
-			holds(n, 7, 3, 3)
+			expectState(n, 7, 3, 3)
 		})
-		Convey("a later chunk without the first one is not kept", func() {
-			n.expectsChunk(n.appendChunk(7, 3, 2, 3), 0)
-			n.expectsChunk(n.appendChunk(7, 3, 1, 3), 0)
+		Convey("a later chunk is not kept without the first one", func() {
+			n.expectMissingChunk(n.appendChunk(7, 3, 2, 3), 0)
+			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 0)
 		})
-		Convey("chunks of a newer snapshot replace those of an older one, and are not mixed with them", func() {
+		Convey("the chunks of a newer snapshot replace those of an older one, and are not mixed with them", func() {
 			n.appendChunk(7, 3, 0, 2)
-			n.expectsChunk(n.appendChunk(7, 5, 0, 2), 1)
-			n.expectsChunk(n.appendChunk(7, 3, 1, 2), 0)
-			n.expectsChunk(n.appendChunk(7, 3, 0, 2), 0)
+			n.expectMissingChunk(n.appendChunk(7, 5, 0, 2), 1)
+			n.expectMissingChunk(n.appendChunk(7, 3, 1, 2), 0)
+			n.expectMissingChunk(n.appendChunk(7, 3, 0, 2), 0)
 			n.appendChunk(7, 5, 1, 2)
-			holds(n, 7, 5, 2)
+			expectState(n, 7, 5, 2)
 		})
-		Convey("chunks of a stale leader are rejected, and its earlier ones are dropped", func() {
+		Convey("the chunks of a stale leader are rejected, and its earlier ones are dropped", func() {
 			n.appendChunk(7, 3, 0, 2)
-			n.expectsChunk(n.appendChunk(8, 1, 0, 2), 1)
+			n.expectMissingChunk(n.appendChunk(8, 1, 0, 2), 1)
 			So(n.appendChunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
 			n.appendChunk(8, 1, 1, 2)
-			holds(n, 8, 1, 2)
+			expectState(n, 8, 1, 2)
 		})
-		Convey("a vote for another candidate in between ends the snapshot", func() {
+		Convey("a vote for another candidate between two chunks discards the snapshot", func() {
 			n.appendChunk(7, 3, 0, 2)
 			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
 			So(n.requestVote("y", 8).Granted, ShouldBeTrue)
 			So(n.appendChunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
 			So(n.core.group("jobs/a").replica.assembly == nil, ShouldBeTrue)
 		})
-		Convey("after a restart the first chunk is asked for", func() {
+		Convey("after a restart the replica asks for the first chunk", func() {
 			n.appendChunk(7, 3, 0, 2)
 			n.restart()
-			n.expectsChunk(n.appendChunk(7, 3, 1, 2), 0)
+			n.expectMissingChunk(n.appendChunk(7, 3, 1, 2), 0)
 			n.appendChunk(7, 3, 0, 2)
 			n.appendChunk(7, 3, 1, 2)
-			holds(n, 7, 3, 2)
+			expectState(n, 7, 3, 2)
 		})
-		Convey("the term that a first chunk brings is durable when the chunk is answered", func() {
+		Convey("the term of the first chunk is durable before the reply", func() {
 			n.appendChunk(7, 3, 0, 2)
 			n.restart()
 			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
@@ -84,33 +84,33 @@
 	})
 }
 
-func TestBatchesThatAreSentTogetherFitIntoAMessage(t *testing.T) {
-	Convey("Given more batches than fit into a message", t, func() {
-		h := history{limits: narrow}
+func TestMergedBatchesFitIntoOneMessage(t *testing.T) {
+	Convey("Given more batches than fit into one message", t, func() {
+		h := history{limits: smallLimits}
 		h.catchingUp = true
 		for sequence := range uint64(10) {
 			h.add(newBatch(Position{1, sequence}, Position{1, sequence + 1}, map[string][]byte{fmt.Sprint(sequence): {1}}))
 		}
-		Convey("a replica gets them in several messages", func() {
-			at, messages := Position{1, 0}, 0
-			for at != (Position{1, 10}) {
-				next, found := h.after(at)
+		Convey("a replica receives them in several messages", func() {
+			position, messages := Position{1, 0}, 0
+			for position != (Position{1, 10}) {
+				next, found := h.after(position)
 				So(found, ShouldBeTrue)
-				So(next.bytes, ShouldBeLessThanOrEqualTo, narrow.ChunkBytes)
-				at, messages = next.position, messages+1
+				So(next.bytes, ShouldBeLessThanOrEqualTo, smallLimits.ChunkBytes)
+				position, messages = next.position, messages+1
 			}
 			So(messages, ShouldBeGreaterThan, 1)
 		})
-		Convey("they are retained while a snapshot is in transfer, and not after", func() {
+		Convey("more batches are retained during the transfer of a snapshot than after it", func() {
 			h.catchingUp = false
 			h.add(newBatch(Position{1, 10}, Position{1, 11}, nil))
-			So(len(h.batches), ShouldEqual, narrow.RetainedBatches)
+			So(len(h.batches), ShouldEqual, smallLimits.RetainedBatches)
 		})
 	})
 }
 
-// withLaggingFollower kills a follower of the first group's leader, and runs on so that it lags.
-func withLaggingFollower(s *simulation) (leader, follower *simulatedNode) {
+// killFollower kills a follower of the leader of "jobs/a", and runs the simulation for 2 s so that the follower lags behind.
+func killFollower(s *simulation) (leader, follower *simulatedNode) {
 	leader = s.leader("jobs/a")
 	for _, address := range s.view.Members {
 		if s.nodes[address] != leader {
@@ -123,7 +123,8 @@
 	return leader, follower
 }
 
-func quietClusterWith(seed uint64, limits Limits, groups ...string) *simulation {
+// newElectedCluster starts a cluster without faults, and runs it until all groups have a leader and for 2 s after that.
+func newElectedCluster(seed uint64, limits Limits, groups ...string) *simulation {
 	s := newSimulation(seed, 3, defects{}, Timing{})
 	s.limits, s.groups = limits, groups
 	s.checker = newChecker(s)
@@ -134,71 +135,71 @@
 	return s
 }
 
-func TestCatchingUpUnderABusyLeader(t *testing.T) {
-	// Which batches pass during the transfer of the snapshot differs from seed to seed, so several are played.
+func TestFollowerCatchesUpWithBusyLeader(t *testing.T) {
+	// The seed determines which batches are sent during the transfer of the snapshot, so the test runs several seeds.
 	for seed := range uint64(10) {
-		Convey(fmt.Sprintf("A follower whose link is slow gets the batches after its snapshot, and no second snapshot: seed %d", seed), t, func() {
-			s := quietClusterWith(seed, narrow, "jobs/a")
-			_, follower := withLaggingFollower(s)
+		Convey(fmt.Sprintf("A follower with a slow link receives the batches after its snapshot, and no second snapshot: seed %d", seed), t, func() {
+			s := newElectedCluster(seed, smallLimits, "jobs/a")
+			_, follower := killFollower(s)
 			s.slowLinks = map[string]time.Duration{follower.address: 60 * time.Millisecond}
 			follower.start()
 			delete(s.traffic.snapshots, follower.address)
 			So(s.run(500*time.Millisecond), ShouldBeNil)
-			So(len(s.lagging("jobs/a")), ShouldEqual, 1)
+			So(len(s.laggingMembers("jobs/a")), ShouldEqual, 1)
 			s.slowLinks = nil
-			So(s.runUntil(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
-			So(s.lagging("jobs/a"), ShouldBeEmpty)
-			So(s.traffic.sentSnapshots(follower.address), ShouldEqual, 1)
+			So(s.runUntil(catchUpLimit, func() bool { return len(s.laggingMembers("jobs/a")) == 0 }), ShouldBeNil)
+			So(s.laggingMembers("jobs/a"), ShouldBeEmpty)
+			So(s.traffic.countSnapshots(follower.address), ShouldEqual, 1)
 		})
 	}
-	Convey("A leader whose disk is slower than its followers' still sends a snapshot", t, func() {
-		s := quietClusterWith(4, narrow, "jobs/a")
+	Convey("A leader with a slower disk than its followers still sends a snapshot", t, func() {
+		s := newElectedCluster(4, smallLimits, "jobs/a")
 		s.proposeOften = true
-		leader, follower := withLaggingFollower(s)
+		leader, follower := killFollower(s)
 		s.slowDisks[leader.address] = 300 * time.Millisecond
 		So(s.run(time.Second), ShouldBeNil)
 		follower.start()
-		So(s.runUntil(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
-		So(s.lagging("jobs/a"), ShouldBeEmpty)
+		So(s.runUntil(catchUpLimit, func() bool { return len(s.laggingMembers("jobs/a")) == 0 }), ShouldBeNil)
+		So(s.laggingMembers("jobs/a"), ShouldBeEmpty)
 	})
-	Convey("A follower of many groups gets their states one after the other, without a heartbeat between them", t, func() {
+	Convey("A follower of many groups receives their states one after the other, without waiting for a heartbeat in between", t, func() {
 		var groups []string
 		for i := range 60 {
 			groups = append(groups, fmt.Sprintf("jobs/%d", i))
 		}
 		groups = append(groups, "jobs/a")
-		whole := narrow
-		whole.ChunkBytes = 4000
-		s := quietClusterWith(4, whole, groups...)
-		_, follower := withLaggingFollower(s)
+		singleChunkLimits := smallLimits
+		singleChunkLimits.ChunkBytes = 4000
+		s := newElectedCluster(4, singleChunkLimits, groups...)
+		_, follower := killFollower(s)
 		s.proposing = false
 		follower.start()
-		behind := func() (count int) {
+		countLagging := func() (count int) {
 			for _, group := range groups {
-				count += len(s.lagging(group))
+				count += len(s.laggingMembers(group))
 			}
 			return count
 		}
-		So(s.run(catchUp), ShouldBeNil)
-		So(behind(), ShouldEqual, 0)
+		So(s.run(catchUpLimit), ShouldBeNil)
+		So(countLagging(), ShouldEqual, 0)
 	})
-	Convey("A leader whose processor takes long to make a snapshot keeps its term meanwhile, and needs no second one", t, func() {
-		s := quietClusterWith(4, narrow, "jobs/a")
-		leader, follower := withLaggingFollower(s)
+	Convey("A leader that needs long to split a snapshot into chunks keeps its term meanwhile, and sends only one snapshot", t, func() {
+		s := newElectedCluster(4, smallLimits, "jobs/a")
+		leader, follower := killFollower(s)
 		term := leader.core.group("jobs/a").leadership.termNumber
 		delete(s.traffic.snapshots, follower.address)
 		leader.core.spawn = func(work func()) { leader.runLater(3*time.Second, work) }
 		follower.start()
 		So(s.run(2500*time.Millisecond), ShouldBeNil)
-		So(s.traffic.snapshots[follower.address], ShouldBeEmpty) // it is being made, and no step waits for that
-		So(s.runUntil(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }), ShouldBeNil)
-		So(s.lagging("jobs/a"), ShouldBeEmpty)
-		So(s.traffic.sentSnapshots(follower.address), ShouldEqual, 1)
+		So(s.traffic.snapshots[follower.address], ShouldBeEmpty) // the snapshot is still being split, outside the steps of the core
+		So(s.runUntil(catchUpLimit, func() bool { return len(s.laggingMembers("jobs/a")) == 0 }), ShouldBeNil)
+		So(s.laggingMembers("jobs/a"), ShouldBeEmpty)
+		So(s.traffic.countSnapshots(follower.address), ShouldEqual, 1)
 		So(s.leader("jobs/a") == leader, ShouldBeTrue)
 		So(leader.core.group("jobs/a").leadership.termNumber, ShouldEqual, term)
 	})
-	Convey("A follower that does not answer holds up no other's snapshot", t, func() {
-		s := quietClusterWith(4, narrow, "jobs/a")
+	Convey("A follower that does not reply does not delay the snapshot of another follower", t, func() {
+		s := newElectedCluster(4, smallLimits, "jobs/a")
 		leader := s.leader("jobs/a")
 		var others []*simulatedNode
 		for _, address := range s.view.Members {
@@ -207,49 +208,49 @@
 			}
 		}
 		l := leader.core.group("jobs/a").leadership
-		l.core.receivingSnapshot[others[0].address] = true // one is under way there, without an answer
+		l.core.receivingSnapshot[others[0].address] = true // a transfer to this follower is in progress and gets no reply
 		others[1].kill(false)
 		So(s.run(time.Second), ShouldBeNil)
 		others[1].start()
 		So(s.run(2*time.Second), ShouldBeNil)
-		newest := leader.core.group("jobs/a").replica.position
-		at := others[1].core.group("jobs/a").replica.position
-		So(at.Term, ShouldEqual, newest.Term)
-		So(at.Index+10, ShouldBeGreaterThan, newest.Index)
+		leaderPosition := leader.core.group("jobs/a").replica.position
+		followerPosition := others[1].core.group("jobs/a").replica.position
+		So(followerPosition.Term, ShouldEqual, leaderPosition.Term)
+		So(followerPosition.Index+10, ShouldBeGreaterThan, leaderPosition.Index)
 	})
 }
 
-// The leader is lost, a member with the newest state does not campaign, and one with an old state does.
-func TestCandidateFetchesTheNewestState(t *testing.T) {
-	Convey("It fetches the newest state in chunks before it leads", t, func() {
+// The leader fails. A member with an old state campaigns, and the member with the newest state does not.
+func TestCandidateFetchesNewestState(t *testing.T) {
+	Convey("The candidate fetches the newest state in chunks before it leads", t, func() {
 		for seed := range uint64(10) {
-			s := quietClusterWith(seed, narrow, "jobs/a")
-			leader, old := withLaggingFollower(s)
-			var newest *simulatedNode
+			s := newElectedCluster(seed, smallLimits, "jobs/a")
+			leader, staleMember := killFollower(s)
+			var newestMember *simulatedNode
 			for _, address := range s.view.Members {
-				if n := s.nodes[address]; n != leader && n != old {
-					newest = n
+				if n := s.nodes[address]; n != leader && n != staleMember {
+					newestMember = n
 				}
 			}
 			leader.kill(false)
 			committed := s.checker.committed["jobs/a"]
-			old.start()
-			led := func() bool {
-				newest.core.group("jobs/a").campaignNotBefore = s.now + time.Minute // it never campaigns
+			staleMember.start()
+			staleMemberLeads := func() bool {
+				newestMember.core.group("jobs/a").campaignNotBefore = s.now + time.Minute // keeps this member from campaigning
 				return s.allGroupsLed()
 			}
-			So(s.runUntil(6*time.Second, led), ShouldBeNil)
-			So(s.leader("jobs/a") == old, ShouldBeTrue)
-			So(s.traffic.fetched, ShouldBeGreaterThan, 1)
-			So(decodeVersion(old.disk.Table("group/jobs/a")[versionKey]).before(committed), ShouldBeFalse)
+			So(s.runUntil(6*time.Second, staleMemberLeads), ShouldBeNil)
+			So(s.leader("jobs/a") == staleMember, ShouldBeTrue)
+			So(s.traffic.fetchedChunks, ShouldBeGreaterThan, 1)
+			So(decodeVersion(staleMember.disk.Table("group/jobs/a")[versionKey]).before(committed), ShouldBeFalse)
 			So(s.run(time.Second), ShouldBeNil)
 		}
 	})
-	Convey("A fetched state replaces an older one only", t, func() {
+	Convey("A fetched state replaces only an older one", t, func() {
 		s, n := singleReplica(defects{})
 		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
 		So(s.run(time.Second), ShouldBeNil)
-		fetched := func(position Position) byte {
+		stateAfterFetch := func(position Position) byte {
 			n.step(func() {
 				g := n.core.group("jobs/a")
 				g.startFetch("x", position)
@@ -258,12 +259,12 @@
 			So(s.run(50*time.Millisecond), ShouldBeNil)
 			return n.disk.Table("group/jobs/a")["key"][0]
 		}
-		So(fetched(Position{7, 2}), ShouldEqual, 3)
-		So(fetched(Position{7, 3}), ShouldEqual, 3)
-		So(fetched(Position{8, 1}), ShouldEqual, 99)
+		So(stateAfterFetch(Position{7, 2}), ShouldEqual, 3)
+		So(stateAfterFetch(Position{7, 3}), ShouldEqual, 3)
+		So(stateAfterFetch(Position{8, 1}), ShouldEqual, 99)
 		So(decodeMeta(n.disk.Table("group-meta/jobs/a")).term, ShouldEqual, 8)
 	})
-	Convey("A member serves its state as of the requested position, and no other", t, func() {
+	Convey("A member serves its state only if it is at the requested position", t, func() {
 		_, n := singleReplica(defects{})
 		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
 		serve := func(position Position, chunk uint32) (answer snapshotReply) {
@@ -277,7 +278,7 @@
 		So(n.append(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
 		So(serve(Position{7, 3}, 0).Chunks, ShouldEqual, 0)
 	})
-	Convey("A candidate that gets no chunks ends the fetch, and backs off", t, func() {
+	Convey("A candidate that receives no chunks ends the fetch and backs off", t, func() {
 		s, n := singleReplica(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() { g.startFetch("x", Position{5, 9}) })
@@ -287,8 +288,8 @@
 	})
 }
 
-func TestAVoteWithoutItsStateDoesNotElect(t *testing.T) {
-	Convey("A candidate does not lead with a position whose state it does not have", t, func() {
+func TestCandidateWithoutNewestStateDoesNotLead(t *testing.T) {
+	Convey("A candidate does not lead if the newest state was omitted from the vote", t, func() {
 		s, n := singleReplica(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() {
--- a/internal/controlplane/replication/chunkfaults_test.go
+++ b/internal/controlplane/replication/chunkfaults_test.go
@@ -18,55 +18,56 @@
 )
 
 const (
-	messageLimit = 64 << 20 // of package transport, for one message
-	hugeValue    = 64 << 10 // bytes of an entry
-	hugeChunk    = 16       // entries proposed together
-	hugeEntries  = messageLimit/hugeValue + 5*hugeChunk
-	raceEntries  = 12 * hugeChunk // under the race detector
+	maxMessageBytes  = 64 << 20 // limit of package transport for one message
+	hugeValueBytes   = 64 << 10 // size of a value
+	hugeBatchEntries = 16       // number of entries proposed together
+	hugeEntries      = maxMessageBytes/hugeValueBytes + 5*hugeBatchEntries
+	raceEntries      = 12 * hugeBatchEntries // under the race detector
 )
 
-// hugeCount is how many entries the group has: above the limit of one message, or 12 MB under the race detector, which
-// would take several times the memory.
-func hugeCount() int {
+// hugeEntryCount returns the number of entries in the group. Their size exceeds the limit of one message. Under the race detector,
+// which needs several times the memory, and in short mode it is only 12 MB.
+func hugeEntryCount() int {
 	if raceflag.On || testing.Short() {
 		return raceEntries
 	}
 	return hugeEntries
 }
 
-// Numbers of the chunks at which faults strike; the first snapshot is given up in its midst.
+// Numbers of the chunks at which faults are injected. The first snapshot is interrupted half-way, and the faults affect the
+// snapshots after it.
 const (
-	lostChunk       = 2  // it does not arrive
-	unansweredChunk = 4  // it arrives, and its answer does not
-	duplicatedChunk = 6  // it arrives twice
-	lateChunk       = 8  // an older one arrives before it once more
-	earlyChunk      = 10 // the one after the next arrives before it
-	oldChunk        = 12 // one of the leader before arrives before it
+	lostChunk       = 2  // the chunk does not arrive
+	unansweredChunk = 4  // the chunk arrives, but its reply is lost
+	duplicatedChunk = 6  // the chunk arrives twice
+	lateChunk       = 8  // an earlier chunk arrives again before this one
+	earlyChunk      = 10 // the chunk after the next arrives before this one
+	staleTermChunk  = 12 // a chunk of the previous leader arrives before this one
 )
 
-var errOnTheWay = errors.New("lost on the way")
+var errLostInTransit = errors.New("lost in transit")
 
-// chunkFaults injects faults into the chunks of snapshots on their way to one member.
+// chunkFaults injects faults into the transfer of snapshots to one member.
 type chunkFaults struct {
 	target string
 
-	mu         sync.Mutex
-	injected   map[uint32]bool        // faults that have struck, by their part
-	first      appendRequest          // the first part of the first leader's snapshot
-	midway     chan uint64            // gets the term of the first snapshot once half of it has arrived
-	stopped    uint64                 // that snapshot's term, of which nothing passes any more; 0 before
-	chunks     uint32                 // of the newest snapshot
-	largest    int                    // bytes of entries in one message
-	outOfOrder map[uint32]appendReply // answers to chunks out of order, by the chunk that was due
+	mu                sync.Mutex
+	injected          map[uint32]bool        // faults that were injected, by chunk number
+	firstChunk        appendRequest          // first chunk of the first leader's snapshot
+	interrupted       chan uint64            // receives the term of the first snapshot when half of it has arrived
+	interruptedTerm   uint64                 // term of the interrupted snapshot, whose chunks are no longer delivered; 0 before the interruption
+	newestChunks      uint32                 // number of chunks of the newest snapshot
+	largestMessage    int                    // largest size of the entries in one message, in bytes
+	outOfOrderReplies map[uint32]appendReply // replies to chunks out of order, by the number of the chunk that was due
 }
 
 func newChunkFaults(target string) *chunkFaults {
 	return &chunkFaults{
-		target: target, injected: make(map[uint32]bool), midway: make(chan uint64, 1), outOfOrder: make(map[uint32]appendReply),
+		target: target, injected: make(map[uint32]bool), interrupted: make(chan uint64, 1), outOfOrderReplies: make(map[uint32]appendReply),
 	}
 }
 
-// deliver passes a call on, with what harms it.
+// deliver passes a call on, and injects faults into chunks of snapshots to the target.
 func (f *chunkFaults) deliver(address string, request any, deliver func(request any, reply *appendReply) error) error {
 	chunk, isAppend := request.(appendRequest)
 	if !isAppend || address != f.target || !chunk.Snapshot || chunk.Chunks < 2 {
@@ -74,11 +75,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if chunk.Term == f.stopped || f.stopsAt(chunk) {
-		return errOnTheWay
+	if chunk.Term == f.interruptedTerm || f.interruptsFirstSnapshot(chunk) {
+		return errLostInTransit
 	}
 	f.recordChunk(chunk)
-	if chunk.Term != f.first.Term {
+	if chunk.Term != f.firstChunk.Term {
 		if err := f.injectFault(chunk, deliver); err != nil {
 			return err
 		}
@@ -86,30 +87,30 @@
 	return deliver(chunk, nil)
 }
 
-// recordChunk counts a part, and keeps the first one of all.
+// recordChunk records the size of a chunk, and stores the very first chunk.
 func (f *chunkFaults) recordChunk(chunk appendRequest) {
-	f.chunks = chunk.Chunks
+	f.newestChunks = chunk.Chunks
 	sum := 0
 	for _, entry := range chunk.Entries {
 		sum += entry.bytes()
 	}
-	f.largest = max(f.largest, sum)
-	if f.first.Chunks == 0 {
-		f.first = chunk
+	f.largestMessage = max(f.largestMessage, sum)
+	if f.firstChunk.Chunks == 0 {
+		f.firstChunk = chunk
 	}
 }
 
-// stopsAt ends the first snapshot in its midst.
-func (f *chunkFaults) stopsAt(chunk appendRequest) bool {
-	if f.stopped != 0 || f.first.Chunks == 0 || chunk.Chunk < chunk.Chunks/2 {
+// interruptsFirstSnapshot interrupts the first snapshot half-way, and reports whether it did so at this chunk.
+func (f *chunkFaults) interruptsFirstSnapshot(chunk appendRequest) bool {
+	if f.interruptedTerm != 0 || f.firstChunk.Chunks == 0 || chunk.Chunk < chunk.Chunks/2 {
 		return false
 	}
-	f.stopped = chunk.Term
-	f.midway <- chunk.Term
+	f.interruptedTerm = chunk.Term
+	f.interrupted <- chunk.Term
 	return true
 }
 
-// injectFault harms a part of a later snapshot once, by its number.
+// injectFault injects the fault for a chunk number once, in a later snapshot than the first one.
 func (f *chunkFaults) injectFault(chunk appendRequest, deliver func(request any, reply *appendReply) error) error {
 	if f.injected[chunk.Chunk] {
 		return nil
@@ -117,91 +118,92 @@
 	f.injected[chunk.Chunk] = true
 	switch chunk.Chunk {
 	case lostChunk:
-		return errOnTheWay
+		return errLostInTransit
 	case unansweredChunk:
 		deliver(chunk, new(appendReply))
-		return errOnTheWay
+		return errLostInTransit
 	case duplicatedChunk:
 		return f.deliverOutOfOrder(chunk, chunk, deliver)
 	case lateChunk:
 		older := chunk
-		older.Chunk, older.Entries = 1, f.first.Entries
+		older.Chunk, older.Entries = 1, f.firstChunk.Entries
 		return f.deliverOutOfOrder(chunk, older, deliver)
 	case earlyChunk:
 		later := chunk
 		later.Chunk += 2
 		return f.deliverOutOfOrder(chunk, later, deliver)
-	case oldChunk:
-		return f.deliverOutOfOrder(chunk, f.first, deliver)
+	case staleTermChunk:
+		return f.deliverOutOfOrder(chunk, f.firstChunk, deliver)
 	}
 	return nil
 }
 
-// deliverOutOfOrder delivers a part that is not in its turn, and notes the answer. Where there is none, as on a busy machine, the
-// part in turn is lost as well, and the fault strikes when that is sent again.
-func (f *chunkFaults) deliverOutOfOrder(inTurn, odd appendRequest, deliver func(request any, reply *appendReply) error) error {
+// deliverOutOfOrder delivers a chunk out of order, and records the reply. If there is no reply, which can happen on a busy machine,
+// the chunk in turn is lost too, and the fault is injected again when that chunk is resent.
+func (f *chunkFaults) deliverOutOfOrder(inTurn, outOfTurn appendRequest, deliver func(request any, reply *appendReply) error) error {
 	var reply appendReply
-	err := deliver(odd, &reply)
+	err := deliver(outOfTurn, &reply)
 	if err != nil {
 		delete(f.injected, inTurn.Chunk)
 		return err
 	}
-	f.outOfOrder[inTurn.Chunk] = reply
+	f.outOfOrderReplies[inTurn.Chunk] = reply
 	return nil
 }
 
-// check verifies that no message was larger than a chunk, that each fault was injected, and that no chunk out of order counted.
+// check verifies that no message was larger than a chunk, that each fault was injected, and that chunks out of order were ignored.
 func (f *chunkFaults) check() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	So(f.largest, ShouldBeLessThanOrEqualTo, DefaultLimits.ChunkBytes)
+	So(f.largestMessage, ShouldBeLessThanOrEqualTo, DefaultLimits.ChunkBytes)
 	So(f.injected[lostChunk] && f.injected[unansweredChunk], ShouldBeTrue)
-	So(f.outOfOrder[oldChunk].Outcome, ShouldEqual, staleTerm)
+	So(f.outOfOrderReplies[staleTermChunk].Outcome, ShouldEqual, staleTerm)
 	for inTurn, next := range map[uint32]uint32{duplicatedChunk: duplicatedChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
-		So(f.outOfOrder[inTurn].Outcome, ShouldEqual, incomplete)
-		So(f.outOfOrder[inTurn].NextChunk, ShouldEqual, next)
+		So(f.outOfOrderReplies[inTurn].Outcome, ShouldEqual, incomplete)
+		So(f.outOfOrderReplies[inTurn].NextChunk, ShouldEqual, next)
 	}
 }
 
-// A group's state is larger than one message may be. A replica that was down gets it in chunks; half-way its leader dies, and
-// the next leader's chunks are lost, duplicated, late, early, and mixed with one of the leader before. The state is 12 MB under
-// the race detector, which would take several times the memory of the whole; the gate plays the whole without it.
-func TestSnapshotLargerThanAMessage(t *testing.T) {
-	Convey("A replica without a state that fits into no message gets it in chunks, and counts in a majority", t, func() {
-		stores := make(map[string]*noticed)
+// The state of a group is larger than the limit of one message. A replica that was down receives it in chunks. Half-way, its
+// leader fails. Chunks of the next leader are lost, duplicated, late, early, or preceded by a chunk of the previous leader. Under
+// the race detector, which needs several times the memory, the state is only 12 MB. The gate runs the full size without it.
+func TestSnapshotLargerThanMessageIsSentInChunks(t *testing.T) {
+	Convey("A replica receives a state larger than a message in chunks, and then counts towards a majority", t, func() {
+		stores := make(map[string]*notifyingStore)
 		c := startClusterWithStores(3, func(address string) storage.Store {
 			if stores[address] == nil {
-				stores[address] = &noticed{storage.NewMemory(), make(chan struct{}, 1)}
+				stores[address] = &notifyingStore{storage.NewMemory(), make(chan struct{}, 1)}
 			}
 			return stores[address]
 		})
 		defer c.close()
 		leader := c.awaitValidElection()
-		lagging := c.notLeading(leader)
+		lagging := c.anyFollower(leader)
 		lagging.stop()
-		leader = c.proposeHuge(leader)
+		leader = c.proposeHugeState(leader)
 		faults := newChunkFaults(lagging.address)
 		c.faults.Store(faults)
 		listener, err := net.Listen("tcp", lagging.address)
 		So(err, ShouldBeNil)
 		began := time.Now()
 		c.startNode(listener)
-		_, err = receive(faults.midway)
+		_, err = receive(faults.interrupted)
 		So(err, ShouldBeNil)
-		// The leader may still hold the one batch that it could not deliver when the replica went.
-		So(len(stores[lagging.address].Table(stateTable("jobs/x"))), ShouldBeLessThanOrEqualTo, hugeChunk)
+		// The leader may have retained the one batch that it could not deliver when the replica stopped. The replica may contain
+		// that batch.
+		So(len(stores[lagging.address].Table(stateTable("jobs/x"))), ShouldBeLessThanOrEqualTo, hugeBatchEntries)
 		leader.node.kill()
-		c.awaitHuge(stores[lagging.address])
+		c.awaitHugeState(stores[lagging.address])
 		t.Logf("%d entries of %d KB, %d chunks, the largest of %d bytes: caught up after %v",
-			hugeCount(), hugeValue>>10, faults.chunks, faults.largest, time.Since(began).Round(time.Millisecond))
+			hugeEntryCount(), hugeValueBytes>>10, faults.newestChunks, faults.largestMessage, time.Since(began).Round(time.Millisecond))
 
 		state := stores[lagging.address].Table(stateTable("jobs/x"))
 		So(wrongEntries(state), ShouldBeEmpty)
 		if !raceflag.On && !testing.Short() {
-			So(stateBytes(state), ShouldBeGreaterThan, messageLimit)
+			So(stateBytes(state), ShouldBeGreaterThan, maxMessageBytes)
 		}
 		faults.check()
-		// It counts: with the one that is left it commits more.
+		// The replica counts towards a majority: two of three nodes are left, and they commit another entry.
 		next := c.awaitValidElection()
 		for !commits(next.term, []Entry{{"after", []byte{1}}}) {
 			next = c.awaitValidElection()
@@ -209,12 +211,13 @@
 	})
 }
 
-// proposeHuge proposes all entries; a busy machine may lose a lease, and then the next leader goes on.
-func (c *cluster) proposeHuge(leader election) election {
-	for first := 0; first < hugeCount(); first += hugeChunk {
+// proposeHugeState proposes all entries, and returns the last leader. On a busy machine, a leader may lose its lease. The next
+// leader then continues.
+func (c *cluster) proposeHugeState(leader election) election {
+	for first := 0; first < hugeEntryCount(); first += hugeBatchEntries {
 		var entries []Entry
-		for i := first; i < first+hugeChunk; i++ {
-			entries = append(entries, Entry{hugeKey(i), hugeContent(i)})
+		for i := first; i < first+hugeBatchEntries; i++ {
+			entries = append(entries, Entry{hugeKey(i), hugeEntryValue(i)})
 		}
 		for !commits(leader.term, entries) {
 			leader = c.awaitValidElection()
@@ -223,32 +226,34 @@
 	return leader
 }
 
-func hugeKey(i int) string     { return fmt.Sprintf("task/%08d", i) }
-func hugeContent(i int) []byte { return bytes.Repeat([]byte{byte(i), byte(i >> 8)}, hugeValue/2) }
+func hugeKey(i int) string { return fmt.Sprintf("task/%08d", i) }
+func hugeEntryValue(i int) []byte {
+	return bytes.Repeat([]byte{byte(i), byte(i >> 8)}, hugeValueBytes/2)
+}
 
-// wrongEntries lists what is missing or differs in a state, and what is too much.
+// wrongEntries lists the entries of a state that are missing or have another value, and reports surplus entries.
 func wrongEntries(state map[string][]byte) (wrong []string) {
-	for i := range hugeCount() {
-		if !bytes.Equal(state[hugeKey(i)], hugeContent(i)) {
+	for i := range hugeEntryCount() {
+		if !bytes.Equal(state[hugeKey(i)], hugeEntryValue(i)) {
 			wrong = append(wrong, hugeKey(i))
 		}
 	}
-	if excess := len(state) - hugeCount(); excess > 1 { // one is the mark of the position
+	if excess := len(state) - hugeEntryCount(); excess > 1 { // permits one extra entry, for the position
 		wrong = append(wrong, fmt.Sprintf("%d entries too many", excess))
 	}
 	return wrong
 }
 
-// awaitHuge waits until a store holds as many entries as the state has; they come in one write.
-func (c *cluster) awaitHuge(store *noticed) {
-	for len(store.Table(stateTable("jobs/x"))) < hugeCount() {
+// awaitHugeState waits until a store contains all entries of the state. They arrive in one write.
+func (c *cluster) awaitHugeState(store *notifyingStore) {
+	for len(store.Table(stateTable("jobs/x"))) < hugeEntryCount() {
 		_, err := receive(store.written)
 		So(err, ShouldBeNil)
 	}
 }
 
-// notLeading is a node that does not lead.
-func (c *cluster) notLeading(leader election) *runningNode {
+// anyFollower returns a node that is not the leader.
+func (c *cluster) anyFollower(leader election) *runningNode {
 	for _, r := range c.nodes {
 		if r != leader.node {
 			return r
@@ -257,14 +262,14 @@
 	return nil
 }
 
-// noticed is a store in memory that tells of its writes.
-type noticed struct {
+// notifyingStore is an in-memory store that signals its writes.
+type notifyingStore struct {
 	*storage.Memory
-	written chan struct{} // holds a token after a write
+	written chan struct{} // contains a value after a write
 }
 
 // Write implements storage.Store.
-func (n *noticed) Write(changes ...storage.Change) error {
+func (n *notifyingStore) Write(changes ...storage.Change) error {
 	err := n.Memory.Write(changes...)
 	select {
 	case n.written <- struct{}{}:
@@ -273,15 +278,15 @@
 	return err
 }
 
-// callHarmed makes a call through the faults. The member that is harmed does not stand for election, as it would then fetch
-// the state and not be sent it.
-func (r *runningNode) callHarmed(ctx context.Context, faults *chunkFaults, address string, route transport.Route, request, reply any) error {
+// callWithFaults makes a call with injected faults. It drops the vote requests of the target, because a candidate would fetch the
+// state instead of receiving it from the leader.
+func (r *runningNode) callWithFaults(ctx context.Context, faults *chunkFaults, address string, route transport.Route, request, reply any) error {
 	if r.address == faults.target && route == voteCall.Route() {
-		return errOnTheWay
+		return errLostInTransit
 	}
-	return faults.deliver(address, request, func(request any, other *appendReply) error {
-		if other != nil {
-			return r.client.Call(ctx, address, route, request, other)
+	return faults.deliver(address, request, func(request any, injectedReply *appendReply) error {
+		if injectedReply != nil {
+			return r.client.Call(ctx, address, route, request, injectedReply)
 		}
 		return r.client.Call(ctx, address, route, request, reply)
 	})
--- a/internal/controlplane/replication/chunking.go
+++ b/internal/controlplane/replication/chunking.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// bytes is what an entry costs in a message, roughly.
-func (e Entry) bytes() int { return entryBytes + len(e.Key) + len(e.Value) }
+// bytes returns the approximate size of an entry in a message.
+func (e Entry) bytes() int { return entryOverheadBytes + len(e.Key) + len(e.Value) }
 
-// entriesOf lists a state's entries by key. So the chunks of one position are the same however often they are made.
-func entriesOf(state map[string][]byte) []Entry {
+// sortedEntries returns the entries of a state, sorted by key. The order makes chunking deterministic: the state of one position
+// is always split into the same chunks.
+func sortedEntries(state map[string][]byte) []Entry {
 	entries := make([]Entry, 0, len(state))
 	for _, key := range slices.Sorted(maps.Keys(state)) {
 		entries = append(entries, Entry{key, state[key]})
@@ -17,7 +18,7 @@
 	return entries
 }
 
-// stateBytes is what a state costs in messages, roughly.
+// stateBytes returns the approximate size of a state in messages.
 func stateBytes(state map[string][]byte) int {
 	sum := 0
 	for key, value := range state {
@@ -26,19 +27,19 @@
 	return sum
 }
 
-// splitChunks cuts entries into chunks of about maxBytes. There is always one chunk, which may be empty.
+// splitChunks splits entries into chunks of about maxBytes. It returns at least one chunk, which may be empty.
 func splitChunks(entries []Entry, maxBytes int) [][]Entry {
 	var chunks [][]Entry
-	start, sum := 0, 0
+	start, chunkSize := 0, 0
 	for i, entry := range entries {
-		if i > start && sum+entry.bytes() > maxBytes {
+		if i > start && chunkSize+entry.bytes() > maxBytes {
 			chunks = append(chunks, entries[start:i])
-			start, sum = i, 0
+			start, chunkSize = i, 0
 		}
-		sum += entry.bytes()
+		chunkSize += entry.bytes()
 	}
 	return append(chunks, entries[start:])
 }
 
-// entryBytes is what an entry costs beside its key and value, roughly.
-const entryBytes = 64
+// entryOverheadBytes is the approximate size of an entry in a message without its key and value.
+const entryOverheadBytes = 64
--- a/internal/controlplane/replication/chunks_test.go
+++ b/internal/controlplane/replication/chunks_test.go
@@ -15,15 +15,15 @@
 
 // traffic counts what the messages of a simulation carried.
 type traffic struct {
-	chunks  int // of batches and snapshots in several chunks
-	fetched int // chunks of states that candidates asked for
-	largest int // bytes of entries in one message with more than one
-	// snapshots counts the chunks of snapshots that were sent, by receiver
+	sentChunks     int // number of chunks of batches and snapshots that have several chunks
+	fetchedChunks  int // number of chunks of states that candidates fetched
+	largestMessage int // largest size of the entries in a message with more than one entry, in bytes
+	// snapshots is the number of chunks sent of each snapshot, by receiver and position.
 	snapshots map[string]map[Position]int
 }
 
-// checkSize notes a message, and that none carries more than a part.
-func (s *simulation) checkSize(message any) {
+// recordMessage records the size of a message, and checks that it does not exceed the size of a chunk.
+func (s *simulation) recordMessage(message any) {
 	sum, count := 0, 0
 	add := func(entries []Entry) {
 		count += len(entries)
@@ -35,24 +35,24 @@
 	case appendRequest:
 		add(m.Entries)
 		if m.Chunks > 1 {
-			s.traffic.chunks++
+			s.traffic.sentChunks++
 		}
 	case voteReply:
-		add(entriesOf(m.State))
+		add(sortedEntries(m.State))
 	case snapshotReply:
 		add(m.Entries)
-		s.traffic.fetched++
+		s.traffic.fetchedChunks++
 	}
 	if count > 1 {
-		s.traffic.largest = max(s.traffic.largest, sum)
+		s.traffic.largestMessage = max(s.traffic.largestMessage, sum)
 	}
-	if most := s.limits.withDefaults().ChunkBytes; count > 1 && sum > most {
-		s.checker.failf("a %T carries %d bytes of entries, more than a part of %d", message, sum, most)
+	if limit := s.limits.withDefaults().ChunkBytes; count > 1 && sum > limit {
+		s.checker.failf("a %T carries %d bytes of entries, more than a chunk of %d", message, sum, limit)
 	}
 }
 
-// sent counts a part of a snapshot.
-func (t *traffic) sent(receiver string, request any) {
+// recordSnapshotChunk counts a chunk of a snapshot.
+func (t *traffic) recordSnapshotChunk(receiver string, request any) {
 	m, isAppend := request.(appendRequest)
 	if !isAppend || !m.Snapshot {
 		return
@@ -66,9 +66,9 @@
 	t.snapshots[receiver][m.Position]++
 }
 
-// sentSnapshots counts the snapshots of which a receiver was sent more than one part. One part is sent of a snapshot whose
-// first chunks came before the receiver went down: its answer tells that they are gone.
-func (t *traffic) sentSnapshots(receiver string) (count int) {
+// countSnapshots returns the number of snapshots of which more than one chunk was sent to a receiver. If a receiver went down
+// during a transfer, one more chunk of that snapshot is sent, and the reply shows that the earlier chunks are lost.
+func (t *traffic) countSnapshots(receiver string) (count int) {
 	for _, chunks := range t.snapshots[receiver] {
 		if chunks > 1 {
 			count++
@@ -77,20 +77,22 @@
 	return count
 }
 
-// narrow limits make every state and many batches need several chunks, and drop the batches that a replica lacks soon.
-var narrow = Limits{ChunkBytes: 300, RetainedBatches: 3, RetainedBytes: 600, CatchUpBytes: 20_000}
+// smallLimits makes every state and many batches need several chunks. The leader soon discards batches that a lagging replica
+// needs.
+var smallLimits = Limits{ChunkBytes: 300, RetainedBatches: 3, RetainedBytes: 600, CatchUpBytes: 20_000}
 
-// catchUp is how long a replica may take, once all troubles are over, until it is near a busy leader. Up to 2 s of it pass until
-// a call whose answer was lost in a fault is given up.
-const catchUp = 5 * time.Second
+// catchUpLimit is the maximum time from the end of all faults until every replica has caught up with a busy leader. Up to 2 s of it
+// pass until a call whose reply was lost times out.
+const catchUpLimit = 5 * time.Second
 
 var (
 	chunkSchedules = flag.Int("schedules", 0, "schedules of the model test of states in chunks; 0 for the usual number")
 	chunkSeed      = flag.Int64("schedule", -1, "the one schedule of the model test of states in chunks to run; -1 for all")
 )
 
-// chunkScheduleCount is how many schedules there are; fewer under the race detector, which has little to find in them.
-func chunkScheduleCount() uint64 {
+// scheduleCount returns the number of schedules to run. It is lower in short mode, and under the race detector, which finds little
+// in them.
+func scheduleCount() uint64 {
 	switch {
 	case *chunkSchedules > 0:
 		return uint64(*chunkSchedules)
@@ -100,8 +102,8 @@
 	return 2000
 }
 
-// lagging lists the members that are behind the leader of a group by more than a few batches.
-func (s *simulation) lagging(group string) []string {
+// laggingMembers lists the members that are in another term than the leader of a group, or more than 10 batches behind it.
+func (s *simulation) laggingMembers(group string) []string {
 	leader := s.leader(group)
 	if leader == nil {
 		return []string{"no leader"}
@@ -109,18 +111,18 @@
 	var behind []string
 	newest := leader.core.group(group).replica.position
 	for _, address := range s.view.Members {
-		at := s.nodes[address].core.group(group).replica.position
-		if at.Term != newest.Term || at.Index+10 < newest.Index {
-			behind = append(behind, fmt.Sprintf("%s at %v of %v", address, at, newest))
+		position := s.nodes[address].core.group(group).replica.position
+		if position.Term != newest.Term || position.Index+10 < newest.Index {
+			behind = append(behind, fmt.Sprintf("%s at %v of %v", address, position, newest))
 		}
 	}
 	return behind
 }
 
-// chunksSchedule runs one schedule: faults under a busy leader, with every state in chunks and stores that rewrite their
-// file every few writes, and then a time in which all must catch up.
-func chunksSchedule(seed uint64, wrong defects, limits Limits) (traffic, error) {
-	s := newSimulation(seed, 3, wrong, Timing{})
+// runChunkSchedule runs one schedule. It injects faults under a busy leader, with every state in chunks, and with stores that
+// rewrite their file every few writes. After the faults, all replicas must catch up.
+func runChunkSchedule(seed uint64, injected defects, limits Limits) (traffic, error) {
+	s := newSimulation(seed, 3, injected, Timing{})
 	s.limits, s.realStores, s.groups = limits, true, []string{"jobs/a"}
 	s.checker = newChecker(s)
 	defer s.close()
@@ -129,7 +131,7 @@
 		return s.traffic, err
 	}
 	for range 6 {
-		s.chunksFault()
+		s.injectLagFault()
 		if err := s.run(s.randomBetween(0, 900*time.Millisecond)); err != nil {
 			return s.traffic, err
 		}
@@ -138,17 +140,17 @@
 	if err := s.runUntil(10*time.Second, func() bool { return s.allGroupsLed() && s.allReady() }); err != nil {
 		return s.traffic, err
 	}
-	if err := s.runUntil(catchUp, func() bool { return len(s.lagging("jobs/a")) == 0 }); err != nil {
+	if err := s.runUntil(catchUpLimit, func() bool { return len(s.laggingMembers("jobs/a")) == 0 }); err != nil {
 		return s.traffic, err
 	}
-	if behind := s.lagging("jobs/a"); len(behind) > 0 {
-		return s.traffic, fmt.Errorf("%v after the end of all faults: %v", catchUp, behind)
+	if behind := s.laggingMembers("jobs/a"); len(behind) > 0 {
+		return s.traffic, fmt.Errorf("%v after the end of all faults: %v", catchUpLimit, behind)
 	}
 	s.proposing = false
 	if err := s.run(3 * time.Second); err != nil {
 		return s.traffic, err
 	}
-	return s.traffic, s.sameEverywhere("jobs/a")
+	return s.traffic, s.checkStatesEqual("jobs/a")
 }
 
 func (s *simulation) allReady() bool {
@@ -160,23 +162,24 @@
 	return true
 }
 
-func (s *simulation) sameEverywhere(group string) error {
+// checkStatesEqual returns an error if the members store different states of a group.
+func (s *simulation) checkStatesEqual(group string) error {
 	first := s.nodes[s.view.Members[0]].disk
 	for _, address := range s.view.Members[1:] {
 		if !reflect.DeepEqual(first.Table(stateTable(group)), s.nodes[address].disk.Table(stateTable(group))) {
-			return fmt.Errorf("%s holds another state than %s once all is quiet: %v, not %v", address, s.view.Members[0],
+			return fmt.Errorf("%s holds another state than %s after the last proposal was replicated: %v, not %v", address, s.view.Members[0],
 				s.nodes[address].disk[metaTable(group)], first[metaTable(group)])
 		}
 	}
 	return nil
 }
 
-// chunksFault prefers what leaves a replica behind.
-func (s *simulation) chunksFault() {
+// injectLagFault injects a random fault, and prefers those after which a replica lags behind.
+func (s *simulation) injectLagFault() {
 	switch s.random.IntN(4) {
-	case 0: // away for a while, and another one after it
+	case 0: // a node restarts after up to 1.5 s
 		s.restart(s.randomNode(), s.randomBetween(0, 1500*time.Millisecond), false)
-	case 1: // a leader goes while a replica lags behind it
+	case 1: // a leader restarts while a replica lags behind it
 		if leader := s.leader("jobs/a"); leader != nil {
 			other := s.randomNode()
 			s.partitions[link{leader.address, other.address}] = true
@@ -192,40 +195,40 @@
 	}
 }
 
-// Replicas that lag behind a busy leader catch up, and candidates with an old state fetch the newest, in chunks, over links
-// that lose, duplicate and reorder them and from leaders that are not in office any more; stores are rewritten all the
-// time and lose power in the midst of a write.
-func TestStatesInChunks(t *testing.T) {
+// Replicas that lag behind a busy leader must catch up, and candidates with an old state must fetch the newest one, in chunks. The
+// links lose, duplicate and reorder the chunks, and some chunks come from leaders of earlier terms. The stores are rewritten
+// often, and lose power during a write.
+func TestReplicasCatchUpInChunksUnderRandomFaults(t *testing.T) {
 	if *chunkSeed >= 0 {
-		if _, err := chunksSchedule(uint64(*chunkSeed), defects{}, narrow); err != nil {
+		if _, err := runChunkSchedule(uint64(*chunkSeed), defects{}, smallLimits); err != nil {
 			t.Errorf("schedule %d: %v", *chunkSeed, err)
 		}
 		return
 	}
-	count := chunkScheduleCount()
+	count := scheduleCount()
 	var mutex sync.Mutex
-	var all traffic
+	var total traffic
 	t.Run("schedules", func(t *testing.T) {
 		const shards = 16
 		for shard := range uint64(shards) {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
 				for seed := shard; seed < count; seed += shards {
-					seen, err := chunksSchedule(seed, defects{}, narrow)
+					result, err := runChunkSchedule(seed, defects{}, smallLimits)
 					if err != nil {
-						t.Errorf("schedule %d (go test -run TestStatesInChunks -schedule=%d): %v", seed, seed, err)
+						t.Errorf("schedule %d (go test -run TestReplicasCatchUpInChunksUnderRandomFaults -schedule=%d): %v", seed, seed, err)
 					}
 					mutex.Lock()
-					all.chunks += seen.chunks
-					all.fetched += seen.fetched
+					total.sentChunks += result.sentChunks
+					total.fetchedChunks += result.fetchedChunks
 					mutex.Unlock()
 				}
 			})
 		}
 	})
-	t.Logf("%d schedules: %d chunks sent, %d fetched", count, all.chunks, all.fetched)
-	Convey("The schedules send and fetch states in chunks", t, func() {
-		So(all.chunks, ShouldBeGreaterThan, count)
-		So(all.fetched, ShouldBeGreaterThan, 0)
+	t.Logf("%d schedules: %d chunks sent, %d fetched", count, total.sentChunks, total.fetchedChunks)
+	Convey("The schedules include chunks that were sent and fetched", t, func() {
+		So(total.sentChunks, ShouldBeGreaterThan, count)
+		So(total.fetchedChunks, ShouldBeGreaterThan, 0)
 	})
 }
--- a/internal/controlplane/replication/datatypes_test.go
+++ b/internal/controlplane/replication/datatypes_test.go
@@ -7,15 +7,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func TestMerge(t *testing.T) {
+func TestMergeTakesNewestStateAndHighestTerm(t *testing.T) {
 	old, newer := map[string][]byte{"a": {1}}, map[string][]byte{"a": {2}}
-	Convey("A merged group has the newest state and the highest promise", t, func() {
+	Convey("A merged group has the newest state and the highest term", t, func() {
 		merged := MergeReplicas([]ReplicaState{
 			{9, "first", Position{1, 7}, old}, {3, "second", Position{2, 1}, newer}, {4, "third", Position{1, 9}, old},
 		})
 		So(merged, ShouldResemble, ReplicaState{9, "", Position{2, 1}, newer})
 	})
-	Convey("Tables are merged group by group, also where a copy lacks one", t, func() {
+	Convey("Tables are merged group by group, even if a snapshot lacks a group", t, func() {
 		tables := func(promised uint64, candidate string, position Position, state map[string][]byte) map[string]map[string][]byte {
 			return map[string]map[string][]byte{
 				"group-meta/x": {termKey: encodeTerm(promised), votedForKey: []byte(candidate), positionKey: encodePosition(position)},
@@ -34,8 +34,8 @@
 	})
 }
 
-func TestEntriesOnTheWire(t *testing.T) {
-	Convey("A deletion and an empty value stay what they are", t, func() {
+func TestDeletionAndEmptyValueStayDistinctWhenEncoded(t *testing.T) {
+	Convey("A deletion and an empty value are decoded as they were encoded", t, func() {
 		body, err := msgpack.Marshal([]Entry{{"a", nil}, {"b", []byte{}}})
 		So(err, ShouldBeNil)
 		var entries []Entry
@@ -46,14 +46,14 @@
 	})
 }
 
-func TestHistory(t *testing.T) {
+func TestHistoryMergesBatchesAfterPosition(t *testing.T) {
 	Convey("Given four batches", t, func() {
 		h := history{limits: DefaultLimits}
 		for sequence := range uint64(4) {
 			key := string(rune('a' + sequence%2))
 			h.add(newBatch(Position{1, sequence}, Position{1, sequence + 1}, map[string][]byte{key: {byte(sequence)}}))
 		}
-		Convey("those after a position become one, in which the later ones win", func() {
+		Convey("the batches after a position are merged into one, in which later values win", func() {
 			merged, found := h.after(Position{1, 1})
 			So(found, ShouldBeTrue)
 			So(merged.previous, ShouldResemble, Position{1, 1})
@@ -64,11 +64,11 @@
 			}
 			So(values, ShouldResemble, map[string][]byte{"a": {2}, "b": {3}})
 		})
-		Convey("a position of another leader is not found", func() {
+		Convey("a position of another term is not found", func() {
 			_, found := h.after(Position{2, 1})
 			So(found, ShouldBeFalse)
 		})
-		Convey("what all have is forgotten, but not the newest", func() {
+		Convey("batches that all replicas have are discarded, except for the newest", func() {
 			h.discardThrough(9)
 			_, found := h.after(Position{1, 2})
 			So(found, ShouldBeFalse)
@@ -78,8 +78,8 @@
 	})
 }
 
-func TestRendezvousOrder(t *testing.T) {
-	Convey("The order holds whatever the order of the addresses, and differs between groups", t, func() {
+func TestRendezvousOrderIgnoresAddressOrder(t *testing.T) {
+	Convey("The order does not depend on the order of the addresses, and differs between groups", t, func() {
 		addresses, rotated := []string{"a", "b", "c"}, []string{"c", "a", "b"}
 		firsts := map[string]bool{}
 		for _, group := range []string{"1", "2", "3", "4", "5", "6", "7", "8", "9", "10", "11", "12"} {
--- a/internal/controlplane/replication/largestate_test.go
+++ b/internal/controlplane/replication/largestate_test.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	largeEntries = 200_000 // of a group; a tenth under the race detector
-	largeChunk   = 2_000   // proposed together
-	largeValue   = 100     // bytes
+	largeEntries      = 200_000 // number of entries in the group; a tenth under the race detector and in short mode
+	largeBatchEntries = 2_000   // number of entries proposed together
+	largeValueBytes   = 100     // size of a value
 )
 
-func entryCount() int {
+func largeEntryCount() int {
 	if raceflag.On || testing.Short() {
 		return largeEntries / 10
 	}
 	return largeEntries
 }
 
-// proposeAll proposes numbered entries in chunks and waits until each is committed. A busy machine may lose a lease, and
-// then the next leader goes on; the last one is returned.
-func (c *cluster) proposeAll(leader election, count int, mark byte) election {
-	for first := 0; first < count; first += largeChunk {
-		entries := make([]Entry, largeChunk)
+// proposeAll proposes count numbered entries in batches, waits until each batch is committed, and returns the last leader. On a
+// busy machine, a leader may lose its lease. The next leader then continues.
+func (c *cluster) proposeAll(leader election, count int, fillByte byte) election {
+	for first := 0; first < count; first += largeBatchEntries {
+		entries := make([]Entry, largeBatchEntries)
 		for i := range entries {
-			entries[i] = Entry{fmt.Sprintf("task/%08d", first+i), bytes.Repeat([]byte{mark}, largeValue)}
+			entries[i] = Entry{fmt.Sprintf("task/%08d", first+i), bytes.Repeat([]byte{fillByte}, largeValueBytes)}
 		}
 		for !commits(leader.term, entries) {
 			leader = c.awaitValidElection()
@@ -44,7 +44,7 @@
 	return leader
 }
 
-// commits proposes entries and tells whether they were committed before the term ended.
+// commits proposes entries and reports whether they were committed before the term ended.
 func commits(term *Term, entries []Entry) bool {
 	committed := make(chan struct{})
 	term.Propose(entries, func() { close(committed) })
@@ -56,8 +56,8 @@
 	}
 }
 
-// proposeSteadily proposes a small change every few milliseconds to whoever leads, until it is told to stop. It returns the number
-// of the newest one that was committed.
+// proposeSteadily proposes a small numbered change to the current leader every 5 ms, until stop is closed. The result contains the
+// number of the newest committed change.
 func (c *cluster) proposeSteadily(term *Term, stop <-chan struct{}) (committed *atomic.Uint64) {
 	committed = new(atomic.Uint64)
 	number := uint64(0)
@@ -80,12 +80,12 @@
 	return committed
 }
 
-// observedStore is a store that tells of its writes. It keeps the newest small change, as a look into the table copies all of it,
-// which takes longer than the catching up where the processor is busy.
+// observedStore is a store that signals its writes and records the newest small change. The test does not read that change from
+// the table, because a read copies the whole table, which on a busy processor takes longer than catching up.
 type observedStore struct {
 	*storage.FileStore
-	written chan struct{} // holds a token after a write
-	busy    atomic.Uint64 // number of the newest small change written; 0 before the first
+	written      chan struct{} // contains a value after a write
+	newestChange atomic.Uint64 // number of the newest small change that was written; 0 before the first one
 }
 
 // Write implements storage.Store.
@@ -93,7 +93,7 @@
 	err := w.FileStore.Write(changes...)
 	for _, change := range changes {
 		if err == nil && change.Key == "busy" && len(change.Value) == 8 {
-			w.busy.Store(binary.BigEndian.Uint64(change.Value))
+			w.newestChange.Store(binary.BigEndian.Uint64(change.Value))
 		}
 	}
 	select {
@@ -103,18 +103,18 @@
 	return err
 }
 
-// A member that was away while a large group changed starts again, and catches up under a busy leader.
-func TestRestartWithALargeState(t *testing.T) {
-	Convey("Given a group of many entries on real files", t, func() {
+// A replica that was down while a large group changed must catch up after its restart, while the leader is busy.
+func TestRestartedReplicaCatchesUpWithLargeState(t *testing.T) {
+	Convey("Given a group with many entries in real files", t, func() {
 		directory := t.TempDir()
 		stores := make(map[string]*observedStore)
-		opened := make(map[string]time.Duration)
+		openDurations := make(map[string]time.Duration)
 		open := func(address string) storage.Store {
 			began := time.Now()
 			store, _, err := storage.Open(storage.OperatingSystem{}, filepath.Join(directory, address), storage.Options{})
 			So(err, ShouldBeNil)
 			stores[address] = &observedStore{FileStore: store, written: make(chan struct{}, 1)}
-			opened[address] = time.Since(began)
+			openDurations[address] = time.Since(began)
 			return stores[address]
 		}
 		c := startClusterWithStores(3, open)
@@ -124,37 +124,37 @@
 				store.Close()
 			}
 		}()
-		leader := c.proposeAll(c.awaitValidElection(), entryCount(), 1)
-		var away *runningNode
+		leader := c.proposeAll(c.awaitValidElection(), largeEntryCount(), 1)
+		var restarted *runningNode
 		for _, r := range c.nodes {
 			if r != leader.node {
-				away = r
+				restarted = r
 			}
 		}
-		away.stop()
-		So(stores[away.address].Close(), ShouldBeNil)
-		leader = c.proposeAll(leader, entryCount()/4, 2)
+		restarted.stop()
+		So(stores[restarted.address].Close(), ShouldBeNil)
+		leader = c.proposeAll(leader, largeEntryCount()/4, 2)
 		stop := make(chan struct{})
 		defer close(stop)
 		committed := c.proposeSteadily(leader.term, stop)
 
-		listener, err := net.Listen("tcp", away.address)
+		listener, err := net.Listen("tcp", restarted.address)
 		So(err, ShouldBeNil)
 		began := time.Now()
 		c.startNode(listener)
 		caughtUp := func() bool {
-			newest := stores[away.address].busy.Load()
+			newest := stores[restarted.address].newestChange.Load()
 			return newest > 0 && newest+200 > committed.Load()
 		}
 		for !caughtUp() {
-			_, err := receive(stores[away.address].written)
+			_, err := receive(stores[restarted.address].written)
 			So(err, ShouldBeNil)
 		}
-		t.Logf("%d entries: open after %v, caught up after %v", entryCount(), opened[away.address], time.Since(began))
+		t.Logf("%d entries: open after %v, caught up after %v", largeEntryCount(), openDurations[restarted.address], time.Since(began))
 		So(caughtUp(), ShouldBeTrue)
-		state := stores[away.address].Table(stateTable("jobs/x"))
+		state := stores[restarted.address].Table(stateTable("jobs/x"))
 		So(len(state["busy"]), ShouldEqual, 8)
-		So(len(state), ShouldEqual, entryCount()+1)
+		So(len(state), ShouldEqual, largeEntryCount()+1)
 		So(state["task/00000000"][0], ShouldEqual, 2)
 	})
 }
--- a/internal/controlplane/replication/node_test.go
+++ b/internal/controlplane/replication/node_test.go
@@ -120,7 +120,7 @@
 		return errors.New("node was killed")
 	}
 	if faults := r.cluster.faults.Load(); faults != nil {
-		return r.callHarmed(ctx, faults, address, route, request, reply)
+		return r.callWithFaults(ctx, faults, address, route, request, reply)
 	}
 	return r.client.Call(ctx, address, route, request, reply)
 }
--- a/internal/controlplane/replication/replicate.go
+++ b/internal/controlplane/replication/replicate.go
@@ -26,7 +26,7 @@
 		follower.transfer = l.newTransfer(false, next.previous, next.position, splitChunks(next.entries, l.core.limits.ChunkBytes))
 		return
 	}
-	l.beginSnapshot(address, follower)
+	l.startSnapshot(address, follower)
 }
 
 // endTransfer drops the current transfer to a follower. If it was a snapshot, the snapshot of another group may follow.
@@ -36,7 +36,7 @@
 	if current == nil || !current.request.Snapshot {
 		return
 	}
-	l.core.snapshotEnded(address)
+	l.core.finishSnapshot(address)
 }
 
 func (l *leadership) sendChunk(address string, follower *follower) {
--- a/internal/controlplane/replication/scriptedpeer_test.go
+++ b/internal/controlplane/replication/scriptedpeer_test.go
@@ -7,44 +7,44 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// answerWait is how long a scripted peer waits for an answer; all disks and links of the simulation are faster unless a
-// test slows them.
-const answerWait = 100 * time.Millisecond
+// replyWait is how long a scripted peer waits for a reply. All disks and links of the simulation are faster, unless a test slows
+// them down.
+const replyWait = 100 * time.Millisecond
 
-// singleReplica is a simulation of which one member runs, and that member. The test is its scripted peer: it speaks to the
-// replica as the candidates and leaders of its groups.
-func singleReplica(wrong defects) (*simulation, *simulatedNode) {
-	s := newSimulation(1, 3, wrong, Timing{})
+// singleReplica returns a simulation in which only one member runs, and that member. The test acts as its scripted peer: it sends
+// the requests of candidates and leaders.
+func singleReplica(injected defects) (*simulation, *simulatedNode) {
+	s := newSimulation(1, 3, injected, Timing{})
 	n := s.nodes[s.view.Members[0]]
 	n.start()
 	So(s.run(time.Millisecond), ShouldBeNil)
 	return s, n
 }
 
-// answerOf runs a step that asks a replica for something. It returns the answer, or nil where none came within answerWait.
-func answerOf[Reply any](n *simulatedNode, step func(reply func(Reply))) *Reply {
+// replyOf runs a step that sends a request to a replica. It returns the reply, or nil if there is none within replyWait.
+func replyOf[Reply any](n *simulatedNode, step func(reply func(Reply))) *Reply {
 	var answer *Reply
 	n.step(func() { step(func(reply Reply) { answer = &reply }) })
-	So(n.simulation.run(answerWait), ShouldBeNil)
+	So(n.simulation.run(replyWait), ShouldBeNil)
 	return answer
 }
 
-// requestVote asks for a vote in the group "jobs/a".
+// requestVote sends a vote request for the group "jobs/a".
 func (n *simulatedNode) requestVote(candidate string, term uint64) *voteReply {
 	request := voteRequest{Group: "jobs/a", Term: term, Candidate: candidate, View: 1}
-	return answerOf(n, func(reply func(voteReply)) { n.core.requestVote(request, reply) })
+	return replyOf(n, func(reply func(voteReply)) { n.core.requestVote(request, reply) })
 }
 
-// sendAppend sends a request as the leader "x" of its group and term.
+// sendAppend sends an append request as the leader "x" of the request's group and term.
 func (n *simulatedNode) sendAppend(request appendRequest) *appendReply {
 	request.Leader, request.View = "x", 1
-	return answerOf(n, func(reply func(appendReply)) {
+	return replyOf(n, func(reply func(appendReply)) {
 		n.corruptAppend(request)
 		n.core.append(request, reply)
 	})
 }
 
-// append sends a batch or a snapshot of term 7 in the group "jobs/a". A batch without a previous index is the first one.
+// append sends a batch or a snapshot of term 7 for the group "jobs/a". A batch with the previous index 0 is the first one.
 func (n *simulatedNode) append(snapshot bool, previous, index uint64, value byte) *appendReply {
 	request := appendRequest{
 		Group: "jobs/a", Term: 7, Snapshot: snapshot, Position: Position{7, index}, Entries: []Entry{{"key", []byte{value}}},
@@ -62,7 +62,7 @@
 	})
 }
 
-// appendChunk sends one chunk of a snapshot of the group "jobs/a", with the entry "key N".
+// appendChunk sends one chunk of a snapshot of the group "jobs/a". The chunk contains one entry, "key N" for chunk N.
 func (n *simulatedNode) appendChunk(term, index uint64, number, chunks uint32) *appendReply {
 	return n.sendAppend(appendRequest{
 		Group: "jobs/a", Term: term, Snapshot: true, Position: Position{term, index}, Chunk: number, Chunks: chunks,
@@ -70,24 +70,24 @@
 	})
 }
 
-// expectsChunk verifies that a replica without a state answered that it lacks a chunk.
-func (n *simulatedNode) expectsChunk(answer *appendReply, number uint32) {
+// expectMissingChunk verifies that a replica without a state replied with the number of the next missing chunk.
+func (n *simulatedNode) expectMissingChunk(answer *appendReply, number uint32) {
 	So(answer.Outcome, ShouldEqual, incomplete)
 	So(answer.NextChunk, ShouldEqual, number)
 	So(n.disk.Table("group/jobs/a"), ShouldBeEmpty)
 }
 
-// sendHeartbeat sends the heartbeat of the leader of a group's term.
+// sendHeartbeat sends a heartbeat as the leader "x" of a group and term.
 func (n *simulatedNode) sendHeartbeat(group string, term uint64) *appendReply {
 	request := pingRequest{From: "x", View: 1, Heartbeats: []heartbeat{{group, term}}}
-	answer := answerOf(n, func(reply func(pingReply)) { n.core.ping(request, reply) })
+	answer := replyOf(n, func(reply func(pingReply)) { n.core.ping(request, reply) })
 	if answer == nil {
 		return nil
 	}
 	return &answer.Heartbeats[0]
 }
 
-// restart kills the machine's process and starts it again at once.
+// restart kills the node's process and starts it again at once.
 func (n *simulatedNode) restart() {
 	n.kill(false)
 	n.start()
--- a/internal/controlplane/replication/simulatednode_test.go
+++ b/internal/controlplane/replication/simulatednode_test.go
@@ -207,8 +207,8 @@
 		}
 	}
 	n.runLater(call.timeout, func() { finish(errTimeout) })
-	s.checkSize(call.request)
-	s.traffic.sent(call.address, call.request)
+	s.recordMessage(call.request)
+	s.traffic.recordSnapshotChunk(call.address, call.request)
 	body := encode(call.request)
 	if s.drops(n.address, call.address) {
 		n.forgeAcknowledgement(call, finish)
@@ -263,7 +263,7 @@
 // serve handles a request on the target node and sends the reply to the caller.
 func (n *simulatedNode) serve(from *simulatedNode, call rpc, body []byte, finish func(error)) {
 	reply := func(answer any) {
-		n.simulation.checkSize(answer)
+		n.simulation.recordMessage(answer)
 		content := encode(answer)
 		if n.simulation.drops(n.address, from.address) {
 			return
--- a/internal/controlplane/replication/snapshotfetch.go
+++ b/internal/controlplane/replication/snapshotfetch.go
@@ -1,22 +1,24 @@
 package replication
 
-// snapshotFetch copies a newer state from a member in chunks, before this node asks for votes. What is fetched is a state
-// that a leader made and that the member holds, under the leader's own position; so holding it as well takes nothing
-// back, whether it is committed or not. It is no answer to that leader, so it counts in no majority by itself.
+// snapshotFetch copies a newer state from another member in chunks, before this node requests votes.
+//
+// A leader created the fetched state, and the member stores it under that leader's position. Storing it here as well is safe
+// whether it is committed or not, because it replaces only an older state. The fetch does not reply to that leader, so it does
+// not count towards a majority by itself.
 type snapshotFetch struct {
 	group     *group
-	from      string
+	source    string
 	position  Position
 	entries   []Entry
 	nextChunk uint32
-	attempts  int // at the next chunk
+	attempts  int // failed requests for the next chunk
 }
 
-// maxFetchAttempts is how often a chunk is asked for.
-const maxFetchAttempts = 3
+// maxChunkAttempts is how often a chunk is requested before the fetch ends.
+const maxChunkAttempts = 3
 
-func (g *group) startFetch(from string, position Position) {
-	f := &snapshotFetch{group: g, from: from, position: position}
+func (g *group) startFetch(source string, position Position) {
+	f := &snapshotFetch{group: g, source: source, position: position}
 	g.fetch = f
 	f.requestChunk()
 }
@@ -25,21 +27,21 @@
 	core := f.group.core
 	request := snapshotRequest{Group: f.group.name, View: core.view.Version, Position: f.position, Chunk: f.nextChunk}
 	reply := new(snapshotReply)
-	core.call(f.from, snapshotCall.Route(), core.timing.ChunkTimeout, request, reply, func(err error) { f.receiveChunk(*reply, err) })
+	core.call(f.source, snapshotCall.Route(), core.timing.ChunkTimeout, request, reply, func(err error) { f.receiveChunk(*reply, err) })
 }
 
-// receiveChunk adds the chunk that was asked for.
+// receiveChunk adds the requested chunk, and requests the next one. After the last one, it installs the state.
 func (f *snapshotFetch) receiveChunk(reply snapshotReply, err error) {
 	switch {
-	case !f.needed():
+	case !f.isNeeded():
 		f.finish()
 	case err != nil:
-		if f.attempts++; f.attempts >= maxFetchAttempts {
+		if f.attempts++; f.attempts >= maxChunkAttempts {
 			f.finish()
 			return
 		}
 		f.requestChunk()
-	case f.nextChunk >= reply.Chunks: // the member is at another position by now
+	case f.nextChunk >= reply.Chunks: // the member no longer has the state of this position
 		f.finish()
 	default:
 		f.entries = append(f.entries, reply.Entries...)
@@ -52,16 +54,17 @@
 	}
 }
 
-// needed tells whether the state is still of use: there is no leader, and nothing newer here.
-func (f *snapshotFetch) needed() bool {
+// isNeeded reports whether the fetched state is still useful. That is so if this node may campaign and knows no leader, and if
+// the state is newer than its own.
+func (f *snapshotFetch) isNeeded() bool {
 	g := f.group
 	leased := g.core.now < g.replica.lease.until
 	return g.leadership == nil && !leased && !g.core.stopping && g.core.mayCampaign(g) && g.replica.position.Before(f.position)
 }
 
-// install replaces the state here in one write.
+// install replaces the replica's state with the fetched one in a single write.
 func (f *snapshotFetch) install() {
-	if !f.needed() {
+	if !f.isNeeded() {
 		f.finish()
 		return
 	}
@@ -78,7 +81,7 @@
 	}, f.finish)
 }
 
-// finish lets this node campaign again.
+// finish ends the fetch. This node may campaign again after a back-off.
 func (f *snapshotFetch) finish() {
 	f.group.fetch = nil
 	f.group.backOff()
--- a/internal/controlplane/replication/snapshotsend.go
+++ b/internal/controlplane/replication/snapshotsend.go
@@ -1,7 +1,8 @@
 package replication
 
-// snapshotOutdated tells whether a snapshot of which no chunk has arrived is older than the retained batches, as where its
-// follower was down: another would have to follow it.
+// snapshotOutdated reports whether a snapshot is too old to be worth sending. That is so if the follower has not received a chunk
+// of it, for example because it was down, and the batches after it are no longer retained. The follower would then need
+// another snapshot after this one.
 func (l *leadership) snapshotOutdated(t *transfer) bool {
 	if !t.request.Snapshot || t.nextChunk > 0 || t.request.Position == l.lastPosition {
 		return false
@@ -10,44 +11,50 @@
 	return !found
 }
 
-// beginSnapshot takes a copy of the state for a follower. Each member gets one snapshot of this node at a time, whatever
-// the group, and the next one follows at once; a member that does not answer holds up no other. A large state takes longer
-// to sort and split than a lease lasts where the processor is busy, so that is not done within a step.
-func (l *leadership) beginSnapshot(address string, follower *follower) {
+// startSnapshot takes a snapshot of the state for a follower and sends it.
+//
+// A member receives only one snapshot from this node at a time, across all groups. The next one starts as soon as it ends. A
+// member that does not reply does not delay the snapshots of other members.
+//
+// On a busy processor, sorting and splitting a large state may take longer than a lease lasts. It is therefore offloaded and
+// not done within a step of the core.
+func (l *leadership) startSnapshot(address string, follower *follower) {
 	replica := &l.group.replica
 	if l.core.receivingSnapshot[address] || replica.position.Term != l.termNumber {
-		return // replicate is called again at the end of the other snapshot, or of the write that begins the term
+		return // replicate is called again after the other snapshot, or after the write that begins the term
 	}
 	l.core.receivingSnapshot[address] = true
 	follower.sending = true
 	replica.whenIdle(func() {
 		if l.ended || l.followers[address] != follower {
 			follower.sending = false
-			l.core.snapshotEnded(address)
+			l.core.finishSnapshot(address)
 			return
 		}
 		follower.catchingUp = true
 		position, state := replica.position, replica.state()
 		var chunks [][]Entry
-		l.core.offload(func() { chunks = splitChunks(entriesOf(state), l.core.limits.ChunkBytes) }, func() {
+		l.core.offload(func() { chunks = splitChunks(sortedEntries(state), l.core.limits.ChunkBytes) }, func() {
 			l.sendSnapshot(address, follower, position, chunks)
 		})
 	})
 }
 
-// sendSnapshot begins to send a snapshot that has been cut into chunks, unless its follower or the term is gone.
+// sendSnapshot starts the transfer of a snapshot that was split into chunks. It drops the snapshot if the term has ended or the
+// follower was removed.
 func (l *leadership) sendSnapshot(address string, follower *follower, position Position, chunks [][]Entry) {
 	follower.sending = false
 	if l.ended || l.followers[address] != follower {
-		l.core.snapshotEnded(address)
+		l.core.finishSnapshot(address)
 		return
 	}
 	follower.transfer = l.newTransfer(true, Position{}, position, chunks)
 	l.replicate(address, follower)
 }
 
-// snapshotEnded begins the next snapshot to a member.
-func (c *core) snapshotEnded(address string) {
+// finishSnapshot records that the transfer of a snapshot to a member has ended. It continues the replication to that member in all
+// groups that this node leads, which may start the next snapshot.
+func (c *core) finishSnapshot(address string) {
 	delete(c.receivingSnapshot, address)
 	for _, g := range c.sortedGroups() {
 		if g.leadership != nil && g.leadership.followers[address] != nil {
@@ -56,7 +63,8 @@
 	}
 }
 
-// updateHistoryLimits retains more batches while a follower that answers is catching up from a snapshot.
+// updateHistoryLimits makes the history retain more batches while a follower is catching up from a snapshot and has replied within
+// the chunk timeout.
 func (l *leadership) updateHistoryLimits() {
 	l.history.catchingUp = false
 	for _, follower := range l.followers {
--- a/internal/controlplane/replication/stored_test.go
+++ b/internal/controlplane/replication/stored_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	storedFolder   = "testdata/stored"
-	updateVariable = "GOLDEN_UPDATE" // set to 1, the stored data is made anew
-	storedSelf     = "10.0.0.1:7000"
-	storedLeader   = "10.0.0.3:7000"
+	storedDirectory = "testdata/stored"
+	updateVariable  = "GOLDEN_UPDATE" // if set to 1, the test replaces the stored data
+	storedSelf      = "10.0.0.1:7000"
+	storedLeader    = "10.0.0.3:7000"
 )
 
-// storedTables are two groups and one that was only voted in, byte for byte.
+// storedTables is the expected content of the stored data: two groups with a state, and one in which the replica has only voted.
 var storedTables = storage.Tables{
 	"group-meta/jobs/render": {
 		"promised":  {0, 0, 0, 0, 0, 0, 1, 2},
@@ -37,21 +37,21 @@
 	"group-meta/jobs/voted": {"promised": {0, 0, 0, 0, 0, 0, 0, 1}, "candidate": []byte(storedLeader)},
 }
 
-// storedMeta is what the groups' replicas hold beside their states.
+// storedMeta is the expected metadata of each group's replica.
 var storedMeta = map[string]meta{
 	"jobs/render": {term: 0x102, votedFor: storedLeader, position: Position{Term: 0x102, Index: 7}},
 	"jobs/mail":   {term: 9, votedFor: storedSelf, position: Position{Term: 5, Index: 1}},
 	"jobs/voted":  {term: 1, votedFor: storedLeader},
 }
 
-// storedHandler leads nothing.
-type storedHandler struct{}
+// noOpHandler is a Handler that does nothing.
+type noOpHandler struct{}
 
-func (storedHandler) Elected(*Term, map[string][]byte) {}
-func (storedHandler) Deposed(*Term)                    {}
+func (noOpHandler) Elected(*Term, map[string][]byte) {}
+func (noOpHandler) Deposed(*Term)                    {}
 
-func openStored(t *testing.T, folder string) *storage.FileStore {
-	store, _, err := storage.Open(storage.OperatingSystem{}, folder, storage.Options{})
+func openStored(t *testing.T, directory string) *storage.FileStore {
+	store, _, err := storage.Open(storage.OperatingSystem{}, directory, storage.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,9 +59,9 @@
 	return store
 }
 
-func storedNode(t *testing.T, store storage.Store) *Node {
+func newStoredNode(t *testing.T, store storage.Store) *Node {
 	node, err := NewNode(Config{
-		Self: storedSelf, Store: store, Caller: networktest.New(1).Caller(storedSelf), Handler: storedHandler{},
+		Self: storedSelf, Store: store, Caller: networktest.New(1).Caller(storedSelf), Handler: noOpHandler{},
 		View: func() replicaset.View {
 			return replicaset.View{Version: 1, Members: []string{storedSelf, storedLeader}}
 		},
@@ -73,9 +73,9 @@
 	return node
 }
 
-// writeStoredGroups lets a replica vote and append, by the requests of other members.
+// writeStoredGroups writes the groups of storedTables to a store, with vote and append requests of other members.
 func writeStoredGroups(t *testing.T, store storage.Store) {
-	node := storedNode(t, store)
+	node := newStoredNode(t, store)
 	vote := func(group string, term uint64, candidate string) {
 		reply, err := serve(t.Context(), node, func(reply func(voteReply)) {
 			node.core.requestVote(voteRequest{Group: group, Term: term, Candidate: candidate, Position: Position{Term: term}, View: 1}, reply)
@@ -84,7 +84,7 @@
 			t.Fatalf("vote in %s: %+v, %v", group, reply, err)
 		}
 	}
-	appended := func(group string, position Position, entries ...Entry) {
+	appendSnapshot := func(group string, position Position, entries ...Entry) {
 		reply, err := serve(t.Context(), node, func(reply func(appendReply)) {
 			node.core.append(appendRequest{Group: group, Term: position.Term, Leader: storedLeader, View: 1, Snapshot: true, Position: position, Entries: entries}, reply)
 		})
@@ -93,11 +93,11 @@
 		}
 	}
 	vote("jobs/render", 0x102, storedLeader)
-	appended("jobs/render", Position{0x102, 6}, Entry{"j/0", []byte("gone")})
-	appended("jobs/render", Position{0x102, 7}, Entry{"j/1", []byte("one")}, Entry{"t/1/0.0.0", []byte{0x80}})
-	appended("jobs/mail", Position{5, 1}, Entry{"j/2", []byte("two")})
+	appendSnapshot("jobs/render", Position{0x102, 6}, Entry{"j/0", []byte("gone")})
+	appendSnapshot("jobs/render", Position{0x102, 7}, Entry{"j/1", []byte("one")}, Entry{"t/1/0.0.0", []byte{0x80}})
+	appendSnapshot("jobs/mail", Position{5, 1}, Entry{"j/2", []byte("two")})
 	vote("jobs/voted", 1, storedLeader)
-	// A vote for this member itself, once the lease of the other leader may have run out.
+	// A vote for this member itself, as after the other leader's lease has expired.
 	if err := store.Write(termChanges("jobs/mail", 9, storedSelf)...); err != nil {
 		t.Fatal(err)
 	}
@@ -105,27 +105,27 @@
 
 func TestReadsStoredDataOfGroups(t *testing.T) {
 	if os.Getenv(updateVariable) == "1" {
-		os.RemoveAll(storedFolder)
-		writeStoredGroups(t, openStored(t, storedFolder))
+		os.RemoveAll(storedDirectory)
+		writeStoredGroups(t, openStored(t, storedDirectory))
 	}
-	Convey("Given groups that an earlier build stored", t, func() {
-		folder := t.TempDir()
-		So(os.CopyFS(folder, os.DirFS(storedFolder)), ShouldBeNil)
-		store := openStored(t, folder)
+	Convey("Given groups stored by an earlier build", t, func() {
+		directory := t.TempDir()
+		So(os.CopyFS(directory, os.DirFS(storedDirectory)), ShouldBeNil)
+		store := openStored(t, directory)
 		So(store.Snapshot(), ShouldResemble, storedTables)
 
-		Convey("a node reads all of them", func() {
-			core := storedNode(t, store).core
+		Convey("a node reads all groups", func() {
+			core := newStoredNode(t, store).core
 			So(len(core.groups), ShouldEqual, len(storedMeta))
 			for name, want := range storedMeta {
-				held := &core.groups[name].replica
-				So(meta{held.currentTerm, held.votedFor, held.position}, ShouldResemble, want)
-				So(held.durableTerm, ShouldEqual, want.term)
-				So(maps.EqualFunc(held.state(), storedTables["group/"+name], bytes.Equal), ShouldBeTrue)
+				stored := &core.groups[name].replica
+				So(meta{stored.currentTerm, stored.votedFor, stored.position}, ShouldResemble, want)
+				So(stored.durableTerm, ShouldEqual, want.term)
+				So(maps.EqualFunc(stored.state(), storedTables["group/"+name], bytes.Equal), ShouldBeTrue)
 			}
 			So(store.Snapshot(), ShouldResemble, storedTables)
 		})
-		Convey("this build writes the same, so that the earlier one can read it", func() {
+		Convey("this build writes the same data, so that the earlier build can read it", func() {
 			memory := storage.NewMemory()
 			writeStoredGroups(t, memory)
 			So(memory.Snapshot(), ShouldResemble, storedTables)
--- a/internal/controlplane/replication/storedtables.go
+++ b/internal/controlplane/replication/storedtables.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// Prefixes of the tables of the store; the rest of a table's name is the group's.
+// Prefixes of the names of stored tables. The rest of a name is the name of the group.
 const (
 	StateTablePrefix = "group/"
 	MetaTablePrefix  = "group-meta/"
@@ -20,19 +20,20 @@
 	positionKey = "position"
 )
 
+// uint64Bytes is the size of an encoded number in bytes.
 const uint64Bytes = 8
 
 func stateTable(group string) string { return StateTablePrefix + group }
 func metaTable(group string) string  { return MetaTablePrefix + group }
 
-// meta is the durable part of a replica beside its state.
+// meta is the durable data of a replica other than its state.
 type meta struct {
 	term     uint64
-	votedFor string // as replica.votedFor
+	votedFor string // see replica.votedFor
 	position Position
 }
 
-// termChanges make a term durable, together with whom the vote was given to.
+// termChanges returns the writes that store a term and the candidate that the replica voted for in it.
 func termChanges(group string, term uint64, candidate string) []storage.Change {
 	table := metaTable(group)
 	return []storage.Change{
@@ -41,10 +42,10 @@
 	}
 }
 
-// stateChanges set entries in a group's state. A snapshot clears the state first.
+// stateChanges returns the writes that set entries in a group's state. For a snapshot, the first one clears the state.
 func stateChanges(group string, snapshot bool, entries []Entry) []storage.Change {
 	table := stateTable(group)
-	changes := make([]storage.Change, 0, len(entries)+4) // room for the clearing, the term and the position
+	changes := make([]storage.Change, 0, len(entries)+4) // capacity for clearing the state, and for the term and the position
 	if snapshot {
 		changes = append(changes, storage.Change{Table: table})
 	}
@@ -64,7 +65,8 @@
 	return binary.BigEndian.AppendUint64(encodeTerm(position.Term), position.Index)
 }
 
-// decodeMeta reads a meta table. What is absent or has another length is zero.
+// decodeMeta decodes a meta table. A number that is absent or has the wrong length is zero. If the position has a higher term than
+// the stored one, that term applies, and no vote is known in it.
 func decodeMeta(table map[string][]byte) meta {
 	var m meta
 	if value := table[termKey]; len(value) == uint64Bytes {
@@ -81,7 +83,7 @@
 	return m
 }
 
-// storedGroups lists the groups that a store has tables of.
+// storedGroups returns the names of the groups that have a meta table in a store.
 func storedGroups(store tableReader) []string {
 	var groups []string
 	for _, table := range store.Tables() {
--- a/internal/controlplane/replication/transfer.go
+++ b/internal/controlplane/replication/transfer.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// transfer is a batch or a snapshot on its way to one follower, in one chunk or several.
+// transfer is a batch or snapshot that is being sent to one follower in one or more chunks.
 type transfer struct {
 	request   appendRequest // without entries
 	chunks    [][]Entry
-	nextChunk uint32 // the chunk to send
+	nextChunk uint32 // number of the chunk to send next
 }
 
 func (l *leadership) newTransfer(snapshot bool, previous, position Position, chunks [][]Entry) *transfer {
@@ -15,7 +15,7 @@
 	return &transfer{request: request, chunks: chunks}
 }
 
-// chunkRequest is the message that carries the next chunk.
+// chunkRequest returns the append request with the next chunk.
 func (t *transfer) chunkRequest(view uint64) appendRequest {
 	request := t.request
 	request.View = view
@@ -24,7 +24,8 @@
 	return request
 }
 
-// timeout is how long the call of a chunk may take. A batch that is not answered within the reply timeout counts for nothing.
+// timeout returns the time limit of the call that sends a chunk. A batch in one chunk gets only the reply timeout, because a later
+// reply does not count towards a majority.
 func (t *transfer) timeout(timing Timing) time.Duration {
 	if t.request.Snapshot || len(t.chunks) > 1 {
 		return timing.ChunkTimeout
@@ -32,7 +33,7 @@
 	return timing.ReplyTimeout
 }
 
-// advances tells whether a transfer still moves a follower forward that is at a position.
+// advances reports whether the transfer can still be applied by a follower at a position, and moves it to a newer one.
 func (t *transfer) advances(position Position) bool {
 	return position.Before(t.request.Position) && (t.request.Snapshot || t.request.Previous == position)
 }
