--- a/internal/controlplane/rebuild/fetch.go
+++ b/internal/controlplane/rebuild/fetch.go
@@ -19,11 +19,11 @@
 const (
 	fetchRetryInterval = 250 * time.Millisecond // delay between a failed snapshot transfer and the next attempt
 	// minChunkTimeout and maxChunkTimeout bound how long the requests for a chunk may take before they are repeated. The
-	// time-out starts at the minimum, and each consecutive time-out doubles it.
+	// timeout starts at the minimum, and each consecutive timeout doubles it.
 	minChunkTimeout = 3500 * time.Millisecond
 	maxChunkTimeout = 14 * time.Second
 	// hedgeDelay is the delay before another hedged request for a chunk. At most maxChunkCalls requests are sent before the
-	// time-out.
+	// timeout.
 	hedgeDelay    = time.Second
 	maxChunkCalls = 3
 	// probeInterval and probeTimeout apply to the probes, which are small requests. They detect whether a donor that does
@@ -33,7 +33,7 @@
 )
 
 var (
-	errChunkTimeout        = errors.New("no request for the chunk was answered before the time-out")
+	errChunkTimeout        = errors.New("no request for the chunk was answered before the timeout")
 	errDonorReachableAgain = errors.New("the donor was unreachable, so the requests for the chunk are lost")
 )
 
@@ -50,7 +50,7 @@
 
 // fetchFromDonors fetches snapshots from all donors of a view in parallel, and returns as soon as it has the needed number. It
 // returns nil if the view changes or the context ends first. A donor that does not reply does not delay the others.
-func (r *Rebuilder) fetchFromDonors(ctx context.Context, view replicaset.View, changed <-chan struct{}, needed int) []storage.Tables {
+func (r *Rebuilder) fetchFromDonors(ctx context.Context, view replicaset.View, changed <-chan struct{}, neededSnapshots int) []storage.Tables {
 	ctx, cancel := context.WithCancel(ctx)
 	var fetching sync.WaitGroup
 	defer fetching.Wait()
@@ -60,8 +60,8 @@
 	for _, donor := range donors {
 		fetching.Go(func() { r.fetchWithRetries(ctx, donor, view, snapshots) })
 	}
-	collected := make([]storage.Tables, 0, needed)
-	for len(collected) < needed {
+	collected := make([]storage.Tables, 0, neededSnapshots)
+	for len(collected) < neededSnapshots {
 		select {
 		case tables := <-snapshots:
 			collected = append(collected, tables)
@@ -105,8 +105,8 @@
 	return tables, nil
 }
 
-// fetchChunk fetches one chunk. It repeats the requests after a time-out, because the network may drop them without an error.
-// The time-out grows, because a slow link needs longer. If the donor was unreachable and replies to a probe again, fetchChunk
+// fetchChunk fetches one chunk. It repeats the requests after a timeout, because the network may drop them without an error.
+// The timeout grows, because a slow link needs longer. If the donor was unreachable and replies to a probe again, fetchChunk
 // repeats the requests at once.
 func (r *Rebuilder) fetchChunk(ctx context.Context, member string, request chunkRequest) (chunkReply, error) {
 	for timeout := minChunkTimeout; ; {
@@ -128,7 +128,7 @@
 	err   error
 }
 
-// fetchChunkHedged fetches one chunk within the time-out, with hedged requests (Dean and Barroso, "The Tail at Scale",
+// fetchChunkHedged fetches one chunk within the timeout, with hedged requests (Dean and Barroso, "The Tail at Scale",
 // Communications of the ACM 56(2), 2013). The network may drop a request or a reply without an error. So another request is
 // sent after hedgeDelay, even though the first one may still be in flight. If the donor refuses a request, that result is final.
 func (r *Rebuilder) fetchChunkHedged(ctx context.Context, member string, request chunkRequest, timeout time.Duration) (chunkReply, error) {
--- a/internal/controlplane/rebuild/handover.go
+++ b/internal/controlplane/rebuild/handover.go
@@ -14,9 +14,10 @@
 
 const (
 	departureCheckInterval = 100 * time.Millisecond // delay between two checks whether a departing member may stop
-	readyTimeout           = 300 * time.Millisecond // time-out of a readyRequest
+	readyTimeout           = 300 * time.Millisecond // timeout of a readyRequest
 )
 
+// handleReady replies to a readyRequest.
 func (r *Rebuilder) handleReady(context.Context, readyRequest) (readyReply, error) {
 	views := r.config.Views
 	return readyReply{
@@ -51,7 +52,7 @@
 }
 
 // update adds the members that joined with a newer view. If this process missed a view, any member may have been replaced and
-// have joined again, so all members of the newer view are added.
+// have joined again, so all members of the newer view are added. Members that are no longer in the view are removed.
 func (j *joinedMembers) update(view replicaset.View) {
 	missed := view.Version > j.view.Version+1
 	for _, member := range view.Members {
@@ -78,16 +79,16 @@
 	departure := replicaset.Departure{
 		View: joined.view, Self: r.config.Self, JoiningMember: views.KnowsJoiningMember(), OthersDepart: views.OthersDepart(),
 	}
-	for _, answer := range r.requestReadyFromAll(ctx, joined.view) {
-		ready := answer.err == nil && answer.reply.Ready
-		stopsBefore := answer.reply.Departing && answer.member < r.config.Self
+	for _, result := range r.requestReadyFromAll(ctx, joined.view) {
+		ready := result.err == nil && result.reply.Ready
+		stopsBefore := result.reply.Departing && result.member < r.config.Self
 		if ready {
-			delete(joined.unconfirmed, answer.member)
+			delete(joined.unconfirmed, result.member)
 		}
 		if ready && !stopsBefore {
 			departure.Staying++
 		}
-		if answer.reply.Joining {
+		if result.reply.Joining {
 			departure.JoiningMember = true
 		}
 	}
@@ -114,6 +115,7 @@
 	return replies
 }
 
+// requestReady sends a readyRequest to one member.
 func (r *Rebuilder) requestReady(ctx context.Context, member string) (readyReply, error) {
 	reply, err := readyCall.Call(ctx, r.config.Caller, member, readyRequest{})
 	if err != nil {
--- a/internal/controlplane/rebuild/handover_test.go
+++ b/internal/controlplane/rebuild/handover_test.go
@@ -113,7 +113,7 @@
 }
 
 // The network drops all requests for a chunk without an error while the donor is unreachable. However long that lasts, the
-// rebuild must end soon after the donor is reachable again, and not wait for the time-out of the lost requests.
+// rebuild must end soon after the donor is reachable again, and not wait for the timeout of the lost requests.
 func TestRebuildResumesWhenDonorIsReachableAgain(t *testing.T) {
 	for _, outage := range []time.Duration{3 * time.Second, 2 * time.Minute} {
 		var afterReturn time.Duration
--- a/internal/controlplane/rebuild/rebuild.go
+++ b/internal/controlplane/rebuild/rebuild.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/timer"
 )
 
-// openRoundsWait is the delay between the start of a member and its first request for a snapshot. It is longer than the time-out
+// openRoundsWait is the delay between the start of a member and its first request for a snapshot. It is longer than the timeout
 // of a quorum round, so that all rounds which were open at the start are over.
 const openRoundsWait = 2200 * time.Millisecond
 
--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -114,9 +114,9 @@
 	})
 }
 
-// The first requests for a chunk are lost while probes of the donor still succeed. Only the time-out can detect the loss.
+// The first requests for a chunk are lost while probes of the donor still succeed. Only the timeout can detect the loss.
 func TestLostChunkRequestsAreRetriedAfterTimeout(t *testing.T) {
-	convey.Convey("Three lost requests delay the rebuild by the time-out of 3.5 s", t, func() {
+	convey.Convey("Three lost requests delay the rebuild by the timeout of 3.5 s", t, func() {
 		convey.So(rebuildTimeWithLosses(t, 3), convey.ShouldBeBetween, 5*time.Second, 6*time.Second)
 	})
 }
--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -21,9 +21,9 @@
 		Convey("the state changes only with the last chunk", func() {
 			n.expectMissingChunk(n.appendChunk(7, 3, 0, 3), 1)
 			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 2)
-			answer := n.appendChunk(7, 3, 2, 3)
-			So(answer.Outcome, ShouldEqual, accepted)
-			So(answer.Position, ShouldResemble, Position{7, 3})
+			reply := n.appendChunk(7, 3, 2, 3)
+			So(reply.Outcome, ShouldEqual, accepted)
+			So(reply.Position, ShouldResemble, Position{7, 3})
 			expectState(n, 7, 3, 3)
 		})
 		Convey("a duplicate chunk changes nothing", func() {
@@ -267,10 +267,10 @@
 	Convey("A member serves its state only if it is at the requested position", t, func() {
 		_, n := singleReplica(defects{})
 		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
-		serve := func(position Position, chunk uint32) (answer snapshotReply) {
+		serve := func(position Position, chunk uint32) (result snapshotReply) {
 			request := snapshotRequest{Group: "jobs/a", View: 1, Position: position, Chunk: chunk}
-			n.step(func() { n.core.serveSnapshot(request, func(reply snapshotReply) { answer = reply }) })
-			return answer
+			n.step(func() { n.core.serveSnapshot(request, func(reply snapshotReply) { result = reply }) })
+			return result
 		}
 		So(serve(Position{7, 3}, 0), ShouldResemble, snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{3}}}})
 		So(serve(Position{7, 3}, 1).Chunks, ShouldEqual, 0)
--- a/internal/controlplane/replication/scriptedpeer_test.go
+++ b/internal/controlplane/replication/scriptedpeer_test.go
@@ -23,10 +23,10 @@
 
 // replyOf runs a step that sends a request to a replica. It returns the reply, or nil if there is none within replyWait.
 func replyOf[Reply any](n *simulatedNode, step func(reply func(Reply))) *Reply {
-	var answer *Reply
-	n.step(func() { step(func(reply Reply) { answer = &reply }) })
+	var result *Reply
+	n.step(func() { step(func(reply Reply) { result = &reply }) })
 	So(n.simulation.run(replyWait), ShouldBeNil)
-	return answer
+	return result
 }
 
 // requestVote sends a vote request for the group "jobs/a".
@@ -71,20 +71,20 @@
 }
 
 // expectMissingChunk verifies that a replica without a state replied with the number of the next missing chunk.
-func (n *simulatedNode) expectMissingChunk(answer *appendReply, number uint32) {
-	So(answer.Outcome, ShouldEqual, incomplete)
-	So(answer.NextChunk, ShouldEqual, number)
+func (n *simulatedNode) expectMissingChunk(reply *appendReply, number uint32) {
+	So(reply.Outcome, ShouldEqual, incomplete)
+	So(reply.NextChunk, ShouldEqual, number)
 	So(n.disk.Table("group/jobs/a"), ShouldBeEmpty)
 }
 
 // sendHeartbeat sends a heartbeat as the leader "x" of a group and term.
 func (n *simulatedNode) sendHeartbeat(group string, term uint64) *appendReply {
 	request := pingRequest{From: "x", View: 1, Heartbeats: []heartbeat{{group, term}}}
-	answer := replyOf(n, func(reply func(pingReply)) { n.core.ping(request, reply) })
-	if answer == nil {
+	result := replyOf(n, func(reply func(pingReply)) { n.core.ping(request, reply) })
+	if result == nil {
 		return nil
 	}
-	return &answer.Heartbeats[0]
+	return &result.Heartbeats[0]
 }
 
 // restart kills the node's process and starts it again at once.
