--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -209,7 +209,7 @@
 			store.Close()
 		}
 	})
-	convey.Convey("Both outcomes occur", t, func() {
+	convey.Convey("Some restarts find the member complete, and others find it incomplete", t, func() {
 		convey.So(complete, convey.ShouldBeGreaterThan, 0)
 		convey.So(incomplete, convey.ShouldBeGreaterThan, 0)
 	})
