--- a/internal/controlplane/control/control.go
+++ b/internal/controlplane/control/control.go
@@ -56,7 +56,7 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != ConfigurationPath {
-		writeError(w, http.StatusNotFound, "unknown path; the configuration is at "+ConfigurationPath)
+		writeError(w, http.StatusNotFound, "no such path; the configuration is at "+ConfigurationPath)
 		return
 	}
 	switch r.Method {
@@ -66,7 +66,7 @@
 		h.put(w, r)
 	default:
 		w.Header().Set("Allow", "GET, HEAD, PUT")
-		writeError(w, http.StatusMethodNotAllowed, "method not allowed; use GET or PUT")
+		writeError(w, http.StatusMethodNotAllowed, "use GET or PUT")
 	}
 }
 
@@ -76,9 +76,9 @@
 	version, body, err := h.configurator.Read(ctx)
 	switch {
 	case err != nil:
-		writeError(w, http.StatusServiceUnavailable, "no majority replied in time; try another mixer")
+		writeError(w, http.StatusServiceUnavailable, "no majority holds an answer at the moment; try another mixer")
 	case version == 0:
-		writeError(w, http.StatusNotFound, "no configuration has been accepted yet; send the first one with If-Match: 0")
+		writeError(w, http.StatusNotFound, "no configuration has been taken yet; send the first with If-Match: 0")
 	default:
 		w.Header().Set("ETag", entitytag.Format(version))
 		writeBody(w, http.StatusOK, body)
@@ -94,7 +94,7 @@
 	select {
 	case h.inFlight <- struct{}{}:
 	default:
-		writeError(w, http.StatusServiceUnavailable, "too many changes are in flight; send the change again")
+		writeError(w, http.StatusServiceUnavailable, "too many orders are under way; send it again")
 		return
 	}
 	body, status, err := readBody(w, r)
@@ -128,15 +128,15 @@
 }
 
 // errOutcomeUnknown is the response to a change whose outcome is unknown.
-var errOutcomeUnknown = errors.New("the change may or may not have been accepted; send it again unchanged")
+var errOutcomeUnknown = errors.New("the change may or may not be taken; send it again unchanged")
 
 // Errors of invalid requests. Operators see their texts in responses.
 var (
-	errIfMatchMissing   = errors.New("If-Match is missing; set it to the version that the change is based on, or to 0 for the first configuration")
-	errIfMatchMalformed = errors.New("If-Match is not a version; set it to the version that the change is based on, or to 0 for the first configuration")
-	errBodyTooLarge     = errors.New("the body is too large; send at most " + strconv.Itoa(configuration.MaxBodyBytes) + " bytes")
-	errBodyTruncated    = errors.New("the body is truncated; send it completely")
-	errBodyNotReceived  = errors.New("the body was not received in time; send it again")
+	errIfMatchMissing   = errors.New("If-Match is missing; give the version that the change builds on, 0 for the first")
+	errIfMatchMalformed = errors.New("If-Match is not a version; give the version that the change builds on, 0 for the first")
+	errBodyTooLarge     = errors.New("the body is too long; send at most " + strconv.Itoa(configuration.MaxBodyBytes) + " bytes")
+	errBodyTruncated    = errors.New("the body is cut short; send it whole")
+	errBodyNotReceived  = errors.New("the body did not arrive; send it again")
 )
 
 // acceptedResponse is the body of the response to an accepted change.
--- a/internal/transport/handle.go
+++ b/internal/transport/handle.go
@@ -16,10 +16,10 @@
 
 // errDuplicateCall is the response to a duplicate of a call. The caller must treat the call as possibly executed, because the
 // first copy may have been executed.
-var errDuplicateCall = errors.New("duplicate call: it was received before and is not executed again")
+var errDuplicateCall = errors.New("this call was received before and is not carried out again")
 
 // errLateCall is the response to a call that arrived long after it was sent.
-var errLateCall = errors.New("the call arrived too late and is not executed")
+var errLateCall = errors.New("this call came too late and is not carried out")
 
 // Handle registers the handler of an endpoint. If the handler returns an rpcerror.NotExecuted error, the caller gets the same
 // classification and its RetryAfter. For any other error, the caller learns that the call may have been executed. Handle
--- a/internal/transport/mux.go
+++ b/internal/transport/mux.go
@@ -76,7 +76,7 @@
 
 // Error implements the error interface.
 func (e *wrongAddresseeError) Error() string {
-	return fmt.Sprintf("the call is addressed to %s, but this process is %s", e.addressee.headerText(), e.identityText)
+	return fmt.Sprintf("the call means %s, this is %s", e.addressee.headerText(), e.identityText)
 }
 
 // startsTooLate reports whether the latest time at which a call may start has passed. Calls from older builds have no such
