--- a/internal/controlplane/rebuild/handover_test.go
+++ b/internal/controlplane/rebuild/handover_test.go
@@ -66,7 +66,7 @@
 			time.AfterFunc(time.Second, func() { m.network.Partition("member-2", false) })
 		}, true, 1500 * time.Millisecond},
 		{"a reply is lost", func(m *threeMembers) {
-			m.network.AddRule(networktest.Rule{To: "member-2", Path: "/rebuild/ready", Lose: true, Times: 1})
+			m.network.AddRule(networktest.Rule{To: "member-2", Path: "/rebuild/ready", Drop: true, MaxMatches: 1})
 		}, true, 500 * time.Millisecond},
 		{"another one is being rebuilt", func(m *threeMembers) {
 			m.startMember(rebuild.Config{Self: "member-2", Views: m.views[2], Store: storage.NewMemory()})
--- a/internal/controlplane/rebuild/rebuild_test.go
+++ b/internal/controlplane/rebuild/rebuild_test.go
@@ -98,7 +98,7 @@
 	t.Helper()
 	inCluster(t, 3, func(c *cluster) {
 		c.startComplete()
-		c.network.AddRule(networktest.Rule{To: "member-0", Path: "/rebuild/dump", Lose: true, Times: lost})
+		c.network.AddRule(networktest.Rule{To: "member-0", Path: "/rebuild/dump", Drop: true, MaxMatches: lost})
 		start := time.Now()
 		rebuilder := c.start("member-2", storage.NewMemory(), false)
 		c.run(rebuilder)
--- a/internal/controlplane/rebuild/transfer_test.go
+++ b/internal/controlplane/rebuild/transfer_test.go
@@ -100,7 +100,7 @@
 
 func TestLostAndDuplicatedChunks(t *testing.T) {
 	store, _, ready := rebuildThird(t, func(c *cluster, _ []*storage.Memory, _ []*countingHandler) {
-		c.network.SetFaults(networktest.Faults{Lose: 0.1, Duplicate: 0.3, Delay: 50 * time.Millisecond, Late: 0.1, LateBy: 4 * time.Second})
+		c.network.SetFaults(networktest.Faults{LossProbability: 0.1, DuplicateProbability: 0.3, MaxDelay: 50 * time.Millisecond, LateProbability: 0.1, MaxLateDelay: 4 * time.Second})
 	})
 	convey.Convey("Chunks that are lost, duplicated or late do no harm", t, func() {
 		convey.So(ready, convey.ShouldBeTrue)
--- a/internal/controlplane/register/founding_test.go
+++ b/internal/controlplane/register/founding_test.go
@@ -21,7 +21,7 @@
 	errs := make([]error, len(founders))
 	virtualtime.Test(t, func(*testing.T) {
 		network := networktest.New(1)
-		network.SetFaults(networktest.Faults{Delay: 20 * time.Millisecond})
+		network.SetFaults(networktest.Faults{MaxDelay: 20 * time.Millisecond})
 		var running sync.WaitGroup
 		for i, self := range founders {
 			founding := NewFounding(FoundingConfig{
--- a/internal/controlplane/register/rebuildwait_test.go
+++ b/internal/controlplane/register/rebuildwait_test.go
@@ -22,8 +22,8 @@
 	var changeErr, readErr error
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
-		c.network.AddRule(networktest.Rule{From: "elsewhere", To: "member-0", Path: acceptCall(testRegister).Path(), Delay: slow, Times: 1})
-		c.network.AddRule(networktest.Rule{From: "elsewhere", To: "member-2", Path: acceptCall(testRegister).Path(), Lose: true, Times: 1})
+		c.network.AddRule(networktest.Rule{From: "elsewhere", To: "member-0", Path: acceptCall(testRegister).Path(), Delay: slow, MaxMatches: 1})
+		c.network.AddRule(networktest.Rule{From: "elsewhere", To: "member-2", Path: acceptCall(testRegister).Path(), Drop: true, MaxMatches: 1})
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
--- a/internal/controlplane/register/register_test.go
+++ b/internal/controlplane/register/register_test.go
@@ -46,18 +46,18 @@
 	runInCluster(t, func(c *cluster) {
 		ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
 		defer cancel()
-		c.network.AddRule(networktest.Rule{From: "preparing", Lose: true})
+		c.network.AddRule(networktest.Rule{From: "preparing", Drop: true})
 		_, beforeAccept = c.proposer("preparing", nil).Change(ctx, replaceBy("a"))
 		_, refused = c.proposer("refusing", nil).Change(c.ctx, func([]byte) ([]byte, error) { return nil, refusal })
 	})
 	runInCluster(t, func(c *cluster) {
 		ctx, cancel := context.WithTimeout(c.ctx, 4*time.Second)
 		defer cancel()
-		c.network.AddRule(networktest.Rule{From: "accepting", Path: "/accept", Lose: true})
+		c.network.AddRule(networktest.Rule{From: "accepting", Path: "/accept", Drop: true})
 		_, afterAccept = c.proposer("accepting", nil).Change(ctx, replaceBy("a"))
 	})
 	runInCluster(t, func(c *cluster) {
-		c.network.AddRule(networktest.Rule{From: "later", Path: "/accept", Lose: true, Times: 3})
+		c.network.AddRule(networktest.Rule{From: "later", Path: "/accept", Drop: true, MaxMatches: 3})
 		attempts := 0
 		_, refusedLater = c.proposer("later", nil).Change(c.ctx, func([]byte) ([]byte, error) {
 			if attempts++; attempts > 1 {
@@ -91,9 +91,9 @@
 	calls := 0
 	runInCluster(t, func(c *cluster) {
 		for _, member := range []string{"member-1", "member-2"} {
-			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Lose: true, Times: 1})
+			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Drop: true, MaxMatches: 1})
 		}
-		c.network.AddRule(networktest.Rule{From: "member-0", To: "member-2", Path: "/prepare", Lose: true}) // so the majority includes member 0
+		c.network.AddRule(networktest.Rule{From: "member-0", To: "member-2", Path: "/prepare", Drop: true}) // so the majority includes member 0
 		value, err = c.process("member-0").register.Change(c.ctx, func(current []byte) ([]byte, error) {
 			calls++
 			return append(append([]byte{}, current...), 'x'), nil
@@ -110,7 +110,7 @@
 func TestUnknownOutcomeIsUnclear(t *testing.T) {
 	var err error
 	runInCluster(t, func(c *cluster) {
-		c.network.AddRule(networktest.Rule{From: outsider, Path: "/accept", Lose: true, Times: 3})
+		c.network.AddRule(networktest.Rule{From: outsider, Path: "/accept", Drop: true, MaxMatches: 3})
 		ended := make(chan error, 1)
 		go func() {
 			_, err := c.proposer(outsider, nil).Change(c.ctx, replaceBy("a"))
@@ -136,7 +136,7 @@
 	runInCluster(t, func(c *cluster) {
 		// Only member 0 accepts "half"; its proposer is killed before it can repeat the round.
 		for _, member := range []string{"member-1", "member-2"} {
-			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Lose: true, Times: 1})
+			c.network.AddRule(networktest.Rule{From: "member-0", To: member, Path: "/accept", Drop: true, MaxMatches: 1})
 		}
 		p := c.process("member-0")
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
--- a/internal/controlplane/register/round_test.go
+++ b/internal/controlplane/register/round_test.go
@@ -24,8 +24,8 @@
 func loseDiskDuringRound(t *testing.T, limit time.Duration) (acknowledged, stillThere bool) {
 	virtualtime.Test(t, func(*testing.T) {
 		c := newCluster(1, 3, nil)
-		c.network.AddRule(networktest.Rule{From: outsider, To: "member-1", Path: acceptCall(testRegister).Path(), Lose: true, Times: 1})
-		c.network.AddRule(networktest.Rule{From: outsider, To: "member-0", Path: acceptCall(testRegister).Path(), Delay: 5 * time.Second, Times: 1})
+		c.network.AddRule(networktest.Rule{From: outsider, To: "member-1", Path: acceptCall(testRegister).Path(), Drop: true, MaxMatches: 1})
+		c.network.AddRule(networktest.Rule{From: outsider, To: "member-0", Path: acceptCall(testRegister).Path(), Delay: 5 * time.Second, MaxMatches: 1})
 		proposer := c.proposer(outsider, nil)
 		proposer.roundLimit = limit
 		changed := make(chan error, 1)
@@ -74,7 +74,7 @@
 				t.Error(err)
 			}
 			changing := c.view.Members[size-1]
-			c.network.AddRule(networktest.Rule{From: changing, Path: acceptCall(testRegister).Path(), Lose: true})
+			c.network.AddRule(networktest.Rule{From: changing, Path: acceptCall(testRegister).Path(), Drop: true})
 			limited, cancel := context.WithTimeout(c.ctx, time.Second)
 			defer cancel()
 			_, changeErr = c.process(changing).register.Change(limited, replaceBy("half done"))
--- a/internal/controlplane/register/simulation_test.go
+++ b/internal/controlplane/register/simulation_test.go
@@ -29,11 +29,11 @@
 var schedules = flag.Int("schedules", 4, "number of simulated schedules of the register")
 
 var simulationFaults = networktest.Faults{
-	Lose:      0.04,
-	Duplicate: 0.1,
-	Delay:     25 * time.Millisecond,
-	Late:      0.06,
-	LateBy:    2500 * time.Millisecond,
+	LossProbability:      0.04,
+	DuplicateProbability: 0.1,
+	MaxDelay:             25 * time.Millisecond,
+	LateProbability:      0.06,
+	MaxLateDelay:         2500 * time.Millisecond,
 }
 
 // simulate runs clients at all members while messages are lost, duplicated and delayed, members are killed, all of them lose
--- a/internal/controlplane/register/succession_test.go
+++ b/internal/controlplane/register/succession_test.go
@@ -93,7 +93,7 @@
 	var lateErr, nextErr error
 	virtualtime.Test(t, func(*testing.T) {
 		network := networktest.New(1)
-		network.SetFaults(networktest.Faults{Delay: 20 * time.Millisecond})
+		network.SetFaults(networktest.Faults{MaxDelay: 20 * time.Millisecond})
 		views := make(map[string]*mutableView)
 		successions := successions(network, current, views)
 		var running sync.WaitGroup
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -131,7 +131,7 @@
 		c.process("member-0").register.Change(c.ctx, replaceBy(text))
 		synctest.Wait()
 		for _, member := range []string{"member-0", "member-1"} {
-			c.network.AddRule(networktest.Rule{From: outsider, To: member, Path: fetchCall(testRegister).Path(), Lose: true})
+			c.network.AddRule(networktest.Rule{From: outsider, To: member, Path: fetchCall(testRegister).Path(), Drop: true})
 		}
 		value, err = c.proposer(outsider, nil).Read(c.ctx)
 	})
--- a/internal/controlplane/replicaset/announcements.go
+++ b/internal/controlplane/replicaset/announcements.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// When the first view is committed.
+// Timing of the proposal of the first view.
 const (
-	foundingDelay       = 1500 * time.Millisecond // after this process's start, at the earliest
-	foundingQuietPeriod = 700 * time.Millisecond  // without a new announcement
-	founderTimeout      = 3 * time.Second         // without an announcement of a founder, after which the next one proposes
-	foundingTimeout     = 8 * time.Second         // after this process's start, from when on any founder proposes
+	foundingDelay       = 1500 * time.Millisecond // minimum time from this process's start until it proposes
+	foundingQuietPeriod = 700 * time.Millisecond  // time without an announcement of a new address before this process proposes
+	founderTimeout      = 3 * time.Second         // time without an announcement of a founder after which the next founder proposes
+	foundingTimeout     = 8 * time.Second         // time from this process's start after which it no longer waits for other founders
 )
 
-// announcements are those of core nodes that a founder has received before there is a view. They decide when it proposes the
-// first one. They read no clock and send nothing.
+// announcements holds the announcements that a founder has received from coordinators while no view is known. It determines
+// when the founder proposes the first view. It reads no clock and sends nothing.
 type announcements struct {
-	start    time.Time
-	lastNew  time.Time            // when an address announced itself for the first time
-	received map[string]time.Time // by address, the latest
-	zones    map[string]string    // by address, where announced
+	startTime      time.Time
+	lastNewAddress time.Time            // when the latest previously unknown address announced itself
+	received       map[string]time.Time // by address, when the latest announcement arrived
+	zones          map[string]string    // by address, if announced
 }
 
 func newAnnouncements(start time.Time) announcements {
-	return announcements{start: start, lastNew: start, received: make(map[string]time.Time), zones: make(map[string]string)}
+	return announcements{startTime: start, lastNewAddress: start, received: make(map[string]time.Time), zones: make(map[string]string)}
 }
 
 // add records an announcement.
@@ -33,22 +33,23 @@
 		a.zones[address] = zone
 	}
 	if _, found := a.received[address]; !found {
-		a.lastNew = now
+		a.lastNewAddress = now
 	}
 	a.received[address] = now
 }
 
-// due tells whether the founder is to propose the first view now: no announcement is new, and the founders before it in the
-// order announce themselves no more.
+// due reports whether the founder must propose the first view now. This requires that no new address has announced itself for
+// foundingQuietPeriod. The founders before it in the sorted list must have sent no announcement for founderTimeout, unless
+// foundingTimeout has passed.
 func (a *announcements) due(self string, founders []string, now time.Time) bool {
-	order := slices.Index(founders, self)
-	if order < 0 || now.Sub(a.start) < foundingDelay || now.Sub(a.lastNew) < foundingQuietPeriod {
+	rank := slices.Index(founders, self)
+	if rank < 0 || now.Sub(a.startTime) < foundingDelay || now.Sub(a.lastNewAddress) < foundingQuietPeriod {
 		return false
 	}
-	if now.Sub(a.start) >= foundingTimeout {
+	if now.Sub(a.startTime) >= foundingTimeout {
 		return true
 	}
-	for _, earlier := range founders[:order] {
+	for _, earlier := range founders[:rank] {
 		if now.Sub(a.lastReceived(earlier)) < founderTimeout {
 			return false
 		}
@@ -56,15 +57,15 @@
 	return true
 }
 
-// lastReceived is when a founder announced itself last; before its first announcement, the start counts.
+// lastReceived returns when a founder's latest announcement arrived, or this process's start time if none has arrived.
 func (a *announcements) lastReceived(address string) time.Time {
 	if received, found := a.received[address]; found {
 		return received
 	}
-	return a.start
+	return a.startTime
 }
 
-// members are the founders and all who announced themselves.
+// members returns the sorted addresses of the founders and of all processes that announced themselves.
 func (a *announcements) members(founders []string) []string {
 	all := slices.AppendSeq(slices.Clone(founders), maps.Keys(a.received))
 	slices.Sort(all)
--- a/internal/controlplane/replicaset/assembly_test.go
+++ b/internal/controlplane/replicaset/assembly_test.go
@@ -16,7 +16,7 @@
 // testRegister is the name of the register that the core nodes replicate.
 const testRegister = "test"
 
-func (c *cluster) assembleViews(p *coreNode, mux *transport.Mux, firstStart bool) {
+func (c *cluster) assembleViews(p *testCoordinator, mux *transport.Mux, firstStart bool) {
 	ready := func() bool { return p.store.alive() && p.rebuilder.Ready() }
 	founding := register.NewFounding(register.FoundingConfig{
 		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
@@ -25,14 +25,14 @@
 	succession := register.NewSuccession(register.SuccessionConfig{
 		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
 		View:      func() replicaset.View { return p.manager.View() },
-		Departing: func() bool { return !c.mutant.refusesOwnReplacement && p.manager.Departing() },
+		Departing: func() bool { return !c.mutation.refusesOwnReplacement && p.manager.Departing() },
 	})
 	config := replicaset.Config{
 		Self: p.address, Zone: p.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
 		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
 		Founding: founding, Succession: succession, Liveness: p.liveness,
 	}
-	if c.mutant.decidesAlone {
+	if c.mutation.commitsWithoutQuorum {
 		config.Succession = unilateralSuccession{}
 	}
 	manager, err := replicaset.NewManager(config)
@@ -45,7 +45,7 @@
 	manager.Serve(mux)
 }
 
-func (p *coreNode) liveness() replicaset.Liveness {
+func (p *testCoordinator) liveness() replicaset.Liveness {
 	liveness := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceContact: make(map[string]time.Duration)}
 	for _, member := range p.node.Members() {
 		if member.Contacted {
@@ -55,16 +55,16 @@
 	return liveness
 }
 
-func (c *cluster) assembleRebuilder(p *coreNode, mux *transport.Mux, firstStart bool) {
+func (c *cluster) assembleRebuilder(p *testCoordinator, mux *transport.Mux, firstStart bool) {
 	var views rebuild.Views = p.manager
-	if c.mutant.dumpsInOldView {
+	if c.mutation.snapshotsInOldView {
 		views = &prematureViews{Manager: p.manager}
 	}
-	if c.mutant.keepsOldVotes {
+	if c.mutation.votesWithOutdatedDisk {
 		views = neverAbsentViews{p.manager}
 	}
 	incarnation := p.manager.Incarnation()
-	if c.mutant.replacedGivesNoSnapshot {
+	if c.mutation.replacedGivesNoSnapshot {
 		incarnation = 0
 	}
 	rebuilder, err := rebuild.New(rebuild.Config{
@@ -80,14 +80,14 @@
 	p.rebuilder = rebuilder
 }
 
-func (c *cluster) assembleRegister(p *coreNode, mux *transport.Mux) {
+func (c *cluster) assembleRegister(p *testCoordinator, mux *transport.Mux) {
 	acceptorView := p.manager.View
-	if c.mutant.votesInOldView {
+	if c.mutation.votesInOldView {
 		acceptorView = staleView(p.manager.View)
 	}
 	acceptor := register.NewAcceptor(register.AcceptorConfig{
 		Name: testRegister, Store: p.store, View: acceptorView,
-		Ready: func() bool { return p.store.alive() && (c.mutant.noRebuild || p.rebuilder.Ready()) },
+		Ready: func() bool { return p.store.alive() && (c.mutation.votesBeforeRebuild || p.rebuilder.Ready()) },
 	})
 	acceptor.Serve(mux)
 	p.register = register.New(register.Config{
@@ -97,23 +97,23 @@
 }
 
 // assembleNode makes the replication node, which pings the other members, and replicates the schedule's group where there is one.
-func (c *cluster) assembleNode(p *coreNode, mux *transport.Mux) {
+func (c *cluster) assembleNode(p *testCoordinator, mux *transport.Mux) {
 	config := replication.Config{
 		Self: p.address, Store: storage.NewMemory(), Caller: p.caller, View: p.manager.View,
-		Ready: func() bool { return c.mutant.noRebuild || p.rebuilder.Ready() }, Handler: noGroups{},
+		Ready: func() bool { return c.mutation.votesBeforeRebuild || p.rebuilder.Ready() }, Handler: noGroupHandler{},
 		Log: c.log,
 	}
 	if c.log != nil {
 		config.Log = c.log.With(zap.String("at", p.address))
 	}
-	if c.leads != nil {
-		config.Store, config.Handler = p.store, c.leads(p)
+	if c.groupHandler != nil {
+		config.Store, config.Handler = p.store, c.groupHandler(p)
 	}
 	node, err := replication.NewNode(config)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if c.leads != nil {
+	if c.groupHandler != nil {
 		node.Ensure(scheduleGroup)
 	}
 	node.Serve(mux)
@@ -121,8 +121,8 @@
 }
 
 // noGroups implements replication.Handler where there are no groups.
-type noGroups struct{}
+type noGroupHandler struct{}
 
 // Elected and Deposed implement replication.Handler.
-func (noGroups) Elected(*replication.Term, map[string][]byte) {}
-func (noGroups) Deposed(*replication.Term)                    {}
+func (noGroupHandler) Elected(*replication.Term, map[string][]byte) {}
+func (noGroupHandler) Deposed(*replication.Term)                    {}
--- a/internal/controlplane/replicaset/calls.go
+++ b/internal/controlplane/replicaset/calls.go
@@ -7,43 +7,44 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Internal calls. A leave request that came a second time, or late, would end the membership of a member that has restarted.
+// Internal calls. The leave call is executed at most once, because a repeated or late request would end the membership of a
+// member that has restarted.
 var (
 	viewCall     = transport.NewIdempotent[viewRequest, viewReply]("/replicaset/view")
 	announceCall = transport.NewIdempotent[announceRequest, viewReply]("/replicaset/announce")
 	leaveCall    = transport.NewAtMostOnce[leaveRequest, leaveReply]("/replicaset/leave")
 )
 
-// callTimeout bounds each of the internal calls.
+// callTimeout limits a call of Run's polling, which requests the view or announces this process.
 const callTimeout = time.Second
 
-// viewRequest asks for the receiver's view and has the sender's.
+// viewRequest requests the receiver's view and contains the sender's.
 type viewRequest struct {
 	View View `msgpack:"v"`
 }
 
-// announceRequest says that the sender is a core node: before the first view one that may become a member, later one
-// that is no member of the view.
+// announceRequest announces that the sender is a coordinator. Before the first view, the sender may become one of its members.
+// Later it is a coordinator that is not a member of the view.
 type announceRequest struct {
 	Address     string `msgpack:"a"`
 	Zone        string `msgpack:"z,omitempty"`
 	Incarnation uint64 `msgpack:"i"`
-	View        View   `msgpack:"v"` // the newest that the sender knows
+	View        View   `msgpack:"v"` // newest view that the sender knows
 }
 
-// viewReply is the reply to both; the version is 0 while the receiver knows no view.
+// viewReply is the reply to a viewRequest and an announceRequest. The version is 0 if the receiver knows no view.
 type viewReply struct {
 	View View `msgpack:"v"`
 }
 
-// leaveRequest says that a member is about to stop.
+// leaveRequest announces that the member at an address is about to stop.
 type leaveRequest struct {
 	Address string `msgpack:"a"`
 }
 
 type leaveReply struct{}
 
-// Serve registers the internal calls.
+// Serve registers the handlers of the internal calls.
 func (m *Manager) Serve(mux *transport.Mux) {
 	transport.Handle(mux, viewCall, m.handleView)
 	transport.Handle(mux, announceCall, m.handleAnnounce)
@@ -87,5 +88,5 @@
 	return leaveReply{}, nil
 }
 
-// wakeRun lets Run check at once whether a member is to be replaced.
+// wakeRun makes Run check at once for a member to replace.
 func (m *Manager) wakeRun() { m.wake.Notify() }
--- a/internal/controlplane/replicaset/calls_test.go
+++ b/internal/controlplane/replicaset/calls_test.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-func TestWhichCallsRunOnce(t *testing.T) {
+func TestLeaveCallIsExecutedAtMostOnce(t *testing.T) {
 	convey.Convey("A leave request is executed at most once: a late duplicate would let a member be replaced that has restarted", t, func() {
 		var route transport.Route = leaveCall.Route()
 		_, once := route.(transport.AtMostOnceRoute)
--- a/internal/controlplane/replicaset/cluster_test.go
+++ b/internal/controlplane/replicaset/cluster_test.go
@@ -23,30 +23,30 @@
 )
 
 const (
-	restartDelay  = 200 * time.Millisecond  // until a process that ended by itself is restarted
-	firstViewTime = 2500 * time.Millisecond // in which the founders commit the first view
+	restartDelay   = 200 * time.Millisecond  // until a process that ended by itself is restarted
+	firstViewDelay = 2500 * time.Millisecond // in which the founders commit the first view
 	// membershipTimeout bounds the wait for a process to become a member that may vote.
-	membershipTimeout = time.Minute
+	membershipWaitTimeout = time.Minute
 )
 
 // cluster is a set of core nodes on a network in memory, each with all that takes part in a reconfiguration, and with
 // a register that they replicate. It is to be run in simulated time.
 type cluster struct {
-	t       *testing.T
-	network *networktest.Network
-	seeds   []string
-	mutant  ruleMutant
-	tasks   sync.WaitGroup
-	log     *zap.Logger                           // of the replication nodes; nil for none
-	leads   func(p *coreNode) replication.Handler // of a group on the members' disks; nil for none
+	t            *testing.T
+	network      *networktest.Network
+	seeds        []string
+	mutation     ruleMutation
+	tasks        sync.WaitGroup
+	log          *zap.Logger                                  // of the replication nodes; nil for none
+	groupHandler func(p *testCoordinator) replication.Handler // of a group on the members' disks; nil for none
 
-	mutex   sync.Mutex // guards what follows
-	running map[string]*coreNode
-	ending  bool
+	mutex    sync.Mutex // guards what follows
+	running  map[string]*testCoordinator
+	stopping bool
 }
 
 // core is one incarnation of a core node.
-type coreNode struct {
+type testCoordinator struct {
 	address   string
 	zone      string
 	start     time.Time
@@ -63,44 +63,44 @@
 }
 
 // hasFailed tells whether a part of the process ended with an error, which ends a coordinator.
-func (p *coreNode) hasFailed() bool { return p.failed.Load() }
+func (p *testCoordinator) componentFailed() bool { return p.failed.Load() }
 
 // runPart runs a part of the process.
-func (p *coreNode) runPart(run func(ctx context.Context) error) {
+func (p *testCoordinator) runComponent(run func(ctx context.Context) error) {
 	if err := run(p.ctx); err != nil && p.ctx.Err() == nil {
 		p.failed.Store(true)
 	}
 }
 
 // newCluster makes a cluster without processes. The seed drives the chances of its network.
-func newCluster(t *testing.T, seed uint64, seeds []string, broken ruleMutant) *cluster {
-	return &cluster{t: t, network: networktest.New(seed), seeds: seeds, mutant: broken, running: make(map[string]*coreNode)}
+func newCluster(t *testing.T, seed uint64, seeds []string, mutation ruleMutation) *cluster {
+	return &cluster{t: t, network: networktest.New(seed), seeds: seeds, mutation: mutation, running: make(map[string]*testCoordinator)}
 }
 
 // found starts the seeds for the first time, on a network with faults, and waits until they have committed the first view.
-func (c *cluster) found(faults networktest.Faults) {
+func (c *cluster) startAndCommitFirstView(faults networktest.Faults) {
 	c.network.SetFaults(faults)
 	for _, address := range c.seeds {
 		c.start(address, "zone of "+address, storage.NewMemory(), true)
 	}
-	<-time.After(firstViewTime)
+	<-time.After(firstViewDelay)
 }
 
 // inCluster runs a test in simulated time, after the given members have founded the first view.
-func inCluster(t *testing.T, seed uint64, broken ruleMutant, members []string, test func(c *cluster)) {
+func runInCluster(t *testing.T, seed uint64, mutation ruleMutation, members []string, test func(c *cluster)) {
 	t.Helper()
 	virtualtime.Test(t, func(t *testing.T) {
-		c := newCluster(t, seed, members, broken)
-		c.found(networktest.Faults{Delay: 5 * time.Millisecond})
+		c := newCluster(t, seed, members, mutation)
+		c.startAndCommitFirstView(networktest.Faults{MaxDelay: 5 * time.Millisecond})
 		test(c)
-		c.end()
+		c.shutDown()
 	})
 }
 
 // start starts a process unless there is one at the address.
-func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *coreNode {
+func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *testCoordinator {
 	c.t.Helper()
-	p := &coreNode{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
+	p := &testCoordinator{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
 	p.caller = killableCaller{c.network.Caller(address), p.store}
 	p.ctx, p.kill = context.WithCancel(context.Background())
 	mux := transport.NewMux()
@@ -110,21 +110,21 @@
 	c.assembleNode(p, mux)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.ending || c.running[address] != nil {
+	if c.stopping || c.running[address] != nil {
 		p.kill()
 		return p
 	}
 	c.running[address] = p
 	c.network.Serve(address, mux)
-	c.tasks.Go(func() { p.runPart(p.manager.Run) })
-	c.tasks.Go(func() { p.runPart(p.rebuilder.Run) })
+	c.tasks.Go(func() { p.runComponent(p.manager.Run) })
+	c.tasks.Go(func() { p.runComponent(p.rebuilder.Run) })
 	c.tasks.Go(func() { p.node.Run(p.ctx) })
-	c.tasks.Go(func() { c.watch(p) })
+	c.tasks.Go(func() { c.restartWhenReplaced(p) })
 	return p
 }
 
 // watch restarts a process on its disk when it has ended because it was replaced. A departing one ends by itself.
-func (c *cluster) watch(p *coreNode) {
+func (c *cluster) restartWhenReplaced(p *testCoordinator) {
 	err := p.rebuilder.Watch(p.ctx)
 	if !errors.Is(err, rebuild.ErrReplaced) || p.manager.Departing() || !c.stop(p) {
 		return
@@ -134,7 +134,7 @@
 }
 
 // stop kills a process; false if it was killed already.
-func (c *cluster) stop(p *coreNode) bool {
+func (c *cluster) stop(p *testCoordinator) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.running[p.address] != p {
@@ -152,21 +152,21 @@
 
 // stopGracefully lets a process hand over to a joining member if there is one, and then ends it, as a coordinator does. It tells
 // whether a quorum was known to stay, or the process had failed before.
-func (c *cluster) stopGracefully(p *coreNode) (keepsQuorum bool) {
-	limited, cancel := context.WithTimeout(p.ctx, handoverTimeout)
+func (c *cluster) stopGracefully(p *testCoordinator) (keepsQuorum bool) {
+	handoverCtx, cancel := context.WithTimeout(p.ctx, handoverTimeout)
 	defer cancel()
-	if c.mutant.stopsAtOnce {
-		limited, cancel = context.WithTimeout(p.ctx, time.Millisecond)
+	if c.mutation.stopsWithoutHandover {
+		handoverCtx, cancel = context.WithTimeout(p.ctx, time.Millisecond)
 		defer cancel()
 	}
-	departure := p.rebuilder.HandOver(limited, p.manager.Leave)
+	departure := p.rebuilder.HandOver(handoverCtx, p.manager.Leave)
 	keepsQuorum = departure.KeepsQuorum() || p.ctx.Err() != nil
 	c.stop(p)
 	return keepsQuorum
 }
 
 // leaveUntilReplaced sends leave requests until a joining member has replaced the process.
-func (p *coreNode) leaveUntilReplaced() {
+func (p *testCoordinator) leaveUntilReplaced() {
 	for p.manager.View().Has(p.address) && p.ctx.Err() == nil {
 		p.manager.Leave(p.ctx)
 		<-time.After(100 * time.Millisecond)
@@ -174,17 +174,17 @@
 }
 
 // at returns the process at an address; nil while there is none.
-func (c *cluster) at(address string) *coreNode {
+func (c *cluster) coordinatorAt(address string) *testCoordinator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.running[address]
 }
 
 // all lists the running processes.
-func (c *cluster) all() []*coreNode {
+func (c *cluster) runningCoordinators() []*testCoordinator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var all []*coreNode
+	var all []*testCoordinator
 	for _, p := range c.running {
 		all = append(all, p)
 	}
@@ -192,26 +192,26 @@
 }
 
 // sorted lists the running processes by address.
-func (c *cluster) sorted() []*coreNode {
-	all := c.all()
-	slices.SortFunc(all, func(a, b *coreNode) int { return strings.Compare(a.address, b.address) })
+func (c *cluster) runningByAddress() []*testCoordinator {
+	all := c.runningCoordinators()
+	slices.SortFunc(all, func(a, b *testCoordinator) int { return strings.Compare(a.address, b.address) })
 	return all
 }
 
-func (c *cluster) end() {
+func (c *cluster) shutDown() {
 	c.mutex.Lock()
-	c.ending = true
+	c.stopping = true
 	c.mutex.Unlock()
-	for _, p := range c.all() {
+	for _, p := range c.runningCoordinators() {
 		c.stop(p)
 	}
 	c.tasks.Wait()
-	<-time.After(drainTime)
+	<-time.After(messageDrainTime)
 }
 
 // awaitMembership waits until a process is a member that may vote, and returns how long that took from its start.
-func (p *coreNode) awaitMembership() time.Duration {
-	for deadline := time.After(membershipTimeout); ; {
+func (p *testCoordinator) awaitMembership() time.Duration {
+	for deadline := time.After(membershipWaitTimeout); ; {
 		changed := p.manager.Changed()
 		if p.manager.View().Has(p.address) {
 			break
@@ -219,12 +219,12 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			return membershipTimeout
+			return membershipWaitTimeout
 		}
 	}
 	select {
 	case <-p.rebuilder.Complete():
-	case <-time.After(membershipTimeout):
+	case <-time.After(membershipWaitTimeout):
 	}
 	return time.Since(p.start)
 }
--- a/internal/controlplane/replicaset/config.go
+++ b/internal/controlplane/replicaset/config.go
@@ -10,39 +10,39 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Founding commits the first view once and for all, on the founders.
+// Founding commits the first view in a write-once register on the founders.
 type Founding interface {
-	// Commit proposes the first view and returns the committed one, which may be another.
+	// Commit proposes a first view and returns the committed one, which may be that of another proposer.
 	Commit(ctx context.Context, view View) (View, error)
 }
 
-// Succession commits the view after the current one once and for all, on the members of the current one.
+// Succession commits the view after the current one in a write-once register on the members of the current view.
 type Succession interface {
-	// Commit proposes the view that follows current and returns the committed one, which may be another.
+	// Commit proposes next as the view after current and returns the committed one, which may be that of another proposer.
 	Commit(ctx context.Context, current, next View) (View, error)
-	// Pending returns the view after current that this member has accepted, as far as there is one. It must be completed:
-	// as long as it is neither committed nor known to the others, the members cannot commit any other.
+	// Pending returns the view after current that this member has accepted, if there is one. The caller must complete it:
+	// while it is neither committed nor known to the other members, they cannot commit any other view.
 	Pending(current View) (next View, found bool, err error)
 }
 
-// Liveness is what this process knows of the other members by its own messages from them. It decides when a member is
-// replaced, and never whether that is safe.
+// Liveness describes which other members this process has received messages from. It determines when a member is replaced.
+// Safety never depends on it.
 type Liveness struct {
-	QuorumReachable bool                     // a majority of the view, this process included, has answered recently
-	SinceContact    map[string]time.Duration // by address, since the last message of a member; absent where there never was one
+	QuorumReachable bool                     // a majority of the view, including this process, has replied recently
+	SinceContact    map[string]time.Duration // by address, the time since a member's last message; no entry if none has arrived
 }
 
-// Config names what a Manager works with.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
 	Self            string   // this process's internal address
-	Zone            string   // of this process; may be empty
+	Zone            string   // this process's zone; may be empty
 	Seeds           []string // internal addresses of the seeds
-	FirstStart      bool     // whether the system starts for the very first time
-	CountsForQuorum bool     // whether this process is a core node, which announces itself as a replica
+	FirstStart      bool     // whether the whole system starts for the first time
+	CountsForQuorum bool     // whether this process is a coordinator that may become a member
 	Store           storage.Store
 	Caller          transport.Caller
-	Founding        Founding        // nil at processes that are no core nodes
-	Succession      Succession      // nil where no member is ever replaced
-	Liveness        func() Liveness // needed with Succession
+	Founding        Founding        // nil if CountsForQuorum is false
+	Succession      Succession      // nil if members are never replaced
+	Liveness        func() Liveness // required if Succession is set
 	Logger          *zap.Logger
 }
--- a/internal/controlplane/replicaset/departure.go
+++ b/internal/controlplane/replicaset/departure.go
@@ -1,23 +1,24 @@
 package replicaset
 
-// Departure is what a departing member knows when it decides whether it may stop. It reads no clock and sends nothing.
+// Departure is the information with which a departing member decides whether it may stop. Its methods are pure functions.
 type Departure struct {
-	View View   // the newest that it knows
-	Self string // its internal address
+	View View   // newest view that the member knows
+	Self string // the member's internal address
 
-	WasMember        bool // it was a member when the departure began
-	Staying          int  // other members of the view that have just replied that they may vote and do not stop before this one
-	JoinedIncomplete bool // a member that joined since the departure began has not replied that it may vote
-	JoiningMember    bool // a core node that waits to become a member was heard of lately, here or by a member that replied
-	OthersDepart     bool // every other member is about to stop as well
+	WasMember        bool // whether it was a member when the departure began
+	Staying          int  // number of other members that have just replied that they may vote and do not stop before this one
+	JoinedIncomplete bool // whether a member that joined since the departure began has not yet replied that it may vote
+	JoiningMember    bool // whether this member, or one that replied, recently received an announcement of a joining member
+	OthersDepart     bool // whether every other member is about to stop as well
 }
 
-// MayStop tells whether the member may stop without more loss than that of itself: a quorum of others is known to stay, from
-// which each member that is being rebuilt can be rebuilt as well, since no rebuild needs more snapshots than a quorum. A member
-// that has not replied counts as lost.
+// MayStop reports whether the set loses nothing but this member if the member stops. This requires that a quorum of other
+// members is known to stay. All members that are being rebuilt can then still be rebuilt, because no rebuild needs more
+// snapshots than a quorum. A member that has not replied counts as lost.
 //
-// A joining member that could take its place is waited for, as those who stop a member after they have started its successor
-// do not count it as lost. Where all others stop too, or are too few to be a quorum, waiting keeps nothing up.
+// The member waits for a joining member that could replace it, because an operator who stops a member after starting its
+// successor does not count the member as lost. It does not wait if all other members stop as well, or if they are too few for a
+// quorum, because waiting preserves nothing then.
 func (d Departure) MayStop() bool {
 	replaced := !d.View.Has(d.Self)
 	switch {
@@ -33,12 +34,13 @@
 	return d.KeepsQuorum()
 }
 
-// KeepsQuorum tells whether a quorum is known to be there without this member, or the others are too few for one in any case.
+// KeepsQuorum reports whether a quorum is known to remain without this member. It also returns true if the process was no
+// member when the departure began, or if the other members are too few for a quorum in any case.
 func (d Departure) KeepsQuorum() bool {
 	return !d.WasMember || d.Staying >= d.View.Quorum() || d.others() < d.View.Quorum()
 }
 
-// others is the number of members of the view beside this one.
+// others returns the number of members of the view other than this one.
 func (d Departure) others() int {
 	if d.View.Has(d.Self) {
 		return len(d.View.Members) - 1
--- a/internal/controlplane/replicaset/departure_test.go
+++ b/internal/controlplane/replicaset/departure_test.go
@@ -43,29 +43,29 @@
 	mayStop                 func(replicaset.Departure) bool
 	secondStopsFirst        bool // the order of the two departing members' addresses
 	visited                 map[departureState]bool
-	stuck                   *departureState // found first
+	stuckState              *departureState // found first
 }
 
 func (e *departureExplorer) explore(state departureState) {
-	if e.visited[state] || e.stuck != nil {
+	if e.visited[state] || e.stuckState != nil {
 		return
 	}
 	e.visited[state] = true
 	if !e.recovers(state) {
-		e.stuck = &state
+		e.stuckState = &state
 		return
 	}
-	for _, next := range e.next(state) {
+	for _, next := range e.steps(state) {
 		e.explore(next)
 	}
 }
 
 // failed counts the machines that count as lost. One with a successor does not.
 func (s departureState) failed() int {
-	return s.rebuilding + s.down + countIf(s.second != staying) + countIf(s.successor == lost)
+	return s.rebuilding + s.down + oneIf(s.second != staying) + oneIf(s.successor == lost)
 }
 
-func countIf(condition bool) int {
+func oneIf(condition bool) int {
 	if condition {
 		return 1
 	}
@@ -76,12 +76,12 @@
 
 // voters counts the complete members of the newest view.
 func (s departureState) voters() int {
-	return s.complete + countIf(s.second == departing) + countIf(s.departing != stopped && !s.replaced()) + countIf(s.successor == rebuilt)
+	return s.complete + oneIf(s.second == departing) + oneIf(s.departing != stopped && !s.replaced()) + oneIf(s.successor == rebuilt)
 }
 
 func (e *departureExplorer) view(state departureState) replicaset.View {
 	view := replicaset.View{Version: 1}
-	first := countIf(state.replaced())
+	first := oneIf(state.replaced())
 	for i := range e.size {
 		view.Members = append(view.Members, fmt.Sprintf("member-%d", first+i))
 	}
@@ -91,7 +91,7 @@
 const departingAddress = "member-0"
 
 // recovering are the steps that need no further fault: a view change, and rebuilds.
-func (e *departureExplorer) recovering(state departureState) []departureState {
+func (e *departureExplorer) recoverySteps(state departureState) []departureState {
 	var next []departureState
 	view := e.view(state)
 	if state.departing == departing && !state.replaced() && state.voters() >= e.quorum {
@@ -100,7 +100,7 @@
 		next = append(next, after)
 	}
 	// A replaced member gives its snapshot to its successor alone.
-	donors := state.complete + countIf(state.second == departing) + countIf(state.departing == departing)
+	donors := state.complete + oneIf(state.second == departing) + oneIf(state.departing == departing)
 	if state.successor == incomplete && donors >= rebuild.SnapshotsNeeded(view, 1) {
 		after := state
 		after.successor = rebuilt
@@ -120,7 +120,7 @@
 	if state.voters() >= e.quorum {
 		return true
 	}
-	for _, next := range e.recovering(state) {
+	for _, next := range e.recoverySteps(state) {
 		if e.recovers(next) {
 			return true
 		}
@@ -128,10 +128,10 @@
 	return false
 }
 
-func (e *departureExplorer) next(state departureState) []departureState {
-	next := e.recovering(state)
+func (e *departureExplorer) steps(state departureState) []departureState {
+	next := e.recoverySteps(state)
 	if state.failed() < e.tolerated {
-		next = append(next, e.faults(state)...)
+		next = append(next, e.faultSteps(state)...)
 	}
 	if state.departing == staying {
 		after := state
@@ -152,7 +152,7 @@
 }
 
 // faults are a lost disk, a lost machine, a lost successor, and a second member that is told to stop.
-func (e *departureExplorer) faults(state departureState) []departureState {
+func (e *departureExplorer) faultSteps(state departureState) []departureState {
 	var next []departureState
 	if state.complete > 0 {
 		lostDisk, down, second := state, state, state
@@ -175,13 +175,13 @@
 // firstMayStop tells whether there is an observation with which the member that has a successor stops. Any replies may be missing;
 // the successor's announcements are late at the member itself and at all others but N-Q, of which as many as possible do not reply.
 func (e *departureExplorer) firstMayStop(state departureState) bool {
-	counts := state.complete + countIf(state.second == departing && !e.secondStopsFirst) + countIf(state.successor == rebuilt)
-	ignorant := e.size - 1 - (e.size - e.quorum)
-	for replied := range counts + 1 {
+	stayingVoters := state.complete + oneIf(state.second == departing && !e.secondStopsFirst) + oneIf(state.successor == rebuilt)
+	uninformed := e.size - 1 - (e.size - e.quorum)
+	for replied := range stayingVoters + 1 {
 		observed := replicaset.Departure{
 			View: e.view(state), Self: departingAddress, WasMember: true, Staying: replied,
 			JoinedIncomplete: state.successor == incomplete || state.successor == lost,
-			JoiningMember:    !state.replaced() && replied > ignorant,
+			JoiningMember:    !state.replaced() && replied > uninformed,
 		}
 		if e.mayStop(observed) {
 			return true
@@ -192,8 +192,8 @@
 
 // secondMayStop is the same for the member without a successor. It has heard of the other's successor in no case.
 func (e *departureExplorer) secondMayStop(state departureState) bool {
-	counts := state.complete + countIf(state.successor == rebuilt) +
-		countIf(!state.replaced() && (state.departing == staying || state.departing == departing && e.secondStopsFirst))
+	counts := state.complete + oneIf(state.successor == rebuilt) +
+		oneIf(!state.replaced() && (state.departing == staying || state.departing == departing && e.secondStopsFirst))
 	observed := replicaset.Departure{View: e.view(state), Self: "member-1", WasMember: true, Staying: counts, JoinedIncomplete: state.successor == incomplete}
 	return e.mayStop(observed)
 }
@@ -210,8 +210,8 @@
 				}
 				e.explore(departureState{complete: size - 1})
 				states += len(e.visited)
-				if e.stuck != nil && stuck == "" {
-					stuck = fmt.Sprintf("%d members, %d tolerated: %+v", size, tolerated, *e.stuck)
+				if e.stuckState != nil && stuck == "" {
+					stuck = fmt.Sprintf("%d members, %d tolerated: %+v", size, tolerated, *e.stuckState)
 				}
 			}
 		}
@@ -221,7 +221,7 @@
 
 // A departing member whose successor has had the time to catch up counts as lost no more, so up to the tolerated number of others
 // may be lost, be rebuilt or stop around its departure, in any order, and a quorum must remain that may vote.
-func TestDeparturesKeepAQuorum(t *testing.T) {
+func TestDeparturesLeaveRecoverableQuorum(t *testing.T) {
 	states, stuck := exploreDepartures(replicaset.Departure.MayStop)
 	t.Logf("%d states", states)
 	convey.Convey("Whatever is lost, late or rebuilt, a quorum that may vote remains or can be rebuilt", t, func() {
@@ -231,8 +231,8 @@
 }
 
 // Each part of the rule is needed: without it the exploration finds a set that is stuck.
-func TestEachPartOfTheDepartureRuleIsNeeded(t *testing.T) {
-	broken := map[string]func(d replicaset.Departure) bool{
+func TestExplorationFindsEachMissingDepartureCondition(t *testing.T) {
+	incompleteRules := map[string]func(d replicaset.Departure) bool{
 		"a quorum of others stays": func(d replicaset.Departure) bool { d.Staying++; return d.MayStop() },
 		"a joining member that any other knows of is waited for": func(d replicaset.Departure) bool {
 			d.JoiningMember = false
@@ -240,13 +240,13 @@
 		},
 		"a member that joined is waited for": func(d replicaset.Departure) bool { d.JoinedIncomplete = false; return d.MayStop() },
 	}
-	for name, mayStop := range broken {
+	for name, mayStop := range incompleteRules {
 		_, stuck := exploreDepartures(mayStop)
 		convey.Convey("Shown to be needed: "+name, t, func() { convey.So(stuck, convey.ShouldNotBeEmpty) })
 	}
 }
 
-func TestDepartureRule(t *testing.T) {
+func TestMayStopWithTooFewOthersOrJoiningMembers(t *testing.T) {
 	view := func(size int) replicaset.View { return replicaset.View{Version: 1, Members: addresses(size)} }
 	convey.Convey("Where all members stop, none waits for the others", t, func() {
 		convey.So(replicaset.Departure{View: view(3), Self: "core-0", WasMember: true, OthersDepart: true}.MayStop(), convey.ShouldBeTrue)
--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	exchangeInterval = 1500 * time.Millisecond // between exchanges with the next member
-	exchangeTimeout  = 500 * time.Millisecond  // of one such exchange
-	broadcastTimeout = 400 * time.Millisecond  // of an exchange with all; a process that misses it learns the view otherwise
+	exchangeInterval = 1500 * time.Millisecond // between two exchanges, each with the next member in turn
+	exchangeTimeout  = 500 * time.Millisecond  // limit of one such exchange
+	broadcastTimeout = 400 * time.Millisecond  // limit of an exchange with several processes; one that misses it learns the view in a later exchange
 )
 
-// exchangeWith exchanges views with another process: the one with the older view learns the newer one.
+// exchangeWith exchanges views with another process. The process with the older view learns the newer one.
 func (m *Manager) exchangeWith(ctx context.Context, address string) {
 	reply, err := viewCall.Call(ctx, m.config.Caller, address, viewRequest{View: m.View()})
 	if err != nil {
@@ -27,22 +27,22 @@
 	m.learnReceived(reply.View)
 }
 
-// exchangeWithNext exchanges views with the other members in turn. So one that was partitioned, or lost its disk, learns the
-// view soon, though it reaches no seed.
+// exchangeWithNext exchanges views with the next of the other members in turn. So a member that was partitioned or lost its
+// disk learns the view soon, even if it reaches no seed.
 func (m *Manager) exchangeWithNext(ctx context.Context) {
 	others := m.others(m.View().Members)
 	if len(others) == 0 {
 		return
 	}
 	m.exchangeCount++
-	limited, cancel := context.WithTimeout(ctx, exchangeTimeout)
+	exchangeCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	m.exchangeWith(limited, others[m.exchangeCount%len(others)])
+	m.exchangeWith(exchangeCtx, others[m.exchangeCount%len(others)])
 }
 
-// exchangeAfterDisconnection exchanges views with all other members while no quorum is reachable, and once more when it is
-// again: after its start, a partition or a freeze this process may have been replaced. It is to learn that at once, as it then
-// has to start over and to be rebuilt within the time that it is given to catch up.
+// exchangeAfterDisconnection exchanges views with all other members while no quorum is reachable, and once more when a quorum
+// is reachable again. This process may have been replaced before its start, or while it was partitioned or suspended. It must
+// learn this at once, because it then has to restart and be rebuilt within its catch-up time.
 func (m *Manager) exchangeAfterDisconnection(ctx context.Context) {
 	if m.config.Liveness == nil {
 		return
@@ -56,7 +56,7 @@
 	m.wasDisconnected = disconnected
 }
 
-// broadcastView exchanges views with several processes at once. It returns when all have replied, or after the time-out.
+// broadcastView exchanges views with several processes concurrently. It returns when all have replied, or after broadcastTimeout.
 func (m *Manager) broadcastView(ctx context.Context, addresses []string) {
 	ctx, cancel := context.WithTimeout(ctx, broadcastTimeout)
 	defer cancel()
@@ -67,7 +67,7 @@
 	calls.Wait()
 }
 
-// announceTo announces this process to another one, and learns that one's view.
+// announceTo announces this process to another one and learns the view in the reply.
 func (m *Manager) announceTo(ctx context.Context, address string) {
 	request := announceRequest{Address: m.config.Self, Zone: m.config.Zone, Incarnation: m.incarnation, View: m.View()}
 	reply, err := announceCall.Call(ctx, m.config.Caller, address, request)
@@ -85,8 +85,8 @@
 	return m.Learn(view)
 }
 
-// learnReceived learns the view of a reply. A failure of the store ends Run. A store that only refuses the write, as a full
-// disk does, leaves this process with the view that it has, until it receives the newer one again.
+// learnReceived learns the view of a reply. A store failure ends Run. If the store only rejects the write, for example because
+// the disk is full, this process keeps its view until it receives the newer one again.
 func (m *Manager) learnReceived(view View) {
 	err := m.learnIfNewer(view)
 	switch {
@@ -101,7 +101,7 @@
 	}
 }
 
-// others returns the addresses that are not this process's own, sorted, each once.
+// others returns the given addresses without this process's own, sorted and without duplicates.
 func (m *Manager) others(addresses []string) []string {
 	others := slices.Sorted(slices.Values(addresses))
 	others = slices.Compact(others)
--- a/internal/controlplane/replicaset/exchange_test.go
+++ b/internal/controlplane/replicaset/exchange_test.go
@@ -11,23 +11,23 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-func TestARestartedMemberLearnsTheView(t *testing.T) {
+func TestRestartedMemberLearnsView(t *testing.T) {
 	all := addresses(3)
 	var withDisk, withoutDisk, withoutSeeds replicaset.View
-	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
 		c.startAll(all)
 		for _, self := range all {
-			c.running[self].view(start)
+			c.running[self].awaitView(start)
 		}
 		disk := c.kill(all[1])
 		withDisk = c.start(all[1], disk, false, true).manager.View()
 
 		c.kill(all[2])
-		withoutDisk, _ = c.start(all[2], storage.NewMemory(), false, true).view(start)
+		withoutDisk, _ = c.start(all[2], storage.NewMemory(), false, true).awaitView(start)
 
 		c.kill(all[2])
 		c.seeds = []string{"gone"}
-		withoutSeeds, _ = c.start(all[2], storage.NewMemory(), false, true).view(start)
+		withoutSeeds, _ = c.start(all[2], storage.NewMemory(), false, true).awaitView(start)
 	})
 	expected := replicaset.View{Version: 1, Members: all}
 	convey.Convey("With its disk it knows the view at once", t, func() { convey.So(withDisk, convey.ShouldResemble, expected) })
@@ -37,14 +37,14 @@
 	})
 }
 
-func TestANewerViewSpreads(t *testing.T) {
+func TestNewerViewReachesAllMembers(t *testing.T) {
 	all := addresses(3)
 	newer := replicaset.View{Version: 2, Members: all[:2]}
 	var learned []replicaset.View
-	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
 		c.startAll(all)
 		for _, self := range all {
-			c.running[self].view(start)
+			c.running[self].awaitView(start)
 		}
 		if err := c.running[all[0]].manager.Learn(newer); err != nil {
 			t.Error(err)
@@ -62,14 +62,14 @@
 	})
 }
 
-func TestFetchViewFromAnyProcess(t *testing.T) {
+func TestViewCallReturnsVersionZeroUntilViewIsKnown(t *testing.T) {
 	all := addresses(1)
 	var before, after replicaset.View
 	var invalid error
-	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
 		p := c.start(all[0], storage.NewMemory(), true, true)
 		before, _ = replicaset.FetchView(context.Background(), c.network.Caller("any"), all[0])
-		p.view(start)
+		p.awaitView(start)
 		after, _ = replicaset.FetchView(context.Background(), c.network.Caller("any"), all[0])
 		invalid = p.manager.Learn(replicaset.View{Version: 9})
 	})
--- a/internal/controlplane/replicaset/export_test.go
+++ b/internal/controlplane/replicaset/export_test.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// FetchView returns the view that another process knows, by the internal call; its version is 0 while it knows none.
+// FetchView requests another process's view with the internal view call. The version is 0 if that process knows no view.
 func FetchView(ctx context.Context, caller transport.Caller, address string) (View, error) {
 	reply, err := viewCall.Call(ctx, caller, address, viewRequest{})
 	return reply.View, err
--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -24,7 +24,7 @@
 // The register, a replication group, the rebuild and the replica set are the real ones, on a network and a clock in memory.
 const (
 	scheduleGroup        = "jobs/model"
-	scheduleTime         = 9 * time.Second
+	scheduleDuration     = 9 * time.Second
 	maxScheduledFaultGap = 1200 * time.Millisecond // upper bound of the time between two faults
 	scheduleClients      = 1
 	recoveryTimeout      = catchUpTime // in which a write succeeds as long as no more machines have failed than is tolerated
@@ -33,22 +33,22 @@
 
 // reliableNetwork delivers all messages, some of them twice; on lossyNetwork none is sure to arrive in time.
 var (
-	reliableNetwork = networktest.Faults{Duplicate: 0.05, Delay: 10 * time.Millisecond}
-	lossyNetwork    = networktest.Faults{Lose: 0.03, Duplicate: 0.1, Delay: 20 * time.Millisecond, Late: 0.04, LateBy: 2 * time.Second}
+	reliableNetwork = networktest.Faults{DuplicateProbability: 0.05, MaxDelay: 10 * time.Millisecond}
+	lossyNetwork    = networktest.Faults{LossProbability: 0.03, DuplicateProbability: 0.1, MaxDelay: 20 * time.Millisecond, LateProbability: 0.04, MaxLateDelay: 2 * time.Second}
 )
 
 // faultSchedule is one schedule of faults, which a seed determines, and what clients and leaders observed during it.
 type faultSchedule struct {
 	*cluster
-	seed      uint64
-	random    *rand.Rand // belongs to the goroutine that injects the faults
-	size      int
-	tolerated int
-	lossy     bool
-	faults    sync.WaitGroup
+	seed         uint64
+	random       *rand.Rand // belongs to the goroutine that injects the faults
+	size         int
+	tolerated    int
+	lossy        bool
+	activeFaults sync.WaitGroup
 
-	state                 sync.Mutex           // guards what follows
-	machines              int                  // started so far
+	mutex                 sync.Mutex           // guards what follows
+	machineCount          int                  // started so far
 	failedUntil           map[string]time.Time // by address: until when the machine counts as failed
 	replacing             bool                 // a replacement is in progress
 	events                []string             // the faults so far, for the report
@@ -56,31 +56,31 @@
 	acknowledged          map[string]bool // tokens of the register whose write was acknowledged
 	groupAcknowledged     map[string]bool // the same of the group
 	groupLastAcknowledged time.Time       // of the group's newest acknowledgement
-	slowest               time.Duration   // between two of them
-	views                 viewHistory
+	maxAcknowledgementGap time.Duration   // between two of them
+	seenViews             viewHistory
 	start                 time.Time
 	logged                *observer.ObservedLogs
 }
 
 // runSchedule runs the schedule of a seed, and returns it with its violations.
-func runSchedule(t *testing.T, seed uint64, size int, broken ruleMutant) (s *faultSchedule) {
+func runSchedule(t *testing.T, seed uint64, size int, mutation ruleMutation) (s *faultSchedule) {
 	t.Helper()
-	return runFaults(t, seed, size, broken, isLossy(seed), (*faultSchedule).injectRandomFaults)
+	return runFaults(t, seed, size, mutation, isLossy(seed), (*faultSchedule).injectRandomFaults)
 }
 
 // runFaults runs a schedule whose faults are injected by a function, until that returns.
-func runFaults(t *testing.T, seed uint64, size int, broken ruleMutant, lossy bool, inject func(s *faultSchedule, ctx context.Context)) (s *faultSchedule) {
+func runFaults(t *testing.T, seed uint64, size int, mutation ruleMutation, lossy bool, inject func(s *faultSchedule, ctx context.Context)) (s *faultSchedule) {
 	t.Helper()
 	disks := foundedDisks(t, size)
 	virtualtime.Test(t, func(t *testing.T) {
 		s = &faultSchedule{
-			seed: seed, size: size, random: rand.New(rand.NewPCG(seed, 7)), tolerated: (size - 1) / 2, lossy: lossy, machines: size,
+			seed: seed, size: size, random: rand.New(rand.NewPCG(seed, 7)), tolerated: (size - 1) / 2, lossy: lossy, machineCount: size,
 			failedUntil: make(map[string]time.Time), acknowledged: make(map[string]bool), groupAcknowledged: make(map[string]bool),
 			start: time.Now(), groupLastAcknowledged: time.Now(),
 		}
-		s.cluster = newCluster(t, seed, addresses(size), broken)
-		s.logged = s.observe()
-		s.leads = func(p *coreNode) replication.Handler { return &proposingLeader{s, p} }
+		s.cluster = newCluster(t, seed, addresses(size), mutation)
+		s.logged = s.recordLogs()
+		s.groupHandler = func(p *testCoordinator) replication.Handler { return &proposingLeader{s, p} }
 		s.network.SetFaults(reliableNetwork)
 		for address, disk := range disks {
 			s.startOn(address, disk)
@@ -90,8 +90,8 @@
 		if s.lossy {
 			s.network.SetFaults(lossyNetwork)
 		}
-		s.run(inject)
-		s.end()
+		s.runWithFaults(inject)
+		s.shutDown()
 	})
 	return s
 }
@@ -116,8 +116,8 @@
 }
 
 // run injects faults while clients write, then ends all faults and checks the final state.
-func (s *faultSchedule) run(inject func(s *faultSchedule, ctx context.Context)) {
-	ctx, cancel := context.WithTimeout(context.Background(), scheduleTime)
+func (s *faultSchedule) runWithFaults(inject func(s *faultSchedule, ctx context.Context)) {
+	ctx, cancel := context.WithTimeout(context.Background(), scheduleDuration)
 	defer cancel()
 	var running sync.WaitGroup
 	for client := range scheduleClients {
@@ -125,20 +125,20 @@
 	}
 	running.Go(func() { s.watchViews(ctx) })
 	inject(s, ctx)
-	s.faults.Wait()
+	s.activeFaults.Wait()
 	running.Wait()
 	s.network.SetFaults(reliableNetwork)
 	<-time.After(catchUpTime)
 	s.checkViews()
-	s.checkEnd()
-	for _, p := range s.sorted() {
+	s.checkFinalState()
+	for _, p := range s.runningByAddress() {
 		s.logEvent("%s: view %d %v, ready %v, leaders %v", p.address, p.manager.View().Version, p.manager.View().Members,
 			p.rebuilder.Ready(), p.node.Leaders())
 	}
 }
 
 // observe records the replication nodes' logs, for the report.
-func (s *faultSchedule) observe() *observer.ObservedLogs {
+func (s *faultSchedule) recordLogs() *observer.ObservedLogs {
 	recorder, logs := observer.New(zap.InfoLevel)
 	s.log = zap.New(recorder)
 	return logs
@@ -155,58 +155,58 @@
 }
 
 // pickHealthy returns a running member that does not count as failed; nil where there is none.
-func (s *faultSchedule) pickHealthy(random *rand.Rand) *coreNode {
-	s.state.Lock()
-	defer s.state.Unlock()
+func (s *faultSchedule) pickHealthy(random *rand.Rand) *testCoordinator {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	now := time.Now()
 	var healthy []string
-	for _, address := range s.views.newest.Members {
-		if s.failedUntil[address].Before(now) && s.at(address) != nil {
+	for _, address := range s.seenViews.newest.Members {
+		if s.failedUntil[address].Before(now) && s.coordinatorAt(address) != nil {
 			healthy = append(healthy, address)
 		}
 	}
 	if len(healthy) == 0 {
 		return nil
 	}
-	return s.at(healthy[random.IntN(len(healthy))])
+	return s.coordinatorAt(healthy[random.IntN(len(healthy))])
 }
 
 // runOperation runs one write or read at a process, and checks the reply.
-func (s *faultSchedule) runOperation(p *coreNode, client, number int, read bool) {
+func (s *faultSchedule) runOperation(p *testCoordinator, client, number int, read bool) {
 	ctx, cancel := context.WithTimeout(p.ctx, recoveryTimeout)
 	defer cancel()
 	before := s.acknowledgedTokens()
-	var do operation
+	var op operation
 	if !read {
-		do.token = fmt.Sprintf("%d-%d.", client, number)
+		op.token = fmt.Sprintf("%d-%d.", client, number)
 	}
-	value, err := do.perform(ctx, p.register)
+	value, err := op.perform(ctx, p.register)
 	switch {
 	case err == nil:
-		s.checkReply(do.token, string(value), before)
+		s.checkReply(op.token, string(value), before)
 	case s.mustSucceed(p):
-		s.violation("no reply from %s within %v: %v", p.address, recoveryTimeout, err)
+		s.addViolation("no reply from %s within %v: %v", p.address, recoveryTimeout, err)
 	}
 }
 
 // mustSucceed tells whether a member has never failed, so that its operation had to succeed.
-func (s *faultSchedule) mustSucceed(p *coreNode) bool {
-	s.state.Lock()
-	defer s.state.Unlock()
+func (s *faultSchedule) mustSucceed(p *testCoordinator) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	_, hasFailed := s.failedUntil[p.address]
-	return !s.lossy && !hasFailed && s.views.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
+	return !s.lossy && !hasFailed && s.seenViews.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
 }
 
 // checkReply wants a reply to have all tokens that were acknowledged before the request.
 func (s *faultSchedule) checkReply(token, value string, before []string) {
 	for _, earlier := range before {
 		if !containsToken(value, earlier) {
-			s.violation("%q was acknowledged, and is not in a later reply", earlier)
+			s.addViolation("%q was acknowledged, and is not in a later reply", earlier)
 			return
 		}
 	}
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if token != "" {
 		s.acknowledged[token] = true
 	}
@@ -216,8 +216,8 @@
 
 // acknowledgedTokens lists the tokens of the register whose write was acknowledged so far.
 func (s *faultSchedule) acknowledgedTokens() []string {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	all := make([]string, 0, len(s.acknowledged))
 	for token := range s.acknowledged {
 		all = append(all, token)
@@ -226,31 +226,31 @@
 }
 
 // checkEnd wants a write, a read and a commit of the group after the end of all faults, with all that was ever acknowledged.
-func (s *faultSchedule) checkEnd() {
+func (s *faultSchedule) checkFinalState() {
 	random := rand.New(rand.NewPCG(s.seed, 5))
 	for i := range 2 {
 		p := s.pickHealthy(random)
 		if p == nil {
-			s.violation("no healthy member at the end")
+			s.addViolation("no healthy member at the end")
 			return
 		}
 		s.runOperation(p, scheduleClients, i, i == 1)
 	}
-	s.state.Lock()
+	s.mutex.Lock()
 	idle := time.Since(s.groupLastAcknowledged)
-	s.state.Unlock()
+	s.mutex.Unlock()
 	if idle > time.Second {
-		s.violation("the group has acknowledged nothing for %v at the end", idle)
+		s.addViolation("the group has acknowledged nothing for %v at the end", idle)
 	}
 	if !slices.Contains(s.acknowledgedTokens(), fmt.Sprintf("%d-0.", scheduleClients)) {
-		s.violation("no write succeeds at the end")
+		s.addViolation("no write succeeds at the end")
 	}
 }
 
 // violation records that the promises do not hold.
-func (s *faultSchedule) violation(format string, values ...any) {
-	s.state.Lock()
-	defer s.state.Unlock()
+func (s *faultSchedule) addViolation(format string, values ...any) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf("after %v: ", time.Since(s.start))+fmt.Sprintf(format, values...))
 }
 
@@ -267,18 +267,18 @@
 func (s *faultSchedule) checkViews() {
 	voters := make(map[uint64]int)
 	var views []replicaset.View
-	for _, p := range s.all() {
+	for _, p := range s.runningCoordinators() {
 		view := p.manager.View()
 		views = append(views, view)
 		if view.Has(p.address) && p.rebuilder.Ready() {
 			voters[view.Version]++
 		}
 	}
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	active := make(map[uint64]bool)
 	for _, view := range views {
-		if !s.views.record(view) {
+		if !s.seenViews.record(view) {
 			s.violations = append(s.violations, fmt.Sprintf("two views %d", view.Version))
 		}
 		if voters[view.Version] >= view.Quorum() {
@@ -292,27 +292,27 @@
 
 // disksOf are the disks of members that have founded the first view, by size and address.
 var (
-	disksOf    = make(map[int]map[string]storage.Tables)
-	disksMutex sync.Mutex
+	foundedDisksBySize = make(map[int]map[string]storage.Tables)
+	foundedDisksMutex  sync.Mutex
 )
 
 // foundedDisks returns the disks of members that have founded the first view, by address.
 func foundedDisks(t *testing.T, size int) map[string]storage.Tables {
 	t.Helper()
-	disksMutex.Lock()
-	defer disksMutex.Unlock()
-	if disks, found := disksOf[size]; found {
+	foundedDisksMutex.Lock()
+	defer foundedDisksMutex.Unlock()
+	if disks, found := foundedDisksBySize[size]; found {
 		return disks
 	}
 	disks := make(map[string]storage.Tables)
-	disksOf[size] = disks
+	foundedDisksBySize[size] = disks
 	virtualtime.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, addresses(size), ruleMutant{})
-		c.found(reliableNetwork)
-		for _, p := range c.all() {
+		c := newCluster(t, 1, addresses(size), ruleMutation{})
+		c.startAndCommitFirstView(reliableNetwork)
+		for _, p := range c.runningCoordinators() {
 			disks[p.address] = p.disk.Snapshot()
 		}
-		c.end()
+		c.shutDown()
 	})
 	return disks
 }
--- a/internal/controlplane/replicaset/founding.go
+++ b/internal/controlplane/replicaset/founding.go
@@ -8,10 +8,10 @@
 	"go.uber.org/zap"
 )
 
-// commitTimeout bounds an attempt to commit a view.
+// commitTimeout limits one attempt to commit a view.
 const commitTimeout = 2 * time.Second
 
-// commitFirstView commits the first view if this founder is to propose it now.
+// commitFirstView commits the first view if this founder must propose it now.
 func (m *Manager) commitFirstView(ctx context.Context) {
 	proposed, due := m.proposedFirstView()
 	if !due {
@@ -27,7 +27,7 @@
 	m.learnReceived(committed)
 }
 
-// proposedFirstView returns the first view, and whether this founder is to propose it now.
+// proposedFirstView returns the first view to propose, and whether this founder must propose it now.
 func (m *Manager) proposedFirstView() (view View, due bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controlplane/replicaset/founding_test.go
+++ b/internal/controlplane/replicaset/founding_test.go
@@ -12,18 +12,18 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-func TestFounding(t *testing.T) {
+func TestAllProcessesLearnFirstView(t *testing.T) {
 	all := addresses(5)
 	views := make(map[string]replicaset.View)
 	var slowest time.Duration
-	inManagerCluster(t, all[1:4], func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all[1:4], func(c *managerCluster, start time.Time) {
 		c.startAll(all)
 		agent := c.start("front", storage.NewMemory(), true, false)
 		for _, self := range all {
-			view, took := c.running[self].view(start)
+			view, took := c.running[self].awaitView(start)
 			views[self], slowest = view, max(slowest, took)
 		}
-		views["front"], _ = agent.view(start)
+		views["front"], _ = agent.awaitView(start)
 	})
 	convey.Convey("All processes learn the view of all core nodes within 2 s", t, func() {
 		expected := replicaset.View{Version: 1, Members: all}
@@ -35,15 +35,15 @@
 	})
 }
 
-func TestFoundingWaitsForLaterAnnouncements(t *testing.T) {
+func TestNewAnnouncementDelaysFounding(t *testing.T) {
 	all := addresses(4)
 	var view replicaset.View
 	var took time.Duration
-	inManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
 		c.startAll(all[:3])
 		<-time.After(1300 * time.Millisecond)
 		c.start(all[3], storage.NewMemory(), true, true)
-		view, took = c.running[all[0]].view(start)
+		view, took = c.running[all[0]].awaitView(start)
 	})
 	convey.Convey("A new announcement delays the founding", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
@@ -51,15 +51,15 @@
 	})
 }
 
-func TestFoundingWithoutTheFirstFounder(t *testing.T) {
+func TestNextFounderProposesWhenFirstIsDown(t *testing.T) {
 	all := addresses(4)
 	var view, late replicaset.View
 	var took time.Duration
-	inManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
 		c.startAll(all[1:])
-		view, took = c.running[all[3]].view(start)
+		view, took = c.running[all[3]].awaitView(start)
 		first := c.start(all[0], storage.NewMemory(), false, true)
-		late, _ = first.view(start)
+		late, _ = first.awaitView(start)
 	})
 	convey.Convey("The next founder proposes after 3 s; the first one is a member, and learns the view when it starts", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
@@ -71,12 +71,12 @@
 func TestPartitionedFoundersCommitOneView(t *testing.T) {
 	all := addresses(3)
 	var views []replicaset.View
-	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
-		c.network.AddRule(networktest.Rule{From: all[0], To: all[1], Path: "/replicaset/", Lose: true})
-		c.network.AddRule(networktest.Rule{From: all[1], To: all[0], Path: "/replicaset/", Lose: true})
+	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+		c.network.AddRule(networktest.Rule{From: all[0], To: all[1], Path: "/replicaset/", Drop: true})
+		c.network.AddRule(networktest.Rule{From: all[1], To: all[0], Path: "/replicaset/", Drop: true})
 		c.startAll(all)
 		for _, self := range all {
-			view, _ := c.running[self].view(start)
+			view, _ := c.running[self].awaitView(start)
 			views = append(views, view)
 		}
 	})
@@ -87,10 +87,10 @@
 	})
 }
 
-func TestFoundingResumesAfterARestart(t *testing.T) {
+func TestFoundingResumesAfterRestart(t *testing.T) {
 	all := addresses(3)
 	var before, after []replicaset.View
-	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
 		c.startAll(all)
 		<-time.After(time.Second)
 		disks := make(map[string]*storage.Memory)
@@ -102,7 +102,7 @@
 			c.start(self, disks[self], false, true)
 		}
 		for _, self := range all {
-			view, _ := c.running[self].view(start)
+			view, _ := c.running[self].awaitView(start)
 			after = append(after, view)
 		}
 	})
@@ -114,10 +114,10 @@
 	})
 }
 
-func TestAMemberWithoutItsDiskNeverFounds(t *testing.T) {
+func TestCoordinatorsWithoutDisksNeverCommitFirstView(t *testing.T) {
 	all := addresses(3)
 	var view replicaset.View
-	inManagerCluster(t, all, func(c *managerCluster, _ time.Time) {
+	runInManagerCluster(t, all, func(c *managerCluster, _ time.Time) {
 		for _, self := range all {
 			c.start(self, storage.NewMemory(), false, true)
 		}
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -14,28 +14,28 @@
 )
 
 // errFull is the error of a write to a full disk: the store is as before, and later writes may succeed.
-var errFull = rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", storage.ErrWriteRejected, syscall.ENOSPC), storage.RejectionBackoff)
+var errDiskFull = rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", storage.ErrWriteRejected, syscall.ENOSPC), storage.RejectionBackoff)
 
 // Another member is replaced while a member's disk is full.
-func TestAMemberWithAFullDiskMissesAViewAndKeepsRunning(t *testing.T) {
+func TestMemberWithFullDiskMissesViewAndKeepsRunning(t *testing.T) {
 	members := addresses(5)
 	var during, after replicaset.View
 	var ended bool
 	var value string
 	var err error
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		full := c.at(members[1])
-		full.disk.Fail(errFull)
-		c.stop(c.at(members[0]))
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
+		full := c.coordinatorAt(members[1])
+		full.disk.Fail(errDiskFull)
+		c.stop(c.coordinatorAt(members[0]))
 		c.join("new")
 		c.write(members[2], writtenValue)
 		<-time.After(catchUpTime)
-		during, ended = full.manager.View(), full.hasFailed()
+		during, ended = full.manager.View(), full.componentFailed()
 		full.disk.Fail(nil)
 		<-time.After(catchUpTime)
 		after = full.manager.View()
-		c.stop(c.at(members[2]))
-		c.stop(c.at(members[3]))
+		c.stop(c.coordinatorAt(members[2]))
+		c.stop(c.coordinatorAt(members[3]))
 		value, err = c.read(members[1]), c.write(members[1], "after")
 	})
 	convey.Convey("While the disk is full", t, func() {
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestAJoiningMemberWithAFullDiskIsRebuiltOnceWritesSucceed(t *testing.T) {
+func TestJoiningMemberWithFullDiskIsRebuiltOnceWritesSucceed(t *testing.T) {
 	cases := []struct {
 		name   string
 		before time.Duration // from the joining member's start to the loss of a member
@@ -63,20 +63,20 @@
 		var early, ended bool
 		var took time.Duration
 		var value string
-		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+		runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 			c.write(members[1], writtenValue)
 			joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 			<-time.After(testCase.before)
-			c.stop(c.at(members[0]))
+			c.stop(c.coordinatorAt(members[0]))
 			<-time.After(testCase.full)
-			joining.disk.Fail(errFull)
+			joining.disk.Fail(errDiskFull)
 			<-time.After(2 * catchUpTime)
-			early, ended = joining.rebuilder.Ready(), joining.hasFailed()
+			early, ended = joining.rebuilder.Ready(), joining.componentFailed()
 			joining.disk.Fail(nil)
 			writable := time.Now()
 			joining.awaitMembership()
 			took = time.Since(writable)
-			c.stop(c.at(members[1]))
+			c.stop(c.coordinatorAt(members[1]))
 			value = c.read("new")
 		})
 		convey.Convey("A disk is full before "+testCase.name, t, func() {
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -13,7 +13,7 @@
 )
 
 // outcome is what a test observes of a planned replacement.
-type outcome struct {
+type handoverResult struct {
 	stopTime time.Duration // from the request to stop until the process has ended
 	value    string
 	writeErr error // of the write at the end
@@ -21,109 +21,111 @@
 }
 
 // nothingLost tells whether the value is there and writes succeed.
-func (o outcome) nothingLost() bool { return o.value == writtenValue && o.writeErr == nil }
+func (o handoverResult) isIntactAndWritable() bool {
+	return o.value == writtenValue && o.writeErr == nil
+}
 
 // replaceWhileDown writes a value, lets the last members fail, and replaces the first by a joining member that started before.
 // Then those that failed restart without their disks, and once they have had the time to catch up, as many others fail.
-func replaceWhileDown(c *cluster, members []string, failing int) (seen outcome) {
+func replaceWhileDown(c *cluster, members []string, failing int) (result handoverResult) {
 	departing, remaining, failed := members[0], members[1], members[len(members)-failing:]
 	joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 	<-time.After(catchUpTime)
 	c.write(remaining, oldValue)
 	c.network.Partition(remaining, true) // so only those that stop or fail have the newest value
 	if err := c.write(departing, writtenValue); err != nil {
-		seen.writeErr = err
-		return seen
+		result.writeErr = err
+		return result
 	}
-	<-time.After(messagesInFlightTime)
+	<-time.After(maxMessageDelay)
 	c.network.Partition(remaining, false)
 	<-time.After(catchUpTime)
 	for _, address := range failed {
-		c.stop(c.at(address))
+		c.stop(c.coordinatorAt(address))
 	}
 	begin := time.Now()
-	c.stopGracefully(c.at(departing))
-	seen.stopTime = time.Since(begin)
+	c.stopGracefully(c.coordinatorAt(departing))
+	result.stopTime = time.Since(begin)
 	for _, address := range failed {
 		c.start(address, "zone of "+address, storage.NewMemory(), false)
 	}
 	<-time.After(catchUpTime)
 	for range failing {
 		c.stop(joining)
-		joining = c.at(remaining)
+		joining = c.coordinatorAt(remaining)
 	}
-	seen.value = c.read(failed[0])
-	seen.writeErr = c.write(failed[0], "after")
-	seen.version = c.viewOf(failed[0]).Version
-	return seen
+	result.value = c.read(failed[0])
+	result.writeErr = c.write(failed[0], "after")
+	result.version = c.viewOf(failed[0]).Version
+	return result
 }
 
 // A machine that is replaced as planned does not count as failed once its successor has had the time to catch up. So others
 // may have failed when it stops, up to the tolerated number, and it may be the only one besides them that has the newest value.
-func TestADepartingMemberHandsOver(t *testing.T) {
+func TestDepartingMemberHandsOverToJoiningMember(t *testing.T) {
 	for _, size := range []int{3, 4, 5, 6} {
 		members := addresses(size)
-		var seen outcome
-		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) { seen = replaceWhileDown(c, members, (size-1)/2) })
+		var result handoverResult
+		runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) { result = replaceWhileDown(c, members, (size-1)/2) })
 		convey.Convey(fmt.Sprintf("One of %d members stops while %d have failed", size, (size-1)/2), t, func() {
-			convey.So(seen.writeErr, convey.ShouldBeNil)
-			convey.So(seen.value, convey.ShouldEqual, writtenValue)
-			convey.So(seen.version, convey.ShouldEqual, 2)
-			convey.So(seen.stopTime, convey.ShouldBeLessThan, handoverTimeout)
+			convey.So(result.writeErr, convey.ShouldBeNil)
+			convey.So(result.value, convey.ShouldEqual, writtenValue)
+			convey.So(result.version, convey.ShouldEqual, 2)
+			convey.So(result.stopTime, convey.ShouldBeLessThan, handoverTimeout)
 		})
 	}
 }
 
-func TestEachRuleOfTheHandoverIsNeeded(t *testing.T) {
+func TestHandoverLosesDataOrQuorumWithoutEachRule(t *testing.T) {
 	members := addresses(3)
-	for _, broken := range []ruleMutant{
-		{name: "a departing member waits for its successor", stopsAtOnce: true},
+	for _, mutation := range []ruleMutation{
+		{name: "a departing member waits for its successor", stopsWithoutHandover: true},
 		{name: "a departing member votes for its own replacement", refusesOwnReplacement: true},
 		{name: "a replaced member gives its snapshot to its successor", replacedGivesNoSnapshot: true},
 	} {
-		var seen outcome
-		inCluster(t, 1, broken, members, func(c *cluster) { seen = replaceWhileDown(c, members, 1) })
-		convey.Convey("Shown to be needed: "+broken.name, t, func() {
-			convey.So(seen.nothingLost(), convey.ShouldBeFalse)
+		var seen handoverResult
+		runInCluster(t, 1, mutation, members, func(c *cluster) { seen = replaceWhileDown(c, members, 1) })
+		convey.Convey("Shown to be needed: "+mutation.name, t, func() {
+			convey.So(seen.isIntactAndWritable(), convey.ShouldBeFalse)
 		})
 	}
 }
 
 // Another member fails right after the departing one has stopped.
-func TestALossRightAfterAPlannedReplacementIsTolerated(t *testing.T) {
-	lossAfter := func(broken ruleMutant, lost int) (value string, err error) {
+func TestLossRightAfterPlannedReplacementIsTolerated(t *testing.T) {
+	lossAfter := func(mutation ruleMutation, lost int) (value string, err error) {
 		members := addresses(3)
-		inCluster(t, 1, broken, members, func(c *cluster) {
+		runInCluster(t, 1, mutation, members, func(c *cluster) {
 			c.start("new", "elsewhere", storage.NewMemory(), false)
 			<-time.After(catchUpTime)
 			c.write(members[1], writtenValue)
 			c.network.AddRule(networktest.Rule{Path: "/rebuild/dump", Delay: 300 * time.Millisecond})
-			c.stopGracefully(c.at(members[0]))
-			c.stop(c.at(members[lost]))
+			c.stopGracefully(c.coordinatorAt(members[0]))
+			c.stop(c.coordinatorAt(members[lost]))
 			value, err = c.read(members[3-lost]), c.write(members[3-lost], "after")
 		})
 		return value, err
 	}
 	convey.Convey("Either of the remaining members may fail at once", t, func() {
 		for _, lost := range []int{1, 2} {
-			value, err := lossAfter(ruleMutant{}, lost)
+			value, err := lossAfter(ruleMutation{}, lost)
 			convey.So(value, convey.ShouldEqual, writtenValue)
 			convey.So(err, convey.ShouldBeNil)
 		}
 	})
 	convey.Convey("If the member stopped without waiting for its successor, no majority would be left", t, func() {
-		_, err := lossAfter(ruleMutant{stopsAtOnce: true}, 1)
+		_, err := lossAfter(ruleMutation{stopsWithoutHandover: true}, 1)
 		convey.So(err, convey.ShouldNotBeNil)
 	})
 }
 
-func TestADepartingMemberWithoutASuccessorStopsAtOnce(t *testing.T) {
+func TestDepartingMemberWithoutSuccessorStopsAtOnce(t *testing.T) {
 	members := addresses(3)
 	var took time.Duration
 	var view replicaset.View
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		begin := time.Now()
-		c.stopGracefully(c.at(members[0]))
+		c.stopGracefully(c.coordinatorAt(members[0]))
 		took = time.Since(begin)
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[1])
@@ -135,15 +137,15 @@
 }
 
 // A replaced process that still runs must not announce itself as a joining member.
-func TestADepartingMemberAnnouncesItselfNoMore(t *testing.T) {
+func TestReplacedDepartingMemberDoesNotAnnounceItself(t *testing.T) {
 	members := addresses(3)
 	var view replicaset.View
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(catchUpTime)
-		departing := c.at(members[0])
+		departing := c.coordinatorAt(members[0])
 		departing.leaveUntilReplaced()
-		c.stop(c.at(members[1]))
+		c.stop(c.coordinatorAt(members[1]))
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[2])
 	})
@@ -153,24 +155,24 @@
 }
 
 // A member that lost its disk has just restarted when another is to stop.
-func TestADepartingMemberWaitsForARebuild(t *testing.T) {
-	stopDuring := func(broken ruleMutant) (took time.Duration, value string, err error) {
+func TestDepartingMemberWaitsForRebuild(t *testing.T) {
+	stopDuring := func(mutation ruleMutation) (took time.Duration, value string, err error) {
 		members := addresses(3)
-		inCluster(t, 1, broken, members, func(c *cluster) {
+		runInCluster(t, 1, mutation, members, func(c *cluster) {
 			c.write(members[1], writtenValue)
-			c.stop(c.at(members[2]))
+			c.stop(c.coordinatorAt(members[2]))
 			c.start(members[2], "zone of "+members[2], storage.NewMemory(), false)
 			<-time.After(500 * time.Millisecond)
 			begin := time.Now()
-			c.stopGracefully(c.at(members[0]))
+			c.stopGracefully(c.coordinatorAt(members[0]))
 			took = time.Since(begin)
 			<-time.After(catchUpTime)
 			value, err = c.read(members[2]), c.write(members[2], "after")
 		})
 		return took, value, err
 	}
-	took, value, err := stopDuring(ruleMutant{})
-	_, _, atOnce := stopDuring(ruleMutant{stopsAtOnce: true})
+	took, value, err := stopDuring(ruleMutation{})
+	_, _, atOnce := stopDuring(ruleMutation{stopsWithoutHandover: true})
 	convey.Convey("It stops once that one has been rebuilt, within its grace period", t, func() {
 		convey.So(took, convey.ShouldBeBetween, time.Second, handoverTimeout)
 		convey.So(value, convey.ShouldEqual, writtenValue)
@@ -182,18 +184,18 @@
 }
 
 // The joining member replaces a third member, which has just failed, as no leave request arrives.
-func TestADepartingMemberWaitsForAJoiningMemberThatReplacesAnother(t *testing.T) {
+func TestDepartingMemberWaitsForJoiningMemberThatReplacesAnother(t *testing.T) {
 	members := addresses(3)
 	var value string
 	var err error
 	var view replicaset.View
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		c.write(members[1], writtenValue)
-		c.network.AddRule(networktest.Rule{Path: "/replicaset/leave", Lose: true})
-		c.stop(c.at(members[2]))
+		c.network.AddRule(networktest.Rule{Path: "/replicaset/leave", Drop: true})
+		c.stop(c.coordinatorAt(members[2]))
 		c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(time.Second)
-		c.stopGracefully(c.at(members[0]))
+		c.stopGracefully(c.coordinatorAt(members[0]))
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[1])
 		value, err = c.read(members[1]), c.write(members[1], "after")
@@ -206,15 +208,15 @@
 }
 
 // An announcement that is late does not let a departing member believe that it has no successor.
-func TestAnnouncementsAreRemembered(t *testing.T) {
+func TestJoiningMemberIsKnownLongerThanItIsProposed(t *testing.T) {
 	members := addresses(3)
 	var proposable, known, forgotten bool
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(catchUpTime)
 		c.network.Partition("new", true)
 		<-time.After(2 * time.Second)
-		manager := c.at(members[0]).manager
+		manager := c.coordinatorAt(members[0]).manager
 		proposable, known = manager.HasJoiningMembers(), manager.KnowsJoiningMember()
 		<-time.After(2 * time.Second)
 		forgotten = !manager.KnowsJoiningMember()
@@ -226,11 +228,11 @@
 	convey.Convey("4 s after it, it is forgotten", t, func() { convey.So(forgotten, convey.ShouldBeTrue) })
 }
 
-func TestOthersDepart(t *testing.T) {
+func TestOthersDepartAfterAllLeaveRequests(t *testing.T) {
 	members := addresses(3)
 	var byOne, byBoth, afterwards bool
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		staying, first, second := c.at(members[0]).manager, c.at(members[1]), c.at(members[2])
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
+		staying, first, second := c.coordinatorAt(members[0]).manager, c.coordinatorAt(members[1]), c.coordinatorAt(members[2])
 		first.manager.Leave(first.ctx)
 		byOne = staying.OthersDepart()
 		second.manager.Leave(second.ctx)
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -41,15 +41,15 @@
 }
 
 // run carries out one operation, and records it unless it was certainly not executed.
-func (h *history) run(ctx context.Context, client int, by *register.Register, do operation) {
-	call := h.clock.Add(1)
-	value, err := do.perform(ctx, by)
-	back := h.clock.Add(1)
-	if err != nil && (rpcerror.ExecutionOf(err) == rpcerror.NotExecuted || do.token == "") {
+func (h *history) perform(ctx context.Context, client int, target *register.Register, op operation) {
+	invoked := h.clock.Add(1)
+	value, err := op.perform(ctx, target)
+	returned := h.clock.Add(1)
+	if err != nil && (rpcerror.ExecutionOf(err) == rpcerror.NotExecuted || op.token == "") {
 		return
 	}
 	if err != nil {
-		back = math.MaxInt64
+		returned = math.MaxInt64
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -57,15 +57,15 @@
 		h.succeeded++
 	}
 	h.operations = append(h.operations, porcupine.Operation{
-		ClientId: client, Input: do, Output: operationResult{maybeExecuted: err != nil, value: string(value)}, Call: call, Return: back,
+		ClientId: client, Input: op, Output: operationResult{maybeExecuted: err != nil, value: string(value)}, Call: invoked, Return: returned,
 	})
 }
 
-func (o operation) perform(ctx context.Context, by *register.Register) ([]byte, error) {
+func (o operation) perform(ctx context.Context, target *register.Register) ([]byte, error) {
 	if o.token == "" {
-		return by.Read(ctx)
+		return target.Read(ctx)
 	}
-	return by.Change(ctx, func(current []byte) ([]byte, error) { return append([]byte(string(current)), o.token...), nil })
+	return target.Change(ctx, func(current []byte) ([]byte, error) { return append([]byte(string(current)), o.token...), nil })
 }
 
 // check tells whether the history is linearizable.
--- a/internal/controlplane/replicaset/joining.go
+++ b/internal/controlplane/replicaset/joining.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	joiningMemberDelay  = 300 * time.Millisecond // from a joining member's first announcement until it may become a member
-	announcementTimeout = time.Second            // after which a joining member that announces itself no more is not proposed
-	announcementMemory  = 3 * time.Second        // for which a departing member remembers one that announced itself
+	joiningMemberDelay    = 300 * time.Millisecond // from a joining member's first announcement until it may become a member
+	announcementTimeout   = time.Second            // time without an announcement after which a joining member is no longer proposed
+	announcementRetention = 3 * time.Second        // how long an announcement counts for KnowsJoiningMember
 )
 
-// joiningMember is a core node that is no member and announces itself.
+// joiningMember is a coordinator that is not a member and has announced itself to become one.
 type joiningMember struct {
 	address        string
 	zone           string
-	incarnation    uint64 // of the process that announced itself last
+	incarnation    uint64 // identifies the process that sent the latest announcement
 	firstAnnounced time.Time
 	lastAnnounced  time.Time
 }
 
-// joiningMembers are those that announced themselves with the current view, by address.
+// joiningMembers holds, by address, the joining members that announced themselves with the current view.
 type joiningMembers map[string]joiningMember
 
-// add records an announcement.
+// add records an announcement and keeps the time of the first one from the same address.
 func (j joiningMembers) add(joining joiningMember, now time.Time) {
 	joining.firstAnnounced, joining.lastAnnounced = now, now
 	if known, found := j[joining.address]; found {
@@ -33,7 +33,7 @@
 	j[joining.address] = joining
 }
 
-// removeExpired drops those that announce themselves no more.
+// removeExpired removes joining members that have sent no announcement for announcementTimeout.
 func (j joiningMembers) removeExpired(now time.Time) {
 	for address, joining := range j {
 		if now.Sub(joining.lastAnnounced) > announcementTimeout {
@@ -42,7 +42,7 @@
 	}
 }
 
-// due lists those that have announced themselves for long enough, the longest first.
+// due returns the joining members whose first announcement is at least joiningMemberDelay old, oldest first.
 func (j joiningMembers) due(now time.Time) []joiningMember {
 	var due []joiningMember
 	for _, joining := range j {
--- a/internal/controlplane/replicaset/killable_test.go
+++ b/internal/controlplane/replicaset/killable_test.go
@@ -13,8 +13,8 @@
 // killableStore lets a process write to a disk until the process is killed.
 type killableStore struct {
 	*storage.Memory
-	mutex sync.Mutex
-	dead  bool
+	mutex  sync.Mutex
+	killed bool
 }
 
 var errKilled = errors.New("the process was killed")
@@ -23,7 +23,7 @@
 func (s *killableStore) Write(changes ...storage.Change) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.dead {
+	if s.killed {
 		return errKilled
 	}
 	return s.Memory.Write(changes...)
@@ -32,13 +32,13 @@
 func (s *killableStore) kill() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.dead = true
+	s.killed = true
 }
 
 func (s *killableStore) alive() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return !s.dead
+	return !s.killed
 }
 
 // killableCaller lets a process send until the process is killed.
--- a/internal/controlplane/replicaset/leave.go
+++ b/internal/controlplane/replicaset/leave.go
@@ -9,17 +9,17 @@
 	"go.uber.org/zap"
 )
 
-// leaveTimeout bounds one round of leave requests. A departing member begins the next one within leaveGracePeriod of the
-// round before.
+// leaveTimeout limits one round of leave requests. A departing member starts the next round within leaveGracePeriod of the
+// previous one.
 const leaveTimeout = 200 * time.Millisecond
 
-// Departing tells whether this process is about to stop. Only then it accepts a view without itself: it then votes for
-// its own replacement where another member is down, and stays until the joining member has been rebuilt.
+// Departing reports whether this process is about to stop. Only a departing member accepts a view without itself. So it can
+// vote for its own replacement while another member is down. It keeps running until the joining member has been rebuilt.
 func (m *Manager) Departing() bool { return m.departing.Load() }
 
-// Leave tells the other members that this process is about to stop, so that a joining member replaces it at once if there
-// is one. It returns when all have replied, or after the time-out. A process that does not stop yet is to repeat it within
-// leaveGracePeriod, as its other messages withdraw the request.
+// Leave sends leave requests to the other members, so that a joining member, if there is one, replaces this process at once. It
+// returns when all members have replied, or after leaveTimeout. A process that keeps running must call Leave again within
+// leaveGracePeriod, because its other messages withdraw the request after that period.
 func (m *Manager) Leave(ctx context.Context) {
 	m.departing.Store(true)
 	view := m.View()
@@ -39,17 +39,18 @@
 	calls.Wait()
 }
 
-// OthersDepart tells whether every other member has sent a leave request, and has not been heard of since then.
+// OthersDepart reports whether every other member has sent a leave request, and no message later than leaveGracePeriod after
+// it.
 func (m *Manager) OthersDepart() bool {
-	var sinceContactBy map[string]time.Duration
+	var sinceContactByAddress map[string]time.Duration
 	if m.config.Liveness != nil {
-		sinceContactBy = m.config.Liveness().SinceContact
+		sinceContactByAddress = m.config.Liveness().SinceContact
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	stays := func(address string) bool {
-		return !m.isDeparting(address, m.sinceContact(address, sinceContactBy, now), now)
+	isStaying := func(address string) bool {
+		return !m.isDeparting(address, m.sinceContact(address, sinceContactByAddress, now), now)
 	}
-	return !slices.ContainsFunc(m.others(m.view.Members), stays)
+	return !slices.ContainsFunc(m.others(m.view.Members), isStaying)
 }
--- a/internal/controlplane/replicaset/linearizability_test.go
+++ b/internal/controlplane/replicaset/linearizability_test.go
@@ -19,33 +19,33 @@
 
 // Extent of a simulation, in simulated time.
 const (
-	simulationClients = 3
-	simulationTime    = 60 * time.Second
-	operationTimeout  = 3 * time.Second
-	maxOperationGap   = 400 * time.Millisecond // upper bound of the time between a client's operations
-	maxFaultGap       = 8 * time.Second
-	healingTime       = 10 * time.Second // from the end of all faults
+	simulationClients  = 3
+	simulationDuration = 60 * time.Second
+	operationTimeout   = 3 * time.Second
+	maxOperationGap    = 400 * time.Millisecond // upper bound of the time between a client's operations
+	maxFaultGap        = 8 * time.Second
+	healingDelay       = 10 * time.Second // from the end of all faults
 )
 
 var schedules = flag.Int("schedules", 1, "number of simulated schedules for each number of members")
 
 var simulationFaults = networktest.Faults{
-	Lose:      0.03,
-	Duplicate: 0.05,
-	Delay:     20 * time.Millisecond,
-	Late:      0.04,
-	LateBy:    2500 * time.Millisecond,
+	LossProbability:      0.03,
+	DuplicateProbability: 0.05,
+	MaxDelay:             20 * time.Millisecond,
+	LateProbability:      0.04,
+	MaxLateDelay:         2500 * time.Millisecond,
 }
 
 // simulation is a cluster with faults, of which single ones are injected one after another.
 type simulation struct {
 	*cluster
-	random      *rand.Rand
-	history     *history
-	machines    int // started so far
-	partitioned map[string]bool
-	lastFault   time.Time // when the newest fault was over
-	views       viewHistory
+	random       *rand.Rand
+	history      *history
+	machineCount int // started so far
+	partitioned  map[string]bool
+	lastFault    time.Time // when the newest fault was over
+	seenViews    viewHistory
 
 	conflictingViews     bool // two views of one version were seen
 	writableAfterHealing bool // the register could be written at the end
@@ -54,23 +54,23 @@
 
 // simulate runs clients at all processes while messages are lost, duplicated and late, and members are killed, partitioned
 // and replaced.
-func simulate(t *testing.T, seed uint64, size int, broken ruleMutant) *simulation {
+func simulate(t *testing.T, seed uint64, size int, mutation ruleMutation) *simulation {
 	t.Helper()
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, 1)), history: &history{}, machines: size,
+		random: rand.New(rand.NewPCG(seed, 1)), history: &history{}, machineCount: size,
 		partitioned: make(map[string]bool),
 	}
-	inCluster(t, seed, broken, addresses(size), func(c *cluster) {
+	runInCluster(t, seed, mutation, addresses(size), func(c *cluster) {
 		s.cluster = c
 		c.network.SetFaults(simulationFaults)
-		ctx, cancel := context.WithTimeout(context.Background(), simulationTime)
+		ctx, cancel := context.WithTimeout(context.Background(), simulationDuration)
 		defer cancel()
 		var running sync.WaitGroup
 		for client := range simulationClients {
 			running.Go(func() { s.runClient(ctx.Done(), client, rand.New(rand.NewPCG(seed, uint64(client)+2))) })
 		}
 		for ctx.Err() == nil {
-			s.wait(maxFaultGap)
+			s.sleepRandomly(maxFaultGap)
 			s.injectFault()
 			s.lastFault = time.Now()
 			s.observeViews()
@@ -84,9 +84,9 @@
 // healAll ends all faults, and records whether the register can be written then.
 func (s *simulation) healAll() {
 	s.network.SetFaults(networktest.Faults{})
-	<-time.After(healingTime)
+	<-time.After(healingDelay)
 	s.observeViews()
-	all := s.sorted()
+	all := s.runningByAddress()
 	for _, p := range all {
 		view := p.manager.View()
 		s.finalViews += fmt.Sprintf("%s: version %d %v, votes %v; ", p.address, view.Version, view.Members, p.rebuilder.Ready())
@@ -94,21 +94,21 @@
 	s.writableAfterHealing = len(all) > 0 && s.write(all[0].address, "healed") == nil
 }
 
-func (s *simulation) wait(bound time.Duration) {
+func (s *simulation) sleepRandomly(bound time.Duration) {
 	<-time.After(time.Duration(s.random.Int64N(int64(bound))))
 }
 
 // runClient appends to the register and reads it until done is closed.
 func (s *simulation) runClient(done <-chan struct{}, client int, random *rand.Rand) {
 	for i := 0; !isClosed(done); i++ {
-		if all := s.sorted(); len(all) > 0 {
+		if all := s.runningByAddress(); len(all) > 0 {
 			p := all[random.IntN(len(all))]
 			limited, cancel := context.WithTimeout(p.ctx, operationTimeout)
-			do := operation{}
+			op := operation{}
 			if random.IntN(2) == 0 {
-				do.token = fmt.Sprintf("%d-%d.", client, i)
+				op.token = fmt.Sprintf("%d-%d.", client, i)
 			}
-			s.history.run(limited, client, p.register, do)
+			s.history.perform(limited, client, p.register, op)
 			cancel()
 		}
 		<-time.After(time.Duration(random.Int64N(int64(maxOperationGap))))
@@ -117,8 +117,8 @@
 
 // observeViews records the views of all processes.
 func (s *simulation) observeViews() {
-	for _, p := range s.all() {
-		if !s.views.record(p.manager.View()) {
+	for _, p := range s.runningCoordinators() {
+		if !s.seenViews.record(p.manager.View()) {
 			s.conflictingViews = true
 		}
 	}
@@ -127,27 +127,27 @@
 // injectFault lets one member have one fault.
 func (s *simulation) injectFault() {
 	s.observeViews()
-	address := s.views.newest.Members[s.random.IntN(len(s.views.newest.Members))]
-	p := s.at(address)
+	address := s.seenViews.newest.Members[s.random.IntN(len(s.seenViews.newest.Members))]
+	p := s.coordinatorAt(address)
 	if p == nil {
 		return
 	}
 	switch kind := s.random.IntN(8); {
 	case kind < 3 && s.allHealthy():
 		s.stop(p)
-		s.wait(1500 * time.Millisecond)
+		s.sleepRandomly(1500 * time.Millisecond)
 		s.startJoiningMember()
 	case kind == 3 && s.allHealthy():
 		s.startJoiningMember()
-		s.wait(3 * time.Second)
+		s.sleepRandomly(3 * time.Second)
 		s.stopGracefully(p)
 	case kind == 4 && s.allHealthy():
 		s.stop(p)
-		s.wait(300 * time.Millisecond)
+		s.sleepRandomly(300 * time.Millisecond)
 		s.start(address, p.zone, storage.NewMemory(), false)
 	case kind == 5:
 		s.stop(p)
-		s.wait(time.Second)
+		s.sleepRandomly(time.Second)
 		s.start(address, p.zone, p.disk, false)
 	case !s.partitioned[address]:
 		s.partition(address)
@@ -156,12 +156,12 @@
 
 // startJoiningMember starts a joining member unless there are some already.
 func (s *simulation) startJoiningMember() {
-	if waiting := len(s.all()) - len(s.views.newest.Members); waiting > 0 {
+	if waiting := len(s.runningCoordinators()) - len(s.seenViews.newest.Members); waiting > 0 {
 		return
 	}
-	s.machines++
-	s.seeds = s.views.newest.Members
-	s.start(fmt.Sprintf("core-%d", s.machines), "elsewhere", storage.NewMemory(), false)
+	s.machineCount++
+	s.seeds = s.seenViews.newest.Members
+	s.start(fmt.Sprintf("core-%d", s.machineCount), "elsewhere", storage.NewMemory(), false)
 }
 
 // partition isolates a process for some time, while a joining member may start.
@@ -171,7 +171,7 @@
 	if s.random.IntN(2) == 0 {
 		s.startJoiningMember()
 	}
-	s.wait(5 * time.Second)
+	s.sleepRandomly(5 * time.Second)
 	s.network.Partition(address, false)
 	delete(s.partitioned, address)
 }
@@ -181,8 +181,8 @@
 	if time.Since(s.lastFault) < catchUpTime {
 		return false
 	}
-	for _, address := range s.views.newest.Members {
-		p := s.at(address)
+	for _, address := range s.seenViews.newest.Members {
+		p := s.coordinatorAt(address)
 		if p == nil || s.partitioned[address] || !p.rebuilder.Ready() {
 			return false
 		}
@@ -198,11 +198,11 @@
 	return []int{3, 4, 5}
 }
 
-func TestTheRegisterIsLinearizableWhileMembersAreReplaced(t *testing.T) {
+func TestRegisterIsLinearizableWhileMembersAreReplaced(t *testing.T) {
 	succeeded, replaced := 0, uint64(0)
 	for _, size := range sizes() {
 		for seed := range uint64(*schedules) {
-			s := simulate(t, seed, size, ruleMutant{})
+			s := simulate(t, seed, size, ruleMutation{})
 			if checked := s.history.check(); checked != porcupine.Ok {
 				t.Fatalf("%d members, seed %d: %d operations are %v", size, seed, len(s.history.operations), checked)
 			}
@@ -213,7 +213,7 @@
 				t.Errorf("%d members, seed %d: no progress after the end of all faults: %s", size, seed, s.finalViews)
 			}
 			succeeded += s.history.succeeded
-			replaced += s.views.newest.Version - 1
+			replaced += s.seenViews.newest.Version - 1
 		}
 	}
 	convey.Convey("Operations succeed, and members are replaced", t, func() {
--- a/internal/controlplane/replicaset/losses_test.go
+++ b/internal/controlplane/replicaset/losses_test.go
@@ -62,7 +62,7 @@
 func TestLossesAndReplacements(t *testing.T) {
 	if *scheduleSeed >= 0 {
 		seed := uint64(*scheduleSeed)
-		s := runSchedule(t, seed, scheduleSize(seed), ruleMutant{})
+		s := runSchedule(t, seed, scheduleSize(seed), ruleMutation{})
 		t.Log(s.report())
 		if len(s.violations) > 0 {
 			t.Fail()
@@ -77,12 +77,12 @@
 			t.Run(strconv.FormatUint(worker, 10), func(t *testing.T) {
 				t.Parallel()
 				for seed := worker; seed < total; seed += scheduleWorkers {
-					s := runSchedule(t, seed, scheduleSize(seed), ruleMutant{})
+					s := runSchedule(t, seed, scheduleSize(seed), ruleMutation{})
 					if len(s.violations) > 0 {
 						t.Error(s.report())
 					}
 					acknowledged.Add(int64(len(s.acknowledged) + len(s.groupAcknowledged)))
-					replaced.Add(int64(s.views.newest.Version - 1))
+					replaced.Add(int64(s.seenViews.newest.Version - 1))
 				}
 			})
 		}
@@ -95,27 +95,27 @@
 
 // Each of these defects is found by one of the first schedules, so schedules that find nothing mean something. TestEachRuleIsNeeded
 // has the defects that take a rarer coincidence.
-func TestLossesAndReplacementsFindDefects(t *testing.T) {
+func TestFaultSchedulesFindDefects(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(garbagePercent))
 	defects := []struct {
-		broken ruleMutant
-		first  uint64 // seed; it found the defect when this was written, and replays nearly the same
+		mutation  ruleMutation
+		firstSeed uint64 // seed; it found the defect when this was written, and replays nearly the same
 	}{
-		{ruleMutant{name: "a departing member stops at once", stopsAtOnce: true}, 0},
-		{ruleMutant{name: "a departing member refuses its own replacement", refusesOwnReplacement: true}, 0},
-		{ruleMutant{name: "a replaced member gives no snapshot", replacedGivesNoSnapshot: true}, 0},
-		{ruleMutant{name: "a joining member votes before it is rebuilt", noRebuild: true}, 150},
+		{ruleMutation{name: "a departing member stops at once", stopsWithoutHandover: true}, 0},
+		{ruleMutation{name: "a departing member refuses its own replacement", refusesOwnReplacement: true}, 0},
+		{ruleMutation{name: "a replaced member gives no snapshot", replacedGivesNoSnapshot: true}, 0},
+		{ruleMutation{name: "a joining member votes before it is rebuilt", votesBeforeRebuild: true}, 150},
 	}
 	t.Run("defects", func(t *testing.T) {
 		for _, defect := range defects {
-			t.Run(defect.broken.name, func(t *testing.T) {
+			t.Run(defect.mutation.name, func(t *testing.T) {
 				t.Parallel()
-				for seed := defect.first; seed < defect.first+schedulesUntilFound; seed++ {
+				for seed := defect.firstSeed; seed < defect.firstSeed+schedulesUntilFound; seed++ {
 					if isLossy(seed) {
 						continue // on such a network the defect may not be what is found
 					}
-					if s := runSchedule(t, seed, scheduleSize(seed), defect.broken); len(s.violations) > 0 {
-						t.Logf("%s: seed %d: %s", defect.broken.name, seed, s.violations[0])
+					if s := runSchedule(t, seed, scheduleSize(seed), defect.mutation); len(s.violations) > 0 {
+						t.Logf("%s: seed %d: %s", defect.mutation.name, seed, s.violations[0])
 						return
 					}
 				}
--- a/internal/controlplane/replicaset/manager.go
+++ b/internal/controlplane/replicaset/manager.go
@@ -13,43 +13,44 @@
 	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
-// ErrInvalidView is the refusal of a view without a version or without members.
+// ErrInvalidView is returned for a view without a version or without members.
 var ErrInvalidView = errors.New("view without a version or without members")
 
-// Manager knows the current view: it takes part in founding the first one and in replacing members, keeps the view in
-// the store, and exchanges it with other processes. Its methods may be called concurrently; Run only once.
+// Manager maintains this process's current view. It participates in committing the first view and in replacing members,
+// stores the view, and exchanges it with other processes. Its methods are safe for concurrent use, but Run may be called
+// only once.
 type Manager struct {
 	config            Config
-	start             time.Time
-	incarnation       uint64        // of this process, drawn at its start
-	departing         atomic.Bool   // this process is about to stop
-	founders          []string      // sorted; empty where this process takes no part in the founding
-	wake              wakeup.Signal // a joining member announced itself, or a member sent a leave request
-	storeFailures     chan error    // that end Run
-	observation       observation   // belongs to Run, as do the next three
+	startTime         time.Time
+	incarnation       uint64            // random number that identifies this process; a restarted one has another
+	departing         atomic.Bool       // this process is about to stop
+	founders          []string          // sorted; empty if this process does not participate in the founding
+	wake              wakeup.Signal     // notified when a joining member announces itself or a member sends a leave request
+	storeFailures     chan error        // errors that end Run
+	observation       quorumObservation // used only by Run, like the next three fields
 	lastLivenessCheck time.Time
-	wasDisconnected   bool // no quorum was reachable then, or this process may have been frozen before
-	exchangeCount     int  // picks the member to exchange views with
+	wasDisconnected   bool // at lastLivenessCheck no quorum was reachable, or this process may have been suspended before it
+	exchangeCount     int  // selects the next member to exchange views with
 
-	mutex          sync.Mutex // guards what follows
+	mutex          sync.Mutex // guards the fields below up to announcementReceived
 	view           View
 	memberSince    map[string]time.Time // when each member was first seen in the view
-	absences       uint64               // as Absences returns them
+	absences       uint64               // see Absences
 	changed        chan struct{}        // closed and replaced at each change of the view
 	announcements  announcements
 	joiningMembers joiningMembers
-	leaveReceived  map[string]time.Time // by address, when the newest leave request came
+	leaveReceived  map[string]time.Time // by address, when the latest leave request arrived
 
-	announcementReceived map[string]time.Time // by address of a process that was no member then, when its newest announcement came
+	announcementReceived map[string]time.Time // by address of a process that was no member at the time, when its latest announcement arrived
 
-	storing sync.Mutex // held while a view is stored
+	storeMutex sync.Mutex // serializes the storing of views
 }
 
-// NewManager loads the view from the store. At the first start of a core node it also stores who the founders are, so
-// that the founding resumes if the process is killed meanwhile.
+// NewManager creates a Manager and loads the view from the store. At the first start of a coordinator it also stores the list
+// of founders, so that a process that is killed during the founding resumes it after a restart.
 func NewManager(config Config) (*Manager, error) {
 	m := &Manager{
-		config: config, start: time.Now(), incarnation: max(1, rand.Uint64()),
+		config: config, startTime: time.Now(), incarnation: max(1, rand.Uint64()),
 		wake: wakeup.New(), storeFailures: make(chan error, 1),
 		memberSince: make(map[string]time.Time), changed: make(chan struct{}),
 		joiningMembers: make(joiningMembers), leaveReceived: make(map[string]time.Time),
@@ -63,49 +64,50 @@
 			return nil, err
 		}
 	}
-	m.announcements = newAnnouncements(m.start)
-	m.updateMemberSince(m.start)
+	m.announcements = newAnnouncements(m.startTime)
+	m.updateMemberSince(m.startTime)
 	return m, nil
 }
 
-// View returns the current view; its version is 0 while none is known. The members must not be modified.
+// View returns the current view, which has version 0 if none is known. The caller must not modify the members.
 func (m *Manager) View() View {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.view
 }
 
-// Changed returns a channel that is closed at the next change of the view. Take it before View, so as to miss none.
+// Changed returns a channel that is closed when the view changes. Call it before View in order not to miss a change.
 func (m *Manager) Changed() <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.changed
 }
 
-// Absences returns how often this process's store has learned a view that this process had left, or, as the first one,
-// a view that it was no part of. While the number stays the same, a member has been one without interruption.
+// Absences returns how many times this process has learned that it is not a member: either its first view did not contain
+// it, or a newer view removed it. The number is kept in the store. While it does not change, a member has been a member
+// without interruption.
 func (m *Manager) Absences() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.absences
 }
 
-// Founders returns the sorted internal addresses on which the first view is committed; none where this process did not see
-// the first start. They must not be modified.
+// Founders returns the sorted internal addresses of the processes that commit the first view. It is empty if this process did
+// not take part in the first start. The caller must not modify it.
 func (m *Manager) Founders() []string { return m.founders }
 
-// Incarnation is this process's own number. It is never 0, and with it a view tells the process that entered from a later
-// one at the same address.
+// Incarnation returns the random number that identifies this process. It is never 0. A view contains the number of the
+// joining member's process, which distinguishes that process from a later one at the same address.
 func (m *Manager) Incarnation() uint64 { return m.incarnation }
 
-// Learn makes a view that was received from another process the current one if it is newer, after it has stored it. It returns
-// ErrInvalidView, or the store's error.
+// Learn stores a view that was received from another process, and then makes it the current one. It does nothing if the view
+// is not newer than the current one. It returns ErrInvalidView, or the store's error.
 func (m *Manager) Learn(view View) error {
 	if view.Version == 0 || len(view.Members) == 0 {
 		return ErrInvalidView
 	}
-	m.storing.Lock()
-	defer m.storing.Unlock()
+	m.storeMutex.Lock()
+	defer m.storeMutex.Unlock()
 	known := m.View()
 	if view.Version <= known.Version {
 		return nil
@@ -122,7 +124,8 @@
 	return nil
 }
 
-// setView makes a stored view the current one. Announcements were made with the view before, so they count no longer.
+// setView makes a stored view the current one. It discards the joining members, because their announcements referred to the
+// previous view.
 func (m *Manager) setView(view View, absences uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -134,7 +137,7 @@
 	m.changed = make(chan struct{})
 }
 
-// updateMemberSince records since when each member has been in the view, as far as this process knows. The caller holds the mutex.
+// updateMemberSince records when this process first saw each current member in the view. The caller must hold the mutex.
 func (m *Manager) updateMemberSince(now time.Time) {
 	memberSince := make(map[string]time.Time, len(m.view.Members))
 	for _, address := range m.view.Members {
--- a/internal/controlplane/replicaset/managercluster_test.go
+++ b/internal/controlplane/replicaset/managercluster_test.go
@@ -20,7 +20,7 @@
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
 // drainTime is how long messages may still be in flight at the end of a test, in simulated time.
-const drainTime = 10 * time.Second
+const messageDrainTime = 10 * time.Second
 
 // managerCluster is processes with a manager each and nothing else, on a network in memory. It is to be run in simulated time.
 type managerCluster struct {
@@ -39,7 +39,7 @@
 
 func newManagerCluster(t *testing.T, seeds ...string) *managerCluster {
 	c := &managerCluster{t: t, network: networktest.New(1), seeds: seeds, running: make(map[string]*managerProcess)}
-	c.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
+	c.network.SetFaults(networktest.Faults{MaxDelay: 5 * time.Millisecond})
 	return c
 }
 
@@ -52,7 +52,7 @@
 }
 
 // start starts a core node, or a process that does not count for the quorum.
-func (c *managerCluster) start(self string, store *storage.Memory, firstStart, core bool) *managerProcess {
+func (c *managerCluster) start(self string, store *storage.Memory, firstStart, isCoordinator bool) *managerProcess {
 	c.t.Helper()
 	var manager *replicaset.Manager
 	founding := register.NewFounding(register.FoundingConfig{
@@ -66,7 +66,7 @@
 		Self:            self,
 		Seeds:           c.seeds,
 		FirstStart:      firstStart,
-		CountsForQuorum: core,
+		CountsForQuorum: isCoordinator,
 		Store:           store,
 		Caller:          c.network.Caller(self),
 		Founding:        founding,
@@ -104,34 +104,34 @@
 	return p.store
 }
 
-func (c *managerCluster) end() {
+func (c *managerCluster) shutDown() {
 	for self := range c.running {
 		c.kill(self)
 	}
-	<-time.After(drainTime)
+	<-time.After(messageDrainTime)
 }
 
 // view waits until a process knows a view, and returns it with the time since a start.
-func (p *managerProcess) view(start time.Time) (replicaset.View, time.Duration) {
-	for limit := time.After(time.Minute); ; {
+func (p *managerProcess) awaitView(start time.Time) (replicaset.View, time.Duration) {
+	for deadline := time.After(time.Minute); ; {
 		changed := p.manager.Changed()
 		if view := p.manager.View(); view.Version > 0 {
 			return view, time.Since(start)
 		}
 		select {
 		case <-changed:
-		case <-limit:
+		case <-deadline:
 			return replicaset.View{}, time.Minute
 		}
 	}
 }
 
 // inManagerCluster runs a test in simulated time.
-func inManagerCluster(t *testing.T, seeds []string, test func(c *managerCluster, start time.Time)) {
+func runInManagerCluster(t *testing.T, seeds []string, test func(c *managerCluster, start time.Time)) {
 	t.Helper()
 	virtualtime.Test(t, func(t *testing.T) {
 		c := newManagerCluster(t, seeds...)
 		test(c, time.Now())
-		c.end()
+		c.shutDown()
 	})
 }
--- a/internal/controlplane/replicaset/necessaryrules_test.go
+++ b/internal/controlplane/replicaset/necessaryrules_test.go
@@ -14,19 +14,19 @@
 	oldValue     = "the value before"
 	writtenValue = "the value that was written"
 
-	messagesInFlightTime = time.Second // upper bound
+	maxMessageDelay = time.Second // upper bound
 )
 
 // dropBetween lets no message pass between two processes, or none of a path.
 func (c *cluster) dropBetween(a, b, path string) {
-	c.network.AddRule(networktest.Rule{From: a, To: b, Path: path, Lose: true})
-	c.network.AddRule(networktest.Rule{From: b, To: a, Path: path, Lose: true})
+	c.network.AddRule(networktest.Rule{From: a, To: b, Path: path, Drop: true})
+	c.network.AddRule(networktest.Rule{From: b, To: a, Path: path, Drop: true})
 }
 
 // writtenInTheOldView lets a replaced member that has not learned the next view write at the end of the joining member's
 // rebuild, together with a member that the others need for no quorum and that proposes no view. It tells whether the value
 // is there afterwards.
-func writtenInTheOldView(c *cluster, members []string) bool {
+func replacedMemberWritesInOldView(c *cluster, members []string) bool {
 	replaced, common, proposer := members[0], members[1], members[2]
 	c.write(proposer, oldValue)
 	c.dropBetween(replaced, proposer, "")
@@ -36,7 +36,7 @@
 		c.dropBetween(address, common, "/replicaset/view")
 		c.dropBetween(address, common, "/replicaset/announce")
 	}
-	c.network.AddRule(networktest.Rule{From: common, Path: "/register/replicaset/next", Lose: true})
+	c.network.AddRule(networktest.Rule{From: common, Path: "/register/replicaset/next", Drop: true})
 	c.join("new")
 	if c.write(replaced, writtenValue) != nil {
 		return true
@@ -51,11 +51,11 @@
 	c.write(members[0], oldValue)
 	c.network.Partition(members[0], true)
 	c.write(members[1], writtenValue)
-	<-time.After(messagesInFlightTime)
+	<-time.After(maxMessageDelay)
 	c.network.Partition(members[0], false)
-	c.stop(c.at(members[1]))
+	c.stop(c.coordinatorAt(members[1]))
 	c.start("new", "elsewhere", storage.NewMemory(), false)
-	for !c.at("new").manager.View().Has("new") {
+	for !c.coordinatorAt("new").manager.View().Has("new") {
 		<-time.After(10 * time.Millisecond)
 	}
 	c.network.Partition(members[2], true)
@@ -75,19 +75,19 @@
 	c.join("new")
 	c.network.Partition(members[2], true)
 	c.write(members[1], writtenValue)
-	<-time.After(messagesInFlightTime)
+	<-time.After(maxMessageDelay)
 	c.network.Partition(members[2], false)
 	c.network.Partition(members[0], false)
 	<-time.After(3 * time.Second)
-	c.stop(c.at(members[1]))
-	c.at(members[0]).awaitMembership()
+	c.stop(c.coordinatorAt(members[1]))
+	c.coordinatorAt(members[0]).awaitMembership()
 	c.network.Partition("new", true)
 	return c.read(members[2]) == writtenValue
 }
 
 // twoProposers lets two members that cannot reach each other replace each other, each by another joining member. It tells
 // whether there is one view of each version.
-func twoProposers(c *cluster, members []string) bool {
+func twoProposersReplaceEachOther(c *cluster, members []string) bool {
 	c.dropBetween(members[0], members[1], "")
 	c.dropBetween("new-0", members[1], "")
 	c.dropBetween("new-1", members[0], "")
@@ -98,7 +98,7 @@
 	var views viewHistory
 	for range 500 {
 		<-time.After(10 * time.Millisecond)
-		for _, p := range c.all() {
+		for _, p := range c.runningCoordinators() {
 			if !views.record(p.manager.View()) {
 				return false
 			}
@@ -108,25 +108,25 @@
 }
 
 // Each rule is needed: what holds with it does not hold without it.
-func TestEachRuleIsNeeded(t *testing.T) {
+func TestRuleViolationsLoseDataOrConsistency(t *testing.T) {
 	rules := []struct {
-		broken   ruleMutant
+		mutation ruleMutation
 		scenario func(c *cluster, members []string) bool
 	}{
-		{ruleMutant{name: "a joining member votes only after it is rebuilt", noRebuild: true}, joiningMemberCompletesAMajority},
-		{ruleMutant{name: "a member that has learned a view refuses rounds of the one before", votesInOldView: true}, writtenInTheOldView},
-		{ruleMutant{name: "only a member that has stored the joining member's view gives it a snapshot", dumpsInOldView: true}, writtenInTheOldView},
-		{ruleMutant{name: "a replaced member is incomplete when it rejoins", keepsOldVotes: true}, replacedMemberRejoins},
-		{ruleMutant{name: "a majority commits the next view", decidesAlone: true}, twoProposers},
+		{ruleMutation{name: "a joining member votes only after it is rebuilt", votesBeforeRebuild: true}, joiningMemberCompletesAMajority},
+		{ruleMutation{name: "a member that has learned a view refuses rounds of the one before", votesInOldView: true}, replacedMemberWritesInOldView},
+		{ruleMutation{name: "only a member that has stored the joining member's view gives it a snapshot", snapshotsInOldView: true}, replacedMemberWritesInOldView},
+		{ruleMutation{name: "a replaced member is incomplete when it rejoins", votesWithOutdatedDisk: true}, replacedMemberRejoins},
+		{ruleMutation{name: "a majority commits the next view", commitsWithoutQuorum: true}, twoProposersReplaceEachOther},
 	}
 	members := addresses(3)
 	for _, rule := range rules {
-		var with, without bool
-		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) { with = rule.scenario(c, members) })
-		inCluster(t, 1, rule.broken, members, func(c *cluster) { without = rule.scenario(c, members) })
-		convey.Convey("Shown to be needed: "+rule.broken.name, t, func() {
-			convey.So(with, convey.ShouldBeTrue)
-			convey.So(without, convey.ShouldBeFalse)
+		var holdsWithRule, holdsWithoutRule bool
+		runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) { holdsWithRule = rule.scenario(c, members) })
+		runInCluster(t, 1, rule.mutation, members, func(c *cluster) { holdsWithoutRule = rule.scenario(c, members) })
+		convey.Convey("Shown to be needed: "+rule.mutation.name, t, func() {
+			convey.So(holdsWithRule, convey.ShouldBeTrue)
+			convey.So(holdsWithoutRule, convey.ShouldBeFalse)
 		})
 	}
 }
--- a/internal/controlplane/replicaset/networktest/network.go
+++ b/internal/controlplane/replicaset/networktest/network.go
@@ -1,5 +1,6 @@
-// Package networktest is a network in memory for tests of the control plane. It carries internal calls between handlers
-// and can lose, duplicate and delay them. Its delays are meant for the simulated time of testing/synctest.
+// Package networktest provides an in-memory network for tests of the control plane. It delivers internal calls to handlers, and
+// can drop, duplicate and delay messages. Its delays are intended for the simulated time of testing/synctest. It never opens a
+// real connection.
 package networktest
 
 import (
@@ -19,41 +20,42 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Faults are what a network does to messages. Each request and each reply has its own chances.
+// Faults configures random faults of messages. They are sampled independently for each request and each reply.
 type Faults struct {
-	Lose      float64       // probability of being lost; the caller then waits for its context
-	Duplicate float64       // probability that a request arrives a second time, with a delay of its own
-	Delay     time.Duration // upper bound of the usual delay
-	Late      float64       // probability of a delay up to LateBy instead
-	LateBy    time.Duration
+	LossProbability      float64       // probability that a message is lost; the caller then waits until its context ends
+	DuplicateProbability float64       // probability that a request is delivered a second time, with its own delay
+	MaxDelay             time.Duration // upper bound of the usual delay
+	LateProbability      float64       // probability that the delay is up to MaxLateDelay instead
+	MaxLateDelay         time.Duration
 }
 
-// errUnreachable is the failure of a call to an address that nobody serves.
+// errUnreachable is the error of a call to an address without a handler.
 var errUnreachable = errors.New("nobody serves the address")
 
-// Network connects handlers by address.
+// Network delivers requests to handlers by address.
 type Network struct {
 	mutex        sync.Mutex
 	random       *rand.Rand
 	faults       Faults
 	handlers     map[string]http.Handler
-	dropFrom     map[string]bool      // whose messages are dropped
-	dropTo       map[string]bool      // whose incoming messages are dropped
-	delayedUntil map[string]time.Time // until when messages from and to an address are delayed
+	dropFrom     map[string]bool      // addresses whose outgoing messages are dropped
+	dropTo       map[string]bool      // addresses whose incoming messages are dropped
+	delayedUntil map[string]time.Time // by address, until when messages from and to it are held
 	rules        []Rule
 }
 
-// Rule decides on single requests, for tests of one order of messages.
+// Rule drops or delays selected requests, for tests that need a certain order of messages. It does not affect duplicates of
+// these requests.
 type Rule struct {
-	From, To, Path string        // a request matches if each is empty or a substring of its own
-	Lose           bool          // the request does not arrive
-	Delay          time.Duration // the request arrives that much later
-	Times          int           // how often the rule applies; 0 for always
+	From, To, Path string        // a request matches if each is empty or a substring of the request's value
+	Drop           bool          // whether the request is dropped
+	Delay          time.Duration // additional delay of the request
+	MaxMatches     int           // number of requests that the rule applies to; 0 means no limit
 
-	applied int
+	matches int
 }
 
-// New makes a network without faults. The seed drives its chances.
+// New returns a network without faults. The seed determines its random choices.
 func New(seed uint64) *Network {
 	return &Network{
 		random:       rand.New(rand.NewPCG(seed, 0)),
@@ -64,14 +66,14 @@
 	}
 }
 
-// SetFaults sets the faults from now on.
+// SetFaults sets the random faults of messages sent from now on.
 func (n *Network) SetFaults(faults Faults) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.faults = faults
 }
 
-// AddRule adds a rule.
+// AddRule adds a rule, which applies in addition to earlier rules and random faults.
 func (n *Network) AddRule(rule Rule) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -85,54 +87,54 @@
 	n.rules = nil
 }
 
-// Serve sets the handler of an address; with nil, calls to it fail at once.
+// Serve sets the handler of an address. If the handler is nil, calls to the address return an error.
 func (n *Network) Serve(address string, handler http.Handler) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.handlers[address] = handler
 }
 
-// Partition drops all messages from and to an address, or ends that.
+// Partition starts or stops dropping all messages from and to an address.
 func (n *Network) Partition(address string, partitioned bool) {
 	n.PartitionOneWay(address, partitioned, partitioned)
 }
 
-// PartitionOneWay drops all messages from an address, all messages to it, or ends that.
+// PartitionOneWay sets whether all messages from an address are dropped, and whether all messages to it are dropped.
 func (n *Network) PartitionOneWay(address string, from, to bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.dropFrom[address], n.dropTo[address] = from, to
 }
 
-// Delay holds all messages from and to an address for a duration, and then delivers them.
+// Delay holds all messages from and to an address for a duration and then delivers them.
 func (n *Network) Delay(address string, duration time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.delayedUntil[address] = time.Now().Add(duration)
 }
 
-// Caller returns the Caller of the process at an address. Like a real process's it remembers which others it has reached.
-func (n *Network) Caller(from string) transport.Caller { return n.CallerOf("", from) }
+// Caller returns a Caller for the process at an address. Like a real process's Caller, it records which processes it has reached.
+func (n *Network) Caller(from string) transport.Caller { return n.CallerInCluster("", from) }
 
-// CallerOf returns the Caller of the process at an address in a named cluster.
-func (n *Network) CallerOf(cluster, from string) transport.Caller {
+// CallerInCluster returns a Caller for the process at an address in a named cluster.
+func (n *Network) CallerInCluster(cluster, from string) transport.Caller {
 	return transport.NewClientWithTransport(cluster, &roundTripper{n, from})
 }
 
-// roundTripper sends one process's requests over the network.
+// roundTripper implements http.RoundTripper by sending one process's requests over the network.
 type roundTripper struct {
 	network *Network
 	from    string
 }
 
-// call is a request and its addresses.
+// call is a request with its sender, receiver and path.
 type call struct {
 	from, to, path string
 	header         http.Header
 	body           []byte
 }
 
-// transmission is what happens to one message.
+// transmission is the sampled treatment of one message.
 type transmission struct {
 	lost  bool
 	delay time.Duration
@@ -145,8 +147,8 @@
 		return nil, err
 	}
 	ctx, address, path := request.Context(), request.URL.Host, request.URL.Path
-	replies := make(chan outcome, 2)
-	for _, sent := range r.network.drawRequests(r.from, address, path) {
+	replies := make(chan callResult, 2)
+	for _, sent := range r.network.sampleRequest(r.from, address, path) {
 		go r.network.deliver(ctx, call{r.from, address, path, request.Header, body}, sent, replies)
 	}
 	select {
@@ -157,77 +159,78 @@
 	}
 }
 
-// outcome is a reply, or the failure to reach the address.
-type outcome struct {
+// callResult is a reply, or the error if the address has no handler.
+type callResult struct {
 	response *http.Response
 	err      error
 }
 
-// drawRequests draws what happens to a request: one transmission or, where it is duplicated, two.
-func (n *Network) drawRequests(from, to, path string) []transmission {
+// sampleRequest returns the transmissions of a request: one, or two if the request is duplicated. Rules apply to the first.
+func (n *Network) sampleRequest(from, to, path string) []transmission {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	transmissions := []transmission{n.draw()}
-	if n.random.Float64() < n.faults.Duplicate {
-		transmissions = append(transmissions, n.draw())
+	transmissions := []transmission{n.sampleMessage()}
+	if n.random.Float64() < n.faults.DuplicateProbability {
+		transmissions = append(transmissions, n.sampleMessage())
 	}
 	for i := range n.rules {
-		if n.rules[i].applies(from, to, path) {
-			transmissions[0].lost = transmissions[0].lost || n.rules[i].Lose
+		if n.rules[i].match(from, to, path) {
+			transmissions[0].lost = transmissions[0].lost || n.rules[i].Drop
 			transmissions[0].delay += n.rules[i].Delay
 		}
 	}
 	return transmissions
 }
 
-func (r *Rule) applies(from, to, path string) bool {
+// match reports whether the rule applies to a request, and counts the request if it does.
+func (r *Rule) match(from, to, path string) bool {
 	if !strings.Contains(from, r.From) || !strings.Contains(to, r.To) || !strings.Contains(path, r.Path) {
 		return false
 	}
-	if r.Times > 0 && r.applied == r.Times {
+	if r.MaxMatches > 0 && r.matches == r.MaxMatches {
 		return false
 	}
-	r.applied++
+	r.matches++
 	return true
 }
 
-// draw draws what happens to one message. The caller holds the mutex.
-func (n *Network) draw() transmission {
-	bound := n.faults.Delay
-	if n.random.Float64() < n.faults.Late {
-		bound = n.faults.LateBy
+// sampleMessage returns the random transmission of one message. The caller must hold the mutex.
+func (n *Network) sampleMessage() transmission {
+	bound := n.faults.MaxDelay
+	if n.random.Float64() < n.faults.LateProbability {
+		bound = n.faults.MaxLateDelay
 	}
-	sent := transmission{lost: n.random.Float64() < n.faults.Lose}
+	sampled := transmission{lost: n.random.Float64() < n.faults.LossProbability}
 	if bound > 0 {
-		sent.delay = time.Duration(n.random.Int64N(int64(bound)))
+		sampled.delay = time.Duration(n.random.Int64N(int64(bound)))
 	}
-	return sent
+	return sampled
 }
 
-func (n *Network) drawReply() transmission {
+func (n *Network) sampleReply() transmission {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.draw()
+	return n.sampleMessage()
 }
 
-// deliver carries a request to its handler and the reply back.
-func (n *Network) deliver(ctx context.Context, call call, sent transmission, replies chan<- outcome) {
-	sleep(sent.delay)
-	n.awaitDelay(call.from, call.to)
-	if sent.lost || n.partitioned(call.from, call.to) {
+// deliver sends a request to its handler and returns the reply, unless one of them is lost.
+func (n *Network) deliver(ctx context.Context, call call, request transmission, replies chan<- callResult) {
+	sleep(request.delay)
+	n.waitWhileDelayed(call.from, call.to)
+	if request.lost || n.partitioned(call.from, call.to) {
 		return
 	}
-	served := n.serve(call)
-	reply := n.drawReply()
+	result := n.serve(call)
+	reply := n.sampleReply()
 	sleep(reply.delay)
-	n.awaitDelay(call.from, call.to)
+	n.waitWhileDelayed(call.from, call.to)
 	if reply.lost || n.partitioned(call.to, call.from) || ctx.Err() != nil {
 		return
 	}
-	replies <- served
+	replies <- result
 }
 
-// sleep waits, in simulated time.
+// sleep waits for the delay, which passes in simulated time in a synctest bubble.
 func sleep(delay time.Duration) {
 	if delay > 0 {
 		<-time.After(delay)
@@ -240,20 +243,20 @@
 	return n.dropFrom[from] || n.dropTo[to]
 }
 
-// awaitDelay waits while messages of either address are delayed.
-func (n *Network) awaitDelay(one, other string) {
+// waitWhileDelayed waits while messages of either address are held.
+func (n *Network) waitWhileDelayed(from, to string) {
 	n.mutex.Lock()
-	remaining := max(time.Until(n.delayedUntil[one]), time.Until(n.delayedUntil[other]))
+	remaining := max(time.Until(n.delayedUntil[from]), time.Until(n.delayedUntil[to]))
 	n.mutex.Unlock()
 	sleep(remaining)
 }
 
-func (n *Network) serve(call call) outcome {
+func (n *Network) serve(call call) callResult {
 	n.mutex.Lock()
 	handler := n.handlers[call.to]
 	n.mutex.Unlock()
 	if handler == nil {
-		return outcome{err: &net.OpError{Op: "dial", Net: "memory", Err: errUnreachable}}
+		return callResult{err: &net.OpError{Op: "dial", Net: "memory", Err: errUnreachable}}
 	}
 	request := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Path: call.path}, Host: call.to, RequestURI: call.path,
@@ -262,5 +265,5 @@
 	}
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, request)
-	return outcome{response: recorder.Result()}
+	return callResult{response: recorder.Result()}
 }
--- a/internal/controlplane/replicaset/nextview.go
+++ b/internal/controlplane/replicaset/nextview.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	failureTimeout          = 1200 * time.Millisecond // without a message, after which a member may be replaced
-	crossZoneFailureTimeout = 3 * time.Second         // the same where several have failed, and none in the joining member's zone
-	proposerDelay           = 500 * time.Millisecond  // for each live member that is to propose before this one
+	failureTimeout          = 1200 * time.Millisecond // time without a message after which a member may be replaced
+	crossZoneFailureTimeout = 3 * time.Second         // the same if several members failed, none of them in the joining member's zone
+	proposerDelay           = 500 * time.Millisecond  // delay per live member that ranks before this one as a proposer
 )
 
-// replaceableMember is a member that may be replaced, as it has failed or is about to stop.
+// replaceableMember is a member that may be replaced because it has failed or is about to stop.
 type replaceableMember struct {
 	address      string
-	sinceContact time.Duration // since its last message
-	departing    bool          // it sent a leave request
+	sinceContact time.Duration // time since its last message
+	departing    bool          // whether it sent a leave request
 }
 
-// nextView chooses which joining member replaces which member: the first of the joining members for which there is one. It is a
-// pure function, so members that know the same propose the same.
+// nextView returns the view to propose. It selects the first joining member that can replace a member, and the member to
+// replace. It is a pure function, so members with the same information propose the same view.
 func nextView(view View, joining []joiningMember, replaceable []replaceableMember) (next View, found bool) {
 	for _, candidate := range joining {
 		if member, found := memberToReplace(candidate, view, replaceable); found {
@@ -32,9 +32,10 @@
 	return View{}, false
 }
 
-// memberToReplace chooses the member of the joining member's zone, or a departing one, or the only one that has failed, or else
-// the one without contact for the longest time. A departing member comes before those that may restart, as it stops within
-// its grace period.
+// memberToReplace selects the member that a joining member replaces. It prefers a member of the joining member's zone, then a
+// departing member, then the only failed member. If several members have failed, it selects the one without contact for the
+// longest time, once crossZoneFailureTimeout has passed. A departing member has precedence over members that may restart,
+// because it stops within its grace period.
 func memberToReplace(joining joiningMember, view View, replaceable []replaceableMember) (address string, found bool) {
 	if len(replaceable) == 0 {
 		return "", false
@@ -66,23 +67,24 @@
 	return 1
 }
 
-// proposerRank is the number of live members that are to propose a replacement before this process.
+// proposerRank returns how many live members rank before this process as the proposer of a replacement.
 func proposerRank(view View, self string, replaceable []replaceableMember) int {
 	rank := 0
 	for _, address := range rendezvousOrder(view.Members) {
 		if address == self {
 			break
 		}
-		isAddress := func(member replaceableMember) bool { return member.address == address }
-		if !slices.ContainsFunc(replaceable, isAddress) {
+		hasAddress := func(member replaceableMember) bool { return member.address == address }
+		if !slices.ContainsFunc(replaceable, hasAddress) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// rendezvousOrder sorts addresses by their hashes, highest first: highest random weight, Thaler and Ravishankar, "Using
-// Name-Based Mappings to Increase Hit Rates" (IEEE/ACM Transactions on Networking 6(1), 1998). So the members agree on it.
+// rendezvousOrder returns the addresses sorted by their hashes, highest first, so that all members agree on the order. This
+// is rendezvous hashing (highest random weight): Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates"
+// (IEEE/ACM Transactions on Networking 6(1), 1998).
 func rendezvousOrder(addresses []string) []string {
 	return slices.SortedFunc(slices.Values(addresses), func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxh3.HashString(b), xxh3.HashString(a)), cmp.Compare(a, b))
--- a/internal/controlplane/replicaset/nextview_test.go
+++ b/internal/controlplane/replicaset/nextview_test.go
@@ -7,7 +7,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestWhichMemberAJoiningMemberReplaces(t *testing.T) {
+func TestJoiningMemberReplacesMemberOfItsZoneOrLongestFailed(t *testing.T) {
 	view := View{Version: 7, Members: []string{"a", "b", "c"}, Zones: map[string]string{"a": "north", "b": "south", "c": "west"}}
 	south := []joiningMember{{address: "new", zone: "south"}}
 	elsewhere := []joiningMember{{address: "new", zone: "elsewhere", incarnation: 9}}
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestADepartingMemberIsReplacedFirst(t *testing.T) {
+func TestDepartingMemberIsReplacedFirst(t *testing.T) {
 	view := View{Version: 7, Members: []string{"a", "b", "c"}, Zones: map[string]string{"a": "north", "b": "south", "c": "west"}}
 	replaceable := []replaceableMember{{address: "a", sinceContact: 10 * time.Second}, {address: "b", departing: true}}
 
--- a/internal/controlplane/replicaset/observation.go
+++ b/internal/controlplane/replicaset/observation.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// maxObservationGap is the most between two observations that follow each other. After a longer one this process may have
-// been frozen, and a lack of messages says nothing about the others.
+// maxObservationGap is the longest time between two consecutive observations. After a longer gap this process may have been
+// suspended, and missing messages then do not show that other members have failed.
 const maxObservationGap = time.Second
 
-// observation records since when a quorum has been reachable without interruption, and since when a replacement has been
+// quorumObservation records since when a quorum has been reachable without interruption, and since when a replacement has been
 // due. It reads no clock and sends nothing.
-type observation struct {
+type quorumObservation struct {
 	lastObserved   time.Time
-	connectedSince time.Time // zero while no quorum is reachable
-	dueSince       time.Time // zero while no replacement is due
+	connectedSince time.Time // zero if no quorum is reachable
+	dueSince       time.Time // zero if no replacement is due
 }
 
-// observe records whether a quorum is reachable now.
-func (o *observation) observe(now time.Time, connected bool) {
+// observe records whether a quorum is reachable now. A gap longer than maxObservationGap counts as an interruption.
+func (o *quorumObservation) observe(now time.Time, connected bool) {
 	if !connected || o.connectedSince.IsZero() || now.Sub(o.lastObserved) > maxObservationGap {
 		o.connectedSince, o.dueSince = time.Time{}, time.Time{}
 	}
@@ -25,8 +25,8 @@
 	o.lastObserved = now
 }
 
-// dueFor records whether a replacement is due now, and returns for how long it has been.
-func (o *observation) dueFor(now time.Time, due bool) time.Duration {
+// recordDue records whether a replacement is due now, and returns how long it has been due.
+func (o *quorumObservation) recordDue(now time.Time, due bool) time.Duration {
 	if !due {
 		o.dueSince = time.Time{}
 		return 0
--- a/internal/controlplane/replicaset/proposingleader_test.go
+++ b/internal/controlplane/replicaset/proposingleader_test.go
@@ -13,13 +13,13 @@
 // proposingLeader leads the schedule's group at one process, and proposes entries.
 type proposingLeader struct {
 	schedule *faultSchedule
-	node     *coreNode
+	node     *testCoordinator
 }
 
 // Elected implements replication.Handler: the state must have all that was acknowledged, and from now on the leader proposes.
 func (l *proposingLeader) Elected(term *replication.Term, state map[string][]byte) {
 	s := l.schedule
-	s.state.Lock()
+	s.mutex.Lock()
 	for key := range s.groupAcknowledged {
 		if _, found := state[key]; !found {
 			s.violations = append(s.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was acknowledged",
@@ -27,7 +27,7 @@
 			break
 		}
 	}
-	s.state.Unlock()
+	s.mutex.Unlock()
 	s.tasks.Go(func() { l.lead(term) })
 }
 
@@ -50,9 +50,9 @@
 
 // groupCommitted records that an entry was committed and acknowledged.
 func (s *faultSchedule) groupCommitted(key string) {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.groupAcknowledged[key] = true
-	s.slowest = max(s.slowest, time.Since(s.groupLastAcknowledged))
+	s.maxAcknowledgementGap = max(s.maxAcknowledgementGap, time.Since(s.groupLastAcknowledged))
 	s.groupLastAcknowledged = time.Now()
 }
--- a/internal/controlplane/replicaset/replacement.go
+++ b/internal/controlplane/replicaset/replacement.go
@@ -8,11 +8,11 @@
 	"go.uber.org/zap"
 )
 
-// leaveGracePeriod is how long after its leave request a member may still send messages. One that sends later has restarted,
-// and the request counts no more.
+// leaveGracePeriod is how long after its leave request a member may still send messages. A later message shows that the member
+// has restarted, and invalidates the request.
 const leaveGracePeriod = 500 * time.Millisecond
 
-// HasJoiningMembers tells whether this process is a member and knows core nodes that wait to become members.
+// HasJoiningMembers reports whether this process is a member and knows joining members that it may propose.
 func (m *Manager) HasJoiningMembers() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -20,12 +20,13 @@
 	return m.config.Succession != nil && m.view.Has(m.config.Self) && len(m.joiningMembers) > 0
 }
 
-// KnowsJoiningMember tells whether a core node that is no member has announced itself lately. It remembers longer than
-// HasJoiningMembers: an announcement that is late or lost must not let a departing member believe that it has no successor.
+// KnowsJoiningMember reports whether a coordinator that is not a member has announced itself within announcementRetention.
+// This is longer than for HasJoiningMembers, so that a departing member does not miss its successor when single announcements
+// are late or lost.
 func (m *Manager) KnowsJoiningMember() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	oldest := time.Now().Add(-announcementMemory)
+	oldest := time.Now().Add(-announcementRetention)
 	for address, received := range m.announcementReceived {
 		if received.After(oldest) && !m.view.Has(address) {
 			return true
@@ -34,7 +35,7 @@
 	return false
 }
 
-// completePendingView commits the next view if this member has accepted one.
+// completePendingView commits the next view that this member has accepted, if there is one.
 func (m *Manager) completePendingView(ctx context.Context) {
 	current := m.View()
 	if m.config.Succession == nil || !current.Has(m.config.Self) {
@@ -50,8 +51,8 @@
 	}
 }
 
-// replaceDueMember commits the next view if a member is to be replaced, and the members that are to propose it before this
-// one have had the time to.
+// replaceDueMember commits the next view if a member must be replaced, and if the members that rank before this one have had
+// time to propose it.
 func (m *Manager) replaceDueMember(ctx context.Context) {
 	observation := &m.observation
 	liveness := m.config.Liveness()
@@ -61,22 +62,23 @@
 		return
 	}
 	current, replaceable, joining := m.replacementCandidates(now, now.Sub(observation.connectedSince), liveness.SinceContact)
-	next, due := nextView(current, joining, replaceable)
+	next, found := nextView(current, joining, replaceable)
 	delay := time.Duration(proposerRank(current, m.config.Self, replaceable)) * proposerDelay
-	if dueFor := observation.dueFor(now, due); !due || dueFor < delay {
+	if dueFor := observation.recordDue(now, found); !found || dueFor < delay {
 		return
 	}
 	m.commitNextView(ctx, current, next)
 }
 
-// replacementCandidates returns the view, its members that may be replaced, and the joining members that may enter.
+// replacementCandidates returns the current view, the members that may be replaced, and the joining members that may replace
+// them.
 func (m *Manager) replacementCandidates(
-	now time.Time, connectedFor time.Duration, sinceContactBy map[string]time.Duration,
+	now time.Time, connectedFor time.Duration, sinceContactByAddress map[string]time.Duration,
 ) (current View, replaceable []replaceableMember, joining []joiningMember) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, address := range m.others(m.view.Members) {
-		sinceContact := m.sinceContact(address, sinceContactBy, now)
+		sinceContact := m.sinceContact(address, sinceContactByAddress, now)
 		departing := m.isDeparting(address, sinceContact, now)
 		if departing || connectedFor >= failureTimeout && sinceContact >= failureTimeout {
 			replaceable = append(replaceable, replaceableMember{address, sinceContact, departing})
@@ -85,16 +87,17 @@
 	return m.view, replaceable, m.joiningMembers.due(now)
 }
 
-// sinceContact is the time since a member's last message, by address; one that has sent none counts from when it entered the view.
-// The caller holds the mutex.
-func (m *Manager) sinceContact(address string, sinceContactBy map[string]time.Duration, now time.Time) time.Duration {
-	if sinceContact, found := sinceContactBy[address]; found {
+// sinceContact returns the time since the last message of the member at an address. For a member that has sent none, it returns
+// the time since this process first saw it in the view. The caller must hold the mutex.
+func (m *Manager) sinceContact(address string, sinceContactByAddress map[string]time.Duration, now time.Time) time.Duration {
+	if sinceContact, found := sinceContactByAddress[address]; found {
 		return sinceContact
 	}
 	return now.Sub(m.memberSince[address])
 }
 
-// isDeparting tells whether a member sent a leave request, and no message after its grace period. The caller holds the mutex.
+// isDeparting reports whether a member sent a leave request, and no message later than leaveGracePeriod after it. It deletes an
+// invalidated request. The caller must hold the mutex.
 func (m *Manager) isDeparting(address string, sinceContact time.Duration, now time.Time) bool {
 	received, found := m.leaveReceived[address]
 	if !found {
@@ -107,12 +110,12 @@
 	return true
 }
 
-// commitNextView commits the view after the current one, and sends it to the members of both. Where it fails it sends the
-// current one to its members, of which one may know a newer view.
+// commitNextView commits the view after the current one and exchanges it with the members of both views. If the commit fails,
+// it exchanges the current view with its members, because one of them may know a newer view.
 func (m *Manager) commitNextView(ctx context.Context, current, next View) {
-	limited, cancel := context.WithTimeout(ctx, commitTimeout)
+	commitCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	committed, err := m.config.Succession.Commit(limited, current, next)
+	committed, err := m.config.Succession.Commit(commitCtx, current, next)
 	if err != nil {
 		m.config.Logger.Warn("next view not committed", zap.Uint64("version", next.Version), zap.Error(err))
 		m.broadcastView(ctx, current.Members)
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -19,7 +19,7 @@
 
 // viewOf returns the view that a process works with: its version and members.
 func (c *cluster) viewOf(address string) replicaset.View {
-	view := c.at(address).manager.View()
+	view := c.coordinatorAt(address).manager.View()
 	return replicaset.View{Version: view.Version, Members: view.Members}
 }
 
@@ -31,37 +31,37 @@
 func (c *cluster) write(address, value string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	_, err := c.at(address).register.Change(ctx, func([]byte) ([]byte, error) { return []byte(value), nil })
+	_, err := c.coordinatorAt(address).register.Change(ctx, func([]byte) ([]byte, error) { return []byte(value), nil })
 	return err
 }
 
 func (c *cluster) read(address string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	value, err := c.at(address).register.Read(ctx)
+	value, err := c.coordinatorAt(address).register.Read(ctx)
 	if err != nil {
 		return err.Error()
 	}
 	return string(value)
 }
 
-func TestAFailedMemberIsReplaced(t *testing.T) {
+func TestFailedMemberIsReplaced(t *testing.T) {
 	members := addresses(3)
 	for _, downtime := range []time.Duration{0, time.Second, 10 * time.Second} {
 		var took time.Duration
 		var views []replicaset.View
 		var value string
-		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+		runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 			if err := c.write(members[0], "kept"); err != nil {
 				t.Error(err)
 			}
-			c.stop(c.at(members[1]))
+			c.stop(c.coordinatorAt(members[1]))
 			<-time.After(downtime)
 			took = c.join("new")
 			for _, address := range []string{members[0], members[2], "new"} {
 				views = append(views, c.viewOf(address))
 			}
-			c.stop(c.at(members[0]))
+			c.stop(c.coordinatorAt(members[0]))
 			value = c.read(members[2])
 		})
 		convey.Convey(fmt.Sprintf("A joining member starts %v after a member has failed", downtime), t, func() {
@@ -78,13 +78,13 @@
 	var slowest time.Duration
 	var last replicaset.View
 	var value string
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		if err := c.write(members[0], "kept"); err != nil {
 			t.Error(err)
 		}
 		for i, address := range members {
-			c.seeds = c.at(address).manager.View().Members // as an operator would have set them by then
-			c.stop(c.at(address))
+			c.seeds = c.coordinatorAt(address).manager.View().Members // as an operator would have set them by then
+			c.stop(c.coordinatorAt(address))
 			<-time.After(time.Second)
 			slowest = max(slowest, c.join(fmt.Sprintf("new-%d", i)))
 		}
@@ -98,15 +98,15 @@
 	})
 }
 
-func TestAJoiningMemberWaitsWhileAllMembersAreLive(t *testing.T) {
+func TestJoiningMemberWaitsWhileAllMembersAreLive(t *testing.T) {
 	members := addresses(3)
 	var before, after replicaset.View
 	var took time.Duration
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(20 * time.Second)
 		before = c.viewOf(members[0])
-		departing := c.at(members[0])
+		departing := c.coordinatorAt(members[0])
 		begin := time.Now()
 		departing.leaveUntilReplaced()
 		joining.awaitMembership()
@@ -122,11 +122,11 @@
 	})
 }
 
-func TestAMemberThatRestartsAfterItsLeaveRequestStays(t *testing.T) {
+func TestMemberThatRestartsAfterLeaveRequestStays(t *testing.T) {
 	members := addresses(3)
 	var view replicaset.View
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		departing := c.at(members[0])
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
+		departing := c.coordinatorAt(members[0])
 		departing.manager.Leave(departing.ctx)
 		c.stop(departing)
 		<-time.After(300 * time.Millisecond)
@@ -141,23 +141,23 @@
 	})
 }
 
-func TestAReplacedMemberRejoins(t *testing.T) {
+func TestReplacedMemberRejoins(t *testing.T) {
 	members := addresses(3)
 	var outside, inside replicaset.View
 	var ready bool
 	var value string
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		c.write(members[0], "old")
 		c.network.Partition(members[0], true)
 		c.join("new")
 		c.write(members[1], "young")
 		c.network.Partition(members[0], false)
 		<-time.After(5 * time.Second)
-		outside, ready = c.viewOf(members[0]), c.at(members[0]).rebuilder.Ready()
-		c.stop(c.at(members[1]))
-		c.at(members[0]).awaitMembership()
+		outside, ready = c.viewOf(members[0]), c.coordinatorAt(members[0]).rebuilder.Ready()
+		c.stop(c.coordinatorAt(members[1]))
+		c.coordinatorAt(members[0]).awaitMembership()
 		inside = c.viewOf(members[0])
-		c.stop(c.at("new"))
+		c.stop(c.coordinatorAt("new"))
 		value = c.read(members[0])
 	})
 	convey.Convey("A member that was partitioned and replaced", t, func() {
@@ -172,13 +172,13 @@
 	})
 }
 
-func TestTwoJoiningMembersAtOnce(t *testing.T) {
+func TestTwoJoiningMembersReplaceTwoFailedMembers(t *testing.T) {
 	members := addresses(5)
 	var views []replicaset.View
 	var first, second time.Duration
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
-		c.stop(c.at(members[0]))
-		c.stop(c.at(members[1]))
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
+		c.stop(c.coordinatorAt(members[0]))
+		c.stop(c.coordinatorAt(members[1]))
 		<-time.After(time.Second)
 		one := c.start("new-0", "elsewhere", storage.NewMemory(), false)
 		other := c.start("new-1", "zone of "+members[1], storage.NewMemory(), false)
@@ -198,22 +198,22 @@
 }
 
 // The member that proposes the next view is killed with its proposal accepted by one other member only.
-func TestAProposerFailsMidway(t *testing.T) {
+func TestOtherMembersCompleteViewOfKilledProposer(t *testing.T) {
 	members := addresses(5)
 	for _, proposer := range members[1:] {
 		var views []replicaset.View
-		inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+		runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 			c.network.AddRule(networktest.Rule{From: proposer, To: members[0], Path: "/register/replicaset/next/accept"})
 			for _, address := range members[2:] {
-				c.network.AddRule(networktest.Rule{From: proposer, To: address, Path: "/register/replicaset/next/accept", Lose: true})
+				c.network.AddRule(networktest.Rule{From: proposer, To: address, Path: "/register/replicaset/next/accept", Drop: true})
 			}
-			c.stop(c.at(members[0]))
+			c.stop(c.coordinatorAt(members[0]))
 			c.start("new-0", "elsewhere", storage.NewMemory(), false)
 			<-time.After(2 * time.Second)
-			c.stop(c.at(proposer))
+			c.stop(c.coordinatorAt(proposer))
 			c.start("new-1", "elsewhere", storage.NewMemory(), false)
 			<-time.After(10 * time.Second)
-			for _, p := range c.all() {
+			for _, p := range c.runningCoordinators() {
 				views = append(views, c.viewOf(p.address))
 			}
 		})
@@ -227,19 +227,19 @@
 	}
 }
 
-func TestAMemberInAMinorityPartitionReplacesNobody(t *testing.T) {
+func TestMemberInMinorityPartitionReplacesNobody(t *testing.T) {
 	members := addresses(3)
 	var version uint64
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(time.Second)
 		// The joining member and one member reach each other, and nobody else.
-		c.network.AddRule(networktest.Rule{From: members[0], To: members[1], Lose: true})
-		c.network.AddRule(networktest.Rule{From: members[0], To: members[2], Lose: true})
-		c.network.AddRule(networktest.Rule{From: members[1], To: members[0], Lose: true})
-		c.network.AddRule(networktest.Rule{From: members[2], To: members[0], Lose: true})
-		c.network.AddRule(networktest.Rule{From: "new", To: members[1], Lose: true})
-		c.network.AddRule(networktest.Rule{From: "new", To: members[2], Lose: true})
+		c.network.AddRule(networktest.Rule{From: members[0], To: members[1], Drop: true})
+		c.network.AddRule(networktest.Rule{From: members[0], To: members[2], Drop: true})
+		c.network.AddRule(networktest.Rule{From: members[1], To: members[0], Drop: true})
+		c.network.AddRule(networktest.Rule{From: members[2], To: members[0], Drop: true})
+		c.network.AddRule(networktest.Rule{From: "new", To: members[1], Drop: true})
+		c.network.AddRule(networktest.Rule{From: "new", To: members[2], Drop: true})
 		<-time.After(20 * time.Second)
 		version = joining.manager.View().Version
 	})
@@ -250,15 +250,15 @@
 
 // A next view was accepted by single members when the one that it replaces became reachable again. There are many joining
 // members.
-func TestAPendingViewIsCompletedWhileJoiningMembersWait(t *testing.T) {
+func TestPendingViewIsCompletedWhileJoiningMembersWait(t *testing.T) {
 	members := addresses(3)
 	var before, after uint64
-	inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		for i := range 6 {
 			c.start(fmt.Sprintf("new-%d", i), "elsewhere", storage.NewMemory(), false)
 			<-time.After(33 * time.Millisecond)
 		}
-		c.network.AddRule(networktest.Rule{Path: "/register/replicaset/next/accept", Lose: true})
+		c.network.AddRule(networktest.Rule{Path: "/register/replicaset/next/accept", Drop: true})
 		c.network.Partition(members[0], true)
 		<-time.After(2500 * time.Millisecond)
 		c.network.Partition(members[0], false)
@@ -276,15 +276,15 @@
 
 // A member was replaced while it was down or partitioned. It may count once it has had the time to catch up, so another may
 // fail then.
-func TestAReplacedMemberThatRestartsCatchesUpInTime(t *testing.T) {
+func TestReplacedMemberThatRestartsCatchesUpInTime(t *testing.T) {
 	members := addresses(3)
-	interruptions := map[string]func(c *cluster, p *coreNode){
-		"down": func(c *cluster, p *coreNode) {
+	interruptions := map[string]func(c *cluster, p *testCoordinator){
+		"down": func(c *cluster, p *testCoordinator) {
 			c.stop(p)
 			<-time.After(2600 * time.Millisecond)
 			c.start(p.address, p.zone, p.disk, false)
 		},
-		"partitioned": func(c *cluster, p *coreNode) {
+		"partitioned": func(c *cluster, p *testCoordinator) {
 			c.network.Partition(p.address, true)
 			<-time.After(2600 * time.Millisecond)
 			c.network.Partition(p.address, false)
@@ -294,16 +294,16 @@
 		for phase := range 5 {
 			var value string
 			var err error
-			inCluster(t, 1, ruleMutant{}, members, func(c *cluster) {
+			runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 				c.write(members[0], writtenValue)
 				c.start("new", "elsewhere", storage.NewMemory(), false)
 				<-time.After(catchUpTime + time.Duration(phase)*300*time.Millisecond)
-				interrupt(c, c.at(members[1]))
+				interrupt(c, c.coordinatorAt(members[1]))
 				back := time.Now()
 				<-time.After(600 * time.Millisecond)
-				c.stopGracefully(c.at(members[2])) // the interrupted one may replace it
+				c.stopGracefully(c.coordinatorAt(members[2])) // the interrupted one may replace it
 				<-time.After(time.Until(back.Add(catchUpTime)))
-				c.stop(c.at("new"))
+				c.stop(c.coordinatorAt("new"))
 				value, err = c.read(members[0]), c.write(members[0], "after")
 			})
 			convey.Convey(fmt.Sprintf("A member is replaced while it is %s, phase %d", interruption, phase), t, func() {
--- a/internal/controlplane/replicaset/rulemutants_test.go
+++ b/internal/controlplane/replicaset/rulemutants_test.go
@@ -9,14 +9,14 @@
 )
 
 // ruleMutant breaks one rule in a test; the zero value breaks none.
-type ruleMutant struct {
+type ruleMutation struct {
 	name                    string
-	noRebuild               bool // a joining member votes before it is rebuilt
+	votesBeforeRebuild      bool // a joining member votes before it is rebuilt
 	votesInOldView          bool // a member votes for a while in the view before the one that it has learned
-	dumpsInOldView          bool // a member gives a snapshot of its tables without having stored the receiver's view
-	keepsOldVotes           bool // a member that was replaced votes with its old disk when it rejoins
-	decidesAlone            bool // a single member decides the next view
-	stopsAtOnce             bool // a departing member does not wait for its successor
+	snapshotsInOldView      bool // a member gives a snapshot of its tables without having stored the receiver's view
+	votesWithOutdatedDisk   bool // a member that was replaced votes with its old disk when it rejoins
+	commitsWithoutQuorum    bool // a single member decides the next view
+	stopsWithoutHandover    bool // a departing member does not wait for its successor
 	refusesOwnReplacement   bool // a departing member does not vote for its own replacement
 	replacedGivesNoSnapshot bool // a replaced member gives no snapshot
 }
@@ -66,7 +66,7 @@
 }
 
 // staleViewTime is how long a member works with the old view in a mutant.
-const staleViewTime = 4 * time.Second
+const staleViewDuration = 4 * time.Second
 
 // staleView returns a view some time after it became the current one.
 func staleView(current func() replicaset.View) func() replicaset.View {
@@ -79,7 +79,7 @@
 		if view := current(); view.Version != newest.Version {
 			served, newest, since = newest, view, time.Now()
 		}
-		if served.Version == 0 || time.Since(since) >= staleViewTime {
+		if served.Version == 0 || time.Since(since) >= staleViewDuration {
 			served = newest
 		}
 		return served
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	pollInterval        = 200 * time.Millisecond // between calls to one process, to learn the view or to become a member
-	replacementInterval = 100 * time.Millisecond // between checks whether a member is to be replaced, while there are joining members
+	pollInterval        = 200 * time.Millisecond // between calls to the same process, to learn the view or to become a member
+	replacementInterval = 100 * time.Millisecond // between checks for a member to replace, while there are joining members
 	pendingViewInterval = 300 * time.Millisecond // between checks for a pending view, while there are joining members
 	livenessInterval    = 300 * time.Millisecond // between checks whether a quorum is reachable
 )
 
-// Run learns the view, or takes part in founding the first one; then it exchanges views with the members, announces this
-// process while it is no member, and replaces failed and departing members by joining members, until the context ends. It
+// Run runs until the context ends. While no view is known, it requests the view from other processes and, on a founder,
+// participates in committing the first one. Afterwards it exchanges views with the members. If this process is not a member,
+// Run announces it as a joining member. If it is a member, Run replaces failed and departing members by joining members. It
 // returns an error only if the store fails.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -28,15 +29,15 @@
 	return nil
 }
 
-// role is what a process repeats as long as the view stays the same.
-type role struct {
-	step     func(ctx context.Context)
-	first    time.Duration // until the first step
-	interval time.Duration // from the end of a step to the next one
-	replaces bool          // the process also exchanges views with the members and replaces them, as a member does
+// periodicTask is what a process does repeatedly until the view changes.
+type periodicTask struct {
+	step            func(ctx context.Context)
+	initialDelay    time.Duration // delay before the first step
+	interval        time.Duration // from the end of a step to the next one
+	replacesMembers bool          // whether to exchange views with the members and replace members as well
 }
 
-// runUntilViewChange plays this process's role in the current view until there is another.
+// runUntilViewChange performs this process's tasks in the current view until the view changes.
 func (m *Manager) runUntilViewChange(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -48,15 +49,15 @@
 	switch {
 	case view.Version == 0:
 		m.pollAll(ctx, &calls, m.others(slices.Concat(m.founders, m.config.Seeds)), m.discoveryCall())
-		return m.repeat(ctx, changed, role{step: m.commitFirstView, first: pollInterval, interval: pollInterval})
+		return m.runPeriodically(ctx, changed, periodicTask{step: m.commitFirstView, initialDelay: pollInterval, interval: pollInterval})
 	case m.config.CountsForQuorum && !view.Has(m.config.Self) && !m.departing.Load():
 		m.pollAll(ctx, &calls, view.Members, m.announceTo)
-		return m.repeat(ctx, changed, role{step: m.exchangeWithNext, first: exchangeInterval, interval: exchangeInterval})
+		return m.runPeriodically(ctx, changed, periodicTask{step: m.exchangeWithNext, initialDelay: exchangeInterval, interval: exchangeInterval})
 	}
-	return m.repeat(ctx, changed, role{step: m.exchangeAfterDisconnection, interval: livenessInterval, replaces: true})
+	return m.runPeriodically(ctx, changed, periodicTask{step: m.exchangeAfterDisconnection, interval: livenessInterval, replacesMembers: true})
 }
 
-// discoveryCall is the call with which a process without a view requests it.
+// discoveryCall returns the call with which a process without a view requests it. A founder announces itself at the same time.
 func (m *Manager) discoveryCall() func(ctx context.Context, address string) {
 	if len(m.founders) > 0 {
 		return m.announceTo
@@ -64,13 +65,13 @@
 	return m.exchangeWith
 }
 
-// pollAll calls each process repeatedly until the context ends. One that does not reply delays no other.
+// pollAll calls each process repeatedly until the context ends. A process that does not reply delays no call to another.
 func (m *Manager) pollAll(ctx context.Context, calls *sync.WaitGroup, addresses []string, call func(context.Context, string)) {
 	for _, address := range addresses {
 		calls.Go(func() {
 			for ctx.Err() == nil {
-				limited, cancel := context.WithTimeout(ctx, callTimeout)
-				call(limited, address)
+				callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+				call(callCtx, address)
 				cancel()
 				timer.Sleep(ctx, pollInterval)
 			}
@@ -78,20 +79,20 @@
 	}
 }
 
-// repeat runs a role's steps until the view changes or the context ends, or returns the store's error. The channels that the
-// role does not use are nil, and so never ready.
+// runPeriodically runs a task until the view changes or the context ends. It returns an error if the store fails. The channels
+// that the task does not use stay nil and are therefore never ready.
 //
-// While there are joining members, a process that replaces members checks whether one is due, and otherwise exchanges views.
-// A pending view is completed in either case, however often joining members announce themselves, as the tickers for that are
-// not reset.
-func (m *Manager) repeat(ctx context.Context, changed <-chan struct{}, role role) error {
-	step := time.NewTimer(role.first)
+// A task with replacesMembers checks for a member to replace while there are joining members, and exchanges views while there
+// are none. It completes a pending view in both cases. The tickers for this are never reset, so frequent announcements of
+// joining members cannot delay it.
+func (m *Manager) runPeriodically(ctx context.Context, changed <-chan struct{}, role periodicTask) error {
+	step := time.NewTimer(role.initialDelay)
 	defer step.Stop()
 	replacement := time.NewTimer(replacementInterval)
 	defer replacement.Stop()
 	var wake <-chan struct{}
 	var pendingView, exchange <-chan time.Time
-	if role.replaces {
+	if role.replacesMembers {
 		wake = m.wake
 		pendingViewTicker, exchangeTicker := time.NewTicker(pendingViewInterval), time.NewTicker(exchangeInterval)
 		defer pendingViewTicker.Stop()
@@ -121,7 +122,7 @@
 		case <-wake:
 		case <-replacement.C:
 		}
-		if role.replaces && m.HasJoiningMembers() {
+		if role.replacesMembers && m.HasJoiningMembers() {
 			m.replaceDueMember(ctx)
 			replacement.Reset(replacementInterval)
 		}
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -9,28 +9,28 @@
 )
 
 // untilRecovered is how long a machine counts as failed whose recovery is open.
-const untilRecovered = 24 * time.Hour
+const openEndedFailure = 24 * time.Hour
 
 // injectFault begins one fault, if no more than the tolerated number of machines have then failed. Faults overlap.
 func (s *faultSchedule) injectFault() {
 	kind, duration := s.random.IntN(10), time.Duration(s.random.Int64N(int64(3*time.Second)))
 	if kind >= 7 {
-		s.replaceOne(kind, duration)
+		s.replaceMachine(kind, duration)
 		return
 	}
-	p := s.failOne()
+	p := s.pickAndMarkFailed()
 	if p == nil {
 		return
 	}
 	s.logEvent("%s: fault %d for %v", p.address, kind, duration)
-	s.faults.Go(func() {
+	s.activeFaults.Go(func() {
 		s.applyFault(p, kind, duration)
 		s.markRecovered(p.address)
 	})
 }
 
 // applyFault lets a machine have a fault for a time.
-func (s *faultSchedule) applyFault(p *coreNode, kind int, duration time.Duration) {
+func (s *faultSchedule) applyFault(p *testCoordinator, kind int, duration time.Duration) {
 	switch kind {
 	case 0:
 		s.stop(p)
@@ -48,7 +48,7 @@
 		s.network.Delay(p.address, duration)
 		<-time.After(duration)
 	case 6:
-		p.disk.Fail(errFull)
+		p.disk.Fail(errDiskFull)
 		<-time.After(duration)
 		p.disk.Fail(nil)
 	}
@@ -56,24 +56,24 @@
 
 // replaceOne replaces a machine by a new one: unplanned, after it was lost for good, or planned, where the new one starts
 // first and the old one is then stopped gracefully.
-func (s *faultSchedule) replaceOne(kind int, duration time.Duration) {
+func (s *faultSchedule) replaceMachine(kind int, duration time.Duration) {
 	if !s.beginReplacement() {
 		return
 	}
 	planned := kind > 7
-	var p *coreNode
+	var p *testCoordinator
 	if planned {
-		p = s.anyHealthy()
+		p = s.pickHealthyMember()
 	} else {
-		p = s.failOne()
+		p = s.pickAndMarkFailed()
 	}
 	if p == nil {
 		s.endReplacement()
 		return
 	}
 	s.logEvent("%s is replaced, planned %v, wait %v", p.address, planned, duration)
-	diskLoss, index := s.random.IntN(3), s.random.IntN(len(s.views.newest.Members))
-	s.faults.Go(func() {
+	diskLoss, index := s.random.IntN(3), s.random.IntN(len(s.seenViews.newest.Members))
+	s.activeFaults.Go(func() {
 		defer s.endReplacement()
 		if planned {
 			s.startJoiningMember()
@@ -88,7 +88,7 @@
 				s.loseDisk(p, index, duration)
 			}
 			if !keepsQuorum {
-				s.startAgain(p)
+				s.restartAfterEarlyStop(p)
 			}
 			return
 		}
@@ -101,19 +101,19 @@
 }
 
 // restartTime is how long it takes until a machine is started again that had to stop too early.
-const restartTime = time.Second
+const earlyStopRestartDelay = time.Second
 
 // startAgain starts a machine on its disk that had to stop while no quorum was known to stay, as the operators' page asks for.
 // That may happen where messages are lost, and nowhere else.
-func (s *faultSchedule) startAgain(p *coreNode) {
+func (s *faultSchedule) restartAfterEarlyStop(p *testCoordinator) {
 	if !s.lossy {
-		s.violation("%s had to stop though no quorum was known to stay", p.address)
+		s.addViolation("%s had to stop though no quorum was known to stay", p.address)
 		return
 	}
-	s.state.Lock()
-	s.failedUntil[p.address] = time.Now().Add(untilRecovered)
-	s.state.Unlock()
-	<-time.After(restartTime)
+	s.mutex.Lock()
+	s.failedUntil[p.address] = time.Now().Add(openEndedFailure)
+	s.mutex.Unlock()
+	<-time.After(earlyStopRestartDelay)
 	s.cluster.start(p.address, p.zone, p.disk, false)
 	s.markRecovered(p.address)
 }
@@ -130,7 +130,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			s.violation("%s has not caught up within %v: %d may vote, %d others failed", address, lossyCatchUpTime, complete, failedOthers)
+			s.addViolation("%s has not caught up within %v: %d may vote, %d others failed", address, lossyCatchUpTime, complete, failedOthers)
 			return
 		}
 		<-time.After(observationInterval)
@@ -139,10 +139,10 @@
 
 // countMembers counts the members of the newest view that may vote, and the machines that count as failed beside one.
 func (s *faultSchedule) countMembers(address string) (complete, failedOthers int) {
-	s.state.Lock()
-	defer s.state.Unlock()
-	for _, member := range s.views.newest.Members {
-		if p := s.at(member); p != nil && p.rebuilder.Ready() && p.manager.View().Has(member) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, member := range s.seenViews.newest.Members {
+		if p := s.coordinatorAt(member); p != nil && p.rebuilder.Ready() && p.manager.View().Has(member) {
 			complete++
 		}
 	}
@@ -155,21 +155,21 @@
 }
 
 // loseDisk stops another member than the departing one and restarts it without its disk, unless that is more than is tolerated.
-func (s *faultSchedule) loseDisk(departing *coreNode, index int, duration time.Duration) {
-	s.state.Lock()
-	address := s.views.newest.Members[index%len(s.views.newest.Members)]
-	s.state.Unlock()
+func (s *faultSchedule) loseDisk(departing *testCoordinator, index int, duration time.Duration) {
+	s.mutex.Lock()
+	address := s.seenViews.newest.Members[index%len(s.seenViews.newest.Members)]
+	s.mutex.Unlock()
 	if address == departing.address || !s.markFailed(address) {
 		return
 	}
-	p := s.at(address)
+	p := s.coordinatorAt(address)
 	if p == nil {
 		s.markRecovered(address)
 		return
 	}
 	s.logEvent("%s loses its disk, for %v", address, duration)
 	s.stop(p)
-	s.faults.Go(func() {
+	s.activeFaults.Go(func() {
 		<-time.After(duration)
 		s.cluster.start(p.address, p.zone, storage.NewMemory(), false)
 		s.markRecovered(address)
@@ -178,8 +178,8 @@
 
 // beginReplacement returns false while another replacement is in progress.
 func (s *faultSchedule) beginReplacement() bool {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if s.replacing {
 		return false
 	}
@@ -188,36 +188,36 @@
 }
 
 func (s *faultSchedule) endReplacement() {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.replacing = false
 }
 
 // startJoiningMember starts a new machine.
 func (s *faultSchedule) startJoiningMember() {
-	s.state.Lock()
-	address := fmt.Sprintf("core-%d", s.machines)
-	s.machines++
-	s.seeds = slices.Clone(s.views.newest.Members)
-	s.state.Unlock()
+	s.mutex.Lock()
+	address := fmt.Sprintf("core-%d", s.machineCount)
+	s.machineCount++
+	s.seeds = slices.Clone(s.seenViews.newest.Members)
+	s.mutex.Unlock()
 	s.logEvent("%s starts", address)
 	s.cluster.start(address, "elsewhere", storage.NewMemory(), false)
 }
 
 // anyHealthy returns a running member that does not count as failed; nil where chance picked another.
-func (s *faultSchedule) anyHealthy() *coreNode {
-	s.state.Lock()
-	defer s.state.Unlock()
-	address := s.views.newest.Members[s.random.IntN(len(s.views.newest.Members))]
+func (s *faultSchedule) pickHealthyMember() *testCoordinator {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	address := s.seenViews.newest.Members[s.random.IntN(len(s.seenViews.newest.Members))]
 	if time.Now().Before(s.failedUntil[address]) {
 		return nil
 	}
-	return s.at(address)
+	return s.coordinatorAt(address)
 }
 
 // failOne picks a member, and counts it as failed from now on; nil where that is one more than is tolerated.
-func (s *faultSchedule) failOne() *coreNode {
-	p := s.anyHealthy()
+func (s *faultSchedule) pickAndMarkFailed() *testCoordinator {
+	p := s.pickHealthyMember()
 	if p == nil || p.manager.Departing() || !s.markFailed(p.address) {
 		return nil
 	}
@@ -226,8 +226,8 @@
 
 // markFailed counts a machine as failed from now on; false where it is already, or that is one more than is tolerated.
 func (s *faultSchedule) markFailed(address string) bool {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	failed := 0
 	for _, until := range s.failedUntil {
 		if time.Now().Before(until) {
@@ -237,7 +237,7 @@
 	if failed >= s.tolerated || time.Now().Before(s.failedUntil[address]) {
 		return false
 	}
-	s.failedUntil[address] = time.Now().Add(untilRecovered)
+	s.failedUntil[address] = time.Now().Add(openEndedFailure)
 	return true
 }
 
@@ -247,15 +247,15 @@
 	if s.lossy {
 		s.awaitCatchUp(address)
 	}
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.failedUntil[address] = time.Now().Add(catchUpTime)
 	s.events = append(s.events, fmt.Sprintf("%v: %s has recovered", time.Since(s.start), address))
 }
 
 // logEvent adds an event to the report.
 func (s *faultSchedule) logEvent(format string, values ...any) {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.events = append(s.events, fmt.Sprintf("%v: ", time.Since(s.start))+fmt.Sprintf(format, values...))
 }
--- a/internal/controlplane/replicaset/simultaneous_test.go
+++ b/internal/controlplane/replicaset/simultaneous_test.go
@@ -14,42 +14,42 @@
 )
 
 // subset is a set of the first machines of a schedule, a bit each.
-type subset uint
+type machineSet uint
 
-func (s subset) has(i int) bool { return s&(1<<i) != 0 }
+func (s machineSet) has(i int) bool { return s&(1<<i) != 0 }
 
-func (s subset) size() int { return bits.OnesCount(uint(s)) }
+func (s machineSet) size() int { return bits.OnesCount(uint(s)) }
 
 // simultaneousFaults are two faults that each strike several machines at one moment.
 type simultaneousFaults struct {
 	size          int
-	first, second subset
+	first, second machineSet
 	gap           time.Duration // from the first one to the second
-	full          bool          // the first one fills disks; otherwise both of them are losses of power
+	fillsDisks    bool          // the first one fills disks; otherwise both of them are losses of power
 }
 
 const (
-	outage       = time.Second             // of a machine without power
-	fullDiskTime = 2500 * time.Millisecond // for which disks are full
-	inFlightTime = 300 * time.Millisecond  // after which what was written before the disks were full is acknowledged
+	outageDuration       = time.Second             // of a machine without power
+	fullDiskDuration     = 2500 * time.Millisecond // for which disks are full
+	acknowledgementDelay = 300 * time.Millisecond  // after which what was written before the disks were full is acknowledged
 )
 
 func (f simultaneousFaults) String() string {
-	return fmt.Sprintf("%d machines, %0*b then %0*b after %v, full disks %v", f.size, f.size, f.first, f.size, f.second, f.gap, f.full)
+	return fmt.Sprintf("%d machines, %0*b then %0*b after %v, full disks %v", f.size, f.size, f.first, f.size, f.second, f.gap, f.fillsDisks)
 }
 
 // powerLosses are all pairs of subsets for three machines, and for five all subsets, each followed by itself, by the others and by
 // all. The second one strikes while the first is still down, as its machines start, and while they recover.
-func powerLosses() []simultaneousFaults {
+func powerLossFaults() []simultaneousFaults {
 	var all []simultaneousFaults
-	for _, gap := range []time.Duration{outage / 2, outage, outage + 400*time.Millisecond} {
-		for first := subset(1); first < 1<<3; first++ {
-			for second := subset(1); second < 1<<3; second++ {
+	for _, gap := range []time.Duration{outageDuration / 2, outageDuration, outageDuration + 400*time.Millisecond} {
+		for first := machineSet(1); first < 1<<3; first++ {
+			for second := machineSet(1); second < 1<<3; second++ {
 				all = append(all, simultaneousFaults{size: 3, first: first, second: second, gap: gap})
 			}
 		}
-		for first := subset(1); first < 1<<5; first++ {
-			for _, second := range []subset{first, ^first & (1<<5 - 1), 1<<5 - 1} {
+		for first := machineSet(1); first < 1<<5; first++ {
+			for _, second := range []machineSet{first, ^first & (1<<5 - 1), 1<<5 - 1} {
 				all = append(all, simultaneousFaults{size: 5, first: first, second: second, gap: gap})
 			}
 		}
@@ -58,13 +58,13 @@
 }
 
 // fullDisks are all subsets whose disks are full, with and without a loss of power meanwhile of the same, of the others and of all.
-func fullDisks() []simultaneousFaults {
+func fullDiskFaults() []simultaneousFaults {
 	var all []simultaneousFaults
 	for _, size := range []int{3, 5} {
-		every := subset(1<<size - 1)
-		for first := subset(1); first <= every; first++ {
-			for _, second := range []subset{0, first, ^first & every, every} {
-				all = append(all, simultaneousFaults{size: size, first: first, second: second, gap: outage, full: true})
+		every := machineSet(1<<size - 1)
+		for first := machineSet(1); first <= every; first++ {
+			for _, second := range []machineSet{0, first, ^first & every, every} {
+				all = append(all, simultaneousFaults{size: size, first: first, second: second, gap: outageDuration, fillsDisks: true})
 			}
 		}
 	}
@@ -72,21 +72,21 @@
 }
 
 // playSimultaneous plays the faults, and returns the schedule with its violations.
-func playSimultaneous(t *testing.T, faults simultaneousFaults) *faultSchedule {
+func runSimultaneousFaults(t *testing.T, faults simultaneousFaults) *faultSchedule {
 	t.Helper()
 	seed := uint64(faults.first)<<8 + uint64(faults.second)
-	return runFaults(t, seed, faults.size, ruleMutant{}, false, func(s *faultSchedule, ctx context.Context) {
+	return runFaults(t, seed, faults.size, ruleMutation{}, false, func(s *faultSchedule, ctx context.Context) {
 		<-time.After(time.Second)
 		s.markAllFailed(faults.size)
-		if faults.full {
-			s.faults.Go(func() { s.fillDisks(faults) })
+		if faults.fillsDisks {
+			s.activeFaults.Go(func() { s.fillDisks(faults) })
 		} else {
 			s.losePower(faults.first)
 		}
 		<-time.After(faults.gap)
 		s.losePower(faults.second)
 		<-ctx.Done()
-		s.faults.Wait()
+		s.activeFaults.Wait()
 		for _, address := range addresses(faults.size) {
 			s.markRecovered(address)
 		}
@@ -96,23 +96,23 @@
 
 // markAllFailed lets no operation begin until the faults are over; those under way go on.
 func (s *faultSchedule) markAllFailed(size int) {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	for _, address := range addresses(size) {
-		s.failedUntil[address] = time.Now().Add(untilRecovered)
+		s.failedUntil[address] = time.Now().Add(openEndedFailure)
 	}
 }
 
 // losePower stops machines at one moment, and starts them again on their disks at another.
-func (s *faultSchedule) losePower(machines subset) {
-	var stopped []*coreNode
+func (s *faultSchedule) losePower(machines machineSet) {
+	var stopped []*testCoordinator
 	for i, address := range addresses(s.size) {
-		if p := s.at(address); machines.has(i) && p != nil && s.stop(p) {
+		if p := s.coordinatorAt(address); machines.has(i) && p != nil && s.stop(p) {
 			stopped = append(stopped, p)
 		}
 	}
-	s.faults.Go(func() {
-		<-time.After(outage)
+	s.activeFaults.Go(func() {
+		<-time.After(outageDuration)
 		for _, p := range stopped {
 			s.cluster.start(p.address, p.zone, p.disk, false)
 		}
@@ -122,27 +122,27 @@
 // fillDisks lets disks be full for a while. Where too few others have room, nothing may be acknowledged meanwhile; what is there stays
 // readable.
 func (s *faultSchedule) fillDisks(faults simultaneousFaults) {
-	var disks []*coreNode
+	var affected []*testCoordinator
 	for i, address := range addresses(faults.size) {
 		if faults.first.has(i) {
-			disks = append(disks, s.at(address))
+			affected = append(affected, s.coordinatorAt(address))
 		}
 	}
-	for _, p := range disks {
-		p.disk.Fail(errFull)
+	for _, p := range affected {
+		p.disk.Fail(errDiskFull)
 	}
-	<-time.After(inFlightTime)
+	<-time.After(acknowledgementDelay)
 	before := s.groupCount()
 	if faults.second == 0 {
 		if value := s.read(addresses(faults.size)[0]); !containsAll(value, s.acknowledgedTokens()) {
-			s.violation("with full disks a read returns %q", value)
+			s.addViolation("with full disks a read returns %q", value)
 		}
 	}
-	<-time.After(fullDiskTime - inFlightTime)
+	<-time.After(fullDiskDuration - acknowledgementDelay)
 	if quorum := faults.size/2 + 1; faults.size-faults.first.size() < quorum && s.groupCount() != before {
-		s.violation("%d entries were acknowledged while %d of %d disks were full", s.groupCount()-before, faults.first.size(), faults.size)
+		s.addViolation("%d entries were acknowledged while %d of %d disks were full", s.groupCount()-before, faults.first.size(), faults.size)
 	}
-	for _, p := range disks {
+	for _, p := range affected {
 		p.disk.Fail(nil)
 	}
 }
@@ -158,26 +158,26 @@
 
 // groupCount is the number of entries of the group that were acknowledged.
 func (s *faultSchedule) groupCount() int {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return len(s.groupAcknowledged)
 }
 
 // everyFewUnderRace leaves out all but each sixteenth schedule under the race detector, where each takes many times as long.
-const everyFewUnderRace = 16
+const raceScheduleStride = 16
 
 // playAll plays schedules in parallel and returns the violations.
-func playAll(t *testing.T, all []simultaneousFaults) (found int64) {
+func runAllSimultaneousFaults(t *testing.T, all []simultaneousFaults) (found int64) {
 	var violations atomic.Int64
 	t.Run("schedules", func(t *testing.T) {
 		for worker := range scheduleWorkers {
 			t.Run(fmt.Sprint(worker), func(t *testing.T) {
 				t.Parallel()
 				for i := worker; i < len(all); i += scheduleWorkers {
-					if raceflag.On && i%everyFewUnderRace != 0 {
+					if raceflag.On && i%raceScheduleStride != 0 {
 						continue
 					}
-					if s := playSimultaneous(t, all[i]); len(s.violations) > 0 {
+					if s := runSimultaneousFaults(t, all[i]); len(s.violations) > 0 {
 						violations.Add(1)
 						t.Errorf("%v: %s", all[i], s.report())
 					}
@@ -190,14 +190,14 @@
 
 // Any machines may lose power at one moment, whatever number is tolerated, and again while they recover. Nothing acknowledged is lost,
 // and writes succeed once they are back.
-func TestEverySubsetLosesPowerAtOnce(t *testing.T) {
-	found := playAll(t, powerLosses())
+func TestNoWriteIsLostWhenAnySubsetLosesPower(t *testing.T) {
+	found := runAllSimultaneousFaults(t, powerLossFaults())
 	convey.Convey("No subset of three or of five loses anything", t, func() { convey.So(found, convey.ShouldEqual, 0) })
 }
 
 // A machine whose disk is full votes for nothing, and what it has stays readable. It goes on by itself once there is room.
-func TestEverySubsetOfDisksIsFull(t *testing.T) {
-	found := playAll(t, fullDisks())
+func TestNoWriteIsLostWhenAnySubsetOfDisksIsFull(t *testing.T) {
+	found := runAllSimultaneousFaults(t, fullDiskFaults())
 	convey.Convey("No subset of three or of five loses anything, or acknowledges what is not stored", t, func() {
 		convey.So(found, convey.ShouldEqual, 0)
 	})
--- a/internal/controlplane/replicaset/store.go
+++ b/internal/controlplane/replicaset/store.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// TableName is the store's table of the view. It is each member's own and no part of what the members replicate.
+// TableName is the name of the store's table for the view. The table is local to each process and is not replicated.
 const TableName = "replicaset"
 
 // Keys of the table.
@@ -21,13 +21,13 @@
 	absencesKey = "absences"
 )
 
-// absencesBytes is the length of the stored number of absences.
+// absencesBytes is the length in bytes of the stored number of absences.
 const absencesBytes = 8
 
-// errInvalidAbsences is the failure to decode a number of absences of another length.
+// errInvalidAbsences reports that the stored number of absences does not have absencesBytes bytes.
 var errInvalidAbsences = errors.New("number of absences of a wrong length")
 
-// load reads the view, the founders and the number of absences from the store, as far as they are there.
+// load reads the view, the founders and the number of absences from the store. Values that are not stored keep their zero value.
 func (m *Manager) load() error {
 	table := m.config.Store.Table(TableName)
 	if encoded, found := table[viewKey]; found {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// storeFounders stores that the seeds are the founders.
+// storeFounders stores the seeds as the founders.
 func (m *Manager) storeFounders() error {
 	founders := slices.Sorted(slices.Values(m.config.Seeds))
 	founders = slices.Compact(founders)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// storeView stores the view together with the number of absences, in one write.
+// storeView stores the view and the number of absences in one write.
 func (m *Manager) storeView(view View, absences uint64) error {
 	encoded, err := msgpack.Marshal(view)
 	if err != nil {
--- a/internal/controlplane/replicaset/stored_test.go
+++ b/internal/controlplane/replicaset/stored_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	storedFolder   = "testdata/stored"
-	updateVariable = "GOLDEN_UPDATE" // set to 1, the stored data is made anew
-	storedSelf     = "10.0.0.2:7000"
+	storedFolder              = "testdata/stored"
+	updateEnvironmentVariable = "GOLDEN_UPDATE" // set to 1, the stored data is made anew
+	storedSelf                = "10.0.0.2:7000"
 )
 
 var (
@@ -63,8 +63,8 @@
 	return store
 }
 
-func TestReadsStoredDataOfTheView(t *testing.T) {
-	if os.Getenv(updateVariable) == "1" {
+func TestStoredViewOfEarlierBuildIsReadUnchanged(t *testing.T) {
+	if os.Getenv(updateEnvironmentVariable) == "1" {
 		os.RemoveAll(storedFolder)
 		if err := writeStoredViews(openStored(t, storedFolder)); err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/replicaset/wire_test.go
+++ b/internal/controlplane/replicaset/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "view request", Value: new(viewRequest)},
 		goldentest.Form{Name: "announce request", Value: new(announceRequest)},
@@ -19,7 +19,7 @@
 }
 
 // TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: TableName, Want: "replicaset"},
 		goldentest.Constant{Have: viewKey, Want: "view"},
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -263,7 +263,7 @@
 		network.Serve("served:1", handler)
 		network.Serve("nowhere:1", nil)
 		replace := func(handler http.Handler) { network.Serve("served:1", handler) }
-		return fixture{caller: network.CallerOf(testCluster, "caller:1"), served: "served:1", unserved: "nowhere:1", replace: replace}
+		return fixture{caller: network.CallerInCluster(testCluster, "caller:1"), served: "served:1", unserved: "nowhere:1", replace: replace}
 	})
 }
 
--- a/internal/transport/responses_test.go
+++ b/internal/transport/responses_test.go
@@ -176,7 +176,7 @@
 		})
 		network := networktest.New(1)
 		network.Serve("served:1", process)
-		caller := network.CallerOf(testCluster, "caller:1")
+		caller := network.CallerInCluster(testCluster, "caller:1")
 		send := func(endpoint interface {
 			Call(context.Context, transport.Caller, string, echo) (echo, error)
 		}) error {
@@ -189,8 +189,8 @@
 			t.Fatal(err, process.executions.Load())
 		}
 		time.Sleep(time.Hour) // the clock that was learned stays good
-		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, Times: 1})
-		network.AddRule(networktest.Rule{Path: repeatable.Path(), Delay: 20 * time.Second, Times: 1})
+		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, MaxMatches: 1})
+		network.AddRule(networktest.Rule{Path: repeatable.Path(), Delay: 20 * time.Second, MaxMatches: 1})
 		if err := send(countCall); rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
 			t.Error("a call that has not arrived yet was reported as not executed:", err)
 		}
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -88,9 +88,9 @@
 	for i := range modelAddresses {
 		s.startProcess(modelAddress(i), fmt.Sprintf("node-%d", i))
 	}
-	faults := networktest.Faults{Lose: 0.08, Delay: 40 * time.Millisecond, Late: 0.1, LateBy: modelLateDelay}
+	faults := networktest.Faults{LossProbability: 0.08, MaxDelay: 40 * time.Millisecond, LateProbability: 0.1, MaxLateDelay: modelLateDelay}
 	if s.duplicates {
-		faults.Duplicate = 0.3
+		faults.DuplicateProbability = 0.3
 	}
 	s.network.SetFaults(faults)
 	return s
@@ -204,7 +204,7 @@
 	var callers []*modelCaller
 	for i := range modelCallers {
 		caller := &modelCaller{simulation: s, index: i, known: map[string]transport.Identity{}}
-		caller.caller = s.network.CallerOf(testCluster, fmt.Sprintf("10.1.0.%d:1", i))
+		caller.caller = s.network.CallerInCluster(testCluster, fmt.Sprintf("10.1.0.%d:1", i))
 		callers = append(callers, caller)
 		own := rand.New(rand.NewPCG(random.Uint64(), 2))
 		running.Go(func() { caller.run(own) })
