--- a/internal/controlplane/replicaset/assembly_test.go
+++ b/internal/controlplane/replicaset/assembly_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// testRegister is the name of the register that the core nodes replicate.
+// testRegister is the name of the register that the coordinators replicate.
 const testRegister = "test"
 
 func (c *cluster) assembleViews(p *testCoordinator, mux *transport.Mux, firstStart bool) {
@@ -96,7 +96,8 @@
 	})
 }
 
-// assembleNode makes the replication node, which pings the other members, and replicates the schedule's group where there is one.
+// assembleNode creates the replication node, which pings the other members. It also replicates the fault schedule's group if the
+// cluster has a groupHandler.
 func (c *cluster) assembleNode(p *testCoordinator, mux *transport.Mux) {
 	config := replication.Config{
 		Self: p.address, Store: storage.NewMemory(), Caller: p.caller, View: p.manager.View,
@@ -120,7 +121,7 @@
 	p.node = node
 }
 
-// noGroups implements replication.Handler where there are no groups.
+// noGroupHandler implements replication.Handler for a node without groups.
 type noGroupHandler struct{}
 
 // Elected and Deposed implement replication.Handler.
--- a/internal/controlplane/replicaset/calls_test.go
+++ b/internal/controlplane/replicaset/calls_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLeaveCallIsExecutedAtMostOnce(t *testing.T) {
-	convey.Convey("A leave request is executed at most once: a late duplicate would let a member be replaced that has restarted", t, func() {
+	convey.Convey("A leave request is executed at most once, because a late duplicate would cause the replacement of a restarted member", t, func() {
 		var route transport.Route = leaveCall.Route()
 		_, once := route.(transport.AtMostOnceRoute)
 		convey.So(once, convey.ShouldBeTrue)
--- a/internal/controlplane/replicaset/cluster_test.go
+++ b/internal/controlplane/replicaset/cluster_test.go
@@ -23,29 +23,29 @@
 )
 
 const (
-	restartDelay   = 200 * time.Millisecond  // until a process that ended by itself is restarted
-	firstViewDelay = 2500 * time.Millisecond // in which the founders commit the first view
-	// membershipTimeout bounds the wait for a process to become a member that may vote.
+	restartDelay   = 200 * time.Millisecond  // delay until a process that stopped because it was replaced is restarted
+	firstViewDelay = 2500 * time.Millisecond // time in which the founders commit the first view
+	// membershipWaitTimeout limits the wait until a process is a member that may vote.
 	membershipWaitTimeout = time.Minute
 )
 
-// cluster is a set of core nodes on a network in memory, each with all that takes part in a reconfiguration, and with
-// a register that they replicate. It is to be run in simulated time.
+// cluster is a set of coordinators on an in-memory network. Each has all components that participate in a reconfiguration, and
+// a replica of a shared register. It must run in simulated time.
 type cluster struct {
 	t            *testing.T
 	network      *networktest.Network
 	seeds        []string
 	mutation     ruleMutation
 	tasks        sync.WaitGroup
-	log          *zap.Logger                                  // of the replication nodes; nil for none
-	groupHandler func(p *testCoordinator) replication.Handler // of a group on the members' disks; nil for none
+	log          *zap.Logger                                  // logger of the replication nodes; nil disables logging
+	groupHandler func(p *testCoordinator) replication.Handler // handler of a replication group on the members' disks; nil for no group
 
-	mutex    sync.Mutex // guards what follows
+	mutex    sync.Mutex // guards the fields below
 	running  map[string]*testCoordinator
 	stopping bool
 }
 
-// core is one incarnation of a core node.
+// testCoordinator is one incarnation of a coordinator.
 type testCoordinator struct {
 	address   string
 	zone      string
@@ -59,25 +59,26 @@
 	node      *replication.Node
 	ctx       context.Context
 	kill      context.CancelFunc
-	failed    atomic.Bool // a part ended with an error
+	failed    atomic.Bool // a component ended with an error
 }
 
-// hasFailed tells whether a part of the process ended with an error, which ends a coordinator.
+// componentFailed reports whether a component ended with an error. In production this ends the coordinator's process.
 func (p *testCoordinator) componentFailed() bool { return p.failed.Load() }
 
-// runPart runs a part of the process.
+// runComponent runs a component of the process and records its failure.
 func (p *testCoordinator) runComponent(run func(ctx context.Context) error) {
 	if err := run(p.ctx); err != nil && p.ctx.Err() == nil {
 		p.failed.Store(true)
 	}
 }
 
-// newCluster makes a cluster without processes. The seed drives the chances of its network.
+// newCluster returns a cluster without processes. The seed determines the random choices of its network.
 func newCluster(t *testing.T, seed uint64, seeds []string, mutation ruleMutation) *cluster {
 	return &cluster{t: t, network: networktest.New(seed), seeds: seeds, mutation: mutation, running: make(map[string]*testCoordinator)}
 }
 
-// found starts the seeds for the first time, on a network with faults, and waits until they have committed the first view.
+// startAndCommitFirstView starts the seeds for the first time, on a network with the given faults, and waits until they have
+// committed the first view.
 func (c *cluster) startAndCommitFirstView(faults networktest.Faults) {
 	c.network.SetFaults(faults)
 	for _, address := range c.seeds {
@@ -86,7 +87,7 @@
 	<-time.After(firstViewDelay)
 }
 
-// inCluster runs a test in simulated time, after the given members have founded the first view.
+// runInCluster runs a test in simulated time, after the given members have committed the first view.
 func runInCluster(t *testing.T, seed uint64, mutation ruleMutation, members []string, test func(c *cluster)) {
 	t.Helper()
 	virtualtime.Test(t, func(t *testing.T) {
@@ -97,7 +98,7 @@
 	})
 }
 
-// start starts a process unless there is one at the address.
+// start starts a process unless one is running at the address or the cluster is stopping.
 func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *testCoordinator {
 	c.t.Helper()
 	p := &testCoordinator{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
@@ -123,7 +124,8 @@
 	return p
 }
 
-// watch restarts a process on its disk when it has ended because it was replaced. A departing one ends by itself.
+// restartWhenReplaced restarts a process on its disk if it stops because it was replaced. It does not restart a departing
+// process, which stops by itself.
 func (c *cluster) restartWhenReplaced(p *testCoordinator) {
 	err := p.rebuilder.Watch(p.ctx)
 	if !errors.Is(err, rebuild.ErrReplaced) || p.manager.Departing() || !c.stop(p) {
@@ -133,7 +135,7 @@
 	c.start(p.address, p.zone, p.disk, false)
 }
 
-// stop kills a process; false if it was killed already.
+// stop kills a process. It returns false if the process had been killed before.
 func (c *cluster) stop(p *testCoordinator) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -147,11 +149,11 @@
 	return true
 }
 
-// handoverTimeout is what a coordinator uses of a grace period of six seconds.
+// handoverTimeout is the part of a grace period of six seconds that a coordinator uses for the handover.
 const handoverTimeout = 3 * time.Second
 
-// stopGracefully lets a process hand over to a joining member if there is one, and then ends it, as a coordinator does. It tells
-// whether a quorum was known to stay, or the process had failed before.
+// stopGracefully stops a process like a coordinator: it first hands over to a joining member, if there is one. It reports
+// whether a quorum was known to stay, or the process was killed meanwhile.
 func (c *cluster) stopGracefully(p *testCoordinator) (keepsQuorum bool) {
 	handoverCtx, cancel := context.WithTimeout(p.ctx, handoverTimeout)
 	defer cancel()
@@ -173,14 +175,14 @@
 	}
 }
 
-// at returns the process at an address; nil while there is none.
+// coordinatorAt returns the process that runs at an address, or nil if there is none.
 func (c *cluster) coordinatorAt(address string) *testCoordinator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.running[address]
 }
 
-// all lists the running processes.
+// runningCoordinators returns the running processes in no particular order.
 func (c *cluster) runningCoordinators() []*testCoordinator {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -191,7 +193,7 @@
 	return all
 }
 
-// sorted lists the running processes by address.
+// runningByAddress returns the running processes, sorted by address.
 func (c *cluster) runningByAddress() []*testCoordinator {
 	all := c.runningCoordinators()
 	slices.SortFunc(all, func(a, b *testCoordinator) int { return strings.Compare(a.address, b.address) })
@@ -209,7 +211,8 @@
 	<-time.After(messageDrainTime)
 }
 
-// awaitMembership waits until a process is a member that may vote, and returns how long that took from its start.
+// awaitMembership waits until a process is a member that may vote. It returns the time since the process started, or
+// membershipWaitTimeout if the process does not become a member within it.
 func (p *testCoordinator) awaitMembership() time.Duration {
 	for deadline := time.After(membershipWaitTimeout); ; {
 		changed := p.manager.Changed()
--- a/internal/controlplane/replicaset/departure_test.go
+++ b/internal/controlplane/replicaset/departure_test.go
@@ -10,13 +10,13 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// departureState is a state of a set of N members, of which one is to stop after its successor has started. The other N-1 are
-// told apart only by what they are. Machines that are down stay down, which is the worst case.
+// departureState is a state of a set of N members, one of which is stopped after its successor has started. The other N-1
+// members are only counted by their condition. Machines that are down stay down, which is the worst case.
 type departureState struct {
-	complete, rebuilding, down int // of the others
+	complete, rebuilding, down int // numbers of the other members
 
-	departing departingState // of the member that is to stop
-	second    departingState // of a second one, which has no successor and so counts as lost; always of the others
+	departing departingState // state of the member that has a successor
+	second    departingState // state of a second departing member; it has no successor, so it counts as lost
 	successor successorState
 }
 
@@ -31,19 +31,20 @@
 type successorState uint8
 
 const (
-	waiting    successorState = iota // announces itself
-	incomplete                       // has replaced the departing member
+	waiting    successorState = iota // announces itself as a joining member
+	incomplete                       // has replaced the departing member, but may not vote yet
 	rebuilt                          // may vote
-	lost                             // failed after it joined
+	lost                             // failed after it replaced the departing member
 )
 
-// departureExplorer plays all orders of faults, rebuilds, view changes, observations and stops of one size.
+// departureExplorer explores all orders of faults, rebuilds, view changes, observations and stops for one number of members.
+// It searches for a state from which no quorum can be recovered.
 type departureExplorer struct {
 	size, quorum, tolerated int
 	mayStop                 func(replicaset.Departure) bool
-	secondStopsFirst        bool // the order of the two departing members' addresses
+	secondStopsFirst        bool // whether the second departing member stops before the first, by the order of their addresses
 	visited                 map[departureState]bool
-	stuckState              *departureState // found first
+	stuckState              *departureState // first state found without a recoverable quorum
 }
 
 func (e *departureExplorer) explore(state departureState) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// failed counts the machines that count as lost. One with a successor does not.
+// failed returns the number of machines that count as lost. A departing member with a successor does not count.
 func (s departureState) failed() int {
 	return s.rebuilding + s.down + oneIf(s.second != staying) + oneIf(s.successor == lost)
 }
@@ -74,7 +75,7 @@
 
 func (s departureState) replaced() bool { return s.successor != waiting }
 
-// voters counts the complete members of the newest view.
+// voters returns the number of members of the newest view that may vote.
 func (s departureState) voters() int {
 	return s.complete + oneIf(s.second == departing) + oneIf(s.departing != stopped && !s.replaced()) + oneIf(s.successor == rebuilt)
 }
@@ -90,7 +91,7 @@
 
 const departingAddress = "member-0"
 
-// recovering are the steps that need no further fault: a view change, and rebuilds.
+// recoverySteps returns the states after one step of recovery: a view change or a rebuild.
 func (e *departureExplorer) recoverySteps(state departureState) []departureState {
 	var next []departureState
 	view := e.view(state)
@@ -115,7 +116,7 @@
 	return next
 }
 
-// recovers tells whether a quorum may vote once all that can be rebuilt has been.
+// recovers reports whether a quorum may vote after all possible view changes and rebuilds.
 func (e *departureExplorer) recovers(state departureState) bool {
 	if state.voters() >= e.quorum {
 		return true
@@ -151,7 +152,8 @@
 	return next
 }
 
-// faults are a lost disk, a lost machine, a lost successor, and a second member that is told to stop.
+// faultSteps returns the states after one fault: a lost disk, a lost machine, a lost successor, or a second member that is told
+// to stop.
 func (e *departureExplorer) faultSteps(state departureState) []departureState {
 	var next []departureState
 	if state.complete > 0 {
@@ -172,8 +174,9 @@
 	return next
 }
 
-// firstMayStop tells whether there is an observation with which the member that has a successor stops. Any replies may be missing;
-// the successor's announcements are late at the member itself and at all others but N-Q, of which as many as possible do not reply.
+// firstMayStop reports whether the member that has a successor may stop after any possible observation. Any replies may be
+// missing. Only N-Q of the other members have received the successor's announcements, and as many of these as possible do not
+// reply.
 func (e *departureExplorer) firstMayStop(state departureState) bool {
 	stayingVoters := state.complete + oneIf(state.second == departing && !e.secondStopsFirst) + oneIf(state.successor == rebuilt)
 	uninformed := e.size - 1 - (e.size - e.quorum)
@@ -190,7 +193,8 @@
 	return false
 }
 
-// secondMayStop is the same for the member without a successor. It has heard of the other's successor in no case.
+// secondMayStop reports whether the member without a successor may stop. It never receives an announcement of the other member's
+// successor.
 func (e *departureExplorer) secondMayStop(state departureState) bool {
 	counts := state.complete + oneIf(state.successor == rebuilt) +
 		oneIf(!state.replaced() && (state.departing == staying || state.departing == departing && e.secondStopsFirst))
@@ -198,8 +202,8 @@
 	return e.mayStop(observed)
 }
 
-// exploreDepartures plays 3 to 9 members with one and two tolerated losses, and returns the number of states and the first that is
-// stuck.
+// exploreDepartures explores 3 to 9 members with one and two tolerated losses. It returns the number of states, and a description
+// of the first state found without a recoverable quorum, or an empty one.
 func exploreDepartures(mayStop func(replicaset.Departure) bool) (states int, stuck string) {
 	for size := 3; size <= 9; size++ {
 		for tolerated := 1; tolerated <= min(2, (size-1)/2); tolerated++ {
@@ -219,50 +223,50 @@
 	return states, stuck
 }
 
-// A departing member whose successor has had the time to catch up counts as lost no more, so up to the tolerated number of others
-// may be lost, be rebuilt or stop around its departure, in any order, and a quorum must remain that may vote.
+// A departing member whose successor has had time to catch up does not count as lost. So while it departs, other members up to
+// the tolerated number may be lost, be rebuilt or stop, in any order. A quorum that may vote must remain or be recoverable.
 func TestDeparturesLeaveRecoverableQuorum(t *testing.T) {
 	states, stuck := exploreDepartures(replicaset.Departure.MayStop)
 	t.Logf("%d states", states)
-	convey.Convey("Whatever is lost, late or rebuilt, a quorum that may vote remains or can be rebuilt", t, func() {
+	convey.Convey("After any order of losses, delays and rebuilds, a quorum that may vote remains or can be rebuilt", t, func() {
 		convey.So(stuck, convey.ShouldBeEmpty)
 		convey.So(states, convey.ShouldBeGreaterThan, 500)
 	})
 }
 
-// Each part of the rule is needed: without it the exploration finds a set that is stuck.
+// Without any one condition of Departure.MayStop, the exploration finds a state without a recoverable quorum.
 func TestExplorationFindsEachMissingDepartureCondition(t *testing.T) {
 	incompleteRules := map[string]func(d replicaset.Departure) bool{
 		"a quorum of others stays": func(d replicaset.Departure) bool { d.Staying++; return d.MayStop() },
-		"a joining member that any other knows of is waited for": func(d replicaset.Departure) bool {
+		"the departing member waits for a joining member that another member knows": func(d replicaset.Departure) bool {
 			d.JoiningMember = false
 			return d.MayStop()
 		},
-		"a member that joined is waited for": func(d replicaset.Departure) bool { d.JoinedIncomplete = false; return d.MayStop() },
+		"the departing member waits until a member that joined may vote": func(d replicaset.Departure) bool { d.JoinedIncomplete = false; return d.MayStop() },
 	}
 	for name, mayStop := range incompleteRules {
 		_, stuck := exploreDepartures(mayStop)
-		convey.Convey("Shown to be needed: "+name, t, func() { convey.So(stuck, convey.ShouldNotBeEmpty) })
+		convey.Convey("The exploration finds the missing condition: "+name, t, func() { convey.So(stuck, convey.ShouldNotBeEmpty) })
 	}
 }
 
 func TestMayStopWithTooFewOthersOrJoiningMembers(t *testing.T) {
 	view := func(size int) replicaset.View { return replicaset.View{Version: 1, Members: addresses(size)} }
-	convey.Convey("Where all members stop, none waits for the others", t, func() {
+	convey.Convey("If all members stop, none waits for the others", t, func() {
 		convey.So(replicaset.Departure{View: view(3), Self: "core-0", WasMember: true, OthersDepart: true}.MayStop(), convey.ShouldBeTrue)
 	})
-	convey.Convey("Where the others are too few to be a quorum, staying keeps nothing up", t, func() {
+	convey.Convey("If the others are too few for a quorum, the member may stop", t, func() {
 		convey.So(replicaset.Departure{View: view(1), Self: "core-0", WasMember: true}.MayStop(), convey.ShouldBeTrue)
 		convey.So(replicaset.Departure{View: view(2), Self: "core-0", WasMember: true, Staying: 1}.MayStop(), convey.ShouldBeTrue)
 		convey.So(replicaset.Departure{View: view(3), Self: "core-0", WasMember: true, Staying: 1}.MayStop(), convey.ShouldBeFalse)
 	})
-	convey.Convey("A joining member that took another one's place is waited for as well", t, func() {
+	convey.Convey("The member also waits until a joining member that replaced another member may vote", t, func() {
 		d := replicaset.Departure{View: view(5), Self: "core-0", WasMember: true, Staying: 3, JoinedIncomplete: true}
 		convey.So(d.MayStop(), convey.ShouldBeFalse)
 		d.JoinedIncomplete = false
 		convey.So(d.MayStop(), convey.ShouldBeTrue)
 	})
-	convey.Convey("Even then a joining member is waited for", t, func() {
+	convey.Convey("The member waits for a joining member even if the others are too few for a quorum", t, func() {
 		convey.So(replicaset.Departure{View: view(1), Self: "core-0", WasMember: true, JoiningMember: true}.MayStop(), convey.ShouldBeFalse)
 		convey.So(replicaset.Departure{View: view(1), Self: "gone", WasMember: true, JoinedIncomplete: true}.MayStop(), convey.ShouldBeFalse)
 	})
--- a/internal/controlplane/replicaset/exchange_test.go
+++ b/internal/controlplane/replicaset/exchange_test.go
@@ -57,7 +57,7 @@
 			learned = append(learned, c.running[self].manager.View())
 		}
 	})
-	convey.Convey("Members exchange views, and an older one changes nothing", t, func() {
+	convey.Convey("All members learn the newer view, and learning an older view changes nothing", t, func() {
 		convey.So(learned, convey.ShouldResemble, []replicaset.View{newer, newer, newer})
 	})
 }
--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -20,55 +20,57 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// A fault schedule has faults of up to the tolerated number of machines, and the next one as soon as the tolerance allows it.
-// The register, a replication group, the rebuild and the replica set are the real ones, on a network and a clock in memory.
+// A fault schedule lets up to the tolerated number of machines fail at the same time, and injects further faults as soon as this
+// limit allows them. It uses the real register, replication group, rebuild and replica set, on an in-memory network and in
+// simulated time.
 const (
 	scheduleGroup        = "jobs/model"
 	scheduleDuration     = 9 * time.Second
 	maxScheduledFaultGap = 1200 * time.Millisecond // upper bound of the time between two faults
 	scheduleClients      = 1
-	recoveryTimeout      = catchUpTime // in which a write succeeds as long as no more machines have failed than is tolerated
+	recoveryTimeout      = catchUpTime // time in which a write succeeds while at most the tolerated number of machines has failed
 	observationInterval  = 150 * time.Millisecond
 )
 
-// reliableNetwork delivers all messages, some of them twice; on lossyNetwork none is sure to arrive in time.
+// reliableNetwork delivers all messages, some of them twice. lossyNetwork may lose or delay any message.
 var (
 	reliableNetwork = networktest.Faults{DuplicateProbability: 0.05, MaxDelay: 10 * time.Millisecond}
 	lossyNetwork    = networktest.Faults{LossProbability: 0.03, DuplicateProbability: 0.1, MaxDelay: 20 * time.Millisecond, LateProbability: 0.04, MaxLateDelay: 2 * time.Second}
 )
 
-// faultSchedule is one schedule of faults, which a seed determines, and what clients and leaders observed during it.
+// faultSchedule is one schedule of faults, which is determined by its seed. It also records what clients and leaders observed
+// during the schedule.
 type faultSchedule struct {
 	*cluster
 	seed         uint64
-	random       *rand.Rand // belongs to the goroutine that injects the faults
+	random       *rand.Rand // used only by the goroutine that injects the faults
 	size         int
 	tolerated    int
 	lossy        bool
 	activeFaults sync.WaitGroup
 
-	mutex                 sync.Mutex           // guards what follows
-	machineCount          int                  // started so far
-	failedUntil           map[string]time.Time // by address: until when the machine counts as failed
-	replacing             bool                 // a replacement is in progress
-	events                []string             // the faults so far, for the report
+	mutex                 sync.Mutex           // guards the fields below
+	machineCount          int                  // number of machines started so far
+	failedUntil           map[string]time.Time // by address, until when the machine counts as failed
+	replacing             bool                 // whether a replacement is in progress
+	events                []string             // faults so far, for the report
 	violations            []string
-	acknowledged          map[string]bool // tokens of the register whose write was acknowledged
-	groupAcknowledged     map[string]bool // the same of the group
-	groupLastAcknowledged time.Time       // of the group's newest acknowledgement
-	maxAcknowledgementGap time.Duration   // between two of them
+	acknowledged          map[string]bool // tokens whose write to the register was acknowledged
+	groupAcknowledged     map[string]bool // keys of acknowledged entries of the group
+	groupLastAcknowledged time.Time       // when the group's latest entry was acknowledged
+	maxAcknowledgementGap time.Duration   // longest time between two acknowledgements of the group
 	seenViews             viewHistory
 	start                 time.Time
 	logged                *observer.ObservedLogs
 }
 
-// runSchedule runs the schedule of a seed, and returns it with its violations.
+// runSchedule runs the random fault schedule of a seed, and returns it with its violations.
 func runSchedule(t *testing.T, seed uint64, size int, mutation ruleMutation) (s *faultSchedule) {
 	t.Helper()
 	return runFaults(t, seed, size, mutation, isLossy(seed), (*faultSchedule).injectRandomFaults)
 }
 
-// runFaults runs a schedule whose faults are injected by a function, until that returns.
+// runFaults runs a schedule with the faults that inject produces, until inject returns.
 func runFaults(t *testing.T, seed uint64, size int, mutation ruleMutation, lossy bool, inject func(s *faultSchedule, ctx context.Context)) (s *faultSchedule) {
 	t.Helper()
 	disks := foundedDisks(t, size)
@@ -115,7 +117,7 @@
 	}
 }
 
-// run injects faults while clients write, then ends all faults and checks the final state.
+// runWithFaults injects faults while clients write. Then it ends all faults and checks the final state.
 func (s *faultSchedule) runWithFaults(inject func(s *faultSchedule, ctx context.Context)) {
 	ctx, cancel := context.WithTimeout(context.Background(), scheduleDuration)
 	defer cancel()
@@ -137,14 +139,14 @@
 	}
 }
 
-// observe records the replication nodes' logs, for the report.
+// recordLogs records the replication nodes' logs for the report.
 func (s *faultSchedule) recordLogs() *observer.ObservedLogs {
 	recorder, logs := observer.New(zap.InfoLevel)
 	s.log = zap.New(recorder)
 	return logs
 }
 
-// runClient appends tokens to the register, and reads it now and then, until done is closed.
+// runClient appends tokens to the register, and reads it in a quarter of the operations, until done is closed.
 func (s *faultSchedule) runClient(done <-chan struct{}, client int, random *rand.Rand) {
 	for i := 0; !isClosed(done); i++ {
 		if p := s.pickHealthy(random); p != nil {
@@ -154,7 +156,7 @@
 	}
 }
 
-// pickHealthy returns a running member that does not count as failed; nil where there is none.
+// pickHealthy returns a random running member that does not count as failed, or nil if there is none.
 func (s *faultSchedule) pickHealthy(random *rand.Rand) *testCoordinator {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -189,7 +191,8 @@
 	}
 }
 
-// mustSucceed tells whether a member has never failed, so that its operation had to succeed.
+// mustSucceed reports whether an operation at a process had to succeed: the network is reliable, and the process is a member that
+// has never failed and is not departing.
 func (s *faultSchedule) mustSucceed(p *testCoordinator) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -197,7 +200,8 @@
 	return !s.lossy && !hasFailed && s.seenViews.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
 }
 
-// checkReply wants a reply to have all tokens that were acknowledged before the request.
+// checkReply records a violation if a reply lacks a token that was acknowledged before the request. Otherwise it records the
+// written token as acknowledged.
 func (s *faultSchedule) checkReply(token, value string, before []string) {
 	for _, earlier := range before {
 		if !containsToken(value, earlier) {
@@ -214,7 +218,7 @@
 
 func containsToken(value, token string) bool { return strings.Contains("."+value, "."+token) }
 
-// acknowledgedTokens lists the tokens of the register whose write was acknowledged so far.
+// acknowledgedTokens returns the tokens whose write to the register has been acknowledged so far.
 func (s *faultSchedule) acknowledgedTokens() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -225,7 +229,8 @@
 	return all
 }
 
-// checkEnd wants a write, a read and a commit of the group after the end of all faults, with all that was ever acknowledged.
+// checkFinalState checks, after the end of all faults, that a write, a read and a commit of the group succeed, and that the
+// replies contain every acknowledged token.
 func (s *faultSchedule) checkFinalState() {
 	random := rand.New(rand.NewPCG(s.seed, 5))
 	for i := range 2 {
@@ -247,7 +252,7 @@
 	}
 }
 
-// violation records that the promises do not hold.
+// addViolation records that a guarantee was violated.
 func (s *faultSchedule) addViolation(format string, values ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -262,8 +267,8 @@
 	}
 }
 
-// checkViews records the views of all processes. It wants one view of each version, and at most one in whose members a quorum
-// votes.
+// checkViews records the views of all processes. It checks that there is only one view of each version, and at most one view in
+// which a quorum may vote.
 func (s *faultSchedule) checkViews() {
 	voters := make(map[uint64]int)
 	var views []replicaset.View
@@ -290,13 +295,14 @@
 	}
 }
 
-// disksOf are the disks of members that have founded the first view, by size and address.
+// foundedDisksBySize holds disks of members that have committed the first view, by number of members and address.
 var (
 	foundedDisksBySize = make(map[int]map[string]storage.Tables)
 	foundedDisksMutex  sync.Mutex
 )
 
-// foundedDisks returns the disks of members that have founded the first view, by address.
+// foundedDisks returns, by address, the disks of members that have committed the first view. It creates them once for each
+// number of members.
 func foundedDisks(t *testing.T, size int) map[string]storage.Tables {
 	t.Helper()
 	foundedDisksMutex.Lock()
--- a/internal/controlplane/replicaset/founding_test.go
+++ b/internal/controlplane/replicaset/founding_test.go
@@ -25,7 +25,7 @@
 		}
 		views["front"], _ = agent.awaitView(start)
 	})
-	convey.Convey("All processes learn the view of all core nodes within 2 s", t, func() {
+	convey.Convey("All processes learn the view of all coordinators within 2 s", t, func() {
 		expected := replicaset.View{Version: 1, Members: all}
 		convey.So(views, convey.ShouldHaveLength, len(all)+1)
 		for _, view := range views {
@@ -45,7 +45,7 @@
 		c.start(all[3], storage.NewMemory(), true, true)
 		view, took = c.running[all[0]].awaitView(start)
 	})
-	convey.Convey("A new announcement delays the founding", t, func() {
+	convey.Convey("An announcement of a new address delays the commit of the first view", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
 		convey.So(took, convey.ShouldBeGreaterThan, 2*time.Second)
 	})
@@ -61,7 +61,7 @@
 		first := c.start(all[0], storage.NewMemory(), false, true)
 		late, _ = first.awaitView(start)
 	})
-	convey.Convey("The next founder proposes after 3 s; the first one is a member, and learns the view when it starts", t, func() {
+	convey.Convey("The next founder proposes after 3 s; the first one is a member and learns the view when it starts", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
 		convey.So(took, convey.ShouldBeBetween, 3*time.Second, 4*time.Second)
 		convey.So(late, convey.ShouldResemble, view)
@@ -80,7 +80,7 @@
 			views = append(views, view)
 		}
 	})
-	convey.Convey("Both propose, and all learn the same view", t, func() {
+	convey.Convey("Both founders propose, and all processes learn the same view", t, func() {
 		convey.So(slices.ContainsFunc(views, func(view replicaset.View) bool { return view.Version != 1 }), convey.ShouldBeFalse)
 		convey.So(views[1], convey.ShouldResemble, views[0])
 		convey.So(views[2], convey.ShouldResemble, views[0])
@@ -106,7 +106,7 @@
 			after = append(after, view)
 		}
 	})
-	convey.Convey("All core nodes are killed before there is a view, and found it after their restart", t, func() {
+	convey.Convey("All coordinators are killed before there is a view, and commit the first view after their restart", t, func() {
 		for i := range all {
 			convey.So(before[i].Version, convey.ShouldEqual, 0)
 			convey.So(after[i], convey.ShouldResemble, replicaset.View{Version: 1, Members: all})
@@ -124,7 +124,7 @@
 		<-time.After(30 * time.Second)
 		view = c.running[all[0]].manager.View()
 	})
-	convey.Convey("Core nodes without disks found nothing after the first start", t, func() {
+	convey.Convey("Coordinators that lost their disks after the first start commit no first view", t, func() {
 		convey.So(view.Version, convey.ShouldEqual, 0)
 	})
 }
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -13,10 +13,10 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// errFull is the error of a write to a full disk: the store is as before, and later writes may succeed.
+// errDiskFull is the error of a write to a full disk. The store is unchanged, and later writes may succeed.
 var errDiskFull = rpcerror.WrapNotExecuted(fmt.Errorf("%w: %w", storage.ErrWriteRejected, syscall.ENOSPC), storage.RejectionBackoff)
 
-// Another member is replaced while a member's disk is full.
+// A member's disk is full while another member is replaced. The member must neither stop nor lose its vote permanently.
 func TestMemberWithFullDiskMissesViewAndKeepsRunning(t *testing.T) {
 	members := addresses(5)
 	var during, after replicaset.View
@@ -52,10 +52,10 @@
 func TestJoiningMemberWithFullDiskIsRebuiltOnceWritesSucceed(t *testing.T) {
 	cases := []struct {
 		name   string
-		before time.Duration // from the joining member's start to the loss of a member
-		full   time.Duration // from the loss until the joining member's disk is full
+		before time.Duration // time from the joining member's start to the loss of a member
+		full   time.Duration // time from the loss until the joining member's disk is full
 	}{
-		{"the joining member learns the view that has it", time.Second, 500 * time.Millisecond},
+		{"the joining member learns the view that contains it", time.Second, 500 * time.Millisecond},
 		{"the joining member is rebuilt", 0, 1800 * time.Millisecond},
 	}
 	for _, testCase := range cases {
@@ -79,7 +79,7 @@
 			c.stop(c.coordinatorAt(members[1]))
 			value = c.read("new")
 		})
-		convey.Convey("A disk is full before "+testCase.name, t, func() {
+		convey.Convey("The joining member's disk is full before "+testCase.name, t, func() {
 			convey.So(early, convey.ShouldBeFalse)
 			convey.So(ended, convey.ShouldBeFalse)
 			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -12,27 +12,28 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// outcome is what a test observes of a planned replacement.
+// handoverResult is what a test observes of a planned replacement.
 type handoverResult struct {
-	stopTime time.Duration // from the request to stop until the process has ended
+	stopTime time.Duration // time from the request to stop until the process has stopped
 	value    string
-	writeErr error // of the write at the end
+	writeErr error // error of the final write
 	version  uint64
 }
 
-// nothingLost tells whether the value is there and writes succeed.
+// isIntactAndWritable reports whether the written value was read and the final write succeeded.
 func (o handoverResult) isIntactAndWritable() bool {
 	return o.value == writtenValue && o.writeErr == nil
 }
 
-// replaceWhileDown writes a value, lets the last members fail, and replaces the first by a joining member that started before.
-// Then those that failed restart without their disks, and once they have had the time to catch up, as many others fail.
+// replaceWhileDown writes a value, stops the last members, and replaces the first member by a joining member that started before.
+// Then the stopped members restart without their disks. Once they have had time to catch up, the same number of other members
+// fails.
 func replaceWhileDown(c *cluster, members []string, failing int) (result handoverResult) {
 	departing, remaining, failed := members[0], members[1], members[len(members)-failing:]
 	joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 	<-time.After(catchUpTime)
 	c.write(remaining, oldValue)
-	c.network.Partition(remaining, true) // so only those that stop or fail have the newest value
+	c.network.Partition(remaining, true) // so only members that stop or fail have the newest value
 	if err := c.write(departing, writtenValue); err != nil {
 		result.writeErr = err
 		return result
@@ -60,8 +61,8 @@
 	return result
 }
 
-// A machine that is replaced as planned does not count as failed once its successor has had the time to catch up. So others
-// may have failed when it stops, up to the tolerated number, and it may be the only one besides them that has the newest value.
+// A machine that is replaced as planned does not count as failed once its successor has had time to catch up. So up to the
+// tolerated number of other members may have failed when it stops. It may then be the only remaining member with the newest value.
 func TestDepartingMemberHandsOverToJoiningMember(t *testing.T) {
 	for _, size := range []int{3, 4, 5, 6} {
 		members := addresses(size)
@@ -85,13 +86,13 @@
 	} {
 		var seen handoverResult
 		runInCluster(t, 1, mutation, members, func(c *cluster) { seen = replaceWhileDown(c, members, 1) })
-		convey.Convey("Shown to be needed: "+mutation.name, t, func() {
+		convey.Convey("Data or the quorum is lost without the rule: "+mutation.name, t, func() {
 			convey.So(seen.isIntactAndWritable(), convey.ShouldBeFalse)
 		})
 	}
 }
 
-// Another member fails right after the departing one has stopped.
+// Another member fails immediately after the departing one has stopped.
 func TestLossRightAfterPlannedReplacementIsTolerated(t *testing.T) {
 	lossAfter := func(mutation ruleMutation, lost int) (value string, err error) {
 		members := addresses(3)
@@ -106,14 +107,14 @@
 		})
 		return value, err
 	}
-	convey.Convey("Either of the remaining members may fail at once", t, func() {
+	convey.Convey("Either remaining member may fail immediately", t, func() {
 		for _, lost := range []int{1, 2} {
 			value, err := lossAfter(ruleMutation{}, lost)
 			convey.So(value, convey.ShouldEqual, writtenValue)
 			convey.So(err, convey.ShouldBeNil)
 		}
 	})
-	convey.Convey("If the member stopped without waiting for its successor, no majority would be left", t, func() {
+	convey.Convey("If the member stops without waiting for its successor, no majority remains", t, func() {
 		_, err := lossAfter(ruleMutation{stopsWithoutHandover: true}, 1)
 		convey.So(err, convey.ShouldNotBeNil)
 	})
@@ -130,13 +131,14 @@
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[1])
 	})
-	convey.Convey("Without a joining member it stops at once, and the view stays", t, func() {
+	convey.Convey("Without a joining member it stops at once, and the view does not change", t, func() {
 		convey.So(took, convey.ShouldBeLessThan, 300*time.Millisecond)
 		convey.So(view, convey.ShouldResemble, replicaset.View{Version: 1, Members: members})
 	})
 }
 
-// A replaced process that still runs must not announce itself as a joining member.
+// A replaced process that is still running must not announce itself as a joining member. Otherwise it would replace another
+// member that fails meanwhile, although it is about to stop.
 func TestReplacedDepartingMemberDoesNotAnnounceItself(t *testing.T) {
 	members := addresses(3)
 	var view replicaset.View
@@ -149,12 +151,12 @@
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[2])
 	})
-	convey.Convey("Another member fails before it has stopped: that one is not replaced", t, func() {
+	convey.Convey("A member that fails before the replaced one has stopped is not replaced", t, func() {
 		convey.So(view.Version, convey.ShouldEqual, 2)
 	})
 }
 
-// A member that lost its disk has just restarted when another is to stop.
+// A member that lost its disk has just restarted when another member is told to stop. The latter's snapshot is needed for the rebuild.
 func TestDepartingMemberWaitsForRebuild(t *testing.T) {
 	stopDuring := func(mutation ruleMutation) (took time.Duration, value string, err error) {
 		members := addresses(3)
@@ -173,17 +175,17 @@
 	}
 	took, value, err := stopDuring(ruleMutation{})
 	_, _, atOnce := stopDuring(ruleMutation{stopsWithoutHandover: true})
-	convey.Convey("It stops once that one has been rebuilt, within its grace period", t, func() {
+	convey.Convey("It stops once the other member has been rebuilt, within its grace period", t, func() {
 		convey.So(took, convey.ShouldBeBetween, time.Second, handoverTimeout)
 		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
 	})
-	convey.Convey("If it stopped at once, the other could not be rebuilt", t, func() {
+	convey.Convey("If it stops at once, the other member cannot be rebuilt", t, func() {
 		convey.So(atOnce, convey.ShouldNotBeNil)
 	})
 }
 
-// The joining member replaces a third member, which has just failed, as no leave request arrives.
+// All leave requests are lost, so the joining member replaces a third member, which has just failed.
 func TestDepartingMemberWaitsForJoiningMemberThatReplacesAnother(t *testing.T) {
 	members := addresses(3)
 	var value string
@@ -200,14 +202,14 @@
 		view = c.viewOf(members[1])
 		value, err = c.read(members[1]), c.write(members[1], "after")
 	})
-	convey.Convey("It stays until that joining member has been rebuilt", t, func() {
+	convey.Convey("The departing member stays until that joining member has been rebuilt", t, func() {
 		convey.So(view, convey.ShouldResemble, replicaset.View{Version: 2, Members: []string{members[0], members[1], "new"}})
 		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
 	})
 }
 
-// An announcement that is late does not let a departing member believe that it has no successor.
+// A departing member must still know its successor when announcements are late.
 func TestJoiningMemberIsKnownLongerThanItIsProposed(t *testing.T) {
 	members := addresses(3)
 	var proposable, known, forgotten bool
@@ -221,11 +223,11 @@
 		<-time.After(2 * time.Second)
 		forgotten = !manager.KnowsJoiningMember()
 	})
-	convey.Convey("2 s after its last announcement a joining member is proposed no more, and still known", t, func() {
+	convey.Convey("2 s after its last announcement a joining member is no longer proposed, but still known", t, func() {
 		convey.So(proposable, convey.ShouldBeFalse)
 		convey.So(known, convey.ShouldBeTrue)
 	})
-	convey.Convey("4 s after it, it is forgotten", t, func() { convey.So(forgotten, convey.ShouldBeTrue) })
+	convey.Convey("4 s after its last announcement a joining member is no longer known", t, func() { convey.So(forgotten, convey.ShouldBeTrue) })
 }
 
 func TestOthersDepartAfterAllLeaveRequests(t *testing.T) {
@@ -241,7 +243,7 @@
 		<-time.After(2 * time.Second)
 		afterwards = staying.OthersDepart()
 	})
-	convey.Convey("All others depart once each has sent a leave request, and until one of them goes on sending messages", t, func() {
+	convey.Convey("All others depart once each has sent a leave request, until one of them continues to send messages", t, func() {
 		convey.So(byOne, convey.ShouldBeFalse)
 		convey.So(byBoth, convey.ShouldBeTrue)
 		convey.So(afterwards, convey.ShouldBeFalse)
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -13,16 +13,16 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// operation is what a client requests of the register: to append a token, or to read where that is empty.
+// operation is a client's request to the register: an append of the token, or a read if the token is empty.
 type operation struct{ token string }
 
-// operationResult is what the client received.
+// operationResult is the result of an operation as the client observed it.
 type operationResult struct {
-	maybeExecuted bool // whether the operation ran
+	maybeExecuted bool // whether the operation failed and may have been executed
 	value         string
 }
 
-// appendRegisterModel is the register as porcupine checks it: the state is the value.
+// appendRegisterModel is the porcupine model of the register. The state is the value.
 var appendRegisterModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
@@ -32,7 +32,7 @@
 	},
 }
 
-// history records the operations of clients, for the check of their linearizability.
+// history records the operations of clients, to check them for linearizability.
 type history struct {
 	clock      atomic.Int64
 	mutex      sync.Mutex
@@ -40,7 +40,7 @@
 	succeeded  int
 }
 
-// run carries out one operation, and records it unless it was certainly not executed.
+// perform performs one operation and records it, unless it is a failed read or was certainly not executed.
 func (h *history) perform(ctx context.Context, client int, target *register.Register, op operation) {
 	invoked := h.clock.Add(1)
 	value, err := op.perform(ctx, target)
@@ -68,7 +68,7 @@
 	return target.Change(ctx, func(current []byte) ([]byte, error) { return append([]byte(string(current)), o.token...), nil })
 }
 
-// check tells whether the history is linearizable.
+// check returns whether the history is linearizable, or unknown if the check takes longer than its time limit.
 func (h *history) check() porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(appendRegisterModel, h.operations, 20*time.Second)
 }
--- a/internal/controlplane/replicaset/killable_test.go
+++ b/internal/controlplane/replicaset/killable_test.go
@@ -10,7 +10,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// killableStore lets a process write to a disk until the process is killed.
+// killableStore is a store that rejects all writes once its process has been killed.
 type killableStore struct {
 	*storage.Memory
 	mutex  sync.Mutex
@@ -41,7 +41,7 @@
 	return !s.killed
 }
 
-// killableCaller lets a process send until the process is killed.
+// killableCaller is a Caller that rejects all calls once its process has been killed.
 type killableCaller struct {
 	transport.Caller
 	store *killableStore
--- a/internal/controlplane/replicaset/linearizability_test.go
+++ b/internal/controlplane/replicaset/linearizability_test.go
@@ -17,14 +17,14 @@
 	"puffinlink.example/puffinlink/internal/raceflag"
 )
 
-// Extent of a simulation, in simulated time.
+// Size and durations of a simulation, in simulated time.
 const (
 	simulationClients  = 3
 	simulationDuration = 60 * time.Second
 	operationTimeout   = 3 * time.Second
-	maxOperationGap    = 400 * time.Millisecond // upper bound of the time between a client's operations
+	maxOperationGap    = 400 * time.Millisecond // upper bound of the delay between a client's operations
 	maxFaultGap        = 8 * time.Second
-	healingDelay       = 10 * time.Second // from the end of all faults
+	healingDelay       = 10 * time.Second // delay from the end of all faults to the final checks
 )
 
 var schedules = flag.Int("schedules", 1, "number of simulated schedules for each number of members")
@@ -37,23 +37,23 @@
 	MaxLateDelay:         2500 * time.Millisecond,
 }
 
-// simulation is a cluster with faults, of which single ones are injected one after another.
+// simulation is a cluster with message faults, and with member faults that are injected one after another.
 type simulation struct {
 	*cluster
 	random       *rand.Rand
 	history      *history
-	machineCount int // started so far
+	machineCount int // number of machines started so far
 	partitioned  map[string]bool
-	lastFault    time.Time // when the newest fault was over
+	lastFault    time.Time // when the latest fault ended
 	seenViews    viewHistory
 
-	conflictingViews     bool // two views of one version were seen
-	writableAfterHealing bool // the register could be written at the end
+	conflictingViews     bool // whether two views of the same version were seen
+	writableAfterHealing bool // whether the final write to the register succeeded
 	finalViews           string
 }
 
-// simulate runs clients at all processes while messages are lost, duplicated and late, and members are killed, partitioned
-// and replaced.
+// simulate runs clients at all processes. Meanwhile messages are lost, duplicated and delayed, and members are killed,
+// partitioned and replaced.
 func simulate(t *testing.T, seed uint64, size int, mutation ruleMutation) *simulation {
 	t.Helper()
 	s := &simulation{
@@ -81,7 +81,7 @@
 	return s
 }
 
-// healAll ends all faults, and records whether the register can be written then.
+// healAll ends all faults, and then records whether a write to the register succeeds.
 func (s *simulation) healAll() {
 	s.network.SetFaults(networktest.Faults{})
 	<-time.After(healingDelay)
@@ -124,7 +124,7 @@
 	}
 }
 
-// injectFault lets one member have one fault.
+// injectFault injects one random fault at one member.
 func (s *simulation) injectFault() {
 	s.observeViews()
 	address := s.seenViews.newest.Members[s.random.IntN(len(s.seenViews.newest.Members))]
@@ -154,7 +154,7 @@
 	}
 }
 
-// startJoiningMember starts a joining member unless there are some already.
+// startJoiningMember starts a joining member unless one is already waiting.
 func (s *simulation) startJoiningMember() {
 	if waiting := len(s.runningCoordinators()) - len(s.seenViews.newest.Members); waiting > 0 {
 		return
@@ -164,7 +164,7 @@
 	s.start(fmt.Sprintf("core-%d", s.machineCount), "elsewhere", storage.NewMemory(), false)
 }
 
-// partition isolates a process for some time, while a joining member may start.
+// partition isolates a process for a random time. In half of the cases it starts a joining member meanwhile.
 func (s *simulation) partition(address string) {
 	s.partitioned[address] = true
 	s.network.Partition(address, true)
@@ -176,7 +176,8 @@
 	delete(s.partitioned, address)
 }
 
-// allHealthy tells whether one more member may be lost for good: all others run, have had the time to catch up, and may vote.
+// allHealthy reports whether a member may be lost permanently: all members run and may vote, none is partitioned, and they have had
+// time to catch up.
 func (s *simulation) allHealthy() bool {
 	if time.Since(s.lastFault) < catchUpTime {
 		return false
@@ -190,7 +191,8 @@
 	return true
 }
 
-// sizes are the numbers of members; little is concurrent in simulated time, so one does under the race detector.
+// sizes returns the numbers of members to simulate. Little runs concurrently in simulated time, so one size is enough under the
+// race detector.
 func sizes() []int {
 	if raceflag.On {
 		return []int{3}
--- a/internal/controlplane/replicaset/losses_test.go
+++ b/internal/controlplane/replicaset/losses_test.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// schedulesVariable names how many schedules are run; without it there are scheduleCount of them.
+	// schedulesVariable is the environment variable with the number of schedules to run. The default is scheduleCount.
 	schedulesVariable   = "PUFFINLINK_MODEL_SCHEDULES"
 	scheduleCount       = 2000
-	scheduleCountRace   = 24 // under the race detector, where each takes many times as long
+	scheduleCountRace   = 24 // default under the race detector, where each schedule takes many times as long
 	scheduleWorkers     = 12
-	schedulesUntilFound = 600 // schedules within which a defect must be found
-	garbagePercent      = 800 // of the garbage collector; the schedules allocate much, and retain little
+	schedulesUntilFound = 600 // number of schedules in which a defect must be found
+	garbagePercent      = 800 // GC percentage; the schedules allocate much memory and retain little
 )
 
 var scheduleSeed = flag.Int64("modelseed", -1, "run only the schedule of this seed")
 
-// scheduleSize is the number of members in the schedule of a seed.
+// scheduleSize returns the number of members in the schedule of a seed.
 func scheduleSize(seed uint64) int { return []int{3, 5, 3, 4, 3, 5}[seed%6] }
 
-// isLossy tells whether messages are lost and late in the schedule of a seed.
+// isLossy reports whether messages are lost and late in the schedule of a seed.
 func isLossy(seed uint64) bool { return seed%4 == 3 }
 
-// schedulesToRun is the number of schedules of this run.
+// schedulesToRun returns the number of schedules to run.
 func schedulesToRun(t *testing.T) uint64 {
 	t.Helper()
 	if set := os.Getenv(schedulesVariable); set != "" {
@@ -47,7 +47,7 @@
 	return scheduleCount
 }
 
-// report describes the schedule, its violations, faults and logs.
+// report returns a description of the schedule with its violations, faults and logs.
 func (s *faultSchedule) report() string {
 	var logs []string
 	for _, entry := range s.logged.All() {
@@ -57,8 +57,8 @@
 		strings.Join(s.violations, "\n"), strings.Join(s.events, "\n"), strings.Join(logs, "\n"))
 }
 
-// As long as no more machines fail than is tolerated, nothing acknowledged is lost, a write succeeds within the time to catch
-// up, and never are two views active.
+// While at most the tolerated number of machines has failed, no acknowledged write is lost, each write succeeds within the
+// catch-up time, and at most one view is active.
 func TestLossesAndReplacements(t *testing.T) {
 	if *scheduleSeed >= 0 {
 		seed := uint64(*scheduleSeed)
@@ -93,13 +93,13 @@
 	}
 }
 
-// Each of these defects is found by one of the first schedules, so schedules that find nothing mean something. TestEachRuleIsNeeded
-// has the defects that take a rarer coincidence.
+// Each of these defects must be found by one of the first schedules. This shows that the schedules can detect violations.
+// TestRuleViolationsLoseDataOrConsistency covers defects that only a rare order of events reveals.
 func TestFaultSchedulesFindDefects(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(garbagePercent))
 	defects := []struct {
 		mutation  ruleMutation
-		firstSeed uint64 // seed; it found the defect when this was written, and replays nearly the same
+		firstSeed uint64 // the schedule of this seed found the defect; a replay is nearly identical
 	}{
 		{ruleMutation{name: "a departing member stops at once", stopsWithoutHandover: true}, 0},
 		{ruleMutation{name: "a departing member refuses its own replacement", refusesOwnReplacement: true}, 0},
@@ -112,7 +112,7 @@
 				t.Parallel()
 				for seed := defect.firstSeed; seed < defect.firstSeed+schedulesUntilFound; seed++ {
 					if isLossy(seed) {
-						continue // on such a network the defect may not be what is found
+						continue // on a lossy network, a violation may have another cause than the defect
 					}
 					if s := runSchedule(t, seed, scheduleSize(seed), defect.mutation); len(s.violations) > 0 {
 						t.Logf("%s: seed %d: %s", defect.mutation.name, seed, s.violations[0])
--- a/internal/controlplane/replicaset/managercluster_test.go
+++ b/internal/controlplane/replicaset/managercluster_test.go
@@ -19,10 +19,11 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// drainTime is how long messages may still be in flight at the end of a test, in simulated time.
+// messageDrainTime is the simulated time in which all messages in flight at the end of a test are delivered.
 const messageDrainTime = 10 * time.Second
 
-// managerCluster is processes with a manager each and nothing else, on a network in memory. It is to be run in simulated time.
+// managerCluster is a set of processes on an in-memory network that each run only a Manager, and the founding register. It must
+// run in simulated time.
 type managerCluster struct {
 	t       *testing.T
 	network *networktest.Network
@@ -51,7 +52,7 @@
 	return all
 }
 
-// start starts a core node, or a process that does not count for the quorum.
+// start starts a coordinator, or a process that does not count for the quorum.
 func (c *managerCluster) start(self string, store *storage.Memory, firstStart, isCoordinator bool) *managerProcess {
 	c.t.Helper()
 	var manager *replicaset.Manager
@@ -92,7 +93,7 @@
 	}
 }
 
-// kill ends a process and returns its disk.
+// kill stops a process and returns its disk.
 func (c *managerCluster) kill(self string) *storage.Memory {
 	p := c.running[self]
 	c.network.Serve(self, nil)
@@ -111,7 +112,7 @@
 	<-time.After(messageDrainTime)
 }
 
-// view waits until a process knows a view, and returns it with the time since a start.
+// awaitView waits until a process knows a view, and returns the view and the time since start.
 func (p *managerProcess) awaitView(start time.Time) (replicaset.View, time.Duration) {
 	for deadline := time.After(time.Minute); ; {
 		changed := p.manager.Changed()
@@ -126,7 +127,7 @@
 	}
 }
 
-// inManagerCluster runs a test in simulated time.
+// runInManagerCluster runs a test with a managerCluster in simulated time.
 func runInManagerCluster(t *testing.T, seeds []string, test func(c *managerCluster, start time.Time)) {
 	t.Helper()
 	virtualtime.Test(t, func(t *testing.T) {
--- a/internal/controlplane/replicaset/necessaryrules_test.go
+++ b/internal/controlplane/replicaset/necessaryrules_test.go
@@ -14,18 +14,18 @@
 	oldValue     = "the value before"
 	writtenValue = "the value that was written"
 
-	maxMessageDelay = time.Second // upper bound
+	maxMessageDelay = time.Second // upper bound of the time until messages in flight have arrived
 )
 
-// dropBetween lets no message pass between two processes, or none of a path.
+// dropBetween drops the messages of a path between two processes, or all messages between them if the path is empty.
 func (c *cluster) dropBetween(a, b, path string) {
 	c.network.AddRule(networktest.Rule{From: a, To: b, Path: path, Drop: true})
 	c.network.AddRule(networktest.Rule{From: b, To: a, Path: path, Drop: true})
 }
 
-// writtenInTheOldView lets a replaced member that has not learned the next view write at the end of the joining member's
-// rebuild, together with a member that the others need for no quorum and that proposes no view. It tells whether the value
-// is there afterwards.
+// replacedMemberWritesInOldView has a replaced member, which has not learned the next view, write a value at the end of the
+// joining member's rebuild. The only other member that it reaches proposes no view, and the others need it for no quorum. The
+// function reports whether the value is kept, or the write failed.
 func replacedMemberWritesInOldView(c *cluster, members []string) bool {
 	replaced, common, proposer := members[0], members[1], members[2]
 	c.write(proposer, oldValue)
@@ -45,8 +45,8 @@
 	return c.read(proposer) == writtenValue
 }
 
-// joiningMemberCompletesAMajority writes a value without one member. Of the two that have it one is then replaced, and the
-// other is partitioned. It tells whether the value is there afterwards.
+// joiningMemberCompletesAMajority writes a value while one member is partitioned. Of the two members that have the value, one is
+// then replaced and the other partitioned. The function reports whether the value is kept.
 func joiningMemberCompletesAMajority(c *cluster, members []string) bool {
 	c.write(members[0], oldValue)
 	c.network.Partition(members[0], true)
@@ -67,8 +67,8 @@
 	return c.read(members[0]) == writtenValue
 }
 
-// replacedMemberRejoins writes a value without a member that was replaced, and without another one. Then the replaced one
-// replaces one that has the value, and the last that has it is partitioned. It tells whether the value is there afterwards.
+// replacedMemberRejoins writes a value while a replaced member and another one are partitioned. Then the replaced member replaces
+// a member that has the value, and the last member that has it is partitioned. The function reports whether the value is kept.
 func replacedMemberRejoins(c *cluster, members []string) bool {
 	c.write(members[0], oldValue)
 	c.network.Partition(members[0], true)
@@ -85,8 +85,8 @@
 	return c.read(members[2]) == writtenValue
 }
 
-// twoProposers lets two members that cannot reach each other replace each other, each by another joining member. It tells
-// whether there is one view of each version.
+// twoProposersReplaceEachOther has two members that cannot reach each other replace each other, each by another joining member.
+// It reports whether there is only one view of each version.
 func twoProposersReplaceEachOther(c *cluster, members []string) bool {
 	c.dropBetween(members[0], members[1], "")
 	c.dropBetween("new-0", members[1], "")
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Each rule is needed: what holds with it does not hold without it.
+// Each scenario succeeds with the rule, and loses data or consistency without it.
 func TestRuleViolationsLoseDataOrConsistency(t *testing.T) {
 	rules := []struct {
 		mutation ruleMutation
@@ -124,7 +124,7 @@
 		var holdsWithRule, holdsWithoutRule bool
 		runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) { holdsWithRule = rule.scenario(c, members) })
 		runInCluster(t, 1, rule.mutation, members, func(c *cluster) { holdsWithoutRule = rule.scenario(c, members) })
-		convey.Convey("Shown to be needed: "+rule.mutation.name, t, func() {
+		convey.Convey("The scenario succeeds only with the rule: "+rule.mutation.name, t, func() {
 			convey.So(holdsWithRule, convey.ShouldBeTrue)
 			convey.So(holdsWithoutRule, convey.ShouldBeFalse)
 		})
--- a/internal/controlplane/replicaset/observation_test.go
+++ b/internal/controlplane/replicaset/observation_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestLongGapRestartsQuorumObservation(t *testing.T) {
-	convey.Convey("The quorum counts as reachable since the newest interruption", t, func() {
+	convey.Convey("The quorum counts as reachable since the latest interruption", t, func() {
 		start := time.Now()
 		at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 		var quorum quorumObservation
--- a/internal/controlplane/replicaset/proposingleader_test.go
+++ b/internal/controlplane/replicaset/proposingleader_test.go
@@ -7,16 +7,17 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 )
 
-// proposeInterval is the time between two proposals of a leader.
+// proposeInterval is the interval between a leader's proposals.
 const proposeInterval = 400 * time.Millisecond
 
-// proposingLeader leads the schedule's group at one process, and proposes entries.
+// proposingLeader is one process's handler of the schedule's group. As leader, it proposes entries periodically.
 type proposingLeader struct {
 	schedule *faultSchedule
 	node     *testCoordinator
 }
 
-// Elected implements replication.Handler: the state must have all that was acknowledged, and from now on the leader proposes.
+// Elected implements replication.Handler. It checks that the state contains all acknowledged entries, and starts to propose
+// entries.
 func (l *proposingLeader) Elected(term *replication.Term, state map[string][]byte) {
 	s := l.schedule
 	s.mutex.Lock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// groupCommitted records that an entry was committed and acknowledged.
+// groupCommitted records that an entry of the group was committed and acknowledged.
 func (s *faultSchedule) groupCommitted(key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -14,16 +14,16 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// catchUpTime is how long a joining member may take from its start until it is a member that may vote.
+// catchUpTime is the time from its start within which a joining member must become a member that may vote.
 const catchUpTime = 4 * time.Second
 
-// viewOf returns the view that a process works with: its version and members.
+// viewOf returns the version and members of a process's current view.
 func (c *cluster) viewOf(address string) replicaset.View {
 	view := c.coordinatorAt(address).manager.View()
 	return replicaset.View{Version: view.Version, Members: view.Members}
 }
 
-// join starts a joining member in a zone of its own, and returns how long it takes until that is a member that may vote.
+// join starts a joining member in its own zone, and returns how long it takes until it is a member that may vote.
 func (c *cluster) join(address string) time.Duration {
 	return c.start(address, "elsewhere", storage.NewMemory(), false).awaitMembership()
 }
@@ -83,7 +83,7 @@
 			t.Error(err)
 		}
 		for i, address := range members {
-			c.seeds = c.coordinatorAt(address).manager.View().Members // as an operator would have set them by then
+			c.seeds = c.coordinatorAt(address).manager.View().Members // as an operator sets them after each replacement
 			c.stop(c.coordinatorAt(address))
 			<-time.After(time.Second)
 			slowest = max(slowest, c.join(fmt.Sprintf("new-%d", i)))
@@ -91,7 +91,7 @@
 		last = c.viewOf("new-2")
 		value = c.read("new-0")
 	})
-	convey.Convey("After all members were replaced in turn, the new ones have what the first ones had", t, func() {
+	convey.Convey("After all members were replaced in turn, the new members have the value", t, func() {
 		convey.So(slowest, convey.ShouldBeLessThan, catchUpTime)
 		convey.So(last, convey.ShouldResemble, replicaset.View{Version: 4, Members: []string{"new-0", "new-1", "new-2"}})
 		convey.So(value, convey.ShouldEqual, "kept")
@@ -113,10 +113,10 @@
 		took = time.Since(begin)
 		after = c.viewOf(members[2])
 	})
-	convey.Convey("Nothing happens while all members are live", t, func() {
+	convey.Convey("The view does not change while all members are live", t, func() {
 		convey.So(before, convey.ShouldResemble, replicaset.View{Version: 1, Members: members})
 	})
-	convey.Convey("A member that sends a leave request is replaced at once, while it still runs", t, func() {
+	convey.Convey("A member that sends a leave request is replaced at once, while it is still running", t, func() {
 		convey.So(after, convey.ShouldResemble, replicaset.View{Version: 2, Members: []string{members[1], members[2], "new"}})
 		convey.So(took, convey.ShouldBeLessThan, 1500*time.Millisecond)
 	})
@@ -136,7 +136,7 @@
 		<-time.After(10 * time.Second)
 		view = c.viewOf(members[1])
 	})
-	convey.Convey("A restart in place, followed by a joining member, replaces nobody", t, func() {
+	convey.Convey("After a restart at the same address, a joining member replaces no member", t, func() {
 		convey.So(view.Version, convey.ShouldEqual, 1)
 	})
 }
@@ -197,7 +197,7 @@
 	})
 }
 
-// The member that proposes the next view is killed with its proposal accepted by one other member only.
+// The proposer of the next view is killed after only one other member has accepted the proposal.
 func TestOtherMembersCompleteViewOfKilledProposer(t *testing.T) {
 	members := addresses(5)
 	for _, proposer := range members[1:] {
@@ -217,7 +217,7 @@
 				views = append(views, c.viewOf(p.address))
 			}
 		})
-		convey.Convey("The others complete what "+proposer+" proposed, and agree", t, func() {
+		convey.Convey("The others complete the view that "+proposer+" proposed, and agree", t, func() {
 			convey.So(views, convey.ShouldHaveLength, 5)
 			for _, view := range views {
 				convey.So(view.Version, convey.ShouldEqual, 3)
@@ -233,7 +233,7 @@
 	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(time.Second)
-		// The joining member and one member reach each other, and nobody else.
+		// The joining member and one member can reach only each other.
 		c.network.AddRule(networktest.Rule{From: members[0], To: members[1], Drop: true})
 		c.network.AddRule(networktest.Rule{From: members[0], To: members[2], Drop: true})
 		c.network.AddRule(networktest.Rule{From: members[1], To: members[0], Drop: true})
@@ -248,8 +248,8 @@
 	})
 }
 
-// A next view was accepted by single members when the one that it replaces became reachable again. There are many joining
-// members.
+// Single members have accepted a next view when the member that it replaces becomes reachable again. Many joining members
+// announce themselves meanwhile, which must not delay the completion of the view.
 func TestPendingViewIsCompletedWhileJoiningMembersWait(t *testing.T) {
 	members := addresses(3)
 	var before, after uint64
@@ -268,14 +268,14 @@
 		<-time.After(catchUpTime)
 		after = c.viewOf(members[1]).Version
 	})
-	convey.Convey("Though no member has failed any more, the view is committed", t, func() {
+	convey.Convey("The view is committed although no member is failed any more", t, func() {
 		convey.So(before, convey.ShouldEqual, 1)
 		convey.So(after, convey.ShouldEqual, 2)
 	})
 }
 
-// A member was replaced while it was down or partitioned. It may count once it has had the time to catch up, so another may
-// fail then.
+// A member was replaced while it was down or partitioned. It counts as a member again once it has had time to catch up, so another
+// member may fail then.
 func TestReplacedMemberThatRestartsCatchesUpInTime(t *testing.T) {
 	members := addresses(3)
 	interruptions := map[string]func(c *cluster, p *testCoordinator){
@@ -301,7 +301,7 @@
 				interrupt(c, c.coordinatorAt(members[1]))
 				back := time.Now()
 				<-time.After(600 * time.Millisecond)
-				c.stopGracefully(c.coordinatorAt(members[2])) // the interrupted one may replace it
+				c.stopGracefully(c.coordinatorAt(members[2])) // the interrupted member may replace it
 				<-time.After(time.Until(back.Add(catchUpTime)))
 				c.stop(c.coordinatorAt("new"))
 				value, err = c.read(members[0]), c.write(members[0], "after")
--- a/internal/controlplane/replicaset/rulemutants_test.go
+++ b/internal/controlplane/replicaset/rulemutants_test.go
@@ -8,17 +8,17 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// ruleMutant breaks one rule in a test; the zero value breaks none.
+// ruleMutation selects a rule that a test violates on purpose. The zero value violates none.
 type ruleMutation struct {
 	name                    string
 	votesBeforeRebuild      bool // a joining member votes before it is rebuilt
-	votesInOldView          bool // a member votes for a while in the view before the one that it has learned
-	snapshotsInOldView      bool // a member gives a snapshot of its tables without having stored the receiver's view
-	votesWithOutdatedDisk   bool // a member that was replaced votes with its old disk when it rejoins
-	commitsWithoutQuorum    bool // a single member decides the next view
+	votesInOldView          bool // a member keeps voting in its previous view for staleViewDuration after it learned the next one
+	snapshotsInOldView      bool // a member provides a snapshot without having stored the receiver's view
+	votesWithOutdatedDisk   bool // a replaced member votes with its outdated disk when it rejoins
+	commitsWithoutQuorum    bool // a single member commits the next view
 	stopsWithoutHandover    bool // a departing member does not wait for its successor
 	refusesOwnReplacement   bool // a departing member does not vote for its own replacement
-	replacedGivesNoSnapshot bool // a replaced member gives no snapshot
+	replacedGivesNoSnapshot bool // a replaced member provides no snapshot
 }
 
 // unilateralSuccession commits a view without the other members.
@@ -34,13 +34,13 @@
 	return replicaset.View{}, false, nil
 }
 
-// neverAbsentViews say that this process has always been a member.
+// neverAbsentViews reports that the process has never been absent from the view.
 type neverAbsentViews struct{ *replicaset.Manager }
 
 // Absences implements rebuild.Views.
 func (neverAbsentViews) Absences() uint64 { return 0 }
 
-// prematureViews return a received view as if it were stored.
+// prematureViews returns a received view as if it had been stored.
 type prematureViews struct {
 	*replicaset.Manager
 	mutex    sync.Mutex
@@ -65,10 +65,10 @@
 	return v.received
 }
 
-// staleViewTime is how long a member works with the old view in a mutant.
+// staleViewDuration is how long a member uses its previous view if votesInOldView is set.
 const staleViewDuration = 4 * time.Second
 
-// staleView returns a view some time after it became the current one.
+// staleView returns a function that returns each view only staleViewDuration after it became the current one.
 func staleView(current func() replicaset.View) func() replicaset.View {
 	var mutex sync.Mutex
 	var served, newest replicaset.View
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -8,10 +8,11 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// untilRecovered is how long a machine counts as failed whose recovery is open.
+// openEndedFailure is how long a machine counts as failed unless markRecovered ends the fault earlier.
 const openEndedFailure = 24 * time.Hour
 
-// injectFault begins one fault, if no more than the tolerated number of machines have then failed. Faults overlap.
+// injectFault starts a random fault, unless more than the tolerated number of machines would then have failed. Faults may
+// overlap.
 func (s *faultSchedule) injectFault() {
 	kind, duration := s.random.IntN(10), time.Duration(s.random.Int64N(int64(3*time.Second)))
 	if kind >= 7 {
@@ -29,7 +30,7 @@
 	})
 }
 
-// applyFault lets a machine have a fault for a time.
+// applyFault applies a fault to a machine for a duration.
 func (s *faultSchedule) applyFault(p *testCoordinator, kind int, duration time.Duration) {
 	switch kind {
 	case 0:
@@ -54,8 +55,8 @@
 	}
 }
 
-// replaceOne replaces a machine by a new one: unplanned, after it was lost for good, or planned, where the new one starts
-// first and the old one is then stopped gracefully.
+// replaceMachine replaces a machine by a new one. An unplanned replacement starts the new machine after the old one was lost
+// permanently. A planned one starts the new machine first, and then stops the old one gracefully.
 func (s *faultSchedule) replaceMachine(kind int, duration time.Duration) {
 	if !s.beginReplacement() {
 		return
@@ -100,11 +101,11 @@
 	})
 }
 
-// restartTime is how long it takes until a machine is started again that had to stop too early.
+// earlyStopRestartDelay is the delay before the restart of a machine that had to stop too early.
 const earlyStopRestartDelay = time.Second
 
-// startAgain starts a machine on its disk that had to stop while no quorum was known to stay, as the operators' page asks for.
-// That may happen where messages are lost, and nowhere else.
+// restartAfterEarlyStop restarts a machine on its disk, as the operators' documentation requires, after it had to stop although no
+// quorum was known to stay. This may happen only on a lossy network. On a reliable one it is a violation.
 func (s *faultSchedule) restartAfterEarlyStop(p *testCoordinator) {
 	if !s.lossy {
 		s.addViolation("%s had to stop though no quorum was known to stay", p.address)
@@ -118,10 +119,10 @@
 	s.markRecovered(p.address)
 }
 
-// lossyCatchUpTime is how long a machine may take to catch up where messages are lost.
+// lossyCatchUpTime is the time within which a machine must catch up on a lossy network.
 const lossyCatchUpTime = 20 * time.Second
 
-// awaitCatchUp waits until all members may vote but those that other faults of this schedule have taken.
+// awaitCatchUp waits until all members may vote except those that have failed because of other faults of the schedule.
 func (s *faultSchedule) awaitCatchUp(address string) {
 	for deadline := time.Now().Add(lossyCatchUpTime); ; {
 		s.checkViews()
@@ -137,7 +138,8 @@
 	}
 }
 
-// countMembers counts the members of the newest view that may vote, and the machines that count as failed beside one.
+// countMembers returns the number of members of the newest view that may vote, and the number of machines that count as failed,
+// not counting the one at address.
 func (s *faultSchedule) countMembers(address string) (complete, failedOthers int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -154,7 +156,8 @@
 	return complete, failedOthers
 }
 
-// loseDisk stops another member than the departing one and restarts it without its disk, unless that is more than is tolerated.
+// loseDisk stops a member other than the departing one and restarts it without its disk, unless more than the tolerated number of
+// machines would then have failed.
 func (s *faultSchedule) loseDisk(departing *testCoordinator, index int, duration time.Duration) {
 	s.mutex.Lock()
 	address := s.seenViews.newest.Members[index%len(s.seenViews.newest.Members)]
@@ -176,7 +179,7 @@
 	})
 }
 
-// beginReplacement returns false while another replacement is in progress.
+// beginReplacement marks a replacement as in progress. It returns false if one already is.
 func (s *faultSchedule) beginReplacement() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -193,7 +196,7 @@
 	s.replacing = false
 }
 
-// startJoiningMember starts a new machine.
+// startJoiningMember starts a new machine as a joining member, with the newest known members as seeds.
 func (s *faultSchedule) startJoiningMember() {
 	s.mutex.Lock()
 	address := fmt.Sprintf("core-%d", s.machineCount)
@@ -204,7 +207,7 @@
 	s.cluster.start(address, "elsewhere", storage.NewMemory(), false)
 }
 
-// anyHealthy returns a running member that does not count as failed; nil where chance picked another.
+// pickHealthyMember picks a random member. It returns nil if that member counts as failed or is not running.
 func (s *faultSchedule) pickHealthyMember() *testCoordinator {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -215,7 +218,8 @@
 	return s.coordinatorAt(address)
 }
 
-// failOne picks a member, and counts it as failed from now on; nil where that is one more than is tolerated.
+// pickAndMarkFailed picks a random member and marks it as failed. It returns nil if that member cannot fail now, or the tolerated
+// number of machines has already failed.
 func (s *faultSchedule) pickAndMarkFailed() *testCoordinator {
 	p := s.pickHealthyMember()
 	if p == nil || p.manager.Departing() || !s.markFailed(p.address) {
@@ -224,7 +228,8 @@
 	return p
 }
 
-// markFailed counts a machine as failed from now on; false where it is already, or that is one more than is tolerated.
+// markFailed marks a machine as failed from now on. It returns false if the machine already counts as failed, or the tolerated
+// number of machines has already failed.
 func (s *faultSchedule) markFailed(address string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -241,8 +246,8 @@
 	return true
 }
 
-// markRecovered ends a fault: the machine counts as failed until it has had the time to catch up. Where messages are lost, nothing
-// is promised within that time, so that it counts until it has caught up indeed.
+// markRecovered ends a fault. The machine still counts as failed for catchUpTime. On a lossy network nothing is guaranteed within
+// that time, so markRecovered first waits until the machine has caught up.
 func (s *faultSchedule) markRecovered(address string) {
 	if s.lossy {
 		s.awaitCatchUp(address)
--- a/internal/controlplane/replicaset/simultaneous_test.go
+++ b/internal/controlplane/replicaset/simultaneous_test.go
@@ -13,33 +13,34 @@
 	"puffinlink.example/puffinlink/internal/raceflag"
 )
 
-// subset is a set of the first machines of a schedule, a bit each.
+// machineSet is a set of the initial machines of a schedule, with one bit per machine.
 type machineSet uint
 
 func (s machineSet) has(i int) bool { return s&(1<<i) != 0 }
 
 func (s machineSet) size() int { return bits.OnesCount(uint(s)) }
 
-// simultaneousFaults are two faults that each strike several machines at one moment.
+// simultaneousFaults describes two faults, each of which affects several machines at the same time.
 type simultaneousFaults struct {
 	size          int
 	first, second machineSet
-	gap           time.Duration // from the first one to the second
-	fillsDisks    bool          // the first one fills disks; otherwise both of them are losses of power
+	gap           time.Duration // time between the two faults
+	fillsDisks    bool          // whether the first fault fills disks; otherwise both are power losses
 }
 
 const (
-	outageDuration       = time.Second             // of a machine without power
-	fullDiskDuration     = 2500 * time.Millisecond // for which disks are full
-	acknowledgementDelay = 300 * time.Millisecond  // after which what was written before the disks were full is acknowledged
+	outageDuration       = time.Second             // duration of a power loss
+	fullDiskDuration     = 2500 * time.Millisecond // how long disks are full
+	acknowledgementDelay = 300 * time.Millisecond  // time after which entries written before the disks were full have been acknowledged
 )
 
 func (f simultaneousFaults) String() string {
 	return fmt.Sprintf("%d machines, %0*b then %0*b after %v, full disks %v", f.size, f.size, f.first, f.size, f.second, f.gap, f.fillsDisks)
 }
 
-// powerLosses are all pairs of subsets for three machines, and for five all subsets, each followed by itself, by the others and by
-// all. The second one strikes while the first is still down, as its machines start, and while they recover.
+// powerLossFaults returns pairs of power losses. For three machines it combines all pairs of subsets. For five machines, each
+// subset is followed by the same subset, by its complement and by all machines. The second power loss occurs while the machines
+// of the first one are still down, when they start, and while they recover.
 func powerLossFaults() []simultaneousFaults {
 	var all []simultaneousFaults
 	for _, gap := range []time.Duration{outageDuration / 2, outageDuration, outageDuration + 400*time.Millisecond} {
@@ -57,7 +58,8 @@
 	return all
 }
 
-// fullDisks are all subsets whose disks are full, with and without a loss of power meanwhile of the same, of the others and of all.
+// fullDiskFaults returns faults in which the disks of any subset are full. Meanwhile either no machine loses power, or the same
+// subset, its complement or all machines do.
 func fullDiskFaults() []simultaneousFaults {
 	var all []simultaneousFaults
 	for _, size := range []int{3, 5} {
@@ -71,7 +73,7 @@
 	return all
 }
 
-// playSimultaneous plays the faults, and returns the schedule with its violations.
+// runSimultaneousFaults runs a schedule with the given faults, and returns it with its violations.
 func runSimultaneousFaults(t *testing.T, faults simultaneousFaults) *faultSchedule {
 	t.Helper()
 	seed := uint64(faults.first)<<8 + uint64(faults.second)
@@ -94,7 +96,7 @@
 	})
 }
 
-// markAllFailed lets no operation begin until the faults are over; those under way go on.
+// markAllFailed prevents new operations until the faults are over. Operations in progress continue.
 func (s *faultSchedule) markAllFailed(size int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -103,7 +105,7 @@
 	}
 }
 
-// losePower stops machines at one moment, and starts them again on their disks at another.
+// losePower stops several machines at the same time, and restarts them on their disks together after outageDuration.
 func (s *faultSchedule) losePower(machines machineSet) {
 	var stopped []*testCoordinator
 	for i, address := range addresses(s.size) {
@@ -119,8 +121,8 @@
 	})
 }
 
-// fillDisks lets disks be full for a while. Where too few others have room, nothing may be acknowledged meanwhile; what is there stays
-// readable.
+// fillDisks makes disks full for fullDiskDuration. If too few other disks have space for a quorum, nothing may be acknowledged
+// meanwhile. Existing values must stay readable.
 func (s *faultSchedule) fillDisks(faults simultaneousFaults) {
 	var affected []*testCoordinator
 	for i, address := range addresses(faults.size) {
@@ -156,17 +158,17 @@
 	return true
 }
 
-// groupCount is the number of entries of the group that were acknowledged.
+// groupCount returns the number of acknowledged entries of the group.
 func (s *faultSchedule) groupCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.groupAcknowledged)
 }
 
-// everyFewUnderRace leaves out all but each sixteenth schedule under the race detector, where each takes many times as long.
+// raceScheduleStride selects every sixteenth schedule under the race detector, where each takes many times as long.
 const raceScheduleStride = 16
 
-// playAll plays schedules in parallel and returns the violations.
+// runAllSimultaneousFaults runs the schedules in parallel and returns how many of them had violations.
 func runAllSimultaneousFaults(t *testing.T, all []simultaneousFaults) (found int64) {
 	var violations atomic.Int64
 	t.Run("schedules", func(t *testing.T) {
@@ -188,17 +190,18 @@
 	return violations.Load()
 }
 
-// Any machines may lose power at one moment, whatever number is tolerated, and again while they recover. Nothing acknowledged is lost,
-// and writes succeed once they are back.
+// Any set of machines, also more than the tolerated number, may lose power at the same time, and again during recovery. No
+// acknowledged write is lost, and writes succeed after the restart.
 func TestNoWriteIsLostWhenAnySubsetLosesPower(t *testing.T) {
 	found := runAllSimultaneousFaults(t, powerLossFaults())
-	convey.Convey("No subset of three or of five loses anything", t, func() { convey.So(found, convey.ShouldEqual, 0) })
+	convey.Convey("No subset of three or five machines loses an acknowledged write", t, func() { convey.So(found, convey.ShouldEqual, 0) })
 }
 
-// A machine whose disk is full votes for nothing, and what it has stays readable. It goes on by itself once there is room.
+// A machine with a full disk must not vote, its stored values must stay readable, and it must resume by itself once the disk has
+// space.
 func TestNoWriteIsLostWhenAnySubsetOfDisksIsFull(t *testing.T) {
 	found := runAllSimultaneousFaults(t, fullDiskFaults())
-	convey.Convey("No subset of three or of five loses anything, or acknowledges what is not stored", t, func() {
+	convey.Convey("No subset of three or five machines loses an acknowledged write, or acknowledges an entry that is not stored", t, func() {
 		convey.So(found, convey.ShouldEqual, 0)
 	})
 }
--- a/internal/controlplane/replicaset/stored_test.go
+++ b/internal/controlplane/replicaset/stored_test.go
@@ -13,7 +13,7 @@
 
 const (
 	storedFolder              = "testdata/stored"
-	updateEnvironmentVariable = "GOLDEN_UPDATE" // set to 1, the stored data is made anew
+	updateEnvironmentVariable = "GOLDEN_UPDATE" // if set to 1, the test creates the stored data anew
 	storedSelf                = "10.0.0.2:7000"
 )
 
@@ -25,7 +25,7 @@
 		Zones:    map[string]string{"10.0.0.4:7000": "north"},
 		Replaced: storedSelf, JoinedIncarnation: 0xfedcba9876543210,
 	}
-	// storedReplicaSet is the table, byte for byte.
+	// storedReplicaSet is the expected content of the table, byte for byte.
 	storedReplicaSet = map[string][]byte{
 		"founders": []byte("\x93\xad10.0.0.1:7000\xad10.0.0.2:7000\xad10.0.0.3:7000"),
 		"absences": {0, 0, 0, 0, 0, 0, 0, 1},
@@ -42,7 +42,7 @@
 	})
 }
 
-// writeStoredViews writes what a founder stores that is then replaced.
+// writeStoredViews writes what a founder stores that is replaced later.
 func writeStoredViews(store storage.Store) error {
 	m, err := storedManager(store)
 	if err != nil {
@@ -70,13 +70,13 @@
 			t.Fatal(err)
 		}
 	}
-	Convey("Given a view that an earlier build stored", t, func() {
+	Convey("Given a view that was stored by an earlier build", t, func() {
 		folder := t.TempDir()
 		So(os.CopyFS(folder, os.DirFS(storedFolder)), ShouldBeNil)
 		store := openStored(t, folder)
 		So(store.Snapshot(), ShouldResemble, storage.Tables{"replicaset": storedReplicaSet})
 
-		Convey("a manager reads all of it, and changes nothing", func() {
+		Convey("a manager reads all of it and changes nothing", func() {
 			m, err := storedManager(store)
 			So(err, ShouldBeNil)
 			So(m.View(), ShouldResemble, storedView)
@@ -84,7 +84,7 @@
 			So(m.Absences(), ShouldEqual, 1)
 			So(store.Snapshot(), ShouldResemble, storage.Tables{"replicaset": storedReplicaSet})
 		})
-		Convey("this build writes the same, so that the earlier one can read it", func() {
+		Convey("this build writes the same bytes, so the earlier build can read them", func() {
 			memory := storage.NewMemory()
 			So(writeStoredViews(memory), ShouldBeNil)
 			So(memory.Snapshot(), ShouldResemble, storage.Tables{"replicaset": storedReplicaSet})
--- a/internal/controlplane/replicaset/viewhistory_test.go
+++ b/internal/controlplane/replicaset/viewhistory_test.go
@@ -6,13 +6,13 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replicaset"
 )
 
-// viewHistory is the views that a test has seen at any process.
+// viewHistory holds the views that a test has seen at any process.
 type viewHistory struct {
 	members map[uint64][]string // by version
 	newest  replicaset.View
 }
 
-// record adds a view. It returns false if another one of the same version was seen.
+// record adds a view. It returns false if a view of the same version with other members was seen before.
 func (h *viewHistory) record(view replicaset.View) (consistent bool) {
 	if h.members == nil {
 		h.members = make(map[uint64][]string)
--- a/internal/controlplane/replicaset/wire_test.go
+++ b/internal/controlplane/replicaset/wire_test.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
+// TestEncodedFormsMatchGoldenFiles checks that the encoded messages and the stored view match the golden file.
 func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "view request", Value: new(viewRequest)},
@@ -18,7 +18,7 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
+// TestWireConstantsAreUnchanged checks the names of the table, its keys and the paths of the internal calls.
 func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: TableName, Want: "replicaset"},
