--- a/internal/controlplane/replicaset/assembly_test.go
+++ b/internal/controlplane/replicaset/assembly_test.go
@@ -16,21 +16,21 @@
 // testRegister is the name of the register that the coordinators replicate.
 const testRegister = "test"
 
-func (c *cluster) assembleViews(p *testCoordinator, mux *transport.Mux, firstStart bool) {
-	ready := func() bool { return p.store.alive() && p.rebuilder.Ready() }
+func (c *cluster) assembleViews(coordinator *testCoordinator, mux *transport.Mux, firstStart bool) {
+	ready := func() bool { return coordinator.store.alive() && coordinator.rebuilder.Ready() }
 	founding := register.NewFounding(register.FoundingConfig{
-		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
-		Founders: func() []string { return p.manager.Founders() },
+		Self: coordinator.address, Store: coordinator.store, Ready: ready, Caller: coordinator.caller,
+		Founders: func() []string { return coordinator.manager.Founders() },
 	})
 	succession := register.NewSuccession(register.SuccessionConfig{
-		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
-		View:      func() replicaset.View { return p.manager.View() },
-		Departing: func() bool { return !c.mutation.refusesOwnReplacement && p.manager.Departing() },
+		Self: coordinator.address, Store: coordinator.store, Ready: ready, Caller: coordinator.caller,
+		View:      func() replicaset.View { return coordinator.manager.View() },
+		Departing: func() bool { return !c.mutation.refusesOwnReplacement && coordinator.manager.Departing() },
 	})
 	config := replicaset.Config{
-		Self: p.address, Zone: p.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
-		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
-		Founding: founding, Succession: succession, Liveness: p.liveness,
+		Self: coordinator.address, Zone: coordinator.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
+		Store: coordinator.store, Caller: coordinator.caller, Logger: zap.NewNop(),
+		Founding: founding, Succession: succession, Liveness: coordinator.liveness,
 	}
 	if c.mutation.commitsWithoutQuorum {
 		config.Succession = unilateralSuccession{}
@@ -39,7 +39,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	p.manager = manager
+	coordinator.manager = manager
 	founding.Serve(mux)
 	succession.Serve(mux)
 	manager.Serve(mux)
@@ -55,21 +55,21 @@
 	return liveness
 }
 
-func (c *cluster) assembleRebuilder(p *testCoordinator, mux *transport.Mux, firstStart bool) {
-	var views rebuild.Views = p.manager
+func (c *cluster) assembleRebuilder(coordinator *testCoordinator, mux *transport.Mux, firstStart bool) {
+	var views rebuild.Views = coordinator.manager
 	if c.mutation.snapshotsInOldView {
-		views = &prematureViews{Manager: p.manager}
+		views = &prematureViews{Manager: coordinator.manager}
 	}
 	if c.mutation.votesWithOutdatedDisk {
-		views = neverAbsentViews{p.manager}
+		views = neverAbsentViews{coordinator.manager}
 	}
-	incarnation := p.manager.Incarnation()
+	incarnation := coordinator.manager.Incarnation()
 	if c.mutation.replacedGivesNoSnapshot {
 		incarnation = 0
 	}
 	rebuilder, err := rebuild.New(rebuild.Config{
-		Self: p.address, Incarnation: incarnation, FirstStart: firstStart, Views: views,
-		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
+		Self: coordinator.address, Incarnation: incarnation, FirstStart: firstStart, Views: views,
+		Store: coordinator.store, Caller: coordinator.caller, Logger: zap.NewNop(),
 	})
 	if err != nil {
 		c.t.Fatal(err)
@@ -77,38 +77,40 @@
 	rebuilder.Register(register.Merge, register.TablePrefix)
 	rebuilder.Register(rebuild.Infallible(replication.MergeTables), replication.StateTablePrefix, replication.MetaTablePrefix)
 	rebuilder.Serve(mux)
-	p.rebuilder = rebuilder
+	coordinator.rebuilder = rebuilder
 }
 
-func (c *cluster) assembleRegister(p *testCoordinator, mux *transport.Mux) {
-	acceptorView := p.manager.View
+func (c *cluster) assembleRegister(coordinator *testCoordinator, mux *transport.Mux) {
+	acceptorView := coordinator.manager.View
 	if c.mutation.votesInOldView {
-		acceptorView = staleView(p.manager.View)
+		acceptorView = staleView(coordinator.manager.View)
 	}
 	acceptor := register.NewAcceptor(register.AcceptorConfig{
-		Name: testRegister, Store: p.store, View: acceptorView,
-		Ready: func() bool { return p.store.alive() && (c.mutation.votesBeforeRebuild || p.rebuilder.Ready()) },
+		Name: testRegister, Store: coordinator.store, View: acceptorView,
+		Ready: func() bool {
+			return coordinator.store.alive() && (c.mutation.votesBeforeRebuild || coordinator.rebuilder.Ready())
+		},
 	})
 	acceptor.Serve(mux)
-	p.register = register.New(register.Config{
-		Name: testRegister, Self: p.address, Acceptor: acceptor, View: p.manager.View, Caller: p.caller,
-		OnNewerView: func(view replicaset.View) { p.manager.Learn(view) },
+	coordinator.register = register.New(register.Config{
+		Name: testRegister, Self: coordinator.address, Acceptor: acceptor, View: coordinator.manager.View, Caller: coordinator.caller,
+		OnNewerView: func(view replicaset.View) { coordinator.manager.Learn(view) },
 	})
 }
 
 // assembleNode creates the replication node, which pings the other members. It also replicates the fault schedule's group if the
 // cluster has a groupHandler.
-func (c *cluster) assembleNode(p *testCoordinator, mux *transport.Mux) {
+func (c *cluster) assembleNode(coordinator *testCoordinator, mux *transport.Mux) {
 	config := replication.Config{
-		Self: p.address, Store: storage.NewMemory(), Caller: p.caller, View: p.manager.View,
-		Ready: func() bool { return c.mutation.votesBeforeRebuild || p.rebuilder.Ready() }, Handler: noGroupHandler{},
+		Self: coordinator.address, Store: storage.NewMemory(), Caller: coordinator.caller, View: coordinator.manager.View,
+		Ready: func() bool { return c.mutation.votesBeforeRebuild || coordinator.rebuilder.Ready() }, Handler: noGroupHandler{},
 		Log: c.log,
 	}
 	if c.log != nil {
-		config.Log = c.log.With(zap.String("at", p.address))
+		config.Log = c.log.With(zap.String("at", coordinator.address))
 	}
 	if c.groupHandler != nil {
-		config.Store, config.Handler = p.store, c.groupHandler(p)
+		config.Store, config.Handler = coordinator.store, c.groupHandler(coordinator)
 	}
 	node, err := replication.NewNode(config)
 	if err != nil {
@@ -118,7 +120,7 @@
 		node.Ensure(scheduleGroup)
 	}
 	node.Serve(mux)
-	p.node = node
+	coordinator.node = node
 }
 
 // noGroupHandler implements replication.Handler for a node without groups.
--- a/internal/controlplane/replicaset/cluster_test.go
+++ b/internal/controlplane/replicaset/cluster_test.go
@@ -37,8 +37,8 @@
 	seeds        []string
 	mutation     ruleMutation
 	tasks        sync.WaitGroup
-	log          *zap.Logger                                  // logger of the replication nodes; nil disables logging
-	groupHandler func(p *testCoordinator) replication.Handler // handler of a replication group on the members' disks; nil for no group
+	log          *zap.Logger                                            // logger of the replication nodes; nil disables logging
+	groupHandler func(coordinator *testCoordinator) replication.Handler // handler of a replication group on the members' disks; nil for no group
 
 	mutex    sync.Mutex // guards the fields below
 	running  map[string]*testCoordinator
@@ -101,51 +101,51 @@
 // start starts a process unless one is running at the address or the cluster is stopping.
 func (c *cluster) start(address, zone string, disk *storage.Memory, firstStart bool) *testCoordinator {
 	c.t.Helper()
-	p := &testCoordinator{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
-	p.caller = killableCaller{c.network.Caller(address), p.store}
-	p.ctx, p.kill = context.WithCancel(context.Background())
+	coordinator := &testCoordinator{address: address, zone: zone, start: time.Now(), disk: disk, store: &killableStore{Memory: disk}}
+	coordinator.caller = killableCaller{c.network.Caller(address), coordinator.store}
+	coordinator.ctx, coordinator.kill = context.WithCancel(context.Background())
 	mux := transport.NewMux()
-	c.assembleViews(p, mux, firstStart)
-	c.assembleRebuilder(p, mux, firstStart)
-	c.assembleRegister(p, mux)
-	c.assembleNode(p, mux)
+	c.assembleViews(coordinator, mux, firstStart)
+	c.assembleRebuilder(coordinator, mux, firstStart)
+	c.assembleRegister(coordinator, mux)
+	c.assembleNode(coordinator, mux)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.stopping || c.running[address] != nil {
-		p.kill()
-		return p
+		coordinator.kill()
+		return coordinator
 	}
-	c.running[address] = p
+	c.running[address] = coordinator
 	c.network.Serve(address, mux)
-	c.tasks.Go(func() { p.runComponent(p.manager.Run) })
-	c.tasks.Go(func() { p.runComponent(p.rebuilder.Run) })
-	c.tasks.Go(func() { p.node.Run(p.ctx) })
-	c.tasks.Go(func() { c.restartWhenReplaced(p) })
-	return p
+	c.tasks.Go(func() { coordinator.runComponent(coordinator.manager.Run) })
+	c.tasks.Go(func() { coordinator.runComponent(coordinator.rebuilder.Run) })
+	c.tasks.Go(func() { coordinator.node.Run(coordinator.ctx) })
+	c.tasks.Go(func() { c.restartWhenReplaced(coordinator) })
+	return coordinator
 }
 
 // restartWhenReplaced restarts a process on its disk if it stops because it was replaced. It does not restart a departing
 // process, which stops by itself.
-func (c *cluster) restartWhenReplaced(p *testCoordinator) {
-	err := p.rebuilder.Watch(p.ctx)
-	if !errors.Is(err, rebuild.ErrReplaced) || p.manager.Departing() || !c.stop(p) {
+func (c *cluster) restartWhenReplaced(coordinator *testCoordinator) {
+	err := coordinator.rebuilder.Watch(coordinator.ctx)
+	if !errors.Is(err, rebuild.ErrReplaced) || coordinator.manager.Departing() || !c.stop(coordinator) {
 		return
 	}
 	<-time.After(restartDelay)
-	c.start(p.address, p.zone, p.disk, false)
+	c.start(coordinator.address, coordinator.zone, coordinator.disk, false)
 }
 
 // stop kills a process. It returns false if the process had been killed before.
-func (c *cluster) stop(p *testCoordinator) bool {
+func (c *cluster) stop(coordinator *testCoordinator) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.running[p.address] != p {
+	if c.running[coordinator.address] != coordinator {
 		return false
 	}
-	delete(c.running, p.address)
-	c.network.Serve(p.address, nil)
-	p.store.kill()
-	p.kill()
+	delete(c.running, coordinator.address)
+	c.network.Serve(coordinator.address, nil)
+	coordinator.store.kill()
+	coordinator.kill()
 	return true
 }
 
@@ -154,16 +154,16 @@
 
 // stopGracefully stops a process like a coordinator: it first hands over to a joining member, if there is one. It reports
 // whether a quorum was known to stay, or the process was killed meanwhile.
-func (c *cluster) stopGracefully(p *testCoordinator) (keepsQuorum bool) {
-	handoverCtx, cancel := context.WithTimeout(p.ctx, handoverTimeout)
+func (c *cluster) stopGracefully(coordinator *testCoordinator) (keepsQuorum bool) {
+	handoverCtx, cancel := context.WithTimeout(coordinator.ctx, handoverTimeout)
 	defer cancel()
 	if c.mutation.stopsWithoutHandover {
-		handoverCtx, cancel = context.WithTimeout(p.ctx, time.Millisecond)
+		handoverCtx, cancel = context.WithTimeout(coordinator.ctx, time.Millisecond)
 		defer cancel()
 	}
-	departure := p.rebuilder.HandOver(handoverCtx, p.manager.Leave)
-	keepsQuorum = departure.KeepsQuorum() || p.ctx.Err() != nil
-	c.stop(p)
+	departure := coordinator.rebuilder.HandOver(handoverCtx, coordinator.manager.Leave)
+	keepsQuorum = departure.KeepsQuorum() || coordinator.ctx.Err() != nil
+	c.stop(coordinator)
 	return keepsQuorum
 }
 
--- a/internal/controlplane/replicaset/departure_test.go
+++ b/internal/controlplane/replicaset/departure_test.go
@@ -44,16 +44,16 @@
 	mayStop                 func(replicaset.Departure) bool
 	secondStopsFirst        bool // whether the second departing member stops before the first, by the order of their addresses
 	visited                 map[departureState]bool
-	stuckState              *departureState // first state found without a recoverable quorum
+	unrecoverableState      *departureState // first state found without a recoverable quorum
 }
 
 func (e *departureExplorer) explore(state departureState) {
-	if e.visited[state] || e.stuckState != nil {
+	if e.visited[state] || e.unrecoverableState != nil {
 		return
 	}
 	e.visited[state] = true
 	if !e.recovers(state) {
-		e.stuckState = &state
+		e.unrecoverableState = &state
 		return
 	}
 	for _, next := range e.steps(state) {
@@ -174,9 +174,9 @@
 	return next
 }
 
-// firstMayStop reports whether the member that has a successor may stop after any possible observation. Any replies may be
-// missing. Only N-Q of the other members have received the successor's announcements, and as many of these as possible do not
-// reply.
+// firstMayStop reports whether any possible observation lets the member that has a successor stop. Any replies may be missing.
+// The member itself has not received the successor's announcements. Only N-Q of the other members have, and as many of these as
+// possible do not reply.
 func (e *departureExplorer) firstMayStop(state departureState) bool {
 	stayingVoters := state.complete + oneIf(state.second == departing && !e.secondStopsFirst) + oneIf(state.successor == rebuilt)
 	uninformed := e.size - 1 - (e.size - e.quorum)
@@ -196,15 +196,15 @@
 // secondMayStop reports whether the member without a successor may stop. It never receives an announcement of the other member's
 // successor.
 func (e *departureExplorer) secondMayStop(state departureState) bool {
-	counts := state.complete + oneIf(state.successor == rebuilt) +
+	stayingVoters := state.complete + oneIf(state.successor == rebuilt) +
 		oneIf(!state.replaced() && (state.departing == staying || state.departing == departing && e.secondStopsFirst))
-	observed := replicaset.Departure{View: e.view(state), Self: "member-1", WasMember: true, Staying: counts, JoinedIncomplete: state.successor == incomplete}
+	observed := replicaset.Departure{View: e.view(state), Self: "member-1", WasMember: true, Staying: stayingVoters, JoinedIncomplete: state.successor == incomplete}
 	return e.mayStop(observed)
 }
 
 // exploreDepartures explores 3 to 9 members with one and two tolerated losses. It returns the number of states, and a description
 // of the first state found without a recoverable quorum, or an empty one.
-func exploreDepartures(mayStop func(replicaset.Departure) bool) (states int, stuck string) {
+func exploreDepartures(mayStop func(replicaset.Departure) bool) (states int, unrecoverable string) {
 	for size := 3; size <= 9; size++ {
 		for tolerated := 1; tolerated <= min(2, (size-1)/2); tolerated++ {
 			for _, secondStopsFirst := range []bool{false, true} {
@@ -214,22 +214,22 @@
 				}
 				e.explore(departureState{complete: size - 1})
 				states += len(e.visited)
-				if e.stuckState != nil && stuck == "" {
-					stuck = fmt.Sprintf("%d members, %d tolerated: %+v", size, tolerated, *e.stuckState)
+				if e.unrecoverableState != nil && unrecoverable == "" {
+					unrecoverable = fmt.Sprintf("%d members, %d tolerated: %+v", size, tolerated, *e.unrecoverableState)
 				}
 			}
 		}
 	}
-	return states, stuck
+	return states, unrecoverable
 }
 
 // A departing member whose successor has had time to catch up does not count as lost. So while it departs, other members up to
 // the tolerated number may be lost, be rebuilt or stop, in any order. A quorum that may vote must remain or be recoverable.
 func TestDeparturesLeaveRecoverableQuorum(t *testing.T) {
-	states, stuck := exploreDepartures(replicaset.Departure.MayStop)
+	states, unrecoverable := exploreDepartures(replicaset.Departure.MayStop)
 	t.Logf("%d states", states)
 	convey.Convey("After any order of losses, delays and rebuilds, a quorum that may vote remains or can be rebuilt", t, func() {
-		convey.So(stuck, convey.ShouldBeEmpty)
+		convey.So(unrecoverable, convey.ShouldBeEmpty)
 		convey.So(states, convey.ShouldBeGreaterThan, 500)
 	})
 }
@@ -245,8 +245,8 @@
 		"the departing member waits until a member that joined may vote": func(d replicaset.Departure) bool { d.JoinedIncomplete = false; return d.MayStop() },
 	}
 	for name, mayStop := range incompleteRules {
-		_, stuck := exploreDepartures(mayStop)
-		convey.Convey("The exploration finds the missing condition: "+name, t, func() { convey.So(stuck, convey.ShouldNotBeEmpty) })
+		_, unrecoverable := exploreDepartures(mayStop)
+		convey.Convey("The exploration finds the missing condition: "+name, t, func() { convey.So(unrecoverable, convey.ShouldNotBeEmpty) })
 	}
 }
 
--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -49,7 +49,7 @@
 	lossy        bool
 	activeFaults sync.WaitGroup
 
-	mutex                 sync.Mutex           // guards the fields below
+	scheduleMutex         sync.Mutex           // guards the fields below
 	machineCount          int                  // number of machines started so far
 	failedUntil           map[string]time.Time // by address, until when the machine counts as failed
 	replacing             bool                 // whether a replacement is in progress
@@ -82,7 +82,7 @@
 		}
 		s.cluster = newCluster(t, seed, addresses(size), mutation)
 		s.logged = s.recordLogs()
-		s.groupHandler = func(p *testCoordinator) replication.Handler { return &proposingLeader{s, p} }
+		s.groupHandler = func(coordinator *testCoordinator) replication.Handler { return &proposingLeader{s, coordinator} }
 		s.network.SetFaults(reliableNetwork)
 		for address, disk := range disks {
 			s.startOn(address, disk)
@@ -158,8 +158,8 @@
 
 // pickHealthy returns a random running member that does not count as failed, or nil if there is none.
 func (s *faultSchedule) pickHealthy(random *rand.Rand) *testCoordinator {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	now := time.Now()
 	var healthy []string
 	for _, address := range s.seenViews.newest.Members {
@@ -174,30 +174,30 @@
 }
 
 // runOperation runs one write or read at a process, and checks the reply.
-func (s *faultSchedule) runOperation(p *testCoordinator, client, number int, read bool) {
-	ctx, cancel := context.WithTimeout(p.ctx, recoveryTimeout)
+func (s *faultSchedule) runOperation(coordinator *testCoordinator, client, number int, read bool) {
+	ctx, cancel := context.WithTimeout(coordinator.ctx, recoveryTimeout)
 	defer cancel()
 	before := s.acknowledgedTokens()
 	var op operation
 	if !read {
 		op.token = fmt.Sprintf("%d-%d.", client, number)
 	}
-	value, err := op.perform(ctx, p.register)
+	value, err := op.perform(ctx, coordinator.register)
 	switch {
 	case err == nil:
 		s.checkReply(op.token, string(value), before)
-	case s.mustSucceed(p):
-		s.addViolation("no reply from %s within %v: %v", p.address, recoveryTimeout, err)
+	case s.mustSucceed(coordinator):
+		s.addViolation("no reply from %s within %v: %v", coordinator.address, recoveryTimeout, err)
 	}
 }
 
 // mustSucceed reports whether an operation at a process had to succeed: the network is reliable, and the process is a member that
 // has never failed and is not departing.
-func (s *faultSchedule) mustSucceed(p *testCoordinator) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	_, hasFailed := s.failedUntil[p.address]
-	return !s.lossy && !hasFailed && s.seenViews.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
+func (s *faultSchedule) mustSucceed(coordinator *testCoordinator) bool {
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
+	_, hasFailed := s.failedUntil[coordinator.address]
+	return !s.lossy && !hasFailed && s.seenViews.newest.Has(coordinator.address) && coordinator.ctx.Err() == nil && !coordinator.manager.Departing()
 }
 
 // checkReply records a violation if a reply lacks a token that was acknowledged before the request. Otherwise it records the
@@ -209,8 +209,8 @@
 			return
 		}
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	if token != "" {
 		s.acknowledged[token] = true
 	}
@@ -220,8 +220,8 @@
 
 // acknowledgedTokens returns the tokens whose write to the register has been acknowledged so far.
 func (s *faultSchedule) acknowledgedTokens() []string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	all := make([]string, 0, len(s.acknowledged))
 	for token := range s.acknowledged {
 		all = append(all, token)
@@ -234,16 +234,16 @@
 func (s *faultSchedule) checkFinalState() {
 	random := rand.New(rand.NewPCG(s.seed, 5))
 	for i := range 2 {
-		p := s.pickHealthy(random)
-		if p == nil {
+		coordinator := s.pickHealthy(random)
+		if coordinator == nil {
 			s.addViolation("no healthy member at the end")
 			return
 		}
-		s.runOperation(p, scheduleClients, i, i == 1)
+		s.runOperation(coordinator, scheduleClients, i, i == 1)
 	}
-	s.mutex.Lock()
+	s.scheduleMutex.Lock()
 	idle := time.Since(s.groupLastAcknowledged)
-	s.mutex.Unlock()
+	s.scheduleMutex.Unlock()
 	if idle > time.Second {
 		s.addViolation("the group has acknowledged nothing for %v at the end", idle)
 	}
@@ -254,8 +254,8 @@
 
 // addViolation records that a guarantee was violated.
 func (s *faultSchedule) addViolation(format string, values ...any) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf("after %v: ", time.Since(s.start))+fmt.Sprintf(format, values...))
 }
 
@@ -279,8 +279,8 @@
 			voters[view.Version]++
 		}
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	active := make(map[uint64]bool)
 	for _, view := range views {
 		if !s.seenViews.record(view) {
--- a/internal/controlplane/replicaset/founding_test.go
+++ b/internal/controlplane/replicaset/founding_test.go
@@ -20,8 +20,8 @@
 		c.startAll(all)
 		agent := c.start("front", storage.NewMemory(), true, false)
 		for _, self := range all {
-			view, took := c.running[self].awaitView(start)
-			views[self], slowest = view, max(slowest, took)
+			view, elapsed := c.running[self].awaitView(start)
+			views[self], slowest = view, max(slowest, elapsed)
 		}
 		views["front"], _ = agent.awaitView(start)
 	})
@@ -38,32 +38,32 @@
 func TestNewAnnouncementDelaysFounding(t *testing.T) {
 	all := addresses(4)
 	var view replicaset.View
-	var took time.Duration
+	var elapsed time.Duration
 	runInManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
 		c.startAll(all[:3])
 		<-time.After(1300 * time.Millisecond)
 		c.start(all[3], storage.NewMemory(), true, true)
-		view, took = c.running[all[0]].awaitView(start)
+		view, elapsed = c.running[all[0]].awaitView(start)
 	})
 	convey.Convey("An announcement of a new address delays the commit of the first view", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
-		convey.So(took, convey.ShouldBeGreaterThan, 2*time.Second)
+		convey.So(elapsed, convey.ShouldBeGreaterThan, 2*time.Second)
 	})
 }
 
 func TestNextFounderProposesWhenFirstIsDown(t *testing.T) {
 	all := addresses(4)
 	var view, late replicaset.View
-	var took time.Duration
+	var elapsed time.Duration
 	runInManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
 		c.startAll(all[1:])
-		view, took = c.running[all[3]].awaitView(start)
+		view, elapsed = c.running[all[3]].awaitView(start)
 		first := c.start(all[0], storage.NewMemory(), false, true)
 		late, _ = first.awaitView(start)
 	})
 	convey.Convey("The next founder proposes after 3 s; the first one is a member and learns the view when it starts", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
-		convey.So(took, convey.ShouldBeBetween, 3*time.Second, 4*time.Second)
+		convey.So(elapsed, convey.ShouldBeBetween, 3*time.Second, 4*time.Second)
 		convey.So(late, convey.ShouldResemble, view)
 	})
 }
--- a/internal/controlplane/replicaset/fulldisk_test.go
+++ b/internal/controlplane/replicaset/fulldisk_test.go
@@ -61,7 +61,7 @@
 	for _, testCase := range cases {
 		members := addresses(3)
 		var early, ended bool
-		var took time.Duration
+		var elapsed time.Duration
 		var value string
 		runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 			c.write(members[1], writtenValue)
@@ -73,16 +73,16 @@
 			<-time.After(2 * catchUpTime)
 			early, ended = joining.rebuilder.Ready(), joining.componentFailed()
 			joining.disk.Fail(nil)
-			writable := time.Now()
+			writableSince := time.Now()
 			joining.awaitMembership()
-			took = time.Since(writable)
+			elapsed = time.Since(writableSince)
 			c.stop(c.coordinatorAt(members[1]))
 			value = c.read("new")
 		})
 		convey.Convey("The joining member's disk is full before "+testCase.name, t, func() {
 			convey.So(early, convey.ShouldBeFalse)
 			convey.So(ended, convey.ShouldBeFalse)
-			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
+			convey.So(elapsed, convey.ShouldBeLessThan, catchUpTime)
 			convey.So(value, convey.ShouldEqual, writtenValue)
 		})
 	}
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -21,8 +21,8 @@
 }
 
 // isIntactAndWritable reports whether the written value was read and the final write succeeded.
-func (o handoverResult) isIntactAndWritable() bool {
-	return o.value == writtenValue && o.writeErr == nil
+func (r handoverResult) isIntactAndWritable() bool {
+	return r.value == writtenValue && r.writeErr == nil
 }
 
 // replaceWhileDown writes a value, stops the last members, and replaces the first member by a joining member that started before.
@@ -77,22 +77,23 @@
 	}
 }
 
-func TestHandoverLosesDataOrQuorumWithoutEachRule(t *testing.T) {
+func TestViolatingAnyHandoverRuleLosesDataOrQuorum(t *testing.T) {
 	members := addresses(3)
 	for _, mutation := range []ruleMutation{
 		{name: "a departing member waits for its successor", stopsWithoutHandover: true},
 		{name: "a departing member votes for its own replacement", refusesOwnReplacement: true},
 		{name: "a replaced member gives its snapshot to its successor", replacedGivesNoSnapshot: true},
 	} {
-		var seen handoverResult
-		runInCluster(t, 1, mutation, members, func(c *cluster) { seen = replaceWhileDown(c, members, 1) })
+		var result handoverResult
+		runInCluster(t, 1, mutation, members, func(c *cluster) { result = replaceWhileDown(c, members, 1) })
 		convey.Convey("Data or the quorum is lost without the rule: "+mutation.name, t, func() {
-			convey.So(seen.isIntactAndWritable(), convey.ShouldBeFalse)
+			convey.So(result.isIntactAndWritable(), convey.ShouldBeFalse)
 		})
 	}
 }
 
-// Another member fails immediately after the departing one has stopped.
+// Another member fails immediately after the departing one has stopped. Snapshots arrive late, so a member that stopped without
+// waiting would leave its successor incomplete.
 func TestLossRightAfterPlannedReplacementIsTolerated(t *testing.T) {
 	lossAfter := func(mutation ruleMutation, lost int) (value string, err error) {
 		members := addresses(3)
@@ -122,17 +123,17 @@
 
 func TestDepartingMemberWithoutSuccessorStopsAtOnce(t *testing.T) {
 	members := addresses(3)
-	var took time.Duration
+	var elapsed time.Duration
 	var view replicaset.View
 	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		begin := time.Now()
 		c.stopGracefully(c.coordinatorAt(members[0]))
-		took = time.Since(begin)
+		elapsed = time.Since(begin)
 		<-time.After(catchUpTime)
 		view = c.viewOf(members[1])
 	})
 	convey.Convey("Without a joining member it stops at once, and the view does not change", t, func() {
-		convey.So(took, convey.ShouldBeLessThan, 300*time.Millisecond)
+		convey.So(elapsed, convey.ShouldBeLessThan, 300*time.Millisecond)
 		convey.So(view, convey.ShouldResemble, replicaset.View{Version: 1, Members: members})
 	})
 }
@@ -156,9 +157,9 @@
 	})
 }
 
-// A member that lost its disk has just restarted when another member is told to stop. The latter's snapshot is needed for the rebuild.
+// A member that lost its disk has just restarted when another member is told to stop, whose snapshot the rebuild needs.
 func TestDepartingMemberWaitsForRebuild(t *testing.T) {
-	stopDuring := func(mutation ruleMutation) (took time.Duration, value string, err error) {
+	stopDuring := func(mutation ruleMutation) (elapsed time.Duration, value string, err error) {
 		members := addresses(3)
 		runInCluster(t, 1, mutation, members, func(c *cluster) {
 			c.write(members[1], writtenValue)
@@ -167,16 +168,16 @@
 			<-time.After(500 * time.Millisecond)
 			begin := time.Now()
 			c.stopGracefully(c.coordinatorAt(members[0]))
-			took = time.Since(begin)
+			elapsed = time.Since(begin)
 			<-time.After(catchUpTime)
 			value, err = c.read(members[2]), c.write(members[2], "after")
 		})
-		return took, value, err
+		return elapsed, value, err
 	}
-	took, value, err := stopDuring(ruleMutation{})
+	elapsed, value, err := stopDuring(ruleMutation{})
 	_, _, atOnce := stopDuring(ruleMutation{stopsWithoutHandover: true})
 	convey.Convey("It stops once the other member has been rebuilt, within its grace period", t, func() {
-		convey.So(took, convey.ShouldBeBetween, time.Second, handoverTimeout)
+		convey.So(elapsed, convey.ShouldBeBetween, time.Second, handoverTimeout)
 		convey.So(value, convey.ShouldEqual, writtenValue)
 		convey.So(err, convey.ShouldBeNil)
 	})
--- a/internal/controlplane/replicaset/linearizability_test.go
+++ b/internal/controlplane/replicaset/linearizability_test.go
@@ -102,13 +102,13 @@
 func (s *simulation) runClient(done <-chan struct{}, client int, random *rand.Rand) {
 	for i := 0; !isClosed(done); i++ {
 		if all := s.runningByAddress(); len(all) > 0 {
-			p := all[random.IntN(len(all))]
-			limited, cancel := context.WithTimeout(p.ctx, operationTimeout)
+			coordinator := all[random.IntN(len(all))]
+			operationCtx, cancel := context.WithTimeout(coordinator.ctx, operationTimeout)
 			op := operation{}
 			if random.IntN(2) == 0 {
 				op.token = fmt.Sprintf("%d-%d.", client, i)
 			}
-			s.history.perform(limited, client, p.register, op)
+			s.history.perform(operationCtx, client, coordinator.register, op)
 			cancel()
 		}
 		<-time.After(time.Duration(random.Int64N(int64(maxOperationGap))))
@@ -128,27 +128,27 @@
 func (s *simulation) injectFault() {
 	s.observeViews()
 	address := s.seenViews.newest.Members[s.random.IntN(len(s.seenViews.newest.Members))]
-	p := s.coordinatorAt(address)
-	if p == nil {
+	coordinator := s.coordinatorAt(address)
+	if coordinator == nil {
 		return
 	}
 	switch kind := s.random.IntN(8); {
 	case kind < 3 && s.allHealthy():
-		s.stop(p)
+		s.stop(coordinator)
 		s.sleepRandomly(1500 * time.Millisecond)
 		s.startJoiningMember()
 	case kind == 3 && s.allHealthy():
 		s.startJoiningMember()
 		s.sleepRandomly(3 * time.Second)
-		s.stopGracefully(p)
+		s.stopGracefully(coordinator)
 	case kind == 4 && s.allHealthy():
-		s.stop(p)
+		s.stop(coordinator)
 		s.sleepRandomly(300 * time.Millisecond)
-		s.start(address, p.zone, storage.NewMemory(), false)
+		s.start(address, coordinator.zone, storage.NewMemory(), false)
 	case kind == 5:
-		s.stop(p)
+		s.stop(coordinator)
 		s.sleepRandomly(time.Second)
-		s.start(address, p.zone, p.disk, false)
+		s.start(address, coordinator.zone, coordinator.disk, false)
 	case !s.partitioned[address]:
 		s.partition(address)
 	}
--- a/internal/controlplane/replicaset/losses_test.go
+++ b/internal/controlplane/replicaset/losses_test.go
@@ -94,7 +94,7 @@
 }
 
 // Each of these defects must be found by one of the first schedules. This shows that the schedules can detect violations.
-// TestRuleViolationsLoseDataOrConsistency covers defects that only a rare order of events reveals.
+// TestViolatingAnyRuleLosesDataOrConsistency covers defects that only a rare order of events reveals.
 func TestFaultSchedulesFindDefects(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(garbagePercent))
 	defects := []struct {
--- a/internal/controlplane/replicaset/managercluster_test.go
+++ b/internal/controlplane/replicaset/managercluster_test.go
@@ -81,10 +81,10 @@
 	founding.Serve(mux)
 	c.network.Serve(self, mux)
 	ctx, stop := context.WithCancel(context.Background())
-	p := &managerProcess{manager, store, stop, make(chan error, 1)}
-	go func() { p.ended <- manager.Run(ctx) }()
-	c.running[self] = p
-	return p
+	process := &managerProcess{manager, store, stop, make(chan error, 1)}
+	go func() { process.ended <- manager.Run(ctx) }()
+	c.running[self] = process
+	return process
 }
 
 func (c *managerCluster) startAll(all []string) {
@@ -95,14 +95,14 @@
 
 // kill stops a process and returns its disk.
 func (c *managerCluster) kill(self string) *storage.Memory {
-	p := c.running[self]
+	process := c.running[self]
 	c.network.Serve(self, nil)
-	p.stop()
-	if err := <-p.ended; err != nil {
+	process.stop()
+	if err := <-process.ended; err != nil {
 		c.t.Error(err)
 	}
 	delete(c.running, self)
-	return p.store
+	return process.store
 }
 
 func (c *managerCluster) shutDown() {
--- a/internal/controlplane/replicaset/necessaryrules_test.go
+++ b/internal/controlplane/replicaset/necessaryrules_test.go
@@ -108,7 +108,7 @@
 }
 
 // Each scenario succeeds with the rule, and loses data or consistency without it.
-func TestRuleViolationsLoseDataOrConsistency(t *testing.T) {
+func TestViolatingAnyRuleLosesDataOrConsistency(t *testing.T) {
 	rules := []struct {
 		mutation ruleMutation
 		scenario func(c *cluster, members []string) bool
--- a/internal/controlplane/replicaset/proposingleader_test.go
+++ b/internal/controlplane/replicaset/proposingleader_test.go
@@ -20,7 +20,7 @@
 // entries.
 func (l *proposingLeader) Elected(term *replication.Term, state map[string][]byte) {
 	s := l.schedule
-	s.mutex.Lock()
+	s.scheduleMutex.Lock()
 	for key := range s.groupAcknowledged {
 		if _, found := state[key]; !found {
 			s.violations = append(s.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was acknowledged",
@@ -28,7 +28,7 @@
 			break
 		}
 	}
-	s.mutex.Unlock()
+	s.scheduleMutex.Unlock()
 	s.tasks.Go(func() { l.lead(term) })
 }
 
@@ -51,8 +51,8 @@
 
 // groupCommitted records that an entry of the group was committed and acknowledged.
 func (s *faultSchedule) groupCommitted(key string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.groupAcknowledged[key] = true
 	s.maxAcknowledgementGap = max(s.maxAcknowledgementGap, time.Since(s.groupLastAcknowledged))
 	s.groupLastAcknowledged = time.Now()
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -48,7 +48,7 @@
 func TestFailedMemberIsReplaced(t *testing.T) {
 	members := addresses(3)
 	for _, downtime := range []time.Duration{0, time.Second, 10 * time.Second} {
-		var took time.Duration
+		var elapsed time.Duration
 		var views []replicaset.View
 		var value string
 		runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
@@ -57,7 +57,7 @@
 			}
 			c.stop(c.coordinatorAt(members[1]))
 			<-time.After(downtime)
-			took = c.join("new")
+			elapsed = c.join("new")
 			for _, address := range []string{members[0], members[2], "new"} {
 				views = append(views, c.viewOf(address))
 			}
@@ -65,7 +65,7 @@
 			value = c.read(members[2])
 		})
 		convey.Convey(fmt.Sprintf("A joining member starts %v after a member has failed", downtime), t, func() {
-			convey.So(took, convey.ShouldBeLessThan, catchUpTime)
+			convey.So(elapsed, convey.ShouldBeLessThan, catchUpTime)
 			expected := replicaset.View{Version: 2, Members: []string{members[0], members[2], "new"}}
 			convey.So(views, convey.ShouldResemble, []replicaset.View{expected, expected, expected})
 			convey.So(value, convey.ShouldEqual, "kept")
@@ -101,7 +101,7 @@
 func TestJoiningMemberWaitsWhileAllMembersAreLive(t *testing.T) {
 	members := addresses(3)
 	var before, after replicaset.View
-	var took time.Duration
+	var elapsed time.Duration
 	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		joining := c.start("new", "elsewhere", storage.NewMemory(), false)
 		<-time.After(20 * time.Second)
@@ -110,7 +110,7 @@
 		begin := time.Now()
 		departing.leaveUntilReplaced()
 		joining.awaitMembership()
-		took = time.Since(begin)
+		elapsed = time.Since(begin)
 		after = c.viewOf(members[2])
 	})
 	convey.Convey("The view does not change while all members are live", t, func() {
@@ -118,7 +118,7 @@
 	})
 	convey.Convey("A member that sends a leave request is replaced at once, while it is still running", t, func() {
 		convey.So(after, convey.ShouldResemble, replicaset.View{Version: 2, Members: []string{members[1], members[2], "new"}})
-		convey.So(took, convey.ShouldBeLessThan, 1500*time.Millisecond)
+		convey.So(elapsed, convey.ShouldBeLessThan, 1500*time.Millisecond)
 	})
 }
 
@@ -299,10 +299,10 @@
 				c.start("new", "elsewhere", storage.NewMemory(), false)
 				<-time.After(catchUpTime + time.Duration(phase)*300*time.Millisecond)
 				interrupt(c, c.coordinatorAt(members[1]))
-				back := time.Now()
+				restartedAt := time.Now()
 				<-time.After(600 * time.Millisecond)
 				c.stopGracefully(c.coordinatorAt(members[2])) // the interrupted member may replace it
-				<-time.After(time.Until(back.Add(catchUpTime)))
+				<-time.After(time.Until(restartedAt.Add(catchUpTime)))
 				c.stop(c.coordinatorAt("new"))
 				value, err = c.read(members[0]), c.write(members[0], "after")
 			})
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -17,9 +17,9 @@
 )
 
 // Run runs until the context ends. While no view is known, it requests the view from other processes and, on a founder,
-// participates in committing the first one. Afterwards it exchanges views with the members. If this process is not a member,
-// Run announces it as a joining member. If it is a member, Run replaces failed and departing members by joining members. It
-// returns an error only if the store fails.
+// participates in committing the first one. Afterwards it exchanges views with the members. If this process is a
+// coordinator but not a member, and is not departing, Run announces it as a joining member. If it is a member, Run replaces
+// failed and departing members by joining members. It returns an error only if the store fails.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := m.runUntilViewChange(ctx); err != nil {
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -19,39 +19,39 @@
 		s.replaceMachine(kind, duration)
 		return
 	}
-	p := s.pickAndMarkFailed()
-	if p == nil {
+	coordinator := s.pickAndMarkFailed()
+	if coordinator == nil {
 		return
 	}
-	s.logEvent("%s: fault %d for %v", p.address, kind, duration)
+	s.logEvent("%s: fault %d for %v", coordinator.address, kind, duration)
 	s.activeFaults.Go(func() {
-		s.applyFault(p, kind, duration)
-		s.markRecovered(p.address)
+		s.applyFault(coordinator, kind, duration)
+		s.markRecovered(coordinator.address)
 	})
 }
 
 // applyFault applies a fault to a machine for a duration.
-func (s *faultSchedule) applyFault(p *testCoordinator, kind int, duration time.Duration) {
+func (s *faultSchedule) applyFault(coordinator *testCoordinator, kind int, duration time.Duration) {
 	switch kind {
 	case 0:
-		s.stop(p)
+		s.stop(coordinator)
 		<-time.After(duration)
-		s.cluster.start(p.address, p.zone, p.disk, false)
+		s.cluster.start(coordinator.address, coordinator.zone, coordinator.disk, false)
 	case 1:
-		s.stop(p)
+		s.stop(coordinator)
 		<-time.After(duration)
-		s.cluster.start(p.address, p.zone, storage.NewMemory(), false)
+		s.cluster.start(coordinator.address, coordinator.zone, storage.NewMemory(), false)
 	case 2, 3, 4:
-		s.network.PartitionOneWay(p.address, kind != 2, kind != 3)
+		s.network.PartitionOneWay(coordinator.address, kind != 2, kind != 3)
 		<-time.After(duration)
-		s.network.PartitionOneWay(p.address, false, false)
+		s.network.PartitionOneWay(coordinator.address, false, false)
 	case 5:
-		s.network.Delay(p.address, duration)
+		s.network.Delay(coordinator.address, duration)
 		<-time.After(duration)
 	case 6:
-		p.disk.Fail(errDiskFull)
+		coordinator.disk.Fail(errDiskFull)
 		<-time.After(duration)
-		p.disk.Fail(nil)
+		coordinator.disk.Fail(nil)
 	}
 }
 
@@ -62,41 +62,41 @@
 		return
 	}
 	planned := kind > 7
-	var p *testCoordinator
+	var coordinator *testCoordinator
 	if planned {
-		p = s.pickHealthyMember()
+		coordinator = s.pickHealthyMember()
 	} else {
-		p = s.pickAndMarkFailed()
+		coordinator = s.pickAndMarkFailed()
 	}
-	if p == nil {
+	if coordinator == nil {
 		s.endReplacement()
 		return
 	}
-	s.logEvent("%s is replaced, planned %v, wait %v", p.address, planned, duration)
+	s.logEvent("%s is replaced, planned %v, wait %v", coordinator.address, planned, duration)
 	diskLoss, index := s.random.IntN(3), s.random.IntN(len(s.seenViews.newest.Members))
 	s.activeFaults.Go(func() {
 		defer s.endReplacement()
 		if planned {
 			s.startJoiningMember()
 			<-time.After(catchUpTime + duration/4)
-			s.logEvent("%s is to stop, joining members %v, view %v", p.address, p.manager.HasJoiningMembers(), p.manager.View().Members)
+			s.logEvent("%s is to stop, joining members %v, view %v", coordinator.address, coordinator.manager.HasJoiningMembers(), coordinator.manager.View().Members)
 			if diskLoss == 1 {
-				s.loseDisk(p, index, duration)
+				s.loseDisk(coordinator, index, duration)
 			}
-			keepsQuorum := s.stopGracefully(p)
-			s.logEvent("%s has stopped, quorum kept %v", p.address, keepsQuorum)
+			keepsQuorum := s.stopGracefully(coordinator)
+			s.logEvent("%s has stopped, quorum kept %v", coordinator.address, keepsQuorum)
 			if diskLoss == 2 {
-				s.loseDisk(p, index, duration)
+				s.loseDisk(coordinator, index, duration)
 			}
 			if !keepsQuorum {
-				s.restartAfterEarlyStop(p)
+				s.restartAfterEarlyStop(coordinator)
 			}
 			return
 		}
-		s.stop(p)
+		s.stop(coordinator)
 		<-time.After(duration)
 		s.startJoiningMember()
-		s.markRecovered(p.address)
+		s.markRecovered(coordinator.address)
 		<-time.After(catchUpTime)
 	})
 }
@@ -106,17 +106,17 @@
 
 // restartAfterEarlyStop restarts a machine on its disk, as the operators' documentation requires, after it had to stop although no
 // quorum was known to stay. This may happen only on a lossy network. On a reliable one it is a violation.
-func (s *faultSchedule) restartAfterEarlyStop(p *testCoordinator) {
+func (s *faultSchedule) restartAfterEarlyStop(coordinator *testCoordinator) {
 	if !s.lossy {
-		s.addViolation("%s had to stop though no quorum was known to stay", p.address)
+		s.addViolation("%s had to stop though no quorum was known to stay", coordinator.address)
 		return
 	}
-	s.mutex.Lock()
-	s.failedUntil[p.address] = time.Now().Add(openEndedFailure)
-	s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	s.failedUntil[coordinator.address] = time.Now().Add(openEndedFailure)
+	s.scheduleMutex.Unlock()
 	<-time.After(earlyStopRestartDelay)
-	s.cluster.start(p.address, p.zone, p.disk, false)
-	s.markRecovered(p.address)
+	s.cluster.start(coordinator.address, coordinator.zone, coordinator.disk, false)
+	s.markRecovered(coordinator.address)
 }
 
 // lossyCatchUpTime is the time within which a machine must catch up on a lossy network.
@@ -141,8 +141,8 @@
 // countMembers returns the number of members of the newest view that may vote, and the number of machines that count as failed,
 // not counting the one at address.
 func (s *faultSchedule) countMembers(address string) (complete, failedOthers int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	for _, member := range s.seenViews.newest.Members {
 		if p := s.coordinatorAt(member); p != nil && p.rebuilder.Ready() && p.manager.View().Has(member) {
 			complete++
@@ -159,30 +159,30 @@
 // loseDisk stops a member other than the departing one and restarts it without its disk, unless more than the tolerated number of
 // machines would then have failed.
 func (s *faultSchedule) loseDisk(departing *testCoordinator, index int, duration time.Duration) {
-	s.mutex.Lock()
+	s.scheduleMutex.Lock()
 	address := s.seenViews.newest.Members[index%len(s.seenViews.newest.Members)]
-	s.mutex.Unlock()
+	s.scheduleMutex.Unlock()
 	if address == departing.address || !s.markFailed(address) {
 		return
 	}
-	p := s.coordinatorAt(address)
-	if p == nil {
+	coordinator := s.coordinatorAt(address)
+	if coordinator == nil {
 		s.markRecovered(address)
 		return
 	}
 	s.logEvent("%s loses its disk, for %v", address, duration)
-	s.stop(p)
+	s.stop(coordinator)
 	s.activeFaults.Go(func() {
 		<-time.After(duration)
-		s.cluster.start(p.address, p.zone, storage.NewMemory(), false)
+		s.cluster.start(coordinator.address, coordinator.zone, storage.NewMemory(), false)
 		s.markRecovered(address)
 	})
 }
 
 // beginReplacement marks a replacement as in progress. It returns false if one already is.
 func (s *faultSchedule) beginReplacement() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	if s.replacing {
 		return false
 	}
@@ -191,26 +191,26 @@
 }
 
 func (s *faultSchedule) endReplacement() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.replacing = false
 }
 
 // startJoiningMember starts a new machine as a joining member, with the newest known members as seeds.
 func (s *faultSchedule) startJoiningMember() {
-	s.mutex.Lock()
+	s.scheduleMutex.Lock()
 	address := fmt.Sprintf("core-%d", s.machineCount)
 	s.machineCount++
 	s.seeds = slices.Clone(s.seenViews.newest.Members)
-	s.mutex.Unlock()
+	s.scheduleMutex.Unlock()
 	s.logEvent("%s starts", address)
 	s.cluster.start(address, "elsewhere", storage.NewMemory(), false)
 }
 
 // pickHealthyMember picks a random member. It returns nil if that member counts as failed or is not running.
 func (s *faultSchedule) pickHealthyMember() *testCoordinator {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	address := s.seenViews.newest.Members[s.random.IntN(len(s.seenViews.newest.Members))]
 	if time.Now().Before(s.failedUntil[address]) {
 		return nil
@@ -221,18 +221,18 @@
 // pickAndMarkFailed picks a random member and marks it as failed. It returns nil if that member cannot fail now, or the tolerated
 // number of machines has already failed.
 func (s *faultSchedule) pickAndMarkFailed() *testCoordinator {
-	p := s.pickHealthyMember()
-	if p == nil || p.manager.Departing() || !s.markFailed(p.address) {
+	coordinator := s.pickHealthyMember()
+	if coordinator == nil || coordinator.manager.Departing() || !s.markFailed(coordinator.address) {
 		return nil
 	}
-	return p
+	return coordinator
 }
 
 // markFailed marks a machine as failed from now on. It returns false if the machine already counts as failed, or the tolerated
 // number of machines has already failed.
 func (s *faultSchedule) markFailed(address string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	failed := 0
 	for _, until := range s.failedUntil {
 		if time.Now().Before(until) {
@@ -252,15 +252,15 @@
 	if s.lossy {
 		s.awaitCatchUp(address)
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.failedUntil[address] = time.Now().Add(catchUpTime)
 	s.events = append(s.events, fmt.Sprintf("%v: %s has recovered", time.Since(s.start), address))
 }
 
 // logEvent adds an event to the report.
 func (s *faultSchedule) logEvent(format string, values ...any) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.events = append(s.events, fmt.Sprintf("%v: ", time.Since(s.start))+fmt.Sprintf(format, values...))
 }
--- a/internal/controlplane/replicaset/simultaneous_test.go
+++ b/internal/controlplane/replicaset/simultaneous_test.go
@@ -63,9 +63,9 @@
 func fullDiskFaults() []simultaneousFaults {
 	var all []simultaneousFaults
 	for _, size := range []int{3, 5} {
-		every := machineSet(1<<size - 1)
-		for first := machineSet(1); first <= every; first++ {
-			for _, second := range []machineSet{0, first, ^first & every, every} {
+		allMachines := machineSet(1<<size - 1)
+		for first := machineSet(1); first <= allMachines; first++ {
+			for _, second := range []machineSet{0, first, ^first & allMachines, allMachines} {
 				all = append(all, simultaneousFaults{size: size, first: first, second: second, gap: outageDuration, fillsDisks: true})
 			}
 		}
@@ -98,8 +98,8 @@
 
 // markAllFailed prevents new operations until the faults are over. Operations in progress continue.
 func (s *faultSchedule) markAllFailed(size int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	for _, address := range addresses(size) {
 		s.failedUntil[address] = time.Now().Add(openEndedFailure)
 	}
@@ -134,15 +134,15 @@
 		p.disk.Fail(errDiskFull)
 	}
 	<-time.After(acknowledgementDelay)
-	before := s.groupCount()
+	acknowledgedBefore := s.groupCount()
 	if faults.second == 0 {
 		if value := s.read(addresses(faults.size)[0]); !containsAll(value, s.acknowledgedTokens()) {
 			s.addViolation("with full disks a read returns %q", value)
 		}
 	}
 	<-time.After(fullDiskDuration - acknowledgementDelay)
-	if quorum := faults.size/2 + 1; faults.size-faults.first.size() < quorum && s.groupCount() != before {
-		s.addViolation("%d entries were acknowledged while %d of %d disks were full", s.groupCount()-before, faults.first.size(), faults.size)
+	if quorum := faults.size/2 + 1; faults.size-faults.first.size() < quorum && s.groupCount() != acknowledgedBefore {
+		s.addViolation("%d entries were acknowledged while %d of %d disks were full", s.groupCount()-acknowledgedBefore, faults.first.size(), faults.size)
 	}
 	for _, p := range affected {
 		p.disk.Fail(nil)
@@ -160,8 +160,8 @@
 
 // groupCount returns the number of acknowledged entries of the group.
 func (s *faultSchedule) groupCount() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	return len(s.groupAcknowledged)
 }
 
@@ -169,7 +169,7 @@
 const raceScheduleStride = 16
 
 // runAllSimultaneousFaults runs the schedules in parallel and returns how many of them had violations.
-func runAllSimultaneousFaults(t *testing.T, all []simultaneousFaults) (found int64) {
+func runAllSimultaneousFaults(t *testing.T, all []simultaneousFaults) (schedulesWithViolations int64) {
 	var violations atomic.Int64
 	t.Run("schedules", func(t *testing.T) {
 		for worker := range scheduleWorkers {
@@ -193,15 +193,15 @@
 // Any set of machines, also more than the tolerated number, may lose power at the same time, and again during recovery. No
 // acknowledged write is lost, and writes succeed after the restart.
 func TestNoWriteIsLostWhenAnySubsetLosesPower(t *testing.T) {
-	found := runAllSimultaneousFaults(t, powerLossFaults())
-	convey.Convey("No subset of three or five machines loses an acknowledged write", t, func() { convey.So(found, convey.ShouldEqual, 0) })
+	schedulesWithViolations := runAllSimultaneousFaults(t, powerLossFaults())
+	convey.Convey("No subset of three or five machines loses an acknowledged write", t, func() { convey.So(schedulesWithViolations, convey.ShouldEqual, 0) })
 }
 
 // A machine with a full disk must not vote, its stored values must stay readable, and it must resume by itself once the disk has
 // space.
 func TestNoWriteIsLostWhenAnySubsetOfDisksIsFull(t *testing.T) {
-	found := runAllSimultaneousFaults(t, fullDiskFaults())
+	schedulesWithViolations := runAllSimultaneousFaults(t, fullDiskFaults())
 	convey.Convey("No subset of three or five machines loses an acknowledged write, or acknowledges an entry that is not stored", t, func() {
-		convey.So(found, convey.ShouldEqual, 0)
+		convey.So(schedulesWithViolations, convey.ShouldEqual, 0)
 	})
 }
