--- a/internal/controlplane/replicaset/exchange.go
+++ b/internal/controlplane/replicaset/exchange.go
@@ -14,7 +14,7 @@
 const (
 	exchangeInterval = 1500 * time.Millisecond // between two exchanges, each with the next member in turn
 	exchangeTimeout  = 500 * time.Millisecond  // limit of one such exchange
-	broadcastTimeout = 400 * time.Millisecond  // limit of an exchange with several processes; one that misses it learns the view in a later exchange
+	broadcastTimeout = 400 * time.Millisecond  // limit of an exchange with several processes; one that misses it learns the view later
 )
 
 // exchangeWith exchanges views with another process. The process with the older view learns the newer one.
--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -35,7 +35,9 @@
 // reliableNetwork delivers all messages, some of them twice. lossyNetwork may lose or delay any message.
 var (
 	reliableNetwork = networktest.Faults{DuplicateProbability: 0.05, MaxDelay: 10 * time.Millisecond}
-	lossyNetwork    = networktest.Faults{LossProbability: 0.03, DuplicateProbability: 0.1, MaxDelay: 20 * time.Millisecond, LateProbability: 0.04, MaxLateDelay: 2 * time.Second}
+	lossyNetwork    = networktest.Faults{
+		LossProbability: 0.03, DuplicateProbability: 0.1, MaxDelay: 20 * time.Millisecond, LateProbability: 0.04, MaxLateDelay: 2 * time.Second,
+	}
 )
 
 // faultSchedule is one schedule of faults, which is determined by its seed. It also records what clients and leaders observed
@@ -149,15 +151,15 @@
 // runClient appends tokens to the register, and reads it in a quarter of the operations, until done is closed.
 func (s *faultSchedule) runClient(done <-chan struct{}, client int, random *rand.Rand) {
 	for i := 0; !isClosed(done); i++ {
-		if p := s.pickHealthy(random); p != nil {
+		if p := s.pickOperationTarget(random); p != nil {
 			s.runOperation(p, client, i, random.IntN(4) == 0)
 		}
 		<-time.After(time.Duration(random.Int64N(int64(maxOperationGap))))
 	}
 }
 
-// pickHealthy returns a random running member that does not count as failed, or nil if there is none.
-func (s *faultSchedule) pickHealthy(random *rand.Rand) *testCoordinator {
+// pickOperationTarget returns a random running member that does not count as failed, or nil if there is none.
+func (s *faultSchedule) pickOperationTarget(random *rand.Rand) *testCoordinator {
 	s.scheduleMutex.Lock()
 	defer s.scheduleMutex.Unlock()
 	now := time.Now()
@@ -234,7 +236,7 @@
 func (s *faultSchedule) checkFinalState() {
 	random := rand.New(rand.NewPCG(s.seed, 5))
 	for i := range 2 {
-		coordinator := s.pickHealthy(random)
+		coordinator := s.pickOperationTarget(random)
 		if coordinator == nil {
 			s.addViolation("no healthy member at the end")
 			return
--- a/internal/controlplane/replicaset/manager.go
+++ b/internal/controlplane/replicaset/manager.go
@@ -41,7 +41,7 @@
 	joiningMembers joiningMembers
 	leaveReceived  map[string]time.Time // by address, when the latest leave request arrived
 
-	announcementReceived map[string]time.Time // by address of a process that was no member at the time, when its latest announcement arrived
+	announcementReceived map[string]time.Time // by address, when the latest announcement of a process that was not a member arrived
 
 	storeMutex sync.Mutex // serializes the storing of views
 }
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -30,7 +30,9 @@
 	})
 }
 
-// applyFault applies a fault to a machine for a duration.
+// applyFault applies a fault to a machine for a duration. The kinds are a restart with its disk (0), a restart without its disk
+// (1), a partition of incoming messages (2), of outgoing messages (3) or in both directions (4), delayed messages (5), and a full
+// disk (6).
 func (s *faultSchedule) applyFault(coordinator *testCoordinator, kind int, duration time.Duration) {
 	switch kind {
 	case 0:
