--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -14,7 +14,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// catchUpTime is the time from its start within which a joining member must become a member that may vote.
+// catchUpTime limits the time from a joining member's start until it is a member that may vote.
 const catchUpTime = 4 * time.Second
 
 // viewOf returns the version and members of a process's current view.
