--- a/internal/controlplane/replicaset/networktest/network.go
+++ b/internal/controlplane/replicaset/networktest/network.go
@@ -30,7 +30,7 @@
 }
 
 // errUnreachable is the error of a call to an address without a handler.
-var errUnreachable = errors.New("no handler serves the address")
+var errUnreachable = errors.New("nobody serves the address")
 
 // Network delivers requests to handlers by address.
 type Network struct {
