--- a/internal/controlplane/replicaset/exchange_test.go
+++ b/internal/controlplane/replicaset/exchange_test.go
@@ -67,11 +67,11 @@
 	var before, after replicaset.View
 	var invalid error
 	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
-		p := c.start(all[0], storage.NewMemory(), true, true)
+		process := c.start(all[0], storage.NewMemory(), true, true)
 		before, _ = replicaset.FetchView(context.Background(), c.network.Caller("any"), all[0])
-		p.awaitView(start)
+		process.awaitView(start)
 		after, _ = replicaset.FetchView(context.Background(), c.network.Caller("any"), all[0])
-		invalid = p.manager.Learn(replicaset.View{Version: 9})
+		invalid = process.manager.Learn(replicaset.View{Version: 9})
 	})
 	convey.Convey("The reply has version 0 until a view is known", t, func() {
 		convey.So(before.Version, convey.ShouldEqual, 0)
--- a/internal/controlplane/replicaset/replacement_test.go
+++ b/internal/controlplane/replicaset/replacement_test.go
@@ -278,16 +278,16 @@
 // member may fail then.
 func TestReplacedMemberThatRestartsCatchesUpInTime(t *testing.T) {
 	members := addresses(3)
-	interruptions := map[string]func(c *cluster, p *testCoordinator){
-		"down": func(c *cluster, p *testCoordinator) {
-			c.stop(p)
+	interruptions := map[string]func(c *cluster, coordinator *testCoordinator){
+		"down": func(c *cluster, coordinator *testCoordinator) {
+			c.stop(coordinator)
 			<-time.After(2600 * time.Millisecond)
-			c.start(p.address, p.zone, p.disk, false)
+			c.start(coordinator.address, coordinator.zone, coordinator.disk, false)
 		},
-		"partitioned": func(c *cluster, p *testCoordinator) {
-			c.network.Partition(p.address, true)
+		"partitioned": func(c *cluster, coordinator *testCoordinator) {
+			c.network.Partition(coordinator.address, true)
 			<-time.After(2600 * time.Millisecond)
-			c.network.Partition(p.address, false)
+			c.network.Partition(coordinator.address, false)
 		},
 	}
 	for interruption, interrupt := range interruptions {
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -8,7 +8,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// openEndedFailure is how long a machine counts as failed unless markRecovered ends the fault earlier.
+// openEndedFailure is how long a machine counts as failed unless recordRecovery ends the fault earlier.
 const openEndedFailure = 24 * time.Hour
 
 // injectFault starts a random fault, unless more than the tolerated number of machines would then have failed. Faults may
@@ -19,14 +19,14 @@
 		s.replaceMachine(kind, duration)
 		return
 	}
-	coordinator := s.pickAndMarkFailed()
+	coordinator := s.pickMemberToFail()
 	if coordinator == nil {
 		return
 	}
 	s.logEvent("%s: fault %d for %v", coordinator.address, kind, duration)
 	s.activeFaults.Go(func() {
 		s.applyFault(coordinator, kind, duration)
-		s.markRecovered(coordinator.address)
+		s.recordRecovery(coordinator.address)
 	})
 }
 
@@ -68,7 +68,7 @@
 	if planned {
 		coordinator = s.pickHealthyMember()
 	} else {
-		coordinator = s.pickAndMarkFailed()
+		coordinator = s.pickMemberToFail()
 	}
 	if coordinator == nil {
 		s.endReplacement()
@@ -98,7 +98,7 @@
 		s.stop(coordinator)
 		<-time.After(duration)
 		s.startJoiningMember()
-		s.markRecovered(coordinator.address)
+		s.recordRecovery(coordinator.address)
 		<-time.After(catchUpTime)
 	})
 }
@@ -118,7 +118,7 @@
 	s.scheduleMutex.Unlock()
 	<-time.After(earlyStopRestartDelay)
 	s.cluster.start(coordinator.address, coordinator.zone, coordinator.disk, false)
-	s.markRecovered(coordinator.address)
+	s.recordRecovery(coordinator.address)
 }
 
 // lossyCatchUpTime is the time within which a machine must catch up on a lossy network.
@@ -164,12 +164,12 @@
 	s.scheduleMutex.Lock()
 	address := s.seenViews.newest.Members[index%len(s.seenViews.newest.Members)]
 	s.scheduleMutex.Unlock()
-	if address == departing.address || !s.markFailed(address) {
+	if address == departing.address || !s.recordFailure(address) {
 		return
 	}
 	coordinator := s.coordinatorAt(address)
 	if coordinator == nil {
-		s.markRecovered(address)
+		s.recordRecovery(address)
 		return
 	}
 	s.logEvent("%s loses its disk, for %v", address, duration)
@@ -177,11 +177,11 @@
 	s.activeFaults.Go(func() {
 		<-time.After(duration)
 		s.cluster.start(coordinator.address, coordinator.zone, storage.NewMemory(), false)
-		s.markRecovered(address)
+		s.recordRecovery(address)
 	})
 }
 
-// beginReplacement marks a replacement as in progress. It returns false if one already is.
+// beginReplacement records that a replacement is in progress. It returns false if one already is.
 func (s *faultSchedule) beginReplacement() bool {
 	s.scheduleMutex.Lock()
 	defer s.scheduleMutex.Unlock()
@@ -220,19 +220,19 @@
 	return s.coordinatorAt(address)
 }
 
-// pickAndMarkFailed picks a random member and marks it as failed. It returns nil if that member cannot fail now, or the tolerated
+// pickMemberToFail picks a random member and records it as failed. It returns nil if that member cannot fail now, or the tolerated
 // number of machines has already failed.
-func (s *faultSchedule) pickAndMarkFailed() *testCoordinator {
+func (s *faultSchedule) pickMemberToFail() *testCoordinator {
 	coordinator := s.pickHealthyMember()
-	if coordinator == nil || coordinator.manager.Departing() || !s.markFailed(coordinator.address) {
+	if coordinator == nil || coordinator.manager.Departing() || !s.recordFailure(coordinator.address) {
 		return nil
 	}
 	return coordinator
 }
 
-// markFailed marks a machine as failed from now on. It returns false if the machine already counts as failed, or the tolerated
+// recordFailure records that a machine has failed. It returns false if the machine already counts as failed, or the tolerated
 // number of machines has already failed.
-func (s *faultSchedule) markFailed(address string) bool {
+func (s *faultSchedule) recordFailure(address string) bool {
 	s.scheduleMutex.Lock()
 	defer s.scheduleMutex.Unlock()
 	failed := 0
@@ -248,9 +248,9 @@
 	return true
 }
 
-// markRecovered ends a fault. The machine still counts as failed for catchUpTime. On a lossy network nothing is guaranteed within
-// that time, so markRecovered first waits until the machine has caught up.
-func (s *faultSchedule) markRecovered(address string) {
+// recordRecovery ends a fault. The machine still counts as failed for catchUpTime. On a lossy network nothing is guaranteed within
+// that time, so recordRecovery first waits until the machine has caught up.
+func (s *faultSchedule) recordRecovery(address string) {
 	if s.lossy {
 		s.awaitCatchUp(address)
 	}
--- a/internal/controlplane/replicaset/simultaneous_test.go
+++ b/internal/controlplane/replicaset/simultaneous_test.go
@@ -79,7 +79,7 @@
 	seed := uint64(faults.first)<<8 + uint64(faults.second)
 	return runFaults(t, seed, faults.size, ruleMutation{}, false, func(s *faultSchedule, ctx context.Context) {
 		<-time.After(time.Second)
-		s.markAllFailed(faults.size)
+		s.recordAllFailed(faults.size)
 		if faults.fillsDisks {
 			s.activeFaults.Go(func() { s.fillDisks(faults) })
 		} else {
@@ -90,14 +90,15 @@
 		<-ctx.Done()
 		s.activeFaults.Wait()
 		for _, address := range addresses(faults.size) {
-			s.markRecovered(address)
+			s.recordRecovery(address)
 		}
 		<-time.After(catchUpTime)
 	})
 }
 
-// markAllFailed prevents new operations until the faults are over. Operations in progress continue.
-func (s *faultSchedule) markAllFailed(size int) {
+// recordAllFailed records all machines as failed, which prevents new operations until the faults are over. Operations in progress
+// continue.
+func (s *faultSchedule) recordAllFailed(size int) {
 	s.scheduleMutex.Lock()
 	defer s.scheduleMutex.Unlock()
 	for _, address := range addresses(size) {
@@ -109,14 +110,14 @@
 func (s *faultSchedule) losePower(machines machineSet) {
 	var stopped []*testCoordinator
 	for i, address := range addresses(s.size) {
-		if p := s.coordinatorAt(address); machines.has(i) && p != nil && s.stop(p) {
-			stopped = append(stopped, p)
+		if coordinator := s.coordinatorAt(address); machines.has(i) && coordinator != nil && s.stop(coordinator) {
+			stopped = append(stopped, coordinator)
 		}
 	}
 	s.activeFaults.Go(func() {
 		<-time.After(outageDuration)
-		for _, p := range stopped {
-			s.cluster.start(p.address, p.zone, p.disk, false)
+		for _, coordinator := range stopped {
+			s.cluster.start(coordinator.address, coordinator.zone, coordinator.disk, false)
 		}
 	})
 }
@@ -130,8 +131,8 @@
 			affected = append(affected, s.coordinatorAt(address))
 		}
 	}
-	for _, p := range affected {
-		p.disk.Fail(errDiskFull)
+	for _, coordinator := range affected {
+		coordinator.disk.Fail(errDiskFull)
 	}
 	<-time.After(acknowledgementDelay)
 	acknowledgedBefore := s.groupCount()
@@ -144,8 +145,8 @@
 	if quorum := faults.size/2 + 1; faults.size-faults.first.size() < quorum && s.groupCount() != acknowledgedBefore {
 		s.addViolation("%d entries were acknowledged while %d of %d disks were full", s.groupCount()-acknowledgedBefore, faults.first.size(), faults.size)
 	}
-	for _, p := range affected {
-		p.disk.Fail(nil)
+	for _, coordinator := range affected {
+		coordinator.disk.Fail(nil)
 	}
 }
 
