--- a/internal/controlplane/rebuild/transfer_test.go
+++ b/internal/controlplane/rebuild/transfer_test.go
@@ -100,7 +100,7 @@
 
 func TestLostAndDuplicatedChunksAreTolerated(t *testing.T) {
 	store, _, ready := rebuildThirdMember(t, func(c *cluster, _ []*storage.Memory, _ []*countingHandler) {
-		c.network.SetFaults(networktest.Faults{Lose: 0.1, Duplicate: 0.3, Delay: 50 * time.Millisecond, Late: 0.1, LateBy: 4 * time.Second})
+		c.network.SetFaults(networktest.Faults{LossProbability: 0.1, DuplicateProbability: 0.3, MaxDelay: 50 * time.Millisecond, LateProbability: 0.1, MaxLateDelay: 4 * time.Second})
 	})
 	convey.Convey("The rebuild succeeds although chunks are lost, duplicated or late", t, func() {
 		convey.So(ready, convey.ShouldBeTrue)
--- a/internal/controlplane/register/valuetransfer_test.go
+++ b/internal/controlplane/register/valuetransfer_test.go
@@ -131,7 +131,7 @@
 		c.process("member-0").register.Change(c.ctx, replaceWith(text))
 		synctest.Wait()
 		for _, member := range []string{"member-0", "member-1"} {
-			c.network.AddRule(networktest.Rule{From: nonMember, To: member, Path: fetchCall(testRegister).Path(), Lose: true})
+			c.network.AddRule(networktest.Rule{From: nonMember, To: member, Path: fetchCall(testRegister).Path(), Drop: true})
 		}
 		value, err = c.proposer(nonMember, nil).Read(c.ctx)
 	})
--- a/internal/controlplane/replicaset/assembly_test.go
+++ b/internal/controlplane/replicaset/assembly_test.go
@@ -13,39 +13,39 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// testRegister is the name of the register that the core nodes replicate.
+// testRegister is the name of the register that the coordinators replicate.
 const testRegister = "test"
 
-func (c *cluster) assembleViews(p *coreNode, mux *transport.Mux, firstStart bool) {
-	ready := func() bool { return p.store.alive() && p.rebuilder.Ready() }
+func (c *cluster) assembleViews(coordinator *testCoordinator, mux *transport.Mux, firstStart bool) {
+	ready := func() bool { return coordinator.store.alive() && coordinator.rebuilder.Ready() }
 	founding := register.NewFounding(register.FoundingConfig{
-		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
-		Founders: func() []string { return p.manager.Founders() },
+		Self: coordinator.address, Store: coordinator.store, Ready: ready, Caller: coordinator.caller,
+		Founders: func() []string { return coordinator.manager.Founders() },
 	})
 	succession := register.NewSuccession(register.SuccessionConfig{
-		Self: p.address, Store: p.store, Ready: ready, Caller: p.caller,
-		View:      func() replicaset.View { return p.manager.View() },
-		Departing: func() bool { return !c.mutant.refusesOwnReplacement && p.manager.Departing() },
+		Self: coordinator.address, Store: coordinator.store, Ready: ready, Caller: coordinator.caller,
+		View:      func() replicaset.View { return coordinator.manager.View() },
+		Departing: func() bool { return !c.mutation.refusesOwnReplacement && coordinator.manager.Departing() },
 	})
 	config := replicaset.Config{
-		Self: p.address, Zone: p.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
-		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
-		Founding: founding, Succession: succession, Liveness: p.liveness,
+		Self: coordinator.address, Zone: coordinator.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
+		Store: coordinator.store, Caller: coordinator.caller, Logger: zap.NewNop(),
+		Founding: founding, Succession: succession, Liveness: coordinator.liveness,
 	}
-	if c.mutant.decidesAlone {
+	if c.mutation.commitsWithoutQuorum {
 		config.Succession = unilateralSuccession{}
 	}
 	manager, err := replicaset.NewManager(config)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	p.manager = manager
+	coordinator.manager = manager
 	founding.Serve(mux)
 	succession.Serve(mux)
 	manager.Serve(mux)
 }
 
-func (p *coreNode) liveness() replicaset.Liveness {
+func (p *testCoordinator) liveness() replicaset.Liveness {
 	liveness := replicaset.Liveness{QuorumReachable: p.node.InContact(), SinceContact: make(map[string]time.Duration)}
 	for _, member := range p.node.Members() {
 		if member.Contacted {
@@ -55,21 +55,21 @@
 	return liveness
 }
 
-func (c *cluster) assembleRebuilder(p *coreNode, mux *transport.Mux, firstStart bool) {
-	var views rebuild.Views = p.manager
-	if c.mutant.dumpsInOldView {
-		views = &prematureViews{Manager: p.manager}
+func (c *cluster) assembleRebuilder(coordinator *testCoordinator, mux *transport.Mux, firstStart bool) {
+	var views rebuild.Views = coordinator.manager
+	if c.mutation.snapshotsInOldView {
+		views = &prematureViews{Manager: coordinator.manager}
 	}
-	if c.mutant.keepsOldVotes {
-		views = neverAbsentViews{p.manager}
+	if c.mutation.votesWithOutdatedDisk {
+		views = neverAbsentViews{coordinator.manager}
 	}
-	incarnation := p.manager.Incarnation()
-	if c.mutant.replacedGivesNoSnapshot {
+	incarnation := coordinator.manager.Incarnation()
+	if c.mutation.replacedGivesNoSnapshot {
 		incarnation = 0
 	}
 	rebuilder, err := rebuild.New(rebuild.Config{
-		Self: p.address, Incarnation: incarnation, FirstStart: firstStart, Views: views,
-		Store: p.store, Caller: p.caller, Logger: zap.NewNop(),
+		Self: coordinator.address, Incarnation: incarnation, FirstStart: firstStart, Views: views,
+		Store: coordinator.store, Caller: coordinator.caller, Logger: zap.NewNop(),
 	})
 	if err != nil {
 		c.t.Fatal(err)
@@ -77,52 +77,55 @@
 	rebuilder.Register(register.Merge, register.TablePrefix)
 	rebuilder.Register(rebuild.Infallible(replication.MergeTables), replication.StateTablePrefix, replication.MetaTablePrefix)
 	rebuilder.Serve(mux)
-	p.rebuilder = rebuilder
+	coordinator.rebuilder = rebuilder
 }
 
-func (c *cluster) assembleRegister(p *coreNode, mux *transport.Mux) {
-	acceptorView := p.manager.View
-	if c.mutant.votesInOldView {
-		acceptorView = staleView(p.manager.View)
+func (c *cluster) assembleRegister(coordinator *testCoordinator, mux *transport.Mux) {
+	acceptorView := coordinator.manager.View
+	if c.mutation.votesInOldView {
+		acceptorView = staleView(coordinator.manager.View)
 	}
 	acceptor := register.NewAcceptor(register.AcceptorConfig{
-		Name: testRegister, Store: p.store, View: acceptorView,
-		Ready: func() bool { return p.store.alive() && (c.mutant.noRebuild || p.rebuilder.Ready()) },
+		Name: testRegister, Store: coordinator.store, View: acceptorView,
+		Ready: func() bool {
+			return coordinator.store.alive() && (c.mutation.votesBeforeRebuild || coordinator.rebuilder.Ready())
+		},
 	})
 	acceptor.Serve(mux)
-	p.register = register.New(register.Config{
-		Name: testRegister, Self: p.address, Acceptor: acceptor, View: p.manager.View, Caller: p.caller,
-		OnNewerView: func(view replicaset.View) { p.manager.Learn(view) },
+	coordinator.register = register.New(register.Config{
+		Name: testRegister, Self: coordinator.address, Acceptor: acceptor, View: coordinator.manager.View, Caller: coordinator.caller,
+		OnNewerView: func(view replicaset.View) { coordinator.manager.Learn(view) },
 	})
 }
 
-// assembleNode makes the replication node, which pings the other members, and replicates the schedule's group where there is one.
-func (c *cluster) assembleNode(p *coreNode, mux *transport.Mux) {
+// assembleNode creates the replication node, which pings the other members. It also replicates the fault schedule's group if the
+// cluster has a groupHandler.
+func (c *cluster) assembleNode(coordinator *testCoordinator, mux *transport.Mux) {
 	config := replication.Config{
-		Self: p.address, Store: storage.NewMemory(), Caller: p.caller, View: p.manager.View,
-		Ready: func() bool { return c.mutant.noRebuild || p.rebuilder.Ready() }, Handler: noGroups{},
+		Self: coordinator.address, Store: storage.NewMemory(), Caller: coordinator.caller, View: coordinator.manager.View,
+		Ready: func() bool { return c.mutation.votesBeforeRebuild || coordinator.rebuilder.Ready() }, Handler: noGroupHandler{},
 		Log: c.log,
 	}
 	if c.log != nil {
-		config.Log = c.log.With(zap.String("at", p.address))
+		config.Log = c.log.With(zap.String("at", coordinator.address))
 	}
-	if c.leads != nil {
-		config.Store, config.Handler = p.store, c.leads(p)
+	if c.groupHandler != nil {
+		config.Store, config.Handler = coordinator.store, c.groupHandler(coordinator)
 	}
 	node, err := replication.NewNode(config)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if c.leads != nil {
+	if c.groupHandler != nil {
 		node.Ensure(scheduleGroup)
 	}
 	node.Serve(mux)
-	p.node = node
+	coordinator.node = node
 }
 
-// noGroups implements replication.Handler where there are no groups.
-type noGroups struct{}
+// noGroupHandler implements replication.Handler for a node without groups.
+type noGroupHandler struct{}
 
 // Elected and Deposed implement replication.Handler.
-func (noGroups) Elected(*replication.Term, map[string][]byte) {}
-func (noGroups) Deposed(*replication.Term)                    {}
+func (noGroupHandler) Elected(*replication.Term, map[string][]byte) {}
+func (noGroupHandler) Deposed(*replication.Term)                    {}
--- a/internal/controlplane/replicaset/faultschedule_test.go
+++ b/internal/controlplane/replicaset/faultschedule_test.go
@@ -20,67 +20,71 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// A fault schedule has faults of up to the tolerated number of machines, and the next one as soon as the tolerance allows it.
-// The register, a replication group, the rebuild and the replica set are the real ones, on a network and a clock in memory.
+// A fault schedule lets up to the tolerated number of machines fail at the same time, and injects further faults as soon as this
+// limit allows them. It uses the real register, replication group, rebuild and replica set, on an in-memory network and in
+// simulated time.
 const (
 	scheduleGroup        = "jobs/model"
-	scheduleTime         = 9 * time.Second
+	scheduleDuration     = 9 * time.Second
 	maxScheduledFaultGap = 1200 * time.Millisecond // upper bound of the time between two faults
 	scheduleClients      = 1
-	recoveryTimeout      = catchUpTime // in which a write succeeds as long as no more machines have failed than is tolerated
+	recoveryTimeout      = catchUpTime // time in which a write succeeds while at most the tolerated number of machines has failed
 	observationInterval  = 150 * time.Millisecond
 )
 
-// reliableNetwork delivers all messages, some of them twice; on lossyNetwork none is sure to arrive in time.
+// reliableNetwork delivers all messages, some of them twice. lossyNetwork may lose or delay any message.
 var (
-	reliableNetwork = networktest.Faults{Duplicate: 0.05, Delay: 10 * time.Millisecond}
-	lossyNetwork    = networktest.Faults{Lose: 0.03, Duplicate: 0.1, Delay: 20 * time.Millisecond, Late: 0.04, LateBy: 2 * time.Second}
+	reliableNetwork = networktest.Faults{DuplicateProbability: 0.05, MaxDelay: 10 * time.Millisecond}
+	lossyNetwork    = networktest.Faults{
+		LossProbability: 0.03, DuplicateProbability: 0.1, MaxDelay: 20 * time.Millisecond, LateProbability: 0.04, MaxLateDelay: 2 * time.Second,
+	}
 )
 
-// faultSchedule is one schedule of faults, which a seed determines, and what clients and leaders observed during it.
+// faultSchedule is one schedule of faults, which is determined by its seed. It also records what clients and leaders observed
+// during the schedule.
 type faultSchedule struct {
 	*cluster
-	seed      uint64
-	random    *rand.Rand // belongs to the goroutine that injects the faults
-	size      int
-	tolerated int
-	lossy     bool
-	faults    sync.WaitGroup
+	seed         uint64
+	random       *rand.Rand // used only by the goroutine that injects the faults
+	size         int
+	tolerated    int
+	lossy        bool
+	activeFaults sync.WaitGroup
 
-	state                 sync.Mutex           // guards what follows
-	machines              int                  // started so far
-	failedUntil           map[string]time.Time // by address: until when the machine counts as failed
-	replacing             bool                 // a replacement is in progress
-	events                []string             // the faults so far, for the report
+	scheduleMutex         sync.Mutex           // guards the fields below
+	machineCount          int                  // number of machines started so far
+	failedUntil           map[string]time.Time // by address, until when the machine counts as failed
+	replacing             bool                 // whether a replacement is in progress
+	events                []string             // faults so far, for the report
 	violations            []string
-	acknowledged          map[string]bool // tokens of the register whose write was acknowledged
-	groupAcknowledged     map[string]bool // the same of the group
-	groupLastAcknowledged time.Time       // of the group's newest acknowledgement
-	slowest               time.Duration   // between two of them
-	views                 viewHistory
+	acknowledged          map[string]bool // tokens whose write to the register was acknowledged
+	groupAcknowledged     map[string]bool // keys of acknowledged entries of the group
+	groupLastAcknowledged time.Time       // when the group's latest entry was acknowledged
+	maxAcknowledgementGap time.Duration   // longest time between two acknowledgements of the group
+	seenViews             viewHistory
 	start                 time.Time
 	logged                *observer.ObservedLogs
 }
 
-// runSchedule runs the schedule of a seed, and returns it with its violations.
-func runSchedule(t *testing.T, seed uint64, size int, broken ruleMutant) (s *faultSchedule) {
+// runSchedule runs the random fault schedule of a seed, and returns it with its violations.
+func runSchedule(t *testing.T, seed uint64, size int, mutation ruleMutation) (s *faultSchedule) {
 	t.Helper()
-	return runFaults(t, seed, size, broken, isLossy(seed), (*faultSchedule).injectRandomFaults)
+	return runFaults(t, seed, size, mutation, isLossy(seed), (*faultSchedule).injectRandomFaults)
 }
 
-// runFaults runs a schedule whose faults are injected by a function, until that returns.
-func runFaults(t *testing.T, seed uint64, size int, broken ruleMutant, lossy bool, inject func(s *faultSchedule, ctx context.Context)) (s *faultSchedule) {
+// runFaults runs a schedule with the faults that inject produces, until inject returns.
+func runFaults(t *testing.T, seed uint64, size int, mutation ruleMutation, lossy bool, inject func(s *faultSchedule, ctx context.Context)) (s *faultSchedule) {
 	t.Helper()
 	disks := foundedDisks(t, size)
 	virtualtime.Test(t, func(t *testing.T) {
 		s = &faultSchedule{
-			seed: seed, size: size, random: rand.New(rand.NewPCG(seed, 7)), tolerated: (size - 1) / 2, lossy: lossy, machines: size,
+			seed: seed, size: size, random: rand.New(rand.NewPCG(seed, 7)), tolerated: (size - 1) / 2, lossy: lossy, machineCount: size,
 			failedUntil: make(map[string]time.Time), acknowledged: make(map[string]bool), groupAcknowledged: make(map[string]bool),
 			start: time.Now(), groupLastAcknowledged: time.Now(),
 		}
-		s.cluster = newCluster(t, seed, addresses(size), broken)
-		s.logged = s.observe()
-		s.leads = func(p *coreNode) replication.Handler { return &proposingLeader{s, p} }
+		s.cluster = newCluster(t, seed, addresses(size), mutation)
+		s.logged = s.recordLogs()
+		s.groupHandler = func(coordinator *testCoordinator) replication.Handler { return &proposingLeader{s, coordinator} }
 		s.network.SetFaults(reliableNetwork)
 		for address, disk := range disks {
 			s.startOn(address, disk)
@@ -90,8 +94,8 @@
 		if s.lossy {
 			s.network.SetFaults(lossyNetwork)
 		}
-		s.run(inject)
-		s.end()
+		s.runWithFaults(inject)
+		s.shutDown()
 	})
 	return s
 }
@@ -115,9 +119,9 @@
 	}
 }
 
-// run injects faults while clients write, then ends all faults and checks the final state.
-func (s *faultSchedule) run(inject func(s *faultSchedule, ctx context.Context)) {
-	ctx, cancel := context.WithTimeout(context.Background(), scheduleTime)
+// runWithFaults injects faults while clients write. Then it ends all faults and checks the final state.
+func (s *faultSchedule) runWithFaults(inject func(s *faultSchedule, ctx context.Context)) {
+	ctx, cancel := context.WithTimeout(context.Background(), scheduleDuration)
 	defer cancel()
 	var running sync.WaitGroup
 	for client := range scheduleClients {
@@ -125,88 +129,90 @@
 	}
 	running.Go(func() { s.watchViews(ctx) })
 	inject(s, ctx)
-	s.faults.Wait()
+	s.activeFaults.Wait()
 	running.Wait()
 	s.network.SetFaults(reliableNetwork)
 	<-time.After(catchUpTime)
 	s.checkViews()
-	s.checkEnd()
-	for _, p := range s.sorted() {
+	s.checkFinalState()
+	for _, p := range s.runningByAddress() {
 		s.logEvent("%s: view %d %v, ready %v, leaders %v", p.address, p.manager.View().Version, p.manager.View().Members,
 			p.rebuilder.Ready(), p.node.Leaders())
 	}
 }
 
-// observe records the replication nodes' logs, for the report.
-func (s *faultSchedule) observe() *observer.ObservedLogs {
+// recordLogs records the replication nodes' logs for the report.
+func (s *faultSchedule) recordLogs() *observer.ObservedLogs {
 	recorder, logs := observer.New(zap.InfoLevel)
 	s.log = zap.New(recorder)
 	return logs
 }
 
-// runClient appends tokens to the register, and reads it now and then, until done is closed.
+// runClient appends tokens to the register, and reads it in a quarter of the operations, until done is closed.
 func (s *faultSchedule) runClient(done <-chan struct{}, client int, random *rand.Rand) {
 	for i := 0; !isClosed(done); i++ {
-		if p := s.pickHealthy(random); p != nil {
+		if p := s.pickOperationTarget(random); p != nil {
 			s.runOperation(p, client, i, random.IntN(4) == 0)
 		}
 		<-time.After(time.Duration(random.Int64N(int64(maxOperationGap))))
 	}
 }
 
-// pickHealthy returns a running member that does not count as failed; nil where there is none.
-func (s *faultSchedule) pickHealthy(random *rand.Rand) *coreNode {
-	s.state.Lock()
-	defer s.state.Unlock()
+// pickOperationTarget returns a random running member that does not count as failed, or nil if there is none.
+func (s *faultSchedule) pickOperationTarget(random *rand.Rand) *testCoordinator {
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	now := time.Now()
 	var healthy []string
-	for _, address := range s.views.newest.Members {
-		if s.failedUntil[address].Before(now) && s.at(address) != nil {
+	for _, address := range s.seenViews.newest.Members {
+		if s.failedUntil[address].Before(now) && s.coordinatorAt(address) != nil {
 			healthy = append(healthy, address)
 		}
 	}
 	if len(healthy) == 0 {
 		return nil
 	}
-	return s.at(healthy[random.IntN(len(healthy))])
+	return s.coordinatorAt(healthy[random.IntN(len(healthy))])
 }
 
 // runOperation runs one write or read at a process, and checks the reply.
-func (s *faultSchedule) runOperation(p *coreNode, client, number int, read bool) {
-	ctx, cancel := context.WithTimeout(p.ctx, recoveryTimeout)
+func (s *faultSchedule) runOperation(coordinator *testCoordinator, client, number int, read bool) {
+	ctx, cancel := context.WithTimeout(coordinator.ctx, recoveryTimeout)
 	defer cancel()
 	before := s.acknowledgedTokens()
-	var do operation
+	var op operation
 	if !read {
-		do.token = fmt.Sprintf("%d-%d.", client, number)
+		op.token = fmt.Sprintf("%d-%d.", client, number)
 	}
-	value, err := do.perform(ctx, p.register)
+	value, err := op.perform(ctx, coordinator.register)
 	switch {
 	case err == nil:
-		s.checkReply(do.token, string(value), before)
-	case s.mustSucceed(p):
-		s.violation("no reply from %s within %v: %v", p.address, recoveryTimeout, err)
+		s.checkReply(op.token, string(value), before)
+	case s.mustSucceed(coordinator):
+		s.addViolation("no reply from %s within %v: %v", coordinator.address, recoveryTimeout, err)
 	}
 }
 
-// mustSucceed tells whether a member has never failed, so that its operation had to succeed.
-func (s *faultSchedule) mustSucceed(p *coreNode) bool {
-	s.state.Lock()
-	defer s.state.Unlock()
-	_, hasFailed := s.failedUntil[p.address]
-	return !s.lossy && !hasFailed && s.views.newest.Has(p.address) && p.ctx.Err() == nil && !p.manager.Departing()
+// mustSucceed reports whether an operation at a process had to succeed: the network is reliable, and the process is a member that
+// has never failed and is not departing.
+func (s *faultSchedule) mustSucceed(coordinator *testCoordinator) bool {
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
+	_, hasFailed := s.failedUntil[coordinator.address]
+	return !s.lossy && !hasFailed && s.seenViews.newest.Has(coordinator.address) && coordinator.ctx.Err() == nil && !coordinator.manager.Departing()
 }
 
-// checkReply wants a reply to have all tokens that were acknowledged before the request.
+// checkReply records a violation if a reply lacks a token that was acknowledged before the request. Otherwise it records the
+// written token as acknowledged.
 func (s *faultSchedule) checkReply(token, value string, before []string) {
 	for _, earlier := range before {
 		if !containsToken(value, earlier) {
-			s.violation("%q was acknowledged, and is not in a later reply", earlier)
+			s.addViolation("%q was acknowledged, and is not in a later reply", earlier)
 			return
 		}
 	}
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	if token != "" {
 		s.acknowledged[token] = true
 	}
@@ -214,10 +220,10 @@
 
 func containsToken(value, token string) bool { return strings.Contains("."+value, "."+token) }
 
-// acknowledgedTokens lists the tokens of the register whose write was acknowledged so far.
+// acknowledgedTokens returns the tokens whose write to the register has been acknowledged so far.
 func (s *faultSchedule) acknowledgedTokens() []string {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	all := make([]string, 0, len(s.acknowledged))
 	for token := range s.acknowledged {
 		all = append(all, token)
@@ -225,32 +231,33 @@
 	return all
 }
 
-// checkEnd wants a write, a read and a commit of the group after the end of all faults, with all that was ever acknowledged.
-func (s *faultSchedule) checkEnd() {
+// checkFinalState checks, after the end of all faults, that a write, a read and a commit of the group succeed, and that the
+// replies contain every acknowledged token.
+func (s *faultSchedule) checkFinalState() {
 	random := rand.New(rand.NewPCG(s.seed, 5))
 	for i := range 2 {
-		p := s.pickHealthy(random)
-		if p == nil {
-			s.violation("no healthy member at the end")
+		coordinator := s.pickOperationTarget(random)
+		if coordinator == nil {
+			s.addViolation("no healthy member at the end")
 			return
 		}
-		s.runOperation(p, scheduleClients, i, i == 1)
+		s.runOperation(coordinator, scheduleClients, i, i == 1)
 	}
-	s.state.Lock()
+	s.scheduleMutex.Lock()
 	idle := time.Since(s.groupLastAcknowledged)
-	s.state.Unlock()
+	s.scheduleMutex.Unlock()
 	if idle > time.Second {
-		s.violation("the group has acknowledged nothing for %v at the end", idle)
+		s.addViolation("the group has acknowledged nothing for %v at the end", idle)
 	}
 	if !slices.Contains(s.acknowledgedTokens(), fmt.Sprintf("%d-0.", scheduleClients)) {
-		s.violation("no write succeeds at the end")
+		s.addViolation("no write succeeds at the end")
 	}
 }
 
-// violation records that the promises do not hold.
-func (s *faultSchedule) violation(format string, values ...any) {
-	s.state.Lock()
-	defer s.state.Unlock()
+// addViolation records that a guarantee was violated.
+func (s *faultSchedule) addViolation(format string, values ...any) {
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf("after %v: ", time.Since(s.start))+fmt.Sprintf(format, values...))
 }
 
@@ -262,23 +269,23 @@
 	}
 }
 
-// checkViews records the views of all processes. It wants one view of each version, and at most one in whose members a quorum
-// votes.
+// checkViews records the views of all processes. It checks that there is only one view of each version, and at most one view in
+// which a quorum may vote.
 func (s *faultSchedule) checkViews() {
 	voters := make(map[uint64]int)
 	var views []replicaset.View
-	for _, p := range s.all() {
+	for _, p := range s.runningCoordinators() {
 		view := p.manager.View()
 		views = append(views, view)
 		if view.Has(p.address) && p.rebuilder.Ready() {
 			voters[view.Version]++
 		}
 	}
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	active := make(map[uint64]bool)
 	for _, view := range views {
-		if !s.views.record(view) {
+		if !s.seenViews.record(view) {
 			s.violations = append(s.violations, fmt.Sprintf("two views %d", view.Version))
 		}
 		if voters[view.Version] >= view.Quorum() {
@@ -290,29 +297,30 @@
 	}
 }
 
-// disksOf are the disks of members that have founded the first view, by size and address.
+// foundedDisksBySize holds disks of members that have committed the first view, by number of members and address.
 var (
-	disksOf    = make(map[int]map[string]storage.Tables)
-	disksMutex sync.Mutex
+	foundedDisksBySize = make(map[int]map[string]storage.Tables)
+	foundedDisksMutex  sync.Mutex
 )
 
-// foundedDisks returns the disks of members that have founded the first view, by address.
+// foundedDisks returns, by address, the disks of members that have committed the first view. It creates them once for each
+// number of members.
 func foundedDisks(t *testing.T, size int) map[string]storage.Tables {
 	t.Helper()
-	disksMutex.Lock()
-	defer disksMutex.Unlock()
-	if disks, found := disksOf[size]; found {
+	foundedDisksMutex.Lock()
+	defer foundedDisksMutex.Unlock()
+	if disks, found := foundedDisksBySize[size]; found {
 		return disks
 	}
 	disks := make(map[string]storage.Tables)
-	disksOf[size] = disks
+	foundedDisksBySize[size] = disks
 	virtualtime.Test(t, func(t *testing.T) {
-		c := newCluster(t, 1, addresses(size), ruleMutant{})
-		c.found(reliableNetwork)
-		for _, p := range c.all() {
+		c := newCluster(t, 1, addresses(size), ruleMutation{})
+		c.startAndCommitFirstView(reliableNetwork)
+		for _, p := range c.runningCoordinators() {
 			disks[p.address] = p.disk.Snapshot()
 		}
-		c.end()
+		c.shutDown()
 	})
 	return disks
 }
--- a/internal/controlplane/replicaset/founding_test.go
+++ b/internal/controlplane/replicaset/founding_test.go
@@ -12,20 +12,20 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-func TestFounding(t *testing.T) {
+func TestAllProcessesLearnFirstView(t *testing.T) {
 	all := addresses(5)
 	views := make(map[string]replicaset.View)
 	var slowest time.Duration
-	inManagerCluster(t, all[1:4], func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all[1:4], func(c *managerCluster, start time.Time) {
 		c.startAll(all)
 		agent := c.start("front", storage.NewMemory(), true, false)
 		for _, self := range all {
-			view, took := c.running[self].view(start)
-			views[self], slowest = view, max(slowest, took)
+			view, elapsed := c.running[self].awaitView(start)
+			views[self], slowest = view, max(slowest, elapsed)
 		}
-		views["front"], _ = agent.view(start)
+		views["front"], _ = agent.awaitView(start)
 	})
-	convey.Convey("All processes learn the view of all core nodes within 2 s", t, func() {
+	convey.Convey("All processes learn the view of all coordinators within 2 s", t, func() {
 		expected := replicaset.View{Version: 1, Members: all}
 		convey.So(views, convey.ShouldHaveLength, len(all)+1)
 		for _, view := range views {
@@ -35,35 +35,35 @@
 	})
 }
 
-func TestFoundingWaitsForLaterAnnouncements(t *testing.T) {
+func TestNewAnnouncementDelaysFounding(t *testing.T) {
 	all := addresses(4)
 	var view replicaset.View
-	var took time.Duration
-	inManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
+	var elapsed time.Duration
+	runInManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
 		c.startAll(all[:3])
 		<-time.After(1300 * time.Millisecond)
 		c.start(all[3], storage.NewMemory(), true, true)
-		view, took = c.running[all[0]].view(start)
+		view, elapsed = c.running[all[0]].awaitView(start)
 	})
-	convey.Convey("A new announcement delays the founding", t, func() {
+	convey.Convey("An announcement of a new address delays the commit of the first view", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
-		convey.So(took, convey.ShouldBeGreaterThan, 2*time.Second)
+		convey.So(elapsed, convey.ShouldBeGreaterThan, 2*time.Second)
 	})
 }
 
-func TestFoundingWithoutTheFirstFounder(t *testing.T) {
+func TestNextFounderProposesWhenFirstIsDown(t *testing.T) {
 	all := addresses(4)
 	var view, late replicaset.View
-	var took time.Duration
-	inManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
+	var elapsed time.Duration
+	runInManagerCluster(t, all[:3], func(c *managerCluster, start time.Time) {
 		c.startAll(all[1:])
-		view, took = c.running[all[3]].view(start)
+		view, elapsed = c.running[all[3]].awaitView(start)
 		first := c.start(all[0], storage.NewMemory(), false, true)
-		late, _ = first.view(start)
+		late, _ = first.awaitView(start)
 	})
-	convey.Convey("The next founder proposes after 3 s; the first one is a member, and learns the view when it starts", t, func() {
+	convey.Convey("The next founder proposes after 3 s; the first one is a member and learns the view when it starts", t, func() {
 		convey.So(view.Members, convey.ShouldResemble, all)
-		convey.So(took, convey.ShouldBeBetween, 3*time.Second, 4*time.Second)
+		convey.So(elapsed, convey.ShouldBeBetween, 3*time.Second, 4*time.Second)
 		convey.So(late, convey.ShouldResemble, view)
 	})
 }
@@ -71,26 +71,26 @@
 func TestPartitionedFoundersCommitOneView(t *testing.T) {
 	all := addresses(3)
 	var views []replicaset.View
-	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
-		c.network.AddRule(networktest.Rule{From: all[0], To: all[1], Path: "/replicaset/", Lose: true})
-		c.network.AddRule(networktest.Rule{From: all[1], To: all[0], Path: "/replicaset/", Lose: true})
+	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+		c.network.AddRule(networktest.Rule{From: all[0], To: all[1], Path: "/replicaset/", Drop: true})
+		c.network.AddRule(networktest.Rule{From: all[1], To: all[0], Path: "/replicaset/", Drop: true})
 		c.startAll(all)
 		for _, self := range all {
-			view, _ := c.running[self].view(start)
+			view, _ := c.running[self].awaitView(start)
 			views = append(views, view)
 		}
 	})
-	convey.Convey("Both propose, and all learn the same view", t, func() {
+	convey.Convey("Both founders propose, and all processes learn the same view", t, func() {
 		convey.So(slices.ContainsFunc(views, func(view replicaset.View) bool { return view.Version != 1 }), convey.ShouldBeFalse)
 		convey.So(views[1], convey.ShouldResemble, views[0])
 		convey.So(views[2], convey.ShouldResemble, views[0])
 	})
 }
 
-func TestFoundingResumesAfterARestart(t *testing.T) {
+func TestFoundingResumesAfterRestart(t *testing.T) {
 	all := addresses(3)
 	var before, after []replicaset.View
-	inManagerCluster(t, all, func(c *managerCluster, start time.Time) {
+	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
 		c.startAll(all)
 		<-time.After(time.Second)
 		disks := make(map[string]*storage.Memory)
@@ -102,11 +102,11 @@
 			c.start(self, disks[self], false, true)
 		}
 		for _, self := range all {
-			view, _ := c.running[self].view(start)
+			view, _ := c.running[self].awaitView(start)
 			after = append(after, view)
 		}
 	})
-	convey.Convey("All core nodes are killed before there is a view, and found it after their restart", t, func() {
+	convey.Convey("All coordinators are killed before there is a view, and commit the first view after their restart", t, func() {
 		for i := range all {
 			convey.So(before[i].Version, convey.ShouldEqual, 0)
 			convey.So(after[i], convey.ShouldResemble, replicaset.View{Version: 1, Members: all})
@@ -114,17 +114,17 @@
 	})
 }
 
-func TestAMemberWithoutItsDiskNeverFounds(t *testing.T) {
+func TestCoordinatorsWithoutDisksNeverCommitFirstView(t *testing.T) {
 	all := addresses(3)
 	var view replicaset.View
-	inManagerCluster(t, all, func(c *managerCluster, _ time.Time) {
+	runInManagerCluster(t, all, func(c *managerCluster, _ time.Time) {
 		for _, self := range all {
 			c.start(self, storage.NewMemory(), false, true)
 		}
 		<-time.After(30 * time.Second)
 		view = c.running[all[0]].manager.View()
 	})
-	convey.Convey("Core nodes without disks found nothing after the first start", t, func() {
+	convey.Convey("Coordinators that lost their disks after the first start commit no first view", t, func() {
 		convey.So(view.Version, convey.ShouldEqual, 0)
 	})
 }
--- a/internal/controlplane/replicaset/history_test.go
+++ b/internal/controlplane/replicaset/history_test.go
@@ -13,16 +13,16 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// operation is what a client requests of the register: to append a token, or to read where that is empty.
+// operation is a client's request to the register: an append of the token, or a read if the token is empty.
 type operation struct{ token string }
 
-// operationResult is what the client received.
+// operationResult is the result of an operation as the client observed it.
 type operationResult struct {
-	maybeExecuted bool // whether the operation ran
+	maybeExecuted bool // whether the operation failed and may have been executed
 	value         string
 }
 
-// appendRegisterModel is the register as porcupine checks it: the state is the value.
+// appendRegisterModel is the porcupine model of the register. The state is the value.
 var appendRegisterModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
@@ -32,7 +32,7 @@
 	},
 }
 
-// history records the operations of clients, for the check of their linearizability.
+// history records the operations of clients, to check them for linearizability.
 type history struct {
 	clock      atomic.Int64
 	mutex      sync.Mutex
@@ -40,16 +40,16 @@
 	succeeded  int
 }
 
-// run carries out one operation, and records it unless it was certainly not executed.
-func (h *history) run(ctx context.Context, client int, by *register.Register, do operation) {
-	call := h.clock.Add(1)
-	value, err := do.perform(ctx, by)
-	back := h.clock.Add(1)
-	if err != nil && (rpcerror.ExecutionOf(err) == rpcerror.NotExecuted || do.token == "") {
+// perform performs one operation and records it, unless it is a failed read or was certainly not executed.
+func (h *history) perform(ctx context.Context, client int, target *register.Register, op operation) {
+	invoked := h.clock.Add(1)
+	value, err := op.perform(ctx, target)
+	returned := h.clock.Add(1)
+	if err != nil && (rpcerror.ExecutionOf(err) == rpcerror.NotExecuted || op.token == "") {
 		return
 	}
 	if err != nil {
-		back = math.MaxInt64
+		returned = math.MaxInt64
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -57,18 +57,18 @@
 		h.succeeded++
 	}
 	h.operations = append(h.operations, porcupine.Operation{
-		ClientId: client, Input: do, Output: operationResult{maybeExecuted: err != nil, value: string(value)}, Call: call, Return: back,
+		ClientId: client, Input: op, Output: operationResult{maybeExecuted: err != nil, value: string(value)}, Call: invoked, Return: returned,
 	})
 }
 
-func (o operation) perform(ctx context.Context, by *register.Register) ([]byte, error) {
+func (o operation) perform(ctx context.Context, target *register.Register) ([]byte, error) {
 	if o.token == "" {
-		return by.Read(ctx)
+		return target.Read(ctx)
 	}
-	return by.Change(ctx, func(current []byte) ([]byte, error) { return append([]byte(string(current)), o.token...), nil })
+	return target.Change(ctx, func(current []byte) ([]byte, error) { return append([]byte(string(current)), o.token...), nil })
 }
 
-// check tells whether the history is linearizable.
+// check returns whether the history is linearizable, or unknown if the check takes longer than its time limit.
 func (h *history) check() porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(appendRegisterModel, h.operations, 20*time.Second)
 }
--- a/internal/controlplane/replicaset/managercluster_test.go
+++ b/internal/controlplane/replicaset/managercluster_test.go
@@ -19,10 +19,11 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// drainTime is how long messages may still be in flight at the end of a test, in simulated time.
-const drainTime = 10 * time.Second
+// messageDrainTime is the simulated time in which all messages in flight at the end of a test are delivered.
+const messageDrainTime = 10 * time.Second
 
-// managerCluster is processes with a manager each and nothing else, on a network in memory. It is to be run in simulated time.
+// managerCluster is a set of processes on an in-memory network that each run only a Manager, and the founding register. It must
+// run in simulated time.
 type managerCluster struct {
 	t       *testing.T
 	network *networktest.Network
@@ -39,7 +40,7 @@
 
 func newManagerCluster(t *testing.T, seeds ...string) *managerCluster {
 	c := &managerCluster{t: t, network: networktest.New(1), seeds: seeds, running: make(map[string]*managerProcess)}
-	c.network.SetFaults(networktest.Faults{Delay: 5 * time.Millisecond})
+	c.network.SetFaults(networktest.Faults{MaxDelay: 5 * time.Millisecond})
 	return c
 }
 
@@ -51,8 +52,8 @@
 	return all
 }
 
-// start starts a core node, or a process that does not count for the quorum.
-func (c *managerCluster) start(self string, store *storage.Memory, firstStart, core bool) *managerProcess {
+// start starts a coordinator, or a process that does not count for the quorum.
+func (c *managerCluster) start(self string, store *storage.Memory, firstStart, isCoordinator bool) *managerProcess {
 	c.t.Helper()
 	var manager *replicaset.Manager
 	founding := register.NewFounding(register.FoundingConfig{
@@ -66,7 +67,7 @@
 		Self:            self,
 		Seeds:           c.seeds,
 		FirstStart:      firstStart,
-		CountsForQuorum: core,
+		CountsForQuorum: isCoordinator,
 		Store:           store,
 		Caller:          c.network.Caller(self),
 		Founding:        founding,
@@ -80,10 +81,10 @@
 	founding.Serve(mux)
 	c.network.Serve(self, mux)
 	ctx, stop := context.WithCancel(context.Background())
-	p := &managerProcess{manager, store, stop, make(chan error, 1)}
-	go func() { p.ended <- manager.Run(ctx) }()
-	c.running[self] = p
-	return p
+	process := &managerProcess{manager, store, stop, make(chan error, 1)}
+	go func() { process.ended <- manager.Run(ctx) }()
+	c.running[self] = process
+	return process
 }
 
 func (c *managerCluster) startAll(all []string) {
@@ -92,46 +93,46 @@
 	}
 }
 
-// kill ends a process and returns its disk.
+// kill stops a process and returns its disk.
 func (c *managerCluster) kill(self string) *storage.Memory {
-	p := c.running[self]
+	process := c.running[self]
 	c.network.Serve(self, nil)
-	p.stop()
-	if err := <-p.ended; err != nil {
+	process.stop()
+	if err := <-process.ended; err != nil {
 		c.t.Error(err)
 	}
 	delete(c.running, self)
-	return p.store
+	return process.store
 }
 
-func (c *managerCluster) end() {
+func (c *managerCluster) shutDown() {
 	for self := range c.running {
 		c.kill(self)
 	}
-	<-time.After(drainTime)
+	<-time.After(messageDrainTime)
 }
 
-// view waits until a process knows a view, and returns it with the time since a start.
-func (p *managerProcess) view(start time.Time) (replicaset.View, time.Duration) {
-	for limit := time.After(time.Minute); ; {
+// awaitView waits until a process knows a view, and returns the view and the time since start.
+func (p *managerProcess) awaitView(start time.Time) (replicaset.View, time.Duration) {
+	for deadline := time.After(time.Minute); ; {
 		changed := p.manager.Changed()
 		if view := p.manager.View(); view.Version > 0 {
 			return view, time.Since(start)
 		}
 		select {
 		case <-changed:
-		case <-limit:
+		case <-deadline:
 			return replicaset.View{}, time.Minute
 		}
 	}
 }
 
-// inManagerCluster runs a test in simulated time.
-func inManagerCluster(t *testing.T, seeds []string, test func(c *managerCluster, start time.Time)) {
+// runInManagerCluster runs a test with a managerCluster in simulated time.
+func runInManagerCluster(t *testing.T, seeds []string, test func(c *managerCluster, start time.Time)) {
 	t.Helper()
 	virtualtime.Test(t, func(t *testing.T) {
 		c := newManagerCluster(t, seeds...)
 		test(c, time.Now())
-		c.end()
+		c.shutDown()
 	})
 }
--- a/internal/controlplane/replicaset/proposingleader_test.go
+++ b/internal/controlplane/replicaset/proposingleader_test.go
@@ -7,19 +7,20 @@
 	"puffinlink.example/puffinlink/internal/controlplane/replication"
 )
 
-// proposeInterval is the time between two proposals of a leader.
+// proposeInterval is the interval between a leader's proposals.
 const proposeInterval = 400 * time.Millisecond
 
-// proposingLeader leads the schedule's group at one process, and proposes entries.
+// proposingLeader is one process's handler of the schedule's group. As leader, it proposes entries periodically.
 type proposingLeader struct {
 	schedule *faultSchedule
-	node     *coreNode
+	node     *testCoordinator
 }
 
-// Elected implements replication.Handler: the state must have all that was acknowledged, and from now on the leader proposes.
+// Elected implements replication.Handler. It checks that the state contains all acknowledged entries, and starts to propose
+// entries.
 func (l *proposingLeader) Elected(term *replication.Term, state map[string][]byte) {
 	s := l.schedule
-	s.state.Lock()
+	s.scheduleMutex.Lock()
 	for key := range s.groupAcknowledged {
 		if _, found := state[key]; !found {
 			s.violations = append(s.violations, fmt.Sprintf("after %v: the leader of term %d, %s, lacks %q, which was acknowledged",
@@ -27,7 +28,7 @@
 			break
 		}
 	}
-	s.state.Unlock()
+	s.scheduleMutex.Unlock()
 	s.tasks.Go(func() { l.lead(term) })
 }
 
@@ -48,11 +49,11 @@
 	}
 }
 
-// groupCommitted records that an entry was committed and acknowledged.
+// groupCommitted records that an entry of the group was committed and acknowledged.
 func (s *faultSchedule) groupCommitted(key string) {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.groupAcknowledged[key] = true
-	s.slowest = max(s.slowest, time.Since(s.groupLastAcknowledged))
+	s.maxAcknowledgementGap = max(s.maxAcknowledgementGap, time.Since(s.groupLastAcknowledged))
 	s.groupLastAcknowledged = time.Now()
 }
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -8,120 +8,123 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// untilRecovered is how long a machine counts as failed whose recovery is open.
-const untilRecovered = 24 * time.Hour
+// openEndedFailure is how long a machine counts as failed unless recordRecovery ends the fault earlier.
+const openEndedFailure = 24 * time.Hour
 
-// injectFault begins one fault, if no more than the tolerated number of machines have then failed. Faults overlap.
+// injectFault starts a random fault, unless more than the tolerated number of machines would then have failed. Faults may
+// overlap.
 func (s *faultSchedule) injectFault() {
 	kind, duration := s.random.IntN(10), time.Duration(s.random.Int64N(int64(3*time.Second)))
 	if kind >= 7 {
-		s.replaceOne(kind, duration)
+		s.replaceMachine(kind, duration)
 		return
 	}
-	p := s.failOne()
-	if p == nil {
+	coordinator := s.pickMemberToFail()
+	if coordinator == nil {
 		return
 	}
-	s.logEvent("%s: fault %d for %v", p.address, kind, duration)
-	s.faults.Go(func() {
-		s.applyFault(p, kind, duration)
-		s.markRecovered(p.address)
+	s.logEvent("%s: fault %d for %v", coordinator.address, kind, duration)
+	s.activeFaults.Go(func() {
+		s.applyFault(coordinator, kind, duration)
+		s.recordRecovery(coordinator.address)
 	})
 }
 
-// applyFault lets a machine have a fault for a time.
-func (s *faultSchedule) applyFault(p *coreNode, kind int, duration time.Duration) {
+// applyFault applies a fault to a machine for a duration. The kinds are a restart with its disk (0), a restart without its disk
+// (1), a partition of incoming messages (2), of outgoing messages (3) or in both directions (4), delayed messages (5), and a full
+// disk (6).
+func (s *faultSchedule) applyFault(coordinator *testCoordinator, kind int, duration time.Duration) {
 	switch kind {
 	case 0:
-		s.stop(p)
+		s.stop(coordinator)
 		<-time.After(duration)
-		s.cluster.start(p.address, p.zone, p.disk, false)
+		s.cluster.start(coordinator.address, coordinator.zone, coordinator.disk, false)
 	case 1:
-		s.stop(p)
+		s.stop(coordinator)
 		<-time.After(duration)
-		s.cluster.start(p.address, p.zone, storage.NewMemory(), false)
+		s.cluster.start(coordinator.address, coordinator.zone, storage.NewMemory(), false)
 	case 2, 3, 4:
-		s.network.PartitionOneWay(p.address, kind != 2, kind != 3)
+		s.network.PartitionOneWay(coordinator.address, kind != 2, kind != 3)
 		<-time.After(duration)
-		s.network.PartitionOneWay(p.address, false, false)
+		s.network.PartitionOneWay(coordinator.address, false, false)
 	case 5:
-		s.network.Delay(p.address, duration)
+		s.network.Delay(coordinator.address, duration)
 		<-time.After(duration)
 	case 6:
-		p.disk.Fail(errFull)
+		coordinator.disk.Fail(errDiskFull)
 		<-time.After(duration)
-		p.disk.Fail(nil)
+		coordinator.disk.Fail(nil)
 	}
 }
 
-// replaceOne replaces a machine by a new one: unplanned, after it was lost for good, or planned, where the new one starts
-// first and the old one is then stopped gracefully.
-func (s *faultSchedule) replaceOne(kind int, duration time.Duration) {
+// replaceMachine replaces a machine by a new one. An unplanned replacement starts the new machine after the old one was lost
+// permanently. A planned one starts the new machine first, and then stops the old one gracefully.
+func (s *faultSchedule) replaceMachine(kind int, duration time.Duration) {
 	if !s.beginReplacement() {
 		return
 	}
 	planned := kind > 7
-	var p *coreNode
+	var coordinator *testCoordinator
 	if planned {
-		p = s.anyHealthy()
+		coordinator = s.pickHealthyMember()
 	} else {
-		p = s.failOne()
+		coordinator = s.pickMemberToFail()
 	}
-	if p == nil {
+	if coordinator == nil {
 		s.endReplacement()
 		return
 	}
-	s.logEvent("%s is replaced, planned %v, wait %v", p.address, planned, duration)
-	diskLoss, index := s.random.IntN(3), s.random.IntN(len(s.views.newest.Members))
-	s.faults.Go(func() {
+	s.logEvent("%s is replaced, planned %v, wait %v", coordinator.address, planned, duration)
+	diskLoss, index := s.random.IntN(3), s.random.IntN(len(s.seenViews.newest.Members))
+	s.activeFaults.Go(func() {
 		defer s.endReplacement()
 		if planned {
 			s.startJoiningMember()
 			<-time.After(catchUpTime + duration/4)
-			s.logEvent("%s is to stop, joining members %v, view %v", p.address, p.manager.HasJoiningMembers(), p.manager.View().Members)
+			s.logEvent("%s is to stop, joining members %v, view %v", coordinator.address, coordinator.manager.HasJoiningMembers(), coordinator.manager.View().Members)
 			if diskLoss == 1 {
-				s.loseDisk(p, index, duration)
+				s.loseDisk(coordinator, index, duration)
 			}
-			keepsQuorum := s.stopGracefully(p)
-			s.logEvent("%s has stopped, quorum kept %v", p.address, keepsQuorum)
+			keepsQuorum := s.stopGracefully(coordinator)
+			s.logEvent("%s has stopped, quorum kept %v", coordinator.address, keepsQuorum)
 			if diskLoss == 2 {
-				s.loseDisk(p, index, duration)
+				s.loseDisk(coordinator, index, duration)
 			}
 			if !keepsQuorum {
-				s.startAgain(p)
+				s.restartAfterEarlyStop(coordinator)
 			}
 			return
 		}
-		s.stop(p)
+		s.stop(coordinator)
 		<-time.After(duration)
 		s.startJoiningMember()
-		s.markRecovered(p.address)
+		s.recordRecovery(coordinator.address)
 		<-time.After(catchUpTime)
 	})
 }
 
-// restartTime is how long it takes until a machine is started again that had to stop too early.
-const restartTime = time.Second
+// earlyStopRestartDelay is the delay before the restart of a machine that had to stop too early.
+const earlyStopRestartDelay = time.Second
 
-// startAgain starts a machine on its disk that had to stop while no quorum was known to stay, as the operators' page asks for.
-// That may happen where messages are lost, and nowhere else.
-func (s *faultSchedule) startAgain(p *coreNode) {
+// restartAfterEarlyStop restarts a machine on its disk, as the operators' documentation requires, after it had to stop although no
+// quorum was known to stay. This may happen only on a lossy network. On a reliable one it is a violation.
+func (s *faultSchedule) restartAfterEarlyStop(coordinator *testCoordinator) {
 	if !s.lossy {
-		s.violation("%s had to stop though no quorum was known to stay", p.address)
+		s.addViolation("%s had to stop though no quorum was known to stay", coordinator.address)
 		return
 	}
-	s.state.Lock()
-	s.failedUntil[p.address] = time.Now().Add(untilRecovered)
-	s.state.Unlock()
-	<-time.After(restartTime)
-	s.cluster.start(p.address, p.zone, p.disk, false)
-	s.markRecovered(p.address)
+	s.scheduleMutex.Lock()
+	s.failedUntil[coordinator.address] = time.Now().Add(openEndedFailure)
+	s.scheduleMutex.Unlock()
+	<-time.After(earlyStopRestartDelay)
+	s.cluster.start(coordinator.address, coordinator.zone, coordinator.disk, false)
+	s.recordRecovery(coordinator.address)
 }
 
-// lossyCatchUpTime is how long a machine may take to catch up where messages are lost.
+// lossyCatchUpTime is the time within which a machine must catch up on a lossy network.
 const lossyCatchUpTime = 20 * time.Second
 
-// awaitCatchUp waits until all members may vote but those that other faults of this schedule have taken.
+// awaitCatchUp waits until all members may vote except those that have failed because of other faults of the schedule.
 func (s *faultSchedule) awaitCatchUp(address string) {
 	for deadline := time.Now().Add(lossyCatchUpTime); ; {
 		s.checkViews()
@@ -130,19 +133,20 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			s.violation("%s has not caught up within %v: %d may vote, %d others failed", address, lossyCatchUpTime, complete, failedOthers)
+			s.addViolation("%s has not caught up within %v: %d may vote, %d others failed", address, lossyCatchUpTime, complete, failedOthers)
 			return
 		}
 		<-time.After(observationInterval)
 	}
 }
 
-// countMembers counts the members of the newest view that may vote, and the machines that count as failed beside one.
+// countMembers returns the number of members of the newest view that may vote, and the number of machines that count as failed,
+// not counting the one at address.
 func (s *faultSchedule) countMembers(address string) (complete, failedOthers int) {
-	s.state.Lock()
-	defer s.state.Unlock()
-	for _, member := range s.views.newest.Members {
-		if p := s.at(member); p != nil && p.rebuilder.Ready() && p.manager.View().Has(member) {
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
+	for _, member := range s.seenViews.newest.Members {
+		if p := s.coordinatorAt(member); p != nil && p.rebuilder.Ready() && p.manager.View().Has(member) {
 			complete++
 		}
 	}
@@ -154,32 +158,33 @@
 	return complete, failedOthers
 }
 
-// loseDisk stops another member than the departing one and restarts it without its disk, unless that is more than is tolerated.
-func (s *faultSchedule) loseDisk(departing *coreNode, index int, duration time.Duration) {
-	s.state.Lock()
-	address := s.views.newest.Members[index%len(s.views.newest.Members)]
-	s.state.Unlock()
-	if address == departing.address || !s.markFailed(address) {
+// loseDisk stops a member other than the departing one and restarts it without its disk, unless more than the tolerated number of
+// machines would then have failed.
+func (s *faultSchedule) loseDisk(departing *testCoordinator, index int, duration time.Duration) {
+	s.scheduleMutex.Lock()
+	address := s.seenViews.newest.Members[index%len(s.seenViews.newest.Members)]
+	s.scheduleMutex.Unlock()
+	if address == departing.address || !s.recordFailure(address) {
 		return
 	}
-	p := s.at(address)
-	if p == nil {
-		s.markRecovered(address)
+	coordinator := s.coordinatorAt(address)
+	if coordinator == nil {
+		s.recordRecovery(address)
 		return
 	}
 	s.logEvent("%s loses its disk, for %v", address, duration)
-	s.stop(p)
-	s.faults.Go(func() {
+	s.stop(coordinator)
+	s.activeFaults.Go(func() {
 		<-time.After(duration)
-		s.cluster.start(p.address, p.zone, storage.NewMemory(), false)
-		s.markRecovered(address)
+		s.cluster.start(coordinator.address, coordinator.zone, storage.NewMemory(), false)
+		s.recordRecovery(address)
 	})
 }
 
-// beginReplacement returns false while another replacement is in progress.
+// beginReplacement records that a replacement is in progress. It returns false if one already is.
 func (s *faultSchedule) beginReplacement() bool {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	if s.replacing {
 		return false
 	}
@@ -188,46 +193,48 @@
 }
 
 func (s *faultSchedule) endReplacement() {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.replacing = false
 }
 
-// startJoiningMember starts a new machine.
+// startJoiningMember starts a new machine as a joining member, with the newest known members as seeds.
 func (s *faultSchedule) startJoiningMember() {
-	s.state.Lock()
-	address := fmt.Sprintf("core-%d", s.machines)
-	s.machines++
-	s.seeds = slices.Clone(s.views.newest.Members)
-	s.state.Unlock()
+	s.scheduleMutex.Lock()
+	address := fmt.Sprintf("core-%d", s.machineCount)
+	s.machineCount++
+	s.seeds = slices.Clone(s.seenViews.newest.Members)
+	s.scheduleMutex.Unlock()
 	s.logEvent("%s starts", address)
 	s.cluster.start(address, "elsewhere", storage.NewMemory(), false)
 }
 
-// anyHealthy returns a running member that does not count as failed; nil where chance picked another.
-func (s *faultSchedule) anyHealthy() *coreNode {
-	s.state.Lock()
-	defer s.state.Unlock()
-	address := s.views.newest.Members[s.random.IntN(len(s.views.newest.Members))]
+// pickHealthyMember picks a random member. It returns nil if that member counts as failed or is not running.
+func (s *faultSchedule) pickHealthyMember() *testCoordinator {
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
+	address := s.seenViews.newest.Members[s.random.IntN(len(s.seenViews.newest.Members))]
 	if time.Now().Before(s.failedUntil[address]) {
 		return nil
 	}
-	return s.at(address)
+	return s.coordinatorAt(address)
 }
 
-// failOne picks a member, and counts it as failed from now on; nil where that is one more than is tolerated.
-func (s *faultSchedule) failOne() *coreNode {
-	p := s.anyHealthy()
-	if p == nil || p.manager.Departing() || !s.markFailed(p.address) {
+// pickMemberToFail picks a random member and records it as failed. It returns nil if that member cannot fail now, or the tolerated
+// number of machines has already failed.
+func (s *faultSchedule) pickMemberToFail() *testCoordinator {
+	coordinator := s.pickHealthyMember()
+	if coordinator == nil || coordinator.manager.Departing() || !s.recordFailure(coordinator.address) {
 		return nil
 	}
-	return p
+	return coordinator
 }
 
-// markFailed counts a machine as failed from now on; false where it is already, or that is one more than is tolerated.
-func (s *faultSchedule) markFailed(address string) bool {
-	s.state.Lock()
-	defer s.state.Unlock()
+// recordFailure records that a machine has failed. It returns false if the machine already counts as failed, or the tolerated
+// number of machines has already failed.
+func (s *faultSchedule) recordFailure(address string) bool {
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	failed := 0
 	for _, until := range s.failedUntil {
 		if time.Now().Before(until) {
@@ -237,25 +244,25 @@
 	if failed >= s.tolerated || time.Now().Before(s.failedUntil[address]) {
 		return false
 	}
-	s.failedUntil[address] = time.Now().Add(untilRecovered)
+	s.failedUntil[address] = time.Now().Add(openEndedFailure)
 	return true
 }
 
-// markRecovered ends a fault: the machine counts as failed until it has had the time to catch up. Where messages are lost, nothing
-// is promised within that time, so that it counts until it has caught up indeed.
-func (s *faultSchedule) markRecovered(address string) {
+// recordRecovery ends a fault. The machine still counts as failed for catchUpTime. On a lossy network nothing is guaranteed within
+// that time, so recordRecovery first waits until the machine has caught up.
+func (s *faultSchedule) recordRecovery(address string) {
 	if s.lossy {
 		s.awaitCatchUp(address)
 	}
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.failedUntil[address] = time.Now().Add(catchUpTime)
 	s.events = append(s.events, fmt.Sprintf("%v: %s has recovered", time.Since(s.start), address))
 }
 
 // logEvent adds an event to the report.
 func (s *faultSchedule) logEvent(format string, values ...any) {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	s.events = append(s.events, fmt.Sprintf("%v: ", time.Since(s.start))+fmt.Sprintf(format, values...))
 }
--- a/internal/controlplane/replicaset/simultaneous_test.go
+++ b/internal/controlplane/replicaset/simultaneous_test.go
@@ -13,43 +13,44 @@
 	"puffinlink.example/puffinlink/internal/raceflag"
 )
 
-// subset is a set of the first machines of a schedule, a bit each.
-type subset uint
+// machineSet is a set of the initial machines of a schedule, with one bit per machine.
+type machineSet uint
 
-func (s subset) has(i int) bool { return s&(1<<i) != 0 }
+func (s machineSet) has(i int) bool { return s&(1<<i) != 0 }
 
-func (s subset) size() int { return bits.OnesCount(uint(s)) }
+func (s machineSet) size() int { return bits.OnesCount(uint(s)) }
 
-// simultaneousFaults are two faults that each strike several machines at one moment.
+// simultaneousFaults describes two faults, each of which affects several machines at the same time.
 type simultaneousFaults struct {
 	size          int
-	first, second subset
-	gap           time.Duration // from the first one to the second
-	full          bool          // the first one fills disks; otherwise both of them are losses of power
+	first, second machineSet
+	gap           time.Duration // time between the two faults
+	fillsDisks    bool          // whether the first fault fills disks; otherwise both are power losses
 }
 
 const (
-	outage       = time.Second             // of a machine without power
-	fullDiskTime = 2500 * time.Millisecond // for which disks are full
-	inFlightTime = 300 * time.Millisecond  // after which what was written before the disks were full is acknowledged
+	outageDuration       = time.Second             // duration of a power loss
+	fullDiskDuration     = 2500 * time.Millisecond // how long disks are full
+	acknowledgementDelay = 300 * time.Millisecond  // time after which entries written before the disks were full have been acknowledged
 )
 
 func (f simultaneousFaults) String() string {
-	return fmt.Sprintf("%d machines, %0*b then %0*b after %v, full disks %v", f.size, f.size, f.first, f.size, f.second, f.gap, f.full)
+	return fmt.Sprintf("%d machines, %0*b then %0*b after %v, full disks %v", f.size, f.size, f.first, f.size, f.second, f.gap, f.fillsDisks)
 }
 
-// powerLosses are all pairs of subsets for three machines, and for five all subsets, each followed by itself, by the others and by
-// all. The second one strikes while the first is still down, as its machines start, and while they recover.
-func powerLosses() []simultaneousFaults {
+// powerLossFaults returns pairs of power losses. For three machines it combines all pairs of subsets. For five machines, each
+// subset is followed by the same subset, by its complement and by all machines. The second power loss occurs while the machines
+// of the first one are still down, when they start, and while they recover.
+func powerLossFaults() []simultaneousFaults {
 	var all []simultaneousFaults
-	for _, gap := range []time.Duration{outage / 2, outage, outage + 400*time.Millisecond} {
-		for first := subset(1); first < 1<<3; first++ {
-			for second := subset(1); second < 1<<3; second++ {
+	for _, gap := range []time.Duration{outageDuration / 2, outageDuration, outageDuration + 400*time.Millisecond} {
+		for first := machineSet(1); first < 1<<3; first++ {
+			for second := machineSet(1); second < 1<<3; second++ {
 				all = append(all, simultaneousFaults{size: 3, first: first, second: second, gap: gap})
 			}
 		}
-		for first := subset(1); first < 1<<5; first++ {
-			for _, second := range []subset{first, ^first & (1<<5 - 1), 1<<5 - 1} {
+		for first := machineSet(1); first < 1<<5; first++ {
+			for _, second := range []machineSet{first, ^first & (1<<5 - 1), 1<<5 - 1} {
 				all = append(all, simultaneousFaults{size: 5, first: first, second: second, gap: gap})
 			}
 		}
@@ -57,93 +58,95 @@
 	return all
 }
 
-// fullDisks are all subsets whose disks are full, with and without a loss of power meanwhile of the same, of the others and of all.
-func fullDisks() []simultaneousFaults {
+// fullDiskFaults returns faults in which the disks of any subset are full. Meanwhile either no machine loses power, or the same
+// subset, its complement or all machines do.
+func fullDiskFaults() []simultaneousFaults {
 	var all []simultaneousFaults
 	for _, size := range []int{3, 5} {
-		every := subset(1<<size - 1)
-		for first := subset(1); first <= every; first++ {
-			for _, second := range []subset{0, first, ^first & every, every} {
-				all = append(all, simultaneousFaults{size: size, first: first, second: second, gap: outage, full: true})
+		allMachines := machineSet(1<<size - 1)
+		for first := machineSet(1); first <= allMachines; first++ {
+			for _, second := range []machineSet{0, first, ^first & allMachines, allMachines} {
+				all = append(all, simultaneousFaults{size: size, first: first, second: second, gap: outageDuration, fillsDisks: true})
 			}
 		}
 	}
 	return all
 }
 
-// playSimultaneous plays the faults, and returns the schedule with its violations.
-func playSimultaneous(t *testing.T, faults simultaneousFaults) *faultSchedule {
+// runSimultaneousFaults runs a schedule with the given faults, and returns it with its violations.
+func runSimultaneousFaults(t *testing.T, faults simultaneousFaults) *faultSchedule {
 	t.Helper()
 	seed := uint64(faults.first)<<8 + uint64(faults.second)
-	return runFaults(t, seed, faults.size, ruleMutant{}, false, func(s *faultSchedule, ctx context.Context) {
+	return runFaults(t, seed, faults.size, ruleMutation{}, false, func(s *faultSchedule, ctx context.Context) {
 		<-time.After(time.Second)
-		s.markAllFailed(faults.size)
-		if faults.full {
-			s.faults.Go(func() { s.fillDisks(faults) })
+		s.recordAllFailed(faults.size)
+		if faults.fillsDisks {
+			s.activeFaults.Go(func() { s.fillDisks(faults) })
 		} else {
 			s.losePower(faults.first)
 		}
 		<-time.After(faults.gap)
 		s.losePower(faults.second)
 		<-ctx.Done()
-		s.faults.Wait()
+		s.activeFaults.Wait()
 		for _, address := range addresses(faults.size) {
-			s.markRecovered(address)
+			s.recordRecovery(address)
 		}
 		<-time.After(catchUpTime)
 	})
 }
 
-// markAllFailed lets no operation begin until the faults are over; those under way go on.
-func (s *faultSchedule) markAllFailed(size int) {
-	s.state.Lock()
-	defer s.state.Unlock()
+// recordAllFailed records all machines as failed, which prevents new operations until the faults are over. Operations in progress
+// continue.
+func (s *faultSchedule) recordAllFailed(size int) {
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	for _, address := range addresses(size) {
-		s.failedUntil[address] = time.Now().Add(untilRecovered)
+		s.failedUntil[address] = time.Now().Add(openEndedFailure)
 	}
 }
 
-// losePower stops machines at one moment, and starts them again on their disks at another.
-func (s *faultSchedule) losePower(machines subset) {
-	var stopped []*coreNode
+// losePower stops several machines at the same time, and restarts them on their disks together after outageDuration.
+func (s *faultSchedule) losePower(machines machineSet) {
+	var stopped []*testCoordinator
 	for i, address := range addresses(s.size) {
-		if p := s.at(address); machines.has(i) && p != nil && s.stop(p) {
-			stopped = append(stopped, p)
+		if coordinator := s.coordinatorAt(address); machines.has(i) && coordinator != nil && s.stop(coordinator) {
+			stopped = append(stopped, coordinator)
 		}
 	}
-	s.faults.Go(func() {
-		<-time.After(outage)
-		for _, p := range stopped {
-			s.cluster.start(p.address, p.zone, p.disk, false)
+	s.activeFaults.Go(func() {
+		<-time.After(outageDuration)
+		for _, coordinator := range stopped {
+			s.cluster.start(coordinator.address, coordinator.zone, coordinator.disk, false)
 		}
 	})
 }
 
-// fillDisks lets disks be full for a while. Where too few others have room, nothing may be acknowledged meanwhile; what is there stays
-// readable.
+// fillDisks makes disks full for fullDiskDuration. If too few other disks have space for a quorum, nothing may be acknowledged
+// meanwhile. Existing values must stay readable.
 func (s *faultSchedule) fillDisks(faults simultaneousFaults) {
-	var disks []*coreNode
+	var affected []*testCoordinator
 	for i, address := range addresses(faults.size) {
 		if faults.first.has(i) {
-			disks = append(disks, s.at(address))
+			affected = append(affected, s.coordinatorAt(address))
 		}
 	}
-	for _, p := range disks {
-		p.disk.Fail(errFull)
+	for _, coordinator := range affected {
+		coordinator.disk.Fail(errDiskFull)
 	}
-	<-time.After(inFlightTime)
-	before := s.groupCount()
+	<-time.After(acknowledgementDelay)
+	acknowledgedBefore := s.groupCount()
 	if faults.second == 0 {
 		if value := s.read(addresses(faults.size)[0]); !containsAll(value, s.acknowledgedTokens()) {
-			s.violation("with full disks a read returns %q", value)
+			s.addViolation("with full disks a read returns %q", value)
 		}
 	}
-	<-time.After(fullDiskTime - inFlightTime)
-	if quorum := faults.size/2 + 1; faults.size-faults.first.size() < quorum && s.groupCount() != before {
-		s.violation("%d entries were acknowledged while %d of %d disks were full", s.groupCount()-before, faults.first.size(), faults.size)
+	<-time.After(fullDiskDuration - acknowledgementDelay)
+	if quorum := faults.size/2 + 1; faults.size-faults.first.size() < quorum && s.groupCount() != acknowledgedBefore {
+		s.addViolation("%d entries were acknowledged while %d of %d disks were full", s.groupCount()-acknowledgedBefore, faults.first.size(), faults.size)
 	}
-	for _, p := range disks {
-		p.disk.Fail(nil)
+	for _, coordinator := range affected {
+		coordinator.disk.Fail(nil)
 	}
 }
 
@@ -156,28 +159,28 @@
 	return true
 }
 
-// groupCount is the number of entries of the group that were acknowledged.
+// groupCount returns the number of acknowledged entries of the group.
 func (s *faultSchedule) groupCount() int {
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.scheduleMutex.Lock()
+	defer s.scheduleMutex.Unlock()
 	return len(s.groupAcknowledged)
 }
 
-// everyFewUnderRace leaves out all but each sixteenth schedule under the race detector, where each takes many times as long.
-const everyFewUnderRace = 16
+// raceScheduleStride selects every sixteenth schedule under the race detector, where each takes many times as long.
+const raceScheduleStride = 16
 
-// playAll plays schedules in parallel and returns the violations.
-func playAll(t *testing.T, all []simultaneousFaults) (found int64) {
+// runAllSimultaneousFaults runs the schedules in parallel and returns how many of them had violations.
+func runAllSimultaneousFaults(t *testing.T, all []simultaneousFaults) (schedulesWithViolations int64) {
 	var violations atomic.Int64
 	t.Run("schedules", func(t *testing.T) {
 		for worker := range scheduleWorkers {
 			t.Run(fmt.Sprint(worker), func(t *testing.T) {
 				t.Parallel()
 				for i := worker; i < len(all); i += scheduleWorkers {
-					if raceflag.On && i%everyFewUnderRace != 0 {
+					if raceflag.On && i%raceScheduleStride != 0 {
 						continue
 					}
-					if s := playSimultaneous(t, all[i]); len(s.violations) > 0 {
+					if s := runSimultaneousFaults(t, all[i]); len(s.violations) > 0 {
 						violations.Add(1)
 						t.Errorf("%v: %s", all[i], s.report())
 					}
@@ -188,17 +191,18 @@
 	return violations.Load()
 }
 
-// Any machines may lose power at one moment, whatever number is tolerated, and again while they recover. Nothing acknowledged is lost,
-// and writes succeed once they are back.
-func TestEverySubsetLosesPowerAtOnce(t *testing.T) {
-	found := playAll(t, powerLosses())
-	convey.Convey("No subset of three or of five loses anything", t, func() { convey.So(found, convey.ShouldEqual, 0) })
+// Any set of machines, also more than the tolerated number, may lose power at the same time, and again during recovery. No
+// acknowledged write is lost, and writes succeed after the restart.
+func TestNoWriteIsLostWhenAnySubsetLosesPower(t *testing.T) {
+	schedulesWithViolations := runAllSimultaneousFaults(t, powerLossFaults())
+	convey.Convey("No subset of three or five machines loses an acknowledged write", t, func() { convey.So(schedulesWithViolations, convey.ShouldEqual, 0) })
 }
 
-// A machine whose disk is full votes for nothing, and what it has stays readable. It goes on by itself once there is room.
-func TestEverySubsetOfDisksIsFull(t *testing.T) {
-	found := playAll(t, fullDisks())
-	convey.Convey("No subset of three or of five loses anything, or acknowledges what is not stored", t, func() {
-		convey.So(found, convey.ShouldEqual, 0)
+// A machine with a full disk must not vote, its stored values must stay readable, and it must resume by itself once the disk has
+// space.
+func TestNoWriteIsLostWhenAnySubsetOfDisksIsFull(t *testing.T) {
+	schedulesWithViolations := runAllSimultaneousFaults(t, fullDiskFaults())
+	convey.Convey("No subset of three or five machines loses an acknowledged write, or acknowledges an entry that is not stored", t, func() {
+		convey.So(schedulesWithViolations, convey.ShouldEqual, 0)
 	})
 }
--- a/internal/controlplane/replicaset/wire_test.go
+++ b/internal/controlplane/replicaset/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks that the encoded messages and the stored view match the golden file.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "view request", Value: new(viewRequest)},
 		goldentest.Form{Name: "announce request", Value: new(announceRequest)},
@@ -18,8 +18,8 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the names of the table, its keys and the paths of the internal calls.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: TableName, Want: "replicaset"},
 		goldentest.Constant{Have: viewKey, Want: "view"},
--- a/internal/transport/responses_test.go
+++ b/internal/transport/responses_test.go
@@ -177,7 +177,7 @@
 		})
 		network := networktest.New(1)
 		network.Serve("served:1", process)
-		caller := network.CallerOf(testCluster, "caller:1")
+		caller := network.CallerInCluster(testCluster, "caller:1")
 		send := func(endpoint interface {
 			Call(context.Context, transport.Caller, string, echo) (echo, error)
 		}) error {
@@ -190,8 +190,8 @@
 			t.Fatal(err, process.executions.Load())
 		}
 		time.Sleep(time.Hour) // the client's reading of the callee's clock remains valid
-		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, Times: 1})
-		network.AddRule(networktest.Rule{Path: idempotent.Path(), Delay: 20 * time.Second, Times: 1})
+		network.AddRule(networktest.Rule{Path: countCall.Path(), Delay: 20 * time.Second, MaxMatches: 1})
+		network.AddRule(networktest.Rule{Path: idempotent.Path(), Delay: 20 * time.Second, MaxMatches: 1})
 		if err := send(countCall); rpcerror.ExecutionOf(err) != rpcerror.MayHaveExecuted {
 			t.Error("a call that the callee had not received yet was reported as not executed:", err)
 		}
