--- a/internal/controlplane/feed/configurationcatalog.go
+++ b/internal/controlplane/feed/configurationcatalog.go
@@ -6,26 +6,26 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// maxPreviousVersions is for how many previous configurations a catalog knows which chunks have changed since. A reader of an
-// older one gets the manifest alone and requests the chunks that it lacks.
+// maxPreviousVersions is the number of previous configurations whose chunk checksums a catalog keeps. A reader of an older
+// version gets only the manifest and requests the chunks that it lacks.
 const maxPreviousVersions = 16
 
-// ConfigurationCatalog has the newest configuration by chunks, and the checksums of the chunks of some previous ones. Its methods
-// may be called from any goroutine. The zero value is empty.
+// ConfigurationCatalog holds the chunks of the newest configuration and the chunk checksums of some previous ones. Its methods
+// are safe for concurrent use. The zero value is an empty catalog.
 type ConfigurationCatalog struct {
 	mutex    sync.Mutex
 	version  uint64
-	newest   *chunks.Chunking  // nil before the first
+	newest   *chunks.Chunking  // nil before the first configuration
 	previous []previousVersion // oldest first
 }
 
-// previousVersion is a previous version of the configuration by its chunks.
+// previousVersion holds the chunk checksums of a previous configuration.
 type previousVersion struct {
 	number uint64
 	sums   []chunks.Sum
 }
 
-// Publish makes a configuration the newest one, unless its version is not newer.
+// Publish makes body the newest configuration. It does nothing unless version is higher than the current version.
 func (c *ConfigurationCatalog) Publish(version uint64, body []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -39,30 +39,30 @@
 	c.version, c.newest = version, chunks.NewChunking(body, c.newest)
 }
 
-// current returns the newest configuration.
+// current returns the version and the chunks of the newest configuration.
 func (c *ConfigurationCatalog) current() (version uint64, chunking *chunks.Chunking) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version, c.newest
 }
 
-// Offer describes the newest configuration and its version to a reader that has an earlier one, and has chunks that the reader
-// lacks, of at most maxBytes bytes. There must be a configuration.
+// Offer returns the version of the newest configuration and an Offer of it for a reader that has the version known. The Offer
+// contains at most maxBytes bytes of the chunks that the reader lacks. The catalog must not be empty.
 func (c *ConfigurationCatalog) Offer(known uint64, maxBytes int) (version uint64, offer *Offer) {
 	version, chunking := c.current()
 	offer = &Offer{Manifest: chunking.Manifest()}
-	if source, found := c.cachedChunks(known); found {
+	if source, found := c.readerChunks(known); found {
 		offer.Chunks = chunking.Packed(chunks.MissingFrom(chunking.Sums(), source), maxBytes)
 	}
 	return version, offer
 }
 
-// cachedChunks is the chunks that a reader of a previous version has, if that is known; a reader of version 0 has none. The
-// source tells only whether a chunk is there, and returns no content.
-func (c *ConfigurationCatalog) cachedChunks(known uint64) (chunks.Source, bool) {
-	cached := make(map[chunks.Sum]struct{})
+// readerChunks returns a source with the chunks that a reader of the version known has. It returns false if the catalog doesn't
+// hold that version. A reader of version 0 has no chunks. The source only reports whether a chunk exists and returns no content.
+func (c *ConfigurationCatalog) readerChunks(known uint64) (chunks.Source, bool) {
+	held := make(map[chunks.Sum]struct{})
 	source := func(sum chunks.Sum) ([]byte, bool) {
-		_, found := cached[sum]
+		_, found := held[sum]
 		return nil, found
 	}
 	if known == 0 {
@@ -75,15 +75,15 @@
 			continue
 		}
 		for _, sum := range previous.sums {
-			cached[sum] = struct{}{}
+			held[sum] = struct{}{}
 		}
 		return source, true
 	}
 	return nil, false
 }
 
-// Chunks returns the requested chunks of the newest configuration, packed, and at most maxBytes bytes of them, but always the
-// first one that is there.
+// Chunks returns the requested chunks of the newest configuration in packed form, at most maxBytes bytes of them. It always
+// returns the first requested chunk that exists, even if that chunk exceeds maxBytes.
 func (c *ConfigurationCatalog) Chunks(sums []chunks.Sum, maxBytes int) [][]byte {
 	_, chunking := c.current()
 	if chunking == nil {
@@ -92,7 +92,7 @@
 	return chunking.PackedAtLeastOne(sums, maxBytes)
 }
 
-// Chunk returns a chunk of the newest configuration. It is a chunks.Source.
+// Chunk returns one chunk of the newest configuration. The method can be used as a chunks.Source.
 func (c *ConfigurationCatalog) Chunk(sum chunks.Sum) (chunk []byte, found bool) {
 	_, chunking := c.current()
 	if chunking == nil {
--- a/internal/controlplane/feed/digest.go
+++ b/internal/controlplane/feed/digest.go
@@ -20,13 +20,14 @@
 	}
 }
 
-// membersSum is 0 for no members at all, so that an empty Digest names an empty Snapshot.
-func membersSum(core, front []string) uint64 {
-	if len(core) == 0 && len(front) == 0 {
+// membersSum returns a checksum of the member addresses. It is 0 if there are no members, so that the zero Digest is the digest
+// of an empty Snapshot.
+func membersSum(core, agents []string) uint64 {
+	if len(core) == 0 && len(agents) == 0 {
 		return 0
 	}
 	hash := xxh3.New()
-	for _, list := range [][]string{core, front} {
+	for _, list := range [][]string{core, agents} {
 		for _, address := range list {
 			hash.WriteString(address)
 			hash.WriteString("\n")
@@ -36,8 +37,8 @@
 	return hash.Sum64()
 }
 
-// Lacks tells whether other names a newer configuration or a newer leader than d. Members have no version and are not
-// compared.
+// Lacks reports whether other has a newer configuration or a newer leader than d. It doesn't compare members, because they have
+// no version.
 func (d Digest) Lacks(other Digest) bool {
 	if other.ConfigurationVersion > d.ConfigurationVersion {
 		return true
@@ -50,12 +51,13 @@
 	return false
 }
 
-// differsInMembers tells whether other names members, and not those that d names.
+// differsInMembers reports whether other has members and they differ from those of d.
 func (d Digest) differsInMembers(other Digest) bool {
 	return other.MembersSum != 0 && other.MembersSum != d.MembersSum
 }
 
-// mergedWith is s with the newer configuration and the newer leaders of both. Versions and terms never decrease.
+// mergedWith returns s with the newer configuration and the newer leaders of s and update. Versions and terms never decrease. A
+// newer version without its configuration is ignored.
 func (s Snapshot) mergedWith(update *Snapshot) Snapshot {
 	if update.ConfigurationVersion > s.ConfigurationVersion && len(update.Configuration) > 0 {
 		s.ConfigurationVersion = update.ConfigurationVersion
@@ -72,7 +74,7 @@
 	return s
 }
 
-// withMembersOf is s with the members of update, unless it has none.
+// withMembersOf returns s with the members of update. It returns s unchanged if update has no core nodes.
 func (s Snapshot) withMembersOf(update *Snapshot) Snapshot {
 	if len(update.Core) > 0 {
 		s.Core = slices.Clone(update.Core)
--- a/internal/controlplane/feed/doc.go
+++ b/internal/controlplane/feed/doc.go
@@ -1,9 +1,11 @@
-// Package feed has what the control plane publishes to the data plane: the configuration in force, who leads which replication
-// group, and which nodes exist. A Snapshot is the whole of it. A Digest names the state of a Snapshot, so that a reader fetches
-// only what it lacks; versions and terms only grow, and the newest wins.
+// Package feed defines what the control plane publishes to the data plane, and a store for it. The published state consists of
+// the configuration in force, the leader of each replication group, and the addresses of all nodes.
 //
-// Core nodes serve the feed (package feedserver) to the agents of front machines, by a call that waits for the next change.
-// Agents spread it among each other by anti-entropy, digests first and then what the other lacks (A. Demers et al., Epidemic
-// Algorithms for Replicated Database Maintenance, PODC 1987), and serve it to the proxy beside them. Configurations are sent by
-// content-defined chunks, of which a reader takes those that differ from what it has.
+// A Snapshot is the complete state. A Digest identifies the state that a reader has, so that the reader receives only what it
+// lacks. Configuration versions and leader terms never decrease, and the highest one always wins.
+//
+// Coordinators serve the feed to agents through a long poll (package feedserver). Agents also spread it among each other by
+// anti-entropy: they exchange digests first, and then what the other side lacks (A. Demers et al., Epidemic Algorithms for
+// Replicated Database Maintenance, PODC 1987). Each agent serves the feed to the proxy on its machine. A configuration is sent
+// as content-defined chunks, and a reader fetches only the chunks that it lacks.
 package feed
--- a/internal/controlplane/feed/snapshotstore.go
+++ b/internal/controlplane/feed/snapshotstore.go
@@ -8,34 +8,35 @@
 	"puffinlink.example/puffinlink/internal/controlplane/chunks"
 )
 
-// SnapshotStore has the newest known state of the feed and wakes those who wait for a change. Its methods may be called from
-// any goroutine. The snapshots and digests that it returns are shared and must not be modified.
+// SnapshotStore holds the newest known state of the feed and notifies waiting readers of changes. Its methods are safe for
+// concurrent use. The snapshots and digests that it returns are shared and must not be modified.
 type SnapshotStore struct {
 	mutex    sync.Mutex
 	snapshot Snapshot
 	digest   Digest
-	changed  chan struct{}        // closed at the next change
+	changed  chan struct{}        // closed and replaced at each change
 	catalog  ConfigurationCatalog // the configuration of snapshot
 }
 
-// NewSnapshotStore makes an empty SnapshotStore.
+// NewSnapshotStore returns an empty SnapshotStore.
 func NewSnapshotStore() *SnapshotStore { return &SnapshotStore{changed: make(chan struct{})} }
 
-// Snapshot returns the state.
+// Snapshot returns the current state.
 func (s *SnapshotStore) Snapshot() Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.snapshot
 }
 
-// Digest returns the digest of the state.
+// Digest returns the digest of the current state.
 func (s *SnapshotStore) Digest() Digest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.digest
 }
 
-// Merge takes a newer configuration and newer leaders from update, and tells whether the state changed.
+// Merge merges the configuration and the leaders of update that are newer, and ignores its members. It reports whether the state
+// changed.
 func (s *SnapshotStore) Merge(update *Snapshot) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -45,13 +46,14 @@
 	return s.setSnapshot(s.snapshot.mergedWith(update))
 }
 
-// MergeWithMembers does as Merge and replaces the members as well, unless update has none.
+// MergeWithMembers is like Merge but also replaces the members, unless update has no core nodes.
 func (s *SnapshotStore) MergeWithMembers(update *Snapshot) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.setSnapshot(s.snapshot.mergedWith(update).withMembersOf(update))
 }
 
+// setSnapshot stores snapshot and wakes waiting readers, and reports whether the state changed. The caller must hold the mutex.
 func (s *SnapshotStore) setSnapshot(snapshot Snapshot) bool {
 	digest := snapshot.Digest()
 	if !s.digest.Lacks(digest) && !s.digest.differsInMembers(digest) {
@@ -64,8 +66,8 @@
 	return true
 }
 
-// UpdateSince returns what a reader with the digest known lacks, or nil, and a channel that is closed at the next change.
-// Members other than those of known count as a change.
+// UpdateSince returns what a reader with the digest known lacks, or nil if it lacks nothing. It also returns a channel that is
+// closed at the next change. Members that differ from those of known count as a change.
 func (s *SnapshotStore) UpdateSince(known Digest) (update *Snapshot, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -75,7 +77,8 @@
 	return s.updateFor(known), s.changed
 }
 
-// NewerThan returns the configuration and the leaders if a reader with the digest known lacks some of them, else nil.
+// NewerThan returns an update without members for a reader with the digest known. It returns nil if the reader has the newest
+// configuration and leaders.
 func (s *SnapshotStore) NewerThan(known Digest) *Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,7 +90,8 @@
 	return update
 }
 
-// updateFor is the snapshot without the configuration or the members, where the reader has them. It needs the mutex.
+// updateFor returns the snapshot without the configuration and the members that the reader already has. The caller must hold the
+// mutex.
 func (s *SnapshotStore) updateFor(known Digest) *Snapshot {
 	update := s.snapshot
 	if known.ConfigurationVersion >= update.ConfigurationVersion {
@@ -99,8 +103,9 @@
 	return &update
 }
 
-// AsOffer returns update with an Offer instead of the configuration, for a reader with the digest known that takes maxBytes
-// bytes of chunks. With maxBytes 0 or less, and without a configuration, it returns update as it is.
+// AsOffer returns a copy of update with an Offer instead of the configuration, for a reader with the digest known. The Offer
+// contains at most maxBytes bytes of chunks. If maxBytes is 0 or less, or update has no configuration, AsOffer returns update
+// itself.
 func (s *SnapshotStore) AsOffer(update *Snapshot, known Digest, maxBytes int) *Snapshot {
 	if update == nil || maxBytes <= 0 || len(update.Configuration) == 0 {
 		return update
@@ -111,22 +116,22 @@
 	return &offered
 }
 
-// Chunks serves a ChunksRequest.
+// Chunks returns the reply to a ChunksRequest.
 func (s *SnapshotStore) Chunks(request ChunksRequest) ChunksReply {
 	return ChunksReply{Chunks: s.catalog.Chunks(chunks.ParseSums(request.Sums), request.MaxBytes)}
 }
 
-// Chunk returns a chunk of the newest configuration. It is a chunks.Source.
+// Chunk returns one chunk of the newest configuration. The method can be used as a chunks.Source.
 func (s *SnapshotStore) Chunk(sum chunks.Sum) (chunk []byte, found bool) { return s.catalog.Chunk(sum) }
 
-// Wait returns what a reader with the digest known lacks as soon as there is something, and nil once limit has passed or ctx
-// has ended without a change.
-func (s *SnapshotStore) Wait(ctx context.Context, known Digest, limit time.Duration) *Snapshot {
+// Wait waits until a reader with the digest known lacks something, and returns that update. It returns nil if timeout has passed
+// or ctx has ended first.
+func (s *SnapshotStore) Wait(ctx context.Context, known Digest, timeout time.Duration) *Snapshot {
 	update, changed := s.UpdateSince(known)
-	if update != nil || limit <= 0 {
+	if update != nil || timeout <= 0 {
 		return update
 	}
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		select {
--- a/internal/controlplane/feed/snapshotstore_test.go
+++ b/internal/controlplane/feed/snapshotstore_test.go
@@ -11,7 +11,8 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func snapshotOf(version uint64, term uint64, core ...string) *Snapshot {
+// testSnapshot returns a snapshot with one leader, of group g.
+func testSnapshot(version uint64, term uint64, core ...string) *Snapshot {
 	return &Snapshot{
 		ConfigurationVersion: version,
 		Configuration:        []byte{byte(version)},
@@ -20,21 +21,21 @@
 	}
 }
 
-func TestSnapshotsNeverGoBack(t *testing.T) {
+func TestMergeIgnoresOlderVersionsAndTerms(t *testing.T) {
 	Convey("Given a store with a snapshot", t, func() {
 		store := NewSnapshotStore()
-		So(store.MergeWithMembers(snapshotOf(5, 3, "a:1")), ShouldBeTrue)
+		So(store.MergeWithMembers(testSnapshot(5, 3, "a:1")), ShouldBeTrue)
 
 		Convey("older configurations and leaders are ignored", func() {
-			So(store.Merge(snapshotOf(4, 2)), ShouldBeFalse)
-			So(store.MergeWithMembers(snapshotOf(4, 2, "a:1")), ShouldBeFalse)
-			So(store.Snapshot(), ShouldResemble, *snapshotOf(5, 3, "a:1"))
+			So(store.Merge(testSnapshot(4, 2)), ShouldBeFalse)
+			So(store.MergeWithMembers(testSnapshot(4, 2, "a:1")), ShouldBeFalse)
+			So(store.Snapshot(), ShouldResemble, *testSnapshot(5, 3, "a:1"))
 		})
-		Convey("newer ones are merged, each for itself", func() {
-			So(store.Merge(snapshotOf(6, 2)), ShouldBeTrue)
-			So(store.Snapshot(), ShouldResemble, *snapshotOf(6, 3, "a:1"))
-			So(store.Merge(snapshotOf(1, 4)), ShouldBeTrue)
-			So(store.Snapshot(), ShouldResemble, *snapshotOf(6, 4, "a:1"))
+		Convey("newer configurations and leaders are merged independently", func() {
+			So(store.Merge(testSnapshot(6, 2)), ShouldBeTrue)
+			So(store.Snapshot(), ShouldResemble, *testSnapshot(6, 3, "a:1"))
+			So(store.Merge(testSnapshot(1, 4)), ShouldBeTrue)
+			So(store.Snapshot(), ShouldResemble, *testSnapshot(6, 4, "a:1"))
 			So(store.Digest(), ShouldResemble, store.snapshot.Digest())
 		})
 		Convey("a version without its configuration is ignored", func() {
@@ -45,28 +46,28 @@
 			So(store.Merge(&Snapshot{Leaders: map[string]Leader{"h": {Term: 1}}}), ShouldBeTrue)
 			So(store.Digest().LeaderTerms, ShouldResemble, map[string]uint64{"g": 3, "h": 1})
 		})
-		Convey("members are replaced by MergeWithMembers only, and only by other members", func() {
-			So(store.Merge(snapshotOf(5, 3, "b:1")), ShouldBeFalse)
-			So(store.MergeWithMembers(snapshotOf(5, 3)), ShouldBeFalse)
-			So(store.MergeWithMembers(snapshotOf(5, 3, "b:1")), ShouldBeTrue)
+		Convey("only MergeWithMembers replaces members, and only if the update has different ones", func() {
+			So(store.Merge(testSnapshot(5, 3, "b:1")), ShouldBeFalse)
+			So(store.MergeWithMembers(testSnapshot(5, 3)), ShouldBeFalse)
+			So(store.MergeWithMembers(testSnapshot(5, 3, "b:1")), ShouldBeTrue)
 			So(store.Snapshot().Core, ShouldResemble, []string{"b:1"})
 		})
 	})
 }
 
-func TestUpdatesHoldWhatADigestLacks(t *testing.T) {
+func TestUpdateContainsOnlyWhatReaderLacks(t *testing.T) {
 	Convey("Given a store with a snapshot", t, func() {
 		store := NewSnapshotStore()
-		store.MergeWithMembers(snapshotOf(5, 3, "a:1"))
+		store.MergeWithMembers(testSnapshot(5, 3, "a:1"))
 		digest := store.Digest()
 
 		Convey("an empty digest lacks everything", func() {
 			update, _ := store.UpdateSince(Digest{})
-			So(update, ShouldResemble, snapshotOf(5, 3, "a:1"))
-			So(store.NewerThan(Digest{}), ShouldResemble, snapshotOf(5, 3))
+			So(update, ShouldResemble, testSnapshot(5, 3, "a:1"))
+			So(store.NewerThan(Digest{}), ShouldResemble, testSnapshot(5, 3))
 		})
-		Convey("the same digest lacks nothing, nor does a newer one", func() {
-			newer := snapshotOf(6, 4, "a:1").Digest()
+		Convey("neither the same digest nor a newer one lacks anything", func() {
+			newer := testSnapshot(6, 4, "a:1").Digest()
 			for _, known := range []Digest{digest, newer} {
 				update, _ := store.UpdateSince(known)
 				So(update, ShouldBeNil)
@@ -74,17 +75,17 @@
 			}
 		})
 		Convey("a known configuration is not sent again", func() {
-			update, _ := store.UpdateSince(snapshotOf(5, 2, "a:1").Digest())
+			update, _ := store.UpdateSince(testSnapshot(5, 2, "a:1").Digest())
 			So(update.Configuration, ShouldBeNil)
 			So(update.Leaders["g"].Term, ShouldEqual, 3)
 		})
-		Convey("other members are a change, except for NewerThan", func() {
-			known := snapshotOf(5, 3, "b:1").Digest()
+		Convey("different members are an update, but not for NewerThan", func() {
+			known := testSnapshot(5, 3, "b:1").Digest()
 			update, _ := store.UpdateSince(known)
 			So(update.Core, ShouldResemble, []string{"a:1"})
 			So(store.NewerThan(known), ShouldBeNil)
 		})
-		Convey("a store without members has no update of them", func() {
+		Convey("a store without members returns no update of members", func() {
 			empty := NewSnapshotStore()
 			update, _ := empty.UpdateSince(digest)
 			So(update, ShouldBeNil)
@@ -92,25 +93,25 @@
 	})
 }
 
-func TestWaitEndsWithAnUpdateOrATimeout(t *testing.T) {
+func TestWaitReturnsOnUpdateTimeoutOrCancellation(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("Without a change it ends after the limit", t, func() {
-			began := time.Now()
+		Convey("Without a change it returns after the timeout", t, func() {
+			start := time.Now()
 			So(NewSnapshotStore().Wait(context.Background(), Digest{}, time.Second), ShouldBeNil)
-			So(time.Since(began), ShouldEqual, time.Second)
+			So(time.Since(start), ShouldEqual, time.Second)
 		})
-		Convey("A change that the reader lacks ends it at once, any other does not", t, func() {
+		Convey("It returns at once on a change that the reader lacks, and ignores other changes", t, func() {
 			store := NewSnapshotStore()
-			store.Merge(snapshotOf(5, 3))
-			ended := make(chan *Snapshot)
-			go func() { ended <- store.Wait(context.Background(), snapshotOf(7, 3).Digest(), time.Hour) }()
+			store.Merge(testSnapshot(5, 3))
+			updates := make(chan *Snapshot)
+			go func() { updates <- store.Wait(context.Background(), testSnapshot(7, 3).Digest(), time.Hour) }()
 			synctest.Wait()
-			store.Merge(snapshotOf(6, 3))
+			store.Merge(testSnapshot(6, 3))
 			synctest.Wait()
-			store.Merge(snapshotOf(6, 4))
-			So((<-ended).Leaders["g"].Term, ShouldEqual, 4)
+			store.Merge(testSnapshot(6, 4))
+			So((<-updates).Leaders["g"].Term, ShouldEqual, 4)
 		})
-		Convey("It ends with its context", t, func() {
+		Convey("It returns when its context ends", t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			So(NewSnapshotStore().Wait(ctx, Digest{}, time.Hour), ShouldBeNil)
--- a/internal/controlplane/feed/wire_test.go
+++ b/internal/controlplane/feed/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles guards the encoded forms of the types that are exchanged with other builds.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.MessagePack,
 		goldentest.Form{Name: "leader", Value: new(Leader)},
 		goldentest.Form{Name: "digest", Value: new(Digest)},
@@ -23,8 +23,8 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged guards the constants that are exchanged with other builds.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: WatchCall.Path(), Want: "/feed/watch"},
 		goldentest.Constant{Have: ExchangeCall.Path(), Want: "/feed/exchange"},
--- a/internal/controlplane/feedserver/agentset.go
+++ b/internal/controlplane/feedserver/agentset.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// contactTimeout is how long an agent counts as active after its last call.
+	// contactTimeout is the time since its last call for which an agent counts as active.
 	contactTimeout = 10 * time.Second
-	// minSilenceOfSuspect is how long an agent must not have called before the suspicion of another one removes it.
-	minSilenceOfSuspect = 3 * time.Second
+	// minSuspectSilence is the minimum time since the last call of an agent before a report by another agent can remove it.
+	minSuspectSilence = 3 * time.Second
 )
 
-// agentSet tracks which agents have called lately, this core node or another one.
+// agentSet tracks the agents that have recently called this core node or another one. Its methods are safe for concurrent use.
 type agentSet struct {
 	mutex       sync.Mutex
 	lastContact map[string]time.Time
-	removedAt   map[string]time.Time // when a suspicion removed an agent, so that an older contact does not add it again
+	removedAt   map[string]time.Time // when an agent was removed as a suspect; an older contact must not add it again
 }
 
 func newAgentSet() *agentSet {
 	return &agentSet{lastContact: make(map[string]time.Time), removedAt: make(map[string]time.Time)}
 }
 
-// recordContact records that an agent called at a time, and tells whether it was added.
+// recordContact records a call of an agent and reports whether the call added the agent.
 func (a *agentSet) recordContact(address string, at time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -42,12 +42,12 @@
 	return !active
 }
 
-// reportSuspect removes an agent that has not called for some time, and tells whether it did.
-func (a *agentSet) reportSuspect(address string, now time.Time) bool {
+// removeSuspect removes an agent that has not called for minSuspectSilence, and reports whether it did so.
+func (a *agentSet) removeSuspect(address string, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	last, active := a.lastContact[address]
-	if !active || now.Sub(last) < minSilenceOfSuspect {
+	if !active || now.Sub(last) < minSuspectSilence {
 		return false
 	}
 	delete(a.lastContact, address)
@@ -55,12 +55,12 @@
 	return true
 }
 
-// active lists the active agents, sorted, and forgets the others.
+// active returns the sorted addresses of the active agents, and deletes expired entries.
 func (a *agentSet) active(now time.Time) []string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	forgetExpired(a.lastContact, now)
-	forgetExpired(a.removedAt, now)
+	deleteExpired(a.lastContact, now)
+	deleteExpired(a.removedAt, now)
 	addresses := make([]string, 0, len(a.lastContact))
 	for address := range a.lastContact {
 		addresses = append(addresses, address)
@@ -69,7 +69,8 @@
 	return addresses
 }
 
-func forgetExpired(times map[string]time.Time, now time.Time) {
+// deleteExpired deletes the entries that are older than contactTimeout.
+func deleteExpired(times map[string]time.Time, now time.Time) {
 	for address, at := range times {
 		if now.Sub(at) > contactTimeout {
 			delete(times, address)
@@ -77,7 +78,7 @@
 	}
 }
 
-// contacts is what is sent to other core nodes.
+// contacts returns the message for other core nodes.
 func (a *agentSet) contacts(now time.Time) feed.AgentContacts {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -88,7 +89,7 @@
 	return contacts
 }
 
-// merge records the contacts of another core node, and tells whether an agent was added.
+// merge records the contacts of another core node and reports whether an agent was added.
 func (a *agentSet) merge(contacts feed.AgentContacts, now time.Time) bool {
 	added := false
 	for _, agent := range contacts.Agents {
--- a/internal/controlplane/feedserver/feedserver.go
+++ b/internal/controlplane/feedserver/feedserver.go
@@ -1,5 +1,6 @@
-// Package feedserver is the core nodes' side of the feed (package feed). It publishes the state of its Sources to the agents,
-// which wait for changes by a call, and tracks which agents there are: those that have called any core node lately.
+// Package feedserver serves the feed (package feed) on core nodes. It publishes the state of its Sources to agents, which wait for
+// changes with a long poll. It also tracks the active agents: those that have recently called any core node. A reply is marked as
+// current only while this core node is in contact with a majority, and it then contains the newest configuration known here.
 package feedserver
 
 import (
@@ -14,54 +15,54 @@
 )
 
 const (
-	// maxWait bounds how long a watch waits for a change.
-	maxWait = 2 * time.Second
-	// batchDelay is for how long changes in quick succession are gathered before they are published.
+	// maxWatchWait limits the time for which a watch call waits for a change.
+	maxWatchWait = 2 * time.Second
+	// batchDelay is the time for which changes are collected before they are published together.
 	batchDelay = 20 * time.Millisecond
-	// agentBatchDelay is the same for changes of the agents, which are not urgent.
+	// agentBatchDelay is the corresponding delay for changes to the set of agents, which are less urgent.
 	agentBatchDelay = 500 * time.Millisecond
 	// expiryInterval is the interval between checks for agents that have not called for contactTimeout.
 	expiryInterval = time.Second
-	// exchangeInterval is the interval between exchanges of agents with another core node.
+	// exchangeInterval is the interval between exchanges of agent contacts with another core node.
 	exchangeInterval = time.Second
-	// exchangeTimeout bounds one such exchange.
+	// exchangeTimeout limits the duration of one exchange of agent contacts.
 	exchangeTimeout = 800 * time.Millisecond
 )
 
-// Sources are where the published state comes from. All functions must return quickly.
+// Sources provides the state that a Server publishes. All functions must return quickly.
 type Sources struct {
-	// Configuration returns the newest configuration that a majority has; version 0 before the first.
+	// Configuration returns the newest configuration that a majority has. The version is 0 if there is none yet.
 	Configuration func() (version uint64, body []byte)
 	// Leaders returns the leaders by group.
 	Leaders func() map[string]feed.Leader
 	// Core returns the internal addresses of the core nodes.
 	Core func() []string
-	// InContact tells whether this core node is in contact with a majority that has lately confirmed its state.
+	// InContact reports whether a majority has recently confirmed the state of this core node.
 	InContact func() bool
 	// Changed holds one function per source of changes. Each returns a channel that is closed at the source's next change.
 	Changed []func() <-chan struct{}
 }
 
-// Options are what a Server needs.
+// Options holds the dependencies and settings of a Server.
 type Options struct {
 	Sources Sources
-	// Caller reaches the other core nodes.
+	// Caller makes calls to the other core nodes.
 	Caller transport.Caller
 	// Address is this core node's internal address, host:port.
 	Address string
 	Logger  *zap.Logger
 }
 
-// Server serves the feed. Its methods may be called from any goroutine.
+// Server serves the feed. Its methods are safe for concurrent use.
 type Server struct {
 	options       Options
 	snapshots     *feed.SnapshotStore
 	agents        *agentSet
 	changed       wakeup.Signal // a source may have changed
-	agentsChanged wakeup.Signal // agents came or went
+	agentsChanged wakeup.Signal // the set of agents may have changed
 }
 
-// New makes a Server. It publishes nothing until Run is called.
+// New returns a Server that publishes nothing until Run is called.
 func New(options Options) *Server {
 	return &Server{
 		options:       options,
@@ -72,13 +73,13 @@
 	}
 }
 
-// Notify makes the server publish its sources soon. It never blocks.
+// Notify schedules publishing of the current state of the sources. It never blocks.
 func (s *Server) Notify() { s.changed.Notify() }
 
-// Agents lists the internal addresses of the agents that have called a core node lately, sorted.
+// Agents returns the sorted internal addresses of the agents that have recently called a core node.
 func (s *Server) Agents() []string { return s.agents.active(time.Now()) }
 
-// Mount serves the calls of agents and of other core nodes.
+// Mount registers the handlers for calls from agents and other core nodes.
 func (s *Server) Mount(mux *transport.Mux) {
 	transport.Handle(mux, feed.WatchCall, s.watch)
 	transport.Handle(mux, feed.ChunksCall, s.chunks)
@@ -87,7 +88,7 @@
 
 func (s *Server) watch(ctx context.Context, request feed.WatchRequest) (feed.WatchReply, error) {
 	s.recordWatch(request)
-	wait := min(time.Duration(request.WaitMS)*time.Millisecond, maxWait)
+	wait := min(time.Duration(request.WaitMS)*time.Millisecond, maxWatchWait)
 	if !s.options.Sources.InContact() {
 		wait = 0
 	}
@@ -104,19 +105,19 @@
 	return s.snapshots.Chunks(request), nil
 }
 
-// isStale tells whether the newest configuration known here has not been published yet. A node that regains contact is current
-// from the moment at which it learns what it has missed, and must not reply as current without it.
+// isStale reports whether the newest configuration known here has not been published yet. A core node that regains contact with
+// a majority is current as soon as it knows the configuration that it missed. Its current replies must contain that configuration.
 func (s *Server) isStale() bool {
 	version, _ := s.options.Sources.Configuration()
 	return version > s.snapshots.Digest().ConfigurationVersion
 }
 
-// recordWatch notes that an agent has called, and whom it suspects.
+// recordWatch records the contact of the calling agent and processes the suspects that it reports.
 func (s *Server) recordWatch(request feed.WatchRequest) {
 	now := time.Now()
 	changed := request.Agent != "" && s.agents.recordContact(request.Agent, now)
 	for _, address := range request.Suspects {
-		if s.agents.reportSuspect(address, now) {
+		if s.agents.removeSuspect(address, now) {
 			s.options.Logger.Info("agent removed from the feed", zap.String("agent", address), zap.String("reporter", request.Agent))
 			changed = true
 		}
--- a/internal/controlplane/feedserver/feedserver_test.go
+++ b/internal/controlplane/feedserver/feedserver_test.go
@@ -17,7 +17,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// fakeSource is a source whose state tests change.
+// fakeSource provides Sources whose state is set by tests.
 type fakeSource struct {
 	mutex     sync.Mutex
 	version   uint64
@@ -64,26 +64,26 @@
 	}
 }
 
-// coreCaller reaches servers in the same process.
-type coreCaller map[string]*Server
+// inProcessCaller is a transport.Caller that calls servers in the same process by their address.
+type inProcessCaller map[string]*Server
 
-func (c coreCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
-	server, there := c[address]
-	if !there || route.Path() != feed.AgentContactsCall.Path() {
+func (c inProcessCaller) Call(ctx context.Context, address string, route transport.Route, request, reply any) error {
+	server, found := c[address]
+	if !found || route.Path() != feed.AgentContactsCall.Path() {
 		return errors.New("unreachable")
 	}
-	answer, err := server.exchangeContacts(ctx, request.(feed.AgentContacts))
-	*reply.(*feed.AgentContacts) = answer
+	contacts, err := server.exchangeContacts(ctx, request.(feed.AgentContacts))
+	*reply.(*feed.AgentContacts) = contacts
 	return err
 }
 
-func newServer(source *fakeSource, address string, caller coreCaller) *Server {
+func newServer(source *fakeSource, address string, caller inProcessCaller) *Server {
 	server := New(Options{Sources: source.sources(), Caller: caller, Address: address, Logger: zap.NewNop()})
 	caller[address] = server
 	return server
 }
 
-// startServers runs servers until the function that it returns is called.
+// startServers runs servers until the returned function is called.
 func startServers(servers ...*Server) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -102,32 +102,32 @@
 	return reply
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchRepliesOnChangeOrTimeout(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		source := newFakeSource()
-		server := newServer(source, "a:1", coreCaller{})
+		server := newServer(source, "a:1", inProcessCaller{})
 		stop := startServers(server)
 		synctest.Wait()
 
 		Convey("A reader that lacks something gets a reply at once", t, func() {
-			began := time.Now()
+			start := time.Now()
 			reply := watch(server, feed.Digest{}, time.Second, "")
-			So(time.Since(began), ShouldEqual, 0)
+			So(time.Since(start), ShouldEqual, 0)
 			So(reply.Current, ShouldBeTrue)
 			So(reply.Changed, ShouldBeTrue)
 			So(reply.Snapshot.Core, ShouldResemble, []string{"a:1", "b:1"})
 		})
-		Convey("Without a change the reply comes after the requested time, which is bounded", t, func() {
-			for _, c := range []struct{ asked, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxWait}} {
-				began := time.Now()
-				reply := watch(server, server.snapshots.Digest(), c.asked, "")
-				So(time.Since(began), ShouldEqual, c.waited)
+		Convey("Without a change the reply arrives after the requested wait, which is limited to maxWatchWait", t, func() {
+			for _, c := range []struct{ requested, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxWatchWait}} {
+				start := time.Now()
+				reply := watch(server, server.snapshots.Digest(), c.requested, "")
+				So(time.Since(start), ShouldEqual, c.waited)
 				So(reply, ShouldResemble, feed.WatchReply{Current: true})
 			}
 		})
-		Convey("A change reaches all who wait, and changes in quick succession are published together", t, func() {
+		Convey("All waiting readers get a change, and changes in quick succession are published together", t, func() {
 			replies := make(chan feed.WatchReply, 3)
-			began := time.Now()
+			start := time.Now()
 			known := server.snapshots.Digest()
 			for range cap(replies) {
 				go func() {
@@ -143,9 +143,9 @@
 				So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 5)
 				So(reply.Snapshot.Leaders["g"].Term, ShouldEqual, 2)
 			}
-			So(time.Since(began), ShouldEqual, batchDelay)
+			So(time.Since(start), ShouldEqual, batchDelay)
 		})
-		Convey("A current reply has the newest configuration, even before it has been published", t, func() {
+		Convey("A current reply contains the newest configuration even before that is published", t, func() {
 			source.update(func(s *fakeSource) { s.version = 6 })
 			for _, known := range []feed.Digest{{}, server.snapshots.Digest()} {
 				reply := watch(server, known, 0, "")
@@ -154,11 +154,11 @@
 				So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 6)
 			}
 		})
-		Convey("Without contact to a majority the reply is not current, and comes at once", t, func() {
+		Convey("Without contact with a majority the reply is not current and is sent at once", t, func() {
 			source.update(func(s *fakeSource) { s.inContact = false })
-			began := time.Now()
+			start := time.Now()
 			So(watch(server, server.snapshots.Digest(), time.Second, "").Current, ShouldBeFalse)
-			So(time.Since(began), ShouldEqual, 0)
+			So(time.Since(start), ShouldEqual, 0)
 			source.update(func(s *fakeSource) { s.inContact = true })
 		})
 		Convey("If contact is lost while a reader waits, the reply is not current", t, func() {
@@ -179,63 +179,63 @@
 func TestAgentsAreTrackedAcrossCoreNodes(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		source := newFakeSource()
-		caller := coreCaller{}
-		here, there := newServer(source, "a:1", caller), newServer(source, "b:1", caller)
-		stop := startServers(here, there)
-		<-time.After(batchDelay) // the first state has been published
+		caller := inProcessCaller{}
+		first, second := newServer(source, "a:1", caller), newServer(source, "b:1", caller)
+		stop := startServers(first, second)
+		<-time.After(batchDelay) // wait until the initial state is published
 		synctest.Wait()
 
-		Convey("Agents that call are published together after a delay, also by the other core nodes", t, func() {
-			began := time.Now()
-			known := here.snapshots.Digest()
-			watch(here, known, 0, "x:2")
-			watch(here, known, 0, "y:2")
-			reply := watch(here, known, 2*time.Second, "y:2")
+		Convey("Agents that call are published together after a delay, by the other core nodes too", t, func() {
+			start := time.Now()
+			known := first.snapshots.Digest()
+			watch(first, known, 0, "x:2")
+			watch(first, known, 0, "y:2")
+			reply := watch(first, known, 2*time.Second, "y:2")
 			So(reply.Snapshot.Agents, ShouldResemble, []string{"x:2", "y:2"})
-			So(time.Since(began), ShouldEqual, agentBatchDelay)
+			So(time.Since(start), ShouldEqual, agentBatchDelay)
 			<-time.After(2 * exchangeInterval)
-			So(there.snapshots.Snapshot().Agents, ShouldResemble, []string{"x:2", "y:2"})
+			So(second.snapshots.Snapshot().Agents, ShouldResemble, []string{"x:2", "y:2"})
 		})
-		Convey("A suspicion removes an agent only once it has not called for some time", t, func() {
-			watch(here, feed.Digest{}, 0, "x:2", "y:2")
-			So(here.Agents(), ShouldResemble, []string{"x:2", "y:2"})
-			<-time.After(minSilenceOfSuspect)
-			watch(here, feed.Digest{}, 0, "x:2", "y:2", "unknown:2")
-			So(here.Agents(), ShouldResemble, []string{"x:2"})
+		Convey("A suspect is removed only if it has not called for some time", t, func() {
+			watch(first, feed.Digest{}, 0, "x:2", "y:2")
+			So(first.Agents(), ShouldResemble, []string{"x:2", "y:2"})
+			<-time.After(minSuspectSilence)
+			watch(first, feed.Digest{}, 0, "x:2", "y:2", "unknown:2")
+			So(first.Agents(), ShouldResemble, []string{"x:2"})
 			<-time.After(2 * exchangeInterval)
-			So(here.Agents(), ShouldResemble, []string{"x:2"})
+			So(first.Agents(), ShouldResemble, []string{"x:2"})
 		})
-		Convey("It is added again once it calls any core node", t, func() {
-			watch(there, feed.Digest{}, 0, "y:2")
+		Convey("A removed agent is added again when it calls any core node", t, func() {
+			watch(second, feed.Digest{}, 0, "y:2")
 			<-time.After(2 * exchangeInterval)
-			So(here.Agents(), ShouldResemble, []string{"x:2", "y:2"})
+			So(first.Agents(), ShouldResemble, []string{"x:2", "y:2"})
 		})
-		Convey("Agents that do not call any more expire everywhere", t, func() {
+		Convey("Agents that stop calling expire at all core nodes", t, func() {
 			<-time.After(contactTimeout + exchangeInterval + time.Millisecond)
-			So(here.Agents(), ShouldBeEmpty)
-			So(there.Agents(), ShouldBeEmpty)
+			So(first.Agents(), ShouldBeEmpty)
+			So(second.Agents(), ShouldBeEmpty)
 			<-time.After(expiryInterval)
-			So(here.snapshots.Snapshot().Agents, ShouldBeEmpty)
+			So(first.snapshots.Snapshot().Agents, ShouldBeEmpty)
 		})
 		stop()
 	})
 }
 
-func TestWatchOverLoopback(t *testing.T) {
+func TestWatchReturnsNextChangeOverHTTP(t *testing.T) {
 	Convey("Given a server on loopback", t, func() {
 		source := newFakeSource()
-		server := newServer(source, "a:1", coreCaller{})
+		server := newServer(source, "a:1", inProcessCaller{})
 		mux := transport.NewMux()
 		server.Mount(mux)
-		listening := httptest.NewServer(mux)
+		httpServer := httptest.NewServer(mux)
 		stop := startServers(server)
 		client := transport.NewClient()
 		Reset(func() {
 			client.Close()
-			listening.Close()
+			httpServer.Close()
 			stop()
 		})
-		address := listening.Listener.Addr().String()
+		address := httpServer.Listener.Addr().String()
 		call := func(known feed.Digest) (reply feed.WatchReply) {
 			request := feed.WatchRequest{Known: known, WaitMS: 2000, Agent: "x:2"}
 			So(client.Call(context.Background(), address, feed.WatchCall.Route(), request, &reply), ShouldBeNil)
@@ -261,9 +261,9 @@
 					break
 				}
 			}
-			var shared feed.AgentContacts
-			So(client.Call(context.Background(), address, feed.AgentContactsCall.Route(), feed.AgentContacts{}, &shared), ShouldBeNil)
-			So(shared.Agents[0].Address, ShouldEqual, "x:2")
+			var contacts feed.AgentContacts
+			So(client.Call(context.Background(), address, feed.AgentContactsCall.Route(), feed.AgentContacts{}, &contacts), ShouldBeNil)
+			So(contacts.Agents[0].Address, ShouldEqual, "x:2")
 		})
 	})
 }
--- a/internal/controlplane/feedserver/publish.go
+++ b/internal/controlplane/feedserver/publish.go
@@ -11,20 +11,21 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// Run publishes changes of the sources until ctx ends.
+// Run publishes changes of the sources and exchanges agent contacts with other core nodes until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
 	for _, source := range s.options.Sources.Changed {
-		running.Go(func() { s.follow(ctx, source) })
+		running.Go(func() { s.followSource(ctx, source) })
 	}
 	running.Go(func() { s.exchangePeriodically(ctx) })
 	s.publishChanges(ctx)
 	return nil
 }
 
-// follow notifies of the changes of one source. It gets the channel before the source is read, so that none is missed.
-func (s *Server) follow(ctx context.Context, source func() <-chan struct{}) {
+// followSource calls Notify at the start and after each change of one source. It gets the channel of the next change before the
+// source is read, so that no change is missed.
+func (s *Server) followSource(ctx context.Context, source func() <-chan struct{}) {
 	for {
 		changed := source()
 		s.Notify()
@@ -36,15 +37,16 @@
 	}
 }
 
-// publishChanges publishes at the start, some time after each change, and at intervals, as agents expire without a signal.
+// publishChanges publishes at the start, after each change with a delay that batches changes, and at least every expiryInterval.
+// The interval is necessary because the expiry of an agent sends no notification.
 func (s *Server) publishChanges(ctx context.Context) {
 	s.publish()
 	timer := time.NewTimer(expiryInterval)
 	defer timer.Stop()
-	due := time.Now().Add(expiryInterval)
-	scheduleBy := func(delay time.Duration) {
-		if at := time.Now().Add(delay); at.Before(due) {
-			due = at
+	nextPublish := time.Now().Add(expiryInterval)
+	publishWithin := func(delay time.Duration) {
+		if at := time.Now().Add(delay); at.Before(nextPublish) {
+			nextPublish = at
 			timer.Reset(delay)
 		}
 	}
@@ -53,18 +55,18 @@
 		case <-ctx.Done():
 			return
 		case <-s.changed:
-			scheduleBy(batchDelay)
+			publishWithin(batchDelay)
 		case <-s.agentsChanged:
-			scheduleBy(agentBatchDelay)
+			publishWithin(agentBatchDelay)
 		case <-timer.C:
 			s.publish()
-			due = time.Now().Add(expiryInterval)
+			nextPublish = time.Now().Add(expiryInterval)
 			timer.Reset(expiryInterval)
 		}
 	}
 }
 
-// publish stores the present state of the sources, which wakes those who wait if it has changed.
+// publish stores the current state of the sources. If the state has changed, this wakes the waiting readers.
 func (s *Server) publish() {
 	sources := s.options.Sources
 	version, body := sources.Configuration()
@@ -72,12 +74,12 @@
 		ConfigurationVersion: version,
 		Configuration:        body,
 		Leaders:              sources.Leaders(),
-		Core:                 slices.Sorted(slices.Values(sources.Core())), // the order must not change the checksum
+		Core:                 slices.Sorted(slices.Values(sources.Core())), // sorted, so that the checksum is independent of the order
 		Agents:               s.agents.active(time.Now()),
 	})
 }
 
-// exchangePeriodically exchanges contacts of agents with one other core node after the other.
+// exchangePeriodically exchanges agent contacts with the other core nodes in turn, one per exchangeInterval.
 func (s *Server) exchangePeriodically(ctx context.Context) {
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
@@ -93,6 +95,7 @@
 	}
 }
 
+// peers returns the addresses of the other core nodes.
 func (s *Server) peers() []string {
 	var peers []string
 	for _, address := range s.options.Sources.Core() {
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -15,13 +15,13 @@
 )
 
 // converged is long enough for all agents to be heard of at every coordinator and back at every agent.
-const converged = 10 * time.Second
+const convergenceTime = 10 * time.Second
 
 // inWorld runs a test in virtual time on a fleet that has settled.
-func inWorld(t *testing.T, coordinators, agents int, test func(w *world)) {
+func withTestCluster(t *testing.T, coordinators, agents int, test func(w *testCluster)) {
 	virtualtime.Test(t, func(*testing.T) {
-		w := newWorld(coordinators, agents)
-		<-time.After(converged)
+		w := newTestCluster(coordinators, agents)
+		<-time.After(convergenceTime)
 		synctest.Wait()
 		test(w)
 		w.stop()
@@ -29,7 +29,7 @@
 }
 
 func TestUpdatesReachAllAgents(t *testing.T) {
-	inWorld(t, 3, 8, func(w *world) {
+	withTestCluster(t, 3, 8, func(w *testCluster) {
 		Convey("All agents know all members and are in contact", t, func() {
 			for _, a := range w.agents {
 				So(len(a.Snapshot().Core), ShouldEqual, 3)
@@ -38,9 +38,9 @@
 			}
 		})
 		Convey("A change is pushed at once", t, func() {
-			w.setVersion(5)
+			w.publishVersion(5)
 			<-time.After(50 * time.Millisecond)
-			So(w.stragglers(5), ShouldBeEmpty)
+			So(w.agentsNotAtVersion(5), ShouldBeEmpty)
 		})
 		Convey("Idle agents make few calls", t, func() {
 			w.network.countCalls()
@@ -60,8 +60,8 @@
 	})
 }
 
-func TestAgentsSpreadOverCoordinatorNodes(t *testing.T) {
-	inWorld(t, 3, 30, func(w *world) {
+func TestAgentsAreSpreadAcrossCoordinators(t *testing.T) {
+	withTestCluster(t, 3, 30, func(w *testCluster) {
 		Convey("Every core mixer is followed by a fair share", t, func() {
 			w.network.countCalls()
 			<-time.After(time.Second)
@@ -78,8 +78,8 @@
 	})
 }
 
-func TestCoordinatorNodesThatFail(t *testing.T) {
-	inWorld(t, 3, 8, func(w *world) {
+func TestAgentsKeepContactWhenACoordinatorFails(t *testing.T) {
+	withTestCluster(t, 3, 8, func(w *testCluster) {
 		allInContact := func() {
 			for _, a := range w.agents {
 				So(a.InContact(), ShouldBeTrue)
@@ -91,9 +91,9 @@
 				<-time.After(100 * time.Millisecond)
 				allInContact()
 			}
-			w.setVersion(5)
+			w.publishVersion(5)
 			<-time.After(1500 * time.Millisecond)
-			So(w.stragglers(5), ShouldBeEmpty)
+			So(w.agentsNotAtVersion(5), ShouldBeEmpty)
 		})
 		Convey("Its agents return to it some time after it is back", t, func() {
 			w.network.setPartition(func(string, string) bool { return false })
@@ -108,13 +108,13 @@
 			allInContact()
 		})
 		Convey("One without contact to a majority is left, and its members do not count", t, func() {
-			w.coordinators["core-0"].update(func(c *coordinator) { c.inContact = false })
+			w.coordinators["core-0"].update(func(c *testCoordinator) { c.inContact = false })
 			<-time.After(2 * time.Second)
 			allInContact()
-			w.setVersion(6)
+			w.publishVersion(6)
 			<-time.After(50 * time.Millisecond)
-			So(w.stragglers(6), ShouldBeEmpty)
-			w.coordinators["core-0"].update(func(c *coordinator) { c.inContact = true })
+			So(w.agentsNotAtVersion(6), ShouldBeEmpty)
+			w.coordinators["core-0"].update(func(c *testCoordinator) { c.inContact = true })
 		})
 		Convey("Without any, contact is lost, and back soon after they are", t, func() {
 			w.network.setPartition(func(_, to string) bool { return isCoordinator(to) })
@@ -137,15 +137,15 @@
 }
 
 func TestOlderUpdatesAreNotMerged(t *testing.T) {
-	inWorld(t, 3, 4, func(w *world) {
+	withTestCluster(t, 3, 4, func(w *testCluster) {
 		Convey("A core mixer that is behind moves nobody back", t, func() {
-			w.setVersion(7)
+			w.publishVersion(7)
 			<-time.After(50 * time.Millisecond)
 			for _, c := range w.coordinators {
-				c.update(func(c *coordinator) { c.version, c.epoch = 3, 0 })
+				c.update(func(c *testCoordinator) { c.version, c.term = 3, 0 })
 			}
 			<-time.After(5 * time.Second)
-			So(w.stragglers(7), ShouldBeEmpty)
+			So(w.agentsNotAtVersion(7), ShouldBeEmpty)
 			for _, a := range w.agents {
 				So(a.Snapshot().Leaders["g"].Term, ShouldEqual, 1)
 				So(string(a.Snapshot().Configuration), ShouldEqual, "configuration 7")
@@ -155,17 +155,17 @@
 }
 
 // oneAnswer is a transport.Caller that gets the same answer from everyone.
-type oneAnswer feed.WatchReply
+type fixedReplyCaller feed.WatchReply
 
-func (o oneAnswer) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
+func (o fixedReplyCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
 	*reply.(*feed.WatchReply) = feed.WatchReply(o)
 	return nil
 }
 
-func TestAnswersThatAreNotCurrent(t *testing.T) {
+func TestReplyThatIsNotCurrentDoesNotConfirmContact(t *testing.T) {
 	Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
 		update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
-		a := New(Config{Address: "agent-0", Caller: oneAnswer{Changed: true, Snapshot: update}, Logger: zap.NewNop()})
+		a := New(Config{Address: "agent-0", Caller: fixedReplyCaller{Changed: true, Snapshot: update}, Logger: zap.NewNop()})
 		_, err := a.poll(context.Background(), "core-0", 0, time.Minute)
 		So(err, ShouldEqual, errNotCurrent)
 		So(a.InContact(), ShouldBeFalse)
@@ -175,26 +175,26 @@
 }
 
 // lateAnswer is a transport.Caller whose process stands still for a while before it reads an answer.
-type lateAnswer struct {
-	answer feed.WatchReply
-	stood  time.Duration
+type pausedCaller struct {
+	reply feed.WatchReply
+	pause time.Duration
 }
 
 // Call implements transport.Caller.
-func (l lateAnswer) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
-	<-time.After(l.stood) // virtual; the context's end does not come between the answer and its reader
-	*reply.(*feed.WatchReply) = l.answer
+func (l pausedCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
+	<-time.After(l.pause) // virtual; the context's end does not come between the answer and its reader
+	*reply.(*feed.WatchReply) = l.reply
 	return nil
 }
 
-func TestAnswersReadAfterAStandstill(t *testing.T) {
+func TestReplyReadAfterPauseDoesNotConfirmContact(t *testing.T) {
 	virtualtime.Test(t, func(*testing.T) {
 		Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
 			update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
-			answer := lateAnswer{feed.WatchReply{Current: true, Changed: true, Snapshot: update}, 20 * time.Second}
+			answer := pausedCaller{feed.WatchReply{Current: true, Changed: true, Snapshot: update}, 20 * time.Second}
 			a := New(Config{Address: "agent-0", Caller: answer, Logger: zap.NewNop()})
-			_, err := a.poll(context.Background(), "core-0", pollWait, pollWait+answerSlack)
-			So(err, ShouldEqual, errLate)
+			_, err := a.poll(context.Background(), "core-0", pollWait, pollWait+replyMargin)
+			So(err, ShouldEqual, errReplyTooLate)
 			So(a.InContact(), ShouldBeFalse)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 5)
 			So(a.Snapshot().Core, ShouldBeEmpty)
@@ -202,9 +202,9 @@
 	})
 }
 
-func TestSeeds(t *testing.T) {
+func TestAgentFollowsReplacedSeeds(t *testing.T) {
 	virtualtime.Test(t, func(*testing.T) {
-		w := newWorld(3, 0)
+		w := newTestCluster(3, 0)
 		late := w.addAgent("agent-late", []string{"gone-1", "gone-2"})
 		Convey("An agent whose seeds are gone follows new ones soon", t, func() {
 			<-time.After(5 * time.Second)
--- a/internal/dataplane/agent/cluster_test.go
+++ b/internal/dataplane/agent/cluster_test.go
@@ -14,20 +14,20 @@
 )
 
 // coordinator is a coordinator whose updates tests set.
-type coordinator struct {
-	mutex     sync.Mutex
-	version   uint64
-	epoch     uint64
-	inContact bool
-	changed   chan struct{}
-	body      func(version uint64) []byte
-	server    *feedserver.Server
+type testCoordinator struct {
+	mutex         sync.Mutex
+	version       uint64
+	term          uint64
+	inContact     bool
+	changed       chan struct{}
+	configuration func(version uint64) []byte
+	server        *feedserver.Server
 }
 
 // shortBody is a configuration of one chunk.
-func shortBody(version uint64) []byte { return fmt.Appendf(nil, "configuration %d", version) }
+func shortConfiguration(version uint64) []byte { return fmt.Appendf(nil, "configuration %d", version) }
 
-func (c *coordinator) update(change func(*coordinator)) {
+func (c *testCoordinator) update(change func(*testCoordinator)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	change(c)
@@ -35,17 +35,17 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *coordinator) sources(members []string) feedserver.Sources {
+func (c *testCoordinator) sources(members []string) feedserver.Sources {
 	return feedserver.Sources{
 		Configuration: func() (uint64, []byte) {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
-			return c.version, c.body(c.version)
+			return c.version, c.configuration(c.version)
 		},
 		Leaders: func() map[string]feed.Leader {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
-			return map[string]feed.Leader{"g": {Address: members[0], Term: c.epoch}}
+			return map[string]feed.Leader{"g": {Address: members[0], Term: c.term}}
 		},
 		Core: func() []string { return members },
 		InContact: func() bool {
@@ -62,17 +62,17 @@
 }
 
 // world is a fleet of coordinators and agents on one network in memory.
-type world struct {
+type testCluster struct {
 	network      *network
-	coordinators map[string]*coordinator
+	coordinators map[string]*testCoordinator
 	agents       map[string]*Agent
 	cancel       context.CancelFunc
 	ctx          context.Context
 	running      sync.WaitGroup
 }
 
-func newWorld(coordinatorCount, agentCount int) *world {
-	w := &world{network: newNetwork(), coordinators: make(map[string]*coordinator), agents: make(map[string]*Agent)}
+func newTestCluster(coordinatorCount, agentCount int) *testCluster {
+	w := &testCluster{network: newNetwork(), coordinators: make(map[string]*testCoordinator), agents: make(map[string]*Agent)}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	var members []string
 	for i := range coordinatorCount {
@@ -87,8 +87,8 @@
 	return w
 }
 
-func (w *world) addCoordinator(address string, members []string) {
-	c := &coordinator{inContact: true, epoch: 1, changed: make(chan struct{}), body: shortBody}
+func (w *testCluster) addCoordinator(address string, members []string) {
+	c := &testCoordinator{inContact: true, term: 1, changed: make(chan struct{}), configuration: shortConfiguration}
 	c.server = feedserver.New(feedserver.Options{
 		Sources: c.sources(members),
 		Caller:  endpoint{w.network, address},
@@ -100,7 +100,7 @@
 	w.running.Go(func() { c.server.Run(w.ctx) })
 }
 
-func (w *world) addAgent(address string, seeds []string) *Agent {
+func (w *testCluster) addAgent(address string, seeds []string) *Agent {
 	a := New(Config{Address: address, Seeds: seeds, Caller: endpoint{w.network, address}, Logger: zap.NewNop()})
 	mux := w.network.listen(address)
 	a.Mount(mux)
@@ -110,20 +110,20 @@
 	return a
 }
 
-func (w *world) stop() {
+func (w *testCluster) stop() {
 	w.cancel()
 	w.running.Wait()
 }
 
 // setVersion puts a configuration in force at every coordinator.
-func (w *world) setVersion(version uint64) {
+func (w *testCluster) publishVersion(version uint64) {
 	for _, c := range w.coordinators {
-		c.update(func(c *coordinator) { c.version = version })
+		c.update(func(c *testCoordinator) { c.version = version })
 	}
 }
 
 // stragglers lists the agents that know of another version.
-func (w *world) stragglers(version uint64) []string {
+func (w *testCluster) agentsNotAtVersion(version uint64) []string {
 	var addresses []string
 	for address, a := range w.agents {
 		if a.Snapshot().ConfigurationVersion != version {
@@ -137,12 +137,12 @@
 func isCoordinator(address string) bool { return strings.HasPrefix(address, "core-") }
 
 // between makes a cut between one machine and those that match.
-func between(address string, match func(string) bool) func(from, to string) bool {
+func partitionBetween(address string, match func(string) bool) func(from, to string) bool {
 	return func(from, to string) bool { return from == address && match(to) }
 }
 
 // proxyRequest is a call of the proxy beside an agent.
-func proxyRequest(w *world, address string, watch feed.WatchRequest) feed.WatchReply {
+func callLocal(w *testCluster, address string, watch feed.WatchRequest) feed.WatchReply {
 	var reply feed.WatchReply
 	if err := serve(context.Background(), w.network.muxes[address], feed.LocalCall.Path(), watch, &reply); err != nil {
 		panic(err)
--- a/internal/dataplane/agent/contact.go
+++ b/internal/dataplane/agent/contact.go
@@ -5,48 +5,50 @@
 	"time"
 )
 
-// contactLimit is how long a coordinator's answer counts as contact with the control plane.
-const contactLimit = 1500 * time.Millisecond
-
-// contact knows when a coordinator in contact with a majority last answered.
-type contact struct {
-	mutex    sync.Mutex
-	last     time.Time     // zero before the first answer
-	regained chan struct{} // closed when contact comes back
+// contactTimeout is how long an agent stays in contact with the control plane after a confirmation by a coordinator.
+const contactTimeout = 1500 * time.Millisecond
+
+// contactTracker tracks when a coordinator in contact with a majority last confirmed the state of this agent. Its methods are safe
+// for concurrent use.
+type contactTracker struct {
+	mutex         sync.Mutex
+	lastConfirmed time.Time     // zero before the first confirmation
+	regained      chan struct{} // closed and replaced when contact is regained
 }
 
-func newContact() *contact { return &contact{regained: make(chan struct{})} }
+func newContactTracker() *contactTracker { return &contactTracker{regained: make(chan struct{})} }
 
-// confirm records that what is known here was the newest at a time. An older one than was recorded changes nothing.
-func (c *contact) confirm(now time.Time) {
+// confirm records that the state of this agent was the newest at the given time. It ignores times before the recorded one.
+func (c *contactTracker) confirm(at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if now.Before(c.last) {
+	if at.Before(c.lastConfirmed) {
 		return
 	}
-	if c.remainingLocked(now) <= 0 {
+	if c.remainingLocked(at) <= 0 {
 		close(c.regained)
 		c.regained = make(chan struct{})
 	}
-	c.last = now
+	c.lastConfirmed = at
 }
 
-// remaining is how long contact lasts without another answer; 0 or less without contact.
-func (c *contact) remaining(now time.Time) time.Duration {
+// remaining returns the time until contact ends without another confirmation. It is 0 or less if there is no contact.
+func (c *contactTracker) remaining(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.remainingLocked(now)
 }
 
-func (c *contact) remainingLocked(now time.Time) time.Duration {
-	if c.last.IsZero() {
+// remainingLocked is remaining for callers that hold the mutex.
+func (c *contactTracker) remainingLocked(now time.Time) time.Duration {
+	if c.lastConfirmed.IsZero() {
 		return 0
 	}
-	return contactLimit - now.Sub(c.last)
+	return contactTimeout - now.Sub(c.lastConfirmed)
 }
 
-// whenRegained returns a channel that is closed when contact comes back.
-func (c *contact) whenRegained() <-chan struct{} {
+// whenRegained returns a channel that is closed when contact is next regained.
+func (c *contactTracker) whenRegained() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.regained
--- a/internal/dataplane/agent/coordinators.go
+++ b/internal/dataplane/agent/coordinators.go
@@ -3,40 +3,47 @@
 import "time"
 
 const (
-	// minPenalty is how long a coordinator is passed over after its first failure; it doubles with each further one.
+	// minPenalty is how long a coordinator is skipped after its first failure. The time doubles with each further failure.
 	minPenalty = 250 * time.Millisecond
+	// maxPenalty limits the time for which a coordinator is skipped.
 	maxPenalty = 8 * time.Second
 )
 
-// coordinators remembers which coordinators have failed lately. It belongs to one goroutine.
-type coordinators struct{ penalties map[string]penalty }
+// coordinatorSelector selects the coordinator to call and skips those that failed recently. It is not safe for concurrent use.
+type coordinatorSelector struct{ penalties map[string]penalty }
 
+// penalty is the period in which a coordinator is skipped after failures.
 type penalty struct {
-	length time.Duration
-	until  time.Time
+	duration time.Duration
+	until    time.Time
 }
 
-func newCoordinators() *coordinators { return &coordinators{penalties: make(map[string]penalty)} }
+func newCoordinatorSelector() *coordinatorSelector {
+	return &coordinatorSelector{penalties: make(map[string]penalty)}
+}
 
-// choose returns the first candidate that is not to be passed over, or else the one whose penalty ends first, and
-// whether it is free of a penalty. It returns "" if there is no candidate.
-func (c *coordinators) choose(candidates []string, now time.Time) (address string, free bool) {
-	var ends time.Time
+// choose returns the first candidate without a penalty and true. If all candidates have penalties, it returns the one whose
+// penalty ends first and false. It returns "" and false if there are no candidates.
+func (c *coordinatorSelector) choose(candidates []string, now time.Time) (address string, available bool) {
+	var earliest time.Time
 	for _, candidate := range candidates {
 		until := c.penalties[candidate].until
 		if !now.Before(until) {
 			return candidate, true
 		}
-		if address == "" || until.Before(ends) {
-			address, ends = candidate, until
+		if address == "" || until.Before(earliest) {
+			address, earliest = candidate, until
 		}
 	}
 	return address, false
 }
 
-func (c *coordinators) failed(address string, now time.Time) {
-	length := min(max(minPenalty, 2*c.penalties[address].length), maxPenalty)
-	c.penalties[address] = penalty{length: length, until: now.Add(length)}
+// recordFailure sets the penalty of a coordinator after a failed call. A penalty that follows another one is twice as long, up to
+// maxPenalty.
+func (c *coordinatorSelector) recordFailure(address string, now time.Time) {
+	duration := min(max(minPenalty, 2*c.penalties[address].duration), maxPenalty)
+	c.penalties[address] = penalty{duration: duration, until: now.Add(duration)}
 }
 
-func (c *coordinators) worked(address string) { delete(c.penalties, address) }
+// recordSuccess clears the penalty of a coordinator.
+func (c *coordinatorSelector) recordSuccess(address string) { delete(c.penalties, address) }
--- a/internal/dataplane/agent/download.go
+++ b/internal/dataplane/agent/download.go
@@ -12,136 +12,145 @@
 )
 
 const (
-	// firstCallBytes, minCallBytes and maxCallBytes bound how many bytes of chunks one call may bring. A call fetches one chunk at
-	// least, so that every call that a link can carry at all makes progress.
-	firstCallBytes = 8 << 10
-	minCallBytes   = 1 << 10
-	maxCallBytes   = 128 << 10
-	// quickCall and slowCall are the times of a call below and above which the next one brings twice or half as much.
-	// Between them a call holds up the clients' packets on the same link only a little.
-	quickCall = 40 * time.Millisecond
-	slowCall  = 160 * time.Millisecond
-	// packedChunk is about the length of a packed chunk, by which the chunks to ask for are counted.
-	packedChunk = 256
+	// initialCallBytes is the limit for bytes of chunks in the first call. Later limits are adapted between minCallBytes and
+	// maxCallBytes. A call fetches at least one chunk regardless of the limit, so that every successful call makes progress.
+	initialCallBytes = 8 << 10
+	// minCallBytes is the smallest limit for bytes of chunks in one call.
+	minCallBytes = 1 << 10
+	// maxCallBytes is the largest limit for bytes of chunks in one call.
+	maxCallBytes = 128 << 10
+	// fastCallDuration is the duration below which the byte limit of the next call is doubled. A call that lasts between
+	// fastCallDuration and slowCallDuration delays client packets on the same link only a little.
+	fastCallDuration = 40 * time.Millisecond
+	// slowCallDuration is the duration above which the byte limit of the next call is halved.
+	slowCallDuration = 160 * time.Millisecond
+	// packedChunkBytes is the approximate size of a packed chunk. It is used to calculate how many chunks to request.
+	packedChunkBytes = 256
 )
 
-// download gathers a newer configuration by chunks, from those who have offered it. Chunks stay when a call ends, when a
-// source answers no more, and when a newer configuration takes the place of the one on its way.
+// download collects the chunks of a newer configuration from the sources that have offered it. It keeps the received chunks when a
+// call fails, when a source becomes unavailable, and when a newer configuration replaces the one in progress. Its methods are safe
+// for concurrent use.
 type download struct {
-	mutex      sync.Mutex
-	version    uint64 // on its way; 0 for none
-	collection *chunks.Assembler
-	began      time.Time // when it was first offered
-	pending    time.Time // since when a configuration is known that is newer than the one in force; zero for none
-	sources    []string  // who have it, to be asked in this order
-	requested  []string  // sources that are not asked again
-	bytes      int       // how many bytes of chunks the next call may bring
-	wake       wakeup.Signal
+	mutex         sync.Mutex
+	version       uint64 // version in progress; 0 for none
+	assembler     *chunks.Assembler
+	offeredAt     time.Time // when the version in progress was first offered
+	outdatedSince time.Time // since when a newer configuration than the one in force is known; zero if none is
+	sources       []string  // sources to request chunks from, in this order
+	excluded      []string  // sources that are not tried again for this version
+	nextCallBytes int       // limit for bytes of chunks in the next call
+	wake          wakeup.Signal
 }
 
-func newDownload() *download { return &download{bytes: firstCallBytes, wake: wakeup.New()} }
+func newDownload() *download { return &download{nextCallBytes: initialCallBytes, wake: wakeup.New()} }
 
-// callBytes is how many bytes of chunks the next call may bring.
+// callBytes returns the limit for bytes of chunks in the next call.
 func (d *download) callBytes() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.bytes
+	return d.nextCallBytes
 }
 
-// inProgress returns the version that is on its way, or 0.
-func (d *download) inProgress() uint64 {
+// versionInProgress returns the version in progress, or 0 if there is none.
+func (d *download) versionInProgress() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.version
 }
 
-// currentUntil is until when what is in force is known to have been the newest, if a coordinator confirms it at a time.
+// currentUntil returns the latest time at which the configuration in force is known to have been the newest, given a confirmation
+// by a coordinator now.
 func (d *download) currentUntil(now time.Time) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.pending.IsZero() {
+	if d.outdatedSince.IsZero() {
 		return now
 	}
-	return d.pending
+	return d.outdatedSince
 }
 
-// offered takes in that a source has a configuration. An older one than the one on its way changes nothing; a newer one
-// takes its place. The error is chunks.ErrManifest or chunks.ErrPacked.
-func (d *download) offered(version uint64, offer *feed.Offer, source string, known chunks.Source, now time.Time) error {
+// addOffer adds a source and the chunks of its offer. An offer of an older version than the one in progress is ignored. A newer
+// version replaces the one in progress. The error is chunks.ErrManifest or chunks.ErrPacked.
+func (d *download) addOffer(version uint64, offer *feed.Offer, source string, known chunks.Source, now time.Time) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if version < d.version {
 		return nil
 	}
 	if version > d.version {
-		if err := d.begin(version, offer.Manifest, known, now); err != nil {
+		if err := d.start(version, offer.Manifest, known, now); err != nil {
 			return err
 		}
 	}
 	if !slices.Contains(d.sources, source) {
 		d.sources = append([]string{source}, d.sources...)
 	}
-	d.requested = slices.DeleteFunc(d.requested, func(address string) bool { return address == source })
+	d.excluded = slices.DeleteFunc(d.excluded, func(address string) bool { return address == source })
 	d.wake.Notify()
-	return d.collection.AddPacked(offer.Chunks)
+	return d.assembler.AddPacked(offer.Chunks)
 }
 
-func (d *download) begin(version uint64, manifest chunks.Manifest, known chunks.Source, now time.Time) error {
-	holders := []chunks.Source{known}
-	if d.collection != nil {
-		holders = append(holders, d.collection.Chunk)
+// start makes version the one in progress, and reuses the chunks of known and of the previous download. The caller must hold the
+// mutex.
+func (d *download) start(version uint64, manifest chunks.Manifest, known chunks.Source, now time.Time) error {
+	chunkSources := []chunks.Source{known}
+	if d.assembler != nil {
+		chunkSources = append(chunkSources, d.assembler.Chunk)
 	}
-	collection, err := chunks.NewAssembler(manifest, holders...)
+	assembler, err := chunks.NewAssembler(manifest, chunkSources...)
 	if err != nil {
 		return err
 	}
-	d.version, d.collection, d.began = version, collection, now
-	d.sources, d.requested = nil, nil
-	if d.pending.IsZero() {
-		d.pending = now
+	d.version, d.assembler, d.offeredAt = version, assembler, now
+	d.sources, d.excluded = nil, nil
+	if d.outdatedSince.IsZero() {
+		d.outdatedSince = now
 	}
 	return nil
 }
 
-// errWrongContent is the failure of a configuration whose chunks do not make up what was offered.
-var errWrongContent = fmt.Errorf("configuration not taken: %w", chunks.ErrContent)
+// errContentMismatch reports that the chunks of a configuration do not form the content that its manifest describes.
+var errContentMismatch = fmt.Errorf("configuration not taken: %w", chunks.ErrContent)
 
-// finished returns the configuration once all of it has come; it is then no longer on its way. A wrong one is given up.
-func (d *download) finished() (version uint64, body []byte, err error) {
+// takeCompleted returns the configuration in progress if all its chunks have arrived, and ends the download. It returns version 0
+// if the download is not complete. If the content does not match the manifest, it discards the chunks and returns
+// errContentMismatch.
+func (d *download) takeCompleted() (version uint64, body []byte, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.version == 0 || !d.collection.Complete() {
+	if d.version == 0 || !d.assembler.Complete() {
 		return 0, nil, nil
 	}
-	body, err = d.collection.Content()
+	body, err = d.assembler.Content()
 	version = d.version
-	d.version, d.collection = 0, nil
+	d.version, d.assembler = 0, nil
 	if err != nil {
-		return 0, nil, errWrongContent
+		return 0, nil, errContentMismatch
 	}
 	return version, body, nil
 }
 
-// inForce notes that the configuration that was finished last is in force. Another one may be on its way already.
-func (d *download) inForce() {
+// markInForce records that the last completed configuration is in force. A download of a newer one may already be in progress.
+func (d *download) markInForce() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.pending = time.Time{}
+	d.outdatedSince = time.Time{}
 	if d.version > 0 {
-		d.pending = d.began
+		d.outdatedSince = d.offeredAt
 	}
 }
 
-// chunksCall is the next call that a download needs.
+// chunksCall is one call of a download for chunks.
 type chunksCall struct {
 	version uint64
 	source  string
 	request feed.ChunksRequest
 }
 
-// next returns the next call, if there is one to make. Once no source is left that offered the configuration, the
-// others are tried once each, and then the download is given up: whoever has the configuration offers it again.
-func (d *download) next(others []string) (call chunksCall, ok bool) {
+// nextCall returns the next call of the download, if there is one. If no source that offered the configuration is left, the
+// addresses in others are tried once each. After that the download is abandoned until a source offers the configuration again.
+func (d *download) nextCall(others []string) (call chunksCall, ok bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.version == 0 {
@@ -149,55 +158,57 @@
 	}
 	if len(d.sources) == 0 {
 		d.sources = slices.DeleteFunc(slices.Clone(others), func(address string) bool {
-			return slices.Contains(d.requested, address)
+			return slices.Contains(d.excluded, address)
 		})
 	}
 	if len(d.sources) == 0 {
-		d.version = 0 // what has arrived stays for the next offer
+		d.version = 0 // the received chunks are kept for the next offer
 		return chunksCall{}, false
 	}
-	sums := d.collection.Missing(1 + d.bytes/packedChunk)
-	return chunksCall{d.version, d.sources[0], feed.ChunksRequest{Sums: chunks.JoinSums(sums), MaxBytes: d.bytes}}, true
+	sums := d.assembler.Missing(1 + d.nextCallBytes/packedChunkBytes)
+	return chunksCall{d.version, d.sources[0], feed.ChunksRequest{Sums: chunks.JoinSums(sums), MaxBytes: d.nextCallBytes}}, true
 }
 
-// arrived takes in the answer to a call. A source without any of the chunks is not asked again.
-func (d *download) arrived(call chunksCall, reply feed.ChunksReply, elapsed time.Duration) error {
+// handleReply adds the chunks of a reply and adapts the size of the next call. A source that returned no missing chunk is excluded.
+func (d *download) handleReply(call chunksCall, reply feed.ChunksReply, elapsed time.Duration) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.measured(elapsed)
-	if d.collection == nil {
+	d.adaptCallSize(elapsed)
+	if d.assembler == nil {
 		return nil
 	}
-	before := d.collection.MissingCount()
-	err := d.collection.AddPacked(reply.Chunks)
-	if d.collection.MissingCount() == before {
-		d.drop(call)
+	before := d.assembler.MissingCount()
+	err := d.assembler.AddPacked(reply.Chunks)
+	if d.assembler.MissingCount() == before {
+		d.excludeSource(call)
 	}
 	return err
 }
 
-// failed takes in that a call got no answer.
-func (d *download) failed(call chunksCall) {
+// handleFailure halves the byte limit after a failed call and excludes its source.
+func (d *download) handleFailure(call chunksCall) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.bytes = max(minCallBytes, d.bytes/2)
-	d.drop(call)
+	d.nextCallBytes = max(minCallBytes, d.nextCallBytes/2)
+	d.excludeSource(call)
 }
 
-func (d *download) drop(call chunksCall) {
+// excludeSource excludes the source of call from the download, unless another version is in progress. The caller must hold the mutex.
+func (d *download) excludeSource(call chunksCall) {
 	if call.version != d.version {
 		return
 	}
 	d.sources = slices.DeleteFunc(d.sources, func(address string) bool { return address == call.source })
-	d.requested = append(d.requested, call.source)
+	d.excluded = append(d.excluded, call.source)
 }
 
-// measured adapts the size of a call to what the link carries beside the clients' requests.
-func (d *download) measured(elapsed time.Duration) {
+// adaptCallSize adapts the byte limit of the next call to the bandwidth that client requests leave on the link. The caller must
+// hold the mutex.
+func (d *download) adaptCallSize(elapsed time.Duration) {
 	switch {
-	case elapsed < quickCall:
-		d.bytes = min(maxCallBytes, 2*d.bytes)
-	case elapsed > slowCall:
-		d.bytes = max(minCallBytes, d.bytes/2)
+	case elapsed < fastCallDuration:
+		d.nextCallBytes = min(maxCallBytes, 2*d.nextCallBytes)
+	case elapsed > slowCallDuration:
+		d.nextCallBytes = max(minCallBytes, d.nextCallBytes/2)
 	}
 }
--- a/internal/dataplane/agent/exchange_test.go
+++ b/internal/dataplane/agent/exchange_test.go
@@ -12,27 +12,27 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-func TestAgentsPartitionedFromTheCore(t *testing.T) {
-	inWorld(t, 3, 8, func(w *world) {
+func TestPartitionedAgentsGetUpdatesFromPeers(t *testing.T) {
+	withTestCluster(t, 3, 8, func(w *testCluster) {
 		Convey("One that is cut off hears of changes from its peers in time", t, func() {
-			w.network.setPartition(between("agent-3", isCoordinator))
+			w.network.setPartition(partitionBetween("agent-3", isCoordinator))
 			<-time.After(2 * time.Second)
 			So(w.agents["agent-3"].InContact(), ShouldBeFalse)
 			for version := uint64(5); version < 25; version++ {
-				w.setVersion(version)
+				w.publishVersion(version)
 				<-time.After(1500 * time.Millisecond)
-				So(w.stragglers(version), ShouldBeEmpty)
+				So(w.agentsNotAtVersion(version), ShouldBeEmpty)
 			}
 		})
 		Convey("So do all but one", t, func() {
 			w.network.setPartition(func(from, to string) bool { return from != "agent-3" && !isCoordinator(from) && isCoordinator(to) })
 			<-time.After(2 * time.Second)
-			w.setVersion(30)
+			w.publishVersion(30)
 			<-time.After(4 * time.Second)
-			So(w.stragglers(30), ShouldBeEmpty)
+			So(w.agentsNotAtVersion(30), ShouldBeEmpty)
 		})
 		Convey("They hear of new members as well", t, func() {
-			w.network.setPartition(between("agent-3", isCoordinator))
+			w.network.setPartition(partitionBetween("agent-3", isCoordinator))
 			<-time.After(5 * time.Second)
 			w.addAgent("agent-8", []string{"core-1"})
 			<-time.After(10 * time.Second)
@@ -42,8 +42,8 @@
 	})
 }
 
-func TestPeersThatFail(t *testing.T) {
-	inWorld(t, 3, 6, func(w *world) {
+func TestFailedPeerIsRemovedUntilItReturns(t *testing.T) {
+	withTestCluster(t, 3, 6, func(w *testCluster) {
 		front := func() []string { return w.agents["agent-0"].Snapshot().Agents }
 		Convey("One that is down is soon dropped", t, func() {
 			w.network.setDown("agent-4", true)
@@ -56,7 +56,7 @@
 			So(slices.Contains(front(), "agent-4"), ShouldBeTrue)
 		})
 		Convey("One that only its peers cannot reach stays", t, func() {
-			w.network.setPartition(between("agent-4", func(to string) bool { return !isCoordinator(to) }))
+			w.network.setPartition(partitionBetween("agent-4", func(to string) bool { return !isCoordinator(to) }))
 			for range 20 {
 				<-time.After(time.Second)
 				So(slices.Contains(front(), "agent-4"), ShouldBeTrue)
@@ -65,15 +65,15 @@
 	})
 }
 
-func TestPeersAreChosen(t *testing.T) {
+func TestPeerSelectionPrefersMonitoredAndFailedPeers(t *testing.T) {
 	Convey("Given the peers of an agent", t, func() {
 		var front []string
 		for i := range 20 {
 			front = append(front, fmt.Sprintf("agent-%02d", i))
 		}
-		p := newPeers("agent-07")
+		p := newPeerSelector("agent-07")
 		So(p.choose(), ShouldBeEmpty)
-		p.setFront(front)
+		p.setAgents(front)
 
 		Convey("the monitored ones get about half of the calls more, all get some, and itself none", func() {
 			counts := make(map[string]int)
@@ -91,31 +91,31 @@
 		})
 		Convey("the monitored ones change little with the fleet", func() {
 			before := slices.Clone(p.monitored)
-			p.setFront(slices.DeleteFunc(front, func(address string) bool { return address == before[0] }))
+			p.setAgents(slices.DeleteFunc(front, func(address string) bool { return address == before[0] }))
 			So(p.monitored[:2], ShouldResemble, before[1:])
 		})
 		Convey("one that fails is asked again until it is suspect", func() {
 			for range failuresToSuspect {
 				So(p.suspects(), ShouldBeEmpty)
-				p.record("agent-11", false)
+				p.recordResult("agent-11", false)
 				if len(p.suspects()) == 0 {
 					So(p.choose(), ShouldEqual, "agent-11")
 				}
 			}
 			So(p.suspects(), ShouldResemble, []string{"agent-11"})
 			Convey("and no longer once it answers", func() {
-				p.record("agent-11", true)
+				p.recordResult("agent-11", true)
 				So(p.suspects(), ShouldBeEmpty)
 			})
 			Convey("nor once it is gone", func() {
-				p.setFront(front[:5])
+				p.setAgents(front[:5])
 				So(p.suspects(), ShouldBeEmpty)
 			})
 		})
 	})
 }
 
-func TestMembersAreTakenFromTheNewerSide(t *testing.T) {
+func TestStaleMembersAreReplacedByNewerOnes(t *testing.T) {
 	Convey("Given an agent whose members were confirmed a while ago", t, func() {
 		network := newNetwork()
 		a := New(Config{Address: "agent-0", Caller: endpoint{network, "agent-0"}})
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -12,45 +12,48 @@
 )
 
 const (
-	// pollWait is how long a coordinator may hold a call without updates. Together with answerSlack it stays below
-	// contactLimit, so that the failure of one coordinator does not end contact.
+	// pollWait is how long a coordinator may hold a call without updates. The sum of pollWait and replyMargin is below
+	// contactTimeout, so that the failure of one coordinator does not end contact.
 	pollWait = 700 * time.Millisecond
-	// answerSlack is how much later than asked an answer may come.
-	answerSlack = 600 * time.Millisecond
-	// returnLimit bounds the call to a preferred coordinator while another one is followed, which waits meanwhile.
-	returnLimit = 400 * time.Millisecond
-	// minBackoff and maxBackoff bound the pause before a coordinator is asked that has failed lately, where all have. The
-	// upper bound is shared by the candidates, so that each is asked about once in that time.
+	// replyMargin is the time allowed for a reply in addition to the requested wait.
+	replyMargin = 600 * time.Millisecond
+	// preferredProbeTimeout limits the call to a preferred coordinator while another one is followed. The followed coordinator is
+	// not polled during this call.
+	preferredProbeTimeout = 400 * time.Millisecond
+	// minBackoff is the shortest pause before a call when all coordinators have failed recently. It is also the pause after a
+	// poll without progress and after a failed call for chunks.
 	minBackoff = 50 * time.Millisecond
+	// maxBackoff is divided by the number of candidates to limit that pause, so that each coordinator is called about once in
+	// this time.
 	maxBackoff = time.Second
 )
 
 var (
-	errNotCurrent = errors.New("the core mixer is not in contact with a majority")
-	errLate       = errors.New("the answer came too late")
+	errNotCurrent   = errors.New("the coordinator is not in contact with a majority")
+	errReplyTooLate = errors.New("the reply arrived too late")
 )
 
-// follower asks coordinators for updates, one at a time. It belongs to one goroutine.
+// follower polls coordinators for updates, one at a time. It is not safe for concurrent use.
 type follower struct {
 	agent        *Agent
-	coordinators *coordinators
-	followed     string // the coordinator that last answered; "" if none has, or it failed since
+	coordinators *coordinatorSelector
+	followed     string // the coordinator that last replied; "" if there is none or it has failed since then
 	backoff      time.Duration
 }
 
-// follow asks coordinators for updates until ctx ends.
+// follow polls coordinators for updates until ctx ends.
 func (a *Agent) follow(ctx context.Context) {
-	follower := &follower{agent: a, coordinators: newCoordinators(), backoff: minBackoff}
+	follower := &follower{agent: a, coordinators: newCoordinatorSelector(), backoff: minBackoff}
 	for ctx.Err() == nil {
-		follower.step(ctx)
+		follower.pollOnce(ctx)
 	}
 }
 
-// step makes one call.
-func (f *follower) step(ctx context.Context) {
+// pollOnce makes at most one call to a coordinator.
+func (f *follower) pollOnce(ctx context.Context) {
 	candidates := f.agent.candidates()
-	coordinator, free := f.coordinators.choose(candidates, time.Now())
-	if !free {
+	coordinator, available := f.coordinators.choose(candidates, time.Now())
+	if !available {
 		timer.Sleep(ctx, f.backoff)
 		f.backoff = max(minBackoff, min(2*f.backoff, maxBackoff/time.Duration(max(1, len(candidates)))))
 	}
@@ -64,47 +67,49 @@
 	}
 }
 
-// longPoll lets the followed coordinator hold the call until it has updates.
+// longPoll calls the followed coordinator, which holds the call until it has updates.
 func (f *follower) longPoll(ctx context.Context, coordinator string) {
-	progress, err := f.agent.poll(ctx, coordinator, pollWait, pollWait+answerSlack)
+	progress, err := f.agent.poll(ctx, coordinator, pollWait, pollWait+replyMargin)
 	if err != nil {
 		f.followed = ""
-		f.fail(ctx, coordinator, err)
+		f.recordFailure(ctx, coordinator, err)
 		return
 	}
-	f.coordinators.worked(coordinator)
+	f.coordinators.recordSuccess(coordinator)
 	f.backoff = minBackoff
 	if !progress {
 		timer.Sleep(ctx, minBackoff)
 	}
 }
 
-// probe asks another coordinator for an answer at once, and follows it if that comes.
+// probe requests an immediate reply from a coordinator that is not followed yet, and follows it if the call succeeds.
 func (f *follower) probe(ctx context.Context, coordinator string) {
-	limit := answerSlack
+	timeout := replyMargin
 	if f.followed != "" {
-		limit = returnLimit
+		timeout = preferredProbeTimeout
 	}
-	if _, err := f.agent.poll(ctx, coordinator, 0, limit); err != nil {
-		f.fail(ctx, coordinator, err)
+	if _, err := f.agent.poll(ctx, coordinator, 0, timeout); err != nil {
+		f.recordFailure(ctx, coordinator, err)
 		return
 	}
 	f.followed = coordinator
 }
 
-func (f *follower) fail(ctx context.Context, coordinator string, err error) {
+// recordFailure sets a penalty for a coordinator, unless the call failed because ctx ended.
+func (f *follower) recordFailure(ctx context.Context, coordinator string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	f.coordinators.failed(coordinator, time.Now())
+	f.coordinators.recordFailure(coordinator, time.Now())
 	f.agent.config.Logger.Debug("coordinator skipped", zap.String("coordinator", coordinator), zap.Error(err))
 }
 
-// poll makes one call for updates, which the coordinator may hold for wait and must answer within limit, and takes over what
-// it brings. A call is without progress if it brought updates that were known already, which may come again at once.
-func (a *Agent) poll(ctx context.Context, coordinator string, wait, limit time.Duration) (progress bool, err error) {
+// poll makes one call for updates and merges the reply. The coordinator may hold the call for wait and must reply within timeout.
+// progress is false if the reply contained only updates that were already known. The coordinator may send these again at once, so
+// the caller has to pause before the next call.
+func (a *Agent) poll(ctx context.Context, coordinator string, wait, timeout time.Duration) (progress bool, err error) {
 	began := time.Now()
-	bounded, cancel := context.WithTimeout(ctx, limit)
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request := feed.WatchRequest{
 		Known:    a.knownOrInProgress(),
@@ -118,14 +123,14 @@
 		return false, err
 	}
 	now := time.Now()
-	late := now.Sub(began) > limit // this process was paused, and the answer is old
+	late := now.Sub(began) > timeout // this process was paused, so the reply is old
 	reply.Current = reply.Current && !late
-	progress, err = a.take(reply, coordinator)
+	progress, err = a.mergeReply(reply, coordinator)
 	switch {
 	case err != nil:
 		return progress, err
 	case late:
-		return progress, errLate
+		return progress, errReplyTooLate
 	case !reply.Current:
 		return progress, errNotCurrent
 	}
@@ -133,13 +138,13 @@
 	return progress || !reply.Changed, nil
 }
 
-// take merges a coordinator's answer. Configurations and leaders hold whoever sends them; the lists of members count
-// only if they are current.
-func (a *Agent) take(reply feed.WatchReply, coordinator string) (changed bool, err error) {
+// mergeReply merges a coordinator's reply and reports whether it contained an update. Configurations and leaders are valid from any
+// coordinator. Lists of members are used only if the reply is current.
+func (a *Agent) mergeReply(reply feed.WatchReply, coordinator string) (changed bool, err error) {
 	if reply.Snapshot == nil {
 		return false, nil
 	}
-	offered, err := a.takeOffer(reply.Snapshot, coordinator)
+	offered, err := a.acceptOffer(reply.Snapshot, coordinator)
 	if err != nil {
 		return false, err
 	}
@@ -149,8 +154,8 @@
 	return a.snapshots.Merge(reply.Snapshot) || offered, nil
 }
 
-// confirm records that a coordinator in contact answered. While a newer configuration is on its way, contact is as old as
-// the time at which it was announced: until then, what is in force here was the newest.
+// confirm records a current reply of a coordinator. While a newer configuration is being downloaded, contact is confirmed only up
+// to the time of its first offer, because the configuration in force here is known to have been the newest until then.
 func (a *Agent) confirm(now time.Time) {
 	a.contact.confirm(a.download.currentUntil(now))
 	a.mutex.Lock()
--- a/internal/dataplane/agent/link_test.go
+++ b/internal/dataplane/agent/link_test.go
@@ -11,51 +11,51 @@
 
 // link carries the messages of one machine one after the other, at a rate.
 type link struct {
-	perSecond float64 // bytes
+	bytesPerSecond float64 // bytes
 
-	mutex   sync.Mutex
-	free    time.Time // when the messages that wait have all been sent
-	carried int       // bytes
+	mutex       sync.Mutex
+	freeAt      time.Time // when the messages that wait have all been sent
+	transmitted int       // bytes
 }
 
 // carry waits until a message has been sent, and returns false if ctx ends before. What was not sent then frees the link.
-func (l *link) carry(ctx context.Context, bytes int) bool {
-	expected := time.Duration(float64(bytes) / l.perSecond * float64(time.Second))
+func (l *link) transmit(ctx context.Context, bytes int) bool {
+	expected := time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second))
 	l.mutex.Lock()
 	begins := time.Now()
-	if l.free.After(begins) {
-		begins = l.free
+	if l.freeAt.After(begins) {
+		begins = l.freeAt
 	}
 	ends := begins.Add(expected)
-	l.free = ends
+	l.freeAt = ends
 	l.mutex.Unlock()
 	timer := time.NewTimer(time.Until(ends))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		l.count(bytes)
+		l.addTransmitted(bytes)
 		return true
 	case <-ctx.Done():
 	}
 	unsent := min(expected, time.Until(ends))
 	l.mutex.Lock()
-	l.free = l.free.Add(-unsent)
+	l.freeAt = l.freeAt.Add(-unsent)
 	l.mutex.Unlock()
-	l.count(int(float64(bytes) * float64(expected-unsent) / float64(expected)))
+	l.addTransmitted(int(float64(bytes) * float64(expected-unsent) / float64(expected)))
 	return false
 }
 
-func (l *link) count(bytes int) {
+func (l *link) addTransmitted(bytes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.carried += bytes
+	l.transmitted += bytes
 }
 
 // take returns how many bytes were carried since the last time.
-func (l *link) take() int {
+func (l *link) takeTransmitted() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	carried := l.carried
-	l.carried = 0
+	carried := l.transmitted
+	l.transmitted = 0
 	return carried
 }
--- a/internal/dataplane/agent/local.go
+++ b/internal/dataplane/agent/local.go
@@ -7,10 +7,11 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// maxLocalWait bounds how long the proxy's call may wait.
+// maxLocalWait limits the time for which a call of the proxy waits for a change.
 const maxLocalWait = 2 * time.Second
 
-// handleLocal answers the proxy as soon as there is an update or contact to the control plane has come or gone.
+// handleLocal replies to the proxy when there is an update, when contact with the control plane is regained or lost, or when the
+// requested wait has passed.
 func (a *Agent) handleLocal(ctx context.Context, request feed.WatchRequest) (feed.WatchReply, error) {
 	wait := min(time.Duration(request.WaitMS)*time.Millisecond, maxLocalWait)
 	deadline := time.Now().Add(wait)
@@ -22,7 +23,7 @@
 		inContact := remaining > 0
 		delay := deadline.Sub(now)
 		if update != nil || inContact != request.Current || delay <= 0 || ctx.Err() != nil {
-			return feed.WatchReply{Current: inContact, Changed: update != nil, Snapshot: update}, nil //nolint:nilerr // a call that is over gets what is known
+			return feed.WatchReply{Current: inContact, Changed: update != nil, Snapshot: update}, nil //nolint:nilerr // a call whose context has ended gets the known state
 		}
 		if inContact {
 			delay = min(delay, remaining)
@@ -31,6 +32,7 @@
 	}
 }
 
+// waitForAny waits until delay has passed, ctx has ended, or one of the channels is closed.
 func waitForAny(ctx context.Context, delay time.Duration, changed, regained <-chan struct{}) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/internal/dataplane/agent/local_test.go
+++ b/internal/dataplane/agent/local_test.go
@@ -14,13 +14,13 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-func TestTheProxyIsFed(t *testing.T) {
-	inWorld(t, 3, 2, func(w *world) {
+func TestProxyReceivesUpdatesAndContactChanges(t *testing.T) {
+	withTestCluster(t, 3, 2, func(w *testCluster) {
 		known := func() feed.Digest { return w.agents["agent-0"].snapshots.Digest() }
 		Convey("A first call brings everything", t, func() {
-			w.setVersion(5)
+			w.publishVersion(5)
 			<-time.After(50 * time.Millisecond)
-			reply := proxyRequest(w, "agent-0", feed.WatchRequest{})
+			reply := callLocal(w, "agent-0", feed.WatchRequest{})
 			So(reply.Current, ShouldBeTrue)
 			So(string(reply.Snapshot.Configuration), ShouldEqual, "configuration 5")
 			So(len(reply.Snapshot.Core), ShouldEqual, 3)
@@ -28,7 +28,7 @@
 		Convey("A call without news lasts as long as asked, up to a bound", t, func() {
 			for _, c := range []struct{ requested, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxLocalWait}} {
 				began := time.Now()
-				reply := proxyRequest(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: c.requested.Milliseconds(), Current: true})
+				reply := callLocal(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: c.requested.Milliseconds(), Current: true})
 				So(time.Since(began), ShouldEqual, c.waited)
 				So(reply, ShouldResemble, feed.WatchReply{Current: true})
 			}
@@ -36,34 +36,34 @@
 		Convey("News end it at once", t, func() {
 			replies := make(chan feed.WatchReply)
 			request := feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}
-			go func() { replies <- proxyRequest(w, "agent-0", request) }()
+			go func() { replies <- callLocal(w, "agent-0", request) }()
 			synctest.Wait()
 			began := time.Now()
-			w.setVersion(6)
+			w.publishVersion(6)
 			So((<-replies).Snapshot.ConfigurationVersion, ShouldEqual, 6)
 			So(time.Since(began), ShouldBeLessThan, 50*time.Millisecond)
 		})
 		Convey("The loss of contact ends it, and so does its return", t, func() {
-			w.network.setPartition(between("agent-0", isCoordinator))
+			w.network.setPartition(partitionBetween("agent-0", isCoordinator))
 			began := time.Now()
-			reply := proxyRequest(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true})
+			reply := callLocal(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true})
 			So(reply.Current, ShouldBeFalse)
-			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactLimit)
-			So(proxyRequest(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}).Current, ShouldBeFalse)
+			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactTimeout)
+			So(callLocal(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}).Current, ShouldBeFalse)
 
 			replies := make(chan feed.WatchReply)
 			request := feed.WatchRequest{Known: known(), WaitMS: 2000}
-			go func() { replies <- proxyRequest(w, "agent-0", request) }()
+			go func() { replies <- callLocal(w, "agent-0", request) }()
 			synctest.Wait()
 			w.network.setPartition(func(string, string) bool { return false })
 			began = time.Now()
 			So((<-replies).Current, ShouldBeTrue)
-			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactLimit)
+			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactTimeout)
 		})
 	})
 }
 
-func TestOverLoopback(t *testing.T) {
+func TestLocalCallReturnsPeerUpdateOverHTTP(t *testing.T) {
 	Convey("Given an agent on loopback", t, func() {
 		a := New(Config{Address: "agent-0", Caller: endpoint{newNetwork(), "agent-0"}, Logger: zap.NewNop()})
 		mux := transport.NewMux()
--- a/internal/dataplane/agent/metrics.go
+++ b/internal/dataplane/agent/metrics.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/metrics"
 )
 
-// Metrics are what the agent reports. They are worked out when they are read.
+// Metrics returns the collectors of the agent. Their values are calculated at each collection.
 func (a *Agent) Metrics() []prometheus.Collector {
 	return []prometheus.Collector{
 		metrics.BoolGauge("puffinlink_in_contact", "Whether a coordinator has lately confirmed that the agent is up to date.", a.InContact),
--- a/internal/dataplane/agent/network_test.go
+++ b/internal/dataplane/agent/network_test.go
@@ -26,22 +26,22 @@
 	muxes     map[string]*transport.Mux
 	partition func(from, to string) bool
 	down      map[string]bool
-	calls     map[route]int
+	calls     map[callRoute]int
 	links     map[string]*link // of machines whose link is thin
-	spoil     func(from string, reply any)
+	corrupt   func(from string, reply any)
 }
 
 // route is who called whom for what.
-type route struct{ from, to, path string }
+type callRoute struct{ from, to, path string }
 
 func newNetwork() *network {
 	return &network{
 		muxes:     make(map[string]*transport.Mux),
 		partition: func(string, string) bool { return false },
 		down:      make(map[string]bool),
-		calls:     make(map[route]int),
+		calls:     make(map[callRoute]int),
 		links:     make(map[string]*link),
-		spoil:     func(string, any) {},
+		corrupt:   func(string, any) {},
 	}
 }
 
@@ -66,11 +66,11 @@
 }
 
 // countCalls returns how many calls were made since the last time.
-func (n *network) countCalls() map[route]int {
+func (n *network) countCalls() map[callRoute]int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	calls := n.calls
-	n.calls = make(map[route]int)
+	n.calls = make(map[callRoute]int)
 	return calls
 }
 
@@ -83,22 +83,22 @@
 func (e endpoint) Call(ctx context.Context, address string, called transport.Route, request, reply any) error {
 	n := e.network
 	n.mutex.Lock()
-	n.calls[route{e.address, address, called.Path()}]++
+	n.calls[callRoute{e.address, address, called.Path()}]++
 	mux := n.muxes[address]
 	down := mux == nil || n.down[address] || n.down[e.address]
 	n.mutex.Unlock()
-	if n.isPartition(e.address, address) {
+	if n.isPartitioned(e.address, address) {
 		<-ctx.Done()
 		return rpcerror.WrapMayHaveExecuted(errPartitioned)
 	}
 	if down {
 		return rpcerror.WrapNotExecuted(errDown, 0)
 	}
-	if err := n.carry(ctx, e.address, address, request); err != nil {
+	if err := n.transmit(ctx, e.address, address, request); err != nil {
 		return err
 	}
 	err := serve(ctx, mux, called.Path(), request, reply)
-	if n.isPartition(e.address, address) { // the answer is lost
+	if n.isPartitioned(e.address, address) { // the answer is lost
 		<-ctx.Done()
 		return rpcerror.WrapMayHaveExecuted(errPartitioned)
 	}
@@ -106,14 +106,14 @@
 		return err
 	}
 	n.mutex.Lock()
-	spoil := n.spoil
+	spoil := n.corrupt
 	n.mutex.Unlock()
 	spoil(address, reply)
-	return n.carry(ctx, address, e.address, reply)
+	return n.transmit(ctx, address, e.address, reply)
 }
 
 // carry takes the time that a message needs on the links of both ends.
-func (n *network) carry(ctx context.Context, from, to string, message any) error {
+func (n *network) transmit(ctx context.Context, from, to string, message any) error {
 	content, err := msgpack.Marshal(message)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 		n.mutex.Lock()
 		link := n.links[address]
 		n.mutex.Unlock()
-		if link != nil && !link.carry(ctx, len(content)+headerBytes) {
+		if link != nil && !link.transmit(ctx, len(content)+headerBytes) {
 			return rpcerror.WrapMayHaveExecuted(ctx.Err())
 		}
 	}
@@ -130,7 +130,7 @@
 }
 
 // isPartition tells whether a link is cut, which ends both directions.
-func (n *network) isPartition(one, other string) bool {
+func (n *network) isPartitioned(one, other string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.partition(one, other) || n.partition(other, one)
--- a/internal/dataplane/agent/peers.go
+++ b/internal/dataplane/agent/peers.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// monitoredPeers is how many peers an agent asks more often than the others.
+	// monitoredPeers is the number of peers that an agent calls more often than the others.
 	monitoredPeers = 3
-	// failuresToSuspect is how many failures in a row make a peer suspect.
+	// failuresToSuspect is the number of consecutive failures that make a peer a suspect.
 	failuresToSuspect = 3
-	// monitorShare is the share of calls that go to monitored peers.
-	monitorShare = 0.5
+	// monitoredShare is the fraction of exchanges that are reserved for monitored peers.
+	monitoredShare = 0.5
 )
 
-// peers chooses which agent to exchange with, and counts how often each has failed in a row.
-type peers struct {
+// peerSelector chooses the peer for each exchange and counts the consecutive failures of each peer. Its methods are safe for
+// concurrent use.
+type peerSelector struct {
 	self string
 
 	mutex     sync.Mutex
 	random    random.PCG
-	others    []string // all agents but this one
+	others    []string // all agents except this one
 	monitored []string // the first few of others by rendezvous hashing
 	failures  map[string]int
 }
 
-func newPeers(self string) *peers {
-	return &peers{self: self, random: random.PCG(xxh3.HashString(self)), failures: make(map[string]int)}
+func newPeerSelector(self string) *peerSelector {
+	return &peerSelector{self: self, random: random.PCG(xxh3.HashString(self)), failures: make(map[string]int)}
 }
 
-// setFront tells which agents there are.
-func (p *peers) setFront(front []string) {
+// setAgents sets the list of agents. It deletes the failure counts of agents that are not in the list.
+func (p *peerSelector) setAgents(agents []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	others := slices.DeleteFunc(slices.Clone(front), func(address string) bool { return address == p.self })
+	others := slices.DeleteFunc(slices.Clone(agents), func(address string) bool { return address == p.self })
 	if slices.Equal(others, p.others) {
 		return
 	}
@@ -51,9 +52,10 @@
 	}
 }
 
-// choose returns the peer for the next exchange: one that has just failed, so that it is soon known whether it is gone;
-// else a monitored peer or any peer by chance. It returns "" if there is none.
-func (p *peers) choose() string {
+// choose returns the peer for the next exchange. A peer that has failed recently but is not a suspect yet comes first, to determine
+// quickly whether it is down. Otherwise choose returns a random monitored peer or a random peer. It returns "" if there are no
+// peers.
+func (p *peerSelector) choose() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, address := range p.others {
@@ -61,14 +63,14 @@
 			return address
 		}
 	}
-	if p.random.Unit() < monitorShare {
-		return p.pick(p.monitored)
+	if p.random.Unit() < monitoredShare {
+		return p.randomOf(p.monitored)
 	}
-	return p.pick(p.others)
+	return p.randomOf(p.others)
 }
 
-// suspicious tells whether a peer has just failed and it is open whether it is gone.
-func (p *peers) suspicious() bool {
+// hasUnconfirmedFailures reports whether a peer has failed recently but not often enough to be a suspect.
+func (p *peerSelector) hasUnconfirmedFailures() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, failed := range p.failures {
@@ -79,26 +81,27 @@
 	return false
 }
 
-func (p *peers) pick(addresses []string) string {
+// randomOf returns a random one of addresses, or "" if there are none. The caller must hold the mutex.
+func (p *peerSelector) randomOf(addresses []string) string {
 	if len(addresses) == 0 {
 		return ""
 	}
 	return addresses[int(p.random.Unit()*float64(len(addresses)))]
 }
 
-// record records how an exchange ended.
-func (p *peers) record(address string, answered bool) {
+// recordResult records whether an exchange with a peer succeeded. A success resets the failure count.
+func (p *peerSelector) recordResult(address string, succeeded bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if answered {
+	if succeeded {
 		delete(p.failures, address)
 	} else {
 		p.failures[address]++
 	}
 }
 
-// suspects lists the peers that have failed several times in a row, sorted.
-func (p *peers) suspects() []string {
+// suspects returns the sorted addresses of the peers that have failed at least failuresToSuspect times in a row.
+func (p *peerSelector) suspects() []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var suspects []string
--- a/internal/dataplane/agent/rank.go
+++ b/internal/dataplane/agent/rank.go
@@ -7,8 +7,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// rank orders addresses by rendezvous hashing for one owner. Each owner gets an order of its own, and an address that
-// comes or goes does not change the order of the others.
+// rank returns addresses sorted by rendezvous hashing for owner. Each owner gets a different order. Adding or removing an address
+// does not change the order of the others.
 func rank(owner string, addresses []string) []string {
 	ranked := slices.Clone(addresses)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -17,9 +17,10 @@
 	return ranked
 }
 
+// weight returns the rendezvous hash of an owner and an address.
 func weight(owner, address string) uint64 { return xxh3.HashString(owner + "\n" + address) }
 
-// appendMissing appends those of more that list does not hold.
+// appendMissing appends the addresses of more that are not in list.
 func appendMissing(list, more []string) []string {
 	for _, address := range more {
 		if !slices.Contains(list, address) {
