--- a/internal/controlplane/feed/messages.go
+++ b/internal/controlplane/feed/messages.go
@@ -40,7 +40,7 @@
 	Configuration        []byte            `msgpack:"b"`           // as submitted by the operator; empty if there is none, if the reader has it, or if Offer is set
 	Leaders              map[string]Leader `msgpack:"l"`           // by group
 	Core                 []string          `msgpack:"k"`           // internal addresses of core nodes
-	Agents               []string          `msgpack:"f"`           // internal addresses of the agents on front machines
+	Agents               []string          `msgpack:"f"`           // internal addresses of agents
 	Offer                *Offer            `msgpack:"o,omitempty"` // replaces Configuration for readers that accept chunks
 }
 
--- a/internal/controlplane/feedserver/publish.go
+++ b/internal/controlplane/feedserver/publish.go
@@ -107,9 +107,9 @@
 }
 
 func (s *Server) exchangeWith(ctx context.Context, core string) {
-	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := feed.AgentContactsCall.Call(bounded, s.options.Caller, core, s.agents.contacts(time.Now()))
+	reply, err := feed.AgentContactsCall.Call(callCtx, s.options.Caller, core, s.agents.contacts(time.Now()))
 	if err != nil {
 		s.options.Logger.Debug("agent list not shared", zap.String("core", core), zap.Error(err))
 		return
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -14,39 +14,39 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// converged is long enough for all agents to be heard of at every coordinator and back at every agent.
+// convergenceTime is long enough for every coordinator to learn of all agents and for every agent to receive the complete list.
 const convergenceTime = 10 * time.Second
 
-// inWorld runs a test in virtual time on a fleet that has settled.
-func withTestCluster(t *testing.T, coordinators, agents int, test func(w *testCluster)) {
+// withTestCluster runs a test in virtual time on a cluster that has converged.
+func withTestCluster(t *testing.T, coordinators, agents int, test func(cluster *testCluster)) {
 	virtualtime.Test(t, func(*testing.T) {
-		w := newTestCluster(coordinators, agents)
+		cluster := newTestCluster(coordinators, agents)
 		<-time.After(convergenceTime)
 		synctest.Wait()
-		test(w)
-		w.stop()
+		test(cluster)
+		cluster.stop()
 	})
 }
 
 func TestUpdatesReachAllAgents(t *testing.T) {
-	withTestCluster(t, 3, 8, func(w *testCluster) {
+	withTestCluster(t, 3, 8, func(cluster *testCluster) {
 		Convey("All agents know all members and are in contact", t, func() {
-			for _, a := range w.agents {
+			for _, a := range cluster.agents {
 				So(len(a.Snapshot().Core), ShouldEqual, 3)
 				So(len(a.Snapshot().Agents), ShouldEqual, 8)
 				So(a.InContact(), ShouldBeTrue)
 			}
 		})
-		Convey("A change is pushed at once", t, func() {
-			w.publishVersion(5)
+		Convey("A change reaches all agents within 50 ms", t, func() {
+			cluster.publishVersion(5)
 			<-time.After(50 * time.Millisecond)
-			So(w.agentsNotAtVersion(5), ShouldBeEmpty)
+			So(cluster.agentsNotAtVersion(5), ShouldBeEmpty)
 		})
 		Convey("Idle agents make few calls", t, func() {
-			w.network.countCalls()
+			cluster.network.countCalls()
 			<-time.After(10 * time.Second)
 			watches, exchanges := 0, 0
-			for call, count := range w.network.countCalls() {
+			for call, count := range cluster.network.countCalls() {
 				switch call.path {
 				case feed.WatchCall.Path():
 					watches += count
@@ -61,17 +61,17 @@
 }
 
 func TestAgentsAreSpreadAcrossCoordinators(t *testing.T) {
-	withTestCluster(t, 3, 30, func(w *testCluster) {
-		Convey("Every core mixer is followed by a fair share", t, func() {
-			w.network.countCalls()
+	withTestCluster(t, 3, 30, func(cluster *testCluster) {
+		Convey("Every coordinator is followed by a fair share of the agents", t, func() {
+			cluster.network.countCalls()
 			<-time.After(time.Second)
 			followers := make(map[string]int)
-			for call := range w.network.countCalls() {
+			for call := range cluster.network.countCalls() {
 				if call.path == feed.WatchCall.Path() {
 					followers[call.to]++
 				}
 			}
-			for address := range w.coordinators {
+			for address := range cluster.coordinators {
 				So(followers[address], ShouldBeGreaterThanOrEqualTo, 4)
 			}
 		})
@@ -79,57 +79,57 @@
 }
 
 func TestAgentsKeepContactWhenACoordinatorFails(t *testing.T) {
-	withTestCluster(t, 3, 8, func(w *testCluster) {
+	withTestCluster(t, 3, 8, func(cluster *testCluster) {
 		allInContact := func() {
-			for _, a := range w.agents {
+			for _, a := range cluster.agents {
 				So(a.InContact(), ShouldBeTrue)
 			}
 		}
-		Convey("One that falls silent costs no contact, and changes come in time", t, func() {
-			w.network.setPartition(func(_, to string) bool { return to == "core-1" })
+		Convey("If one stops replying, all agents stay in contact and get changes in time", t, func() {
+			cluster.network.setPartition(func(_, to string) bool { return to == "core-1" })
 			for range 100 {
 				<-time.After(100 * time.Millisecond)
 				allInContact()
 			}
-			w.publishVersion(5)
+			cluster.publishVersion(5)
 			<-time.After(1500 * time.Millisecond)
-			So(w.agentsNotAtVersion(5), ShouldBeEmpty)
+			So(cluster.agentsNotAtVersion(5), ShouldBeEmpty)
 		})
-		Convey("Its agents return to it some time after it is back", t, func() {
-			w.network.setPartition(func(string, string) bool { return false })
+		Convey("Agents return to it some time after it replies again", t, func() {
+			cluster.network.setPartition(func(string, string) bool { return false })
 			<-time.After(maxPenalty + 2*time.Second)
-			w.network.countCalls()
+			cluster.network.countCalls()
 			<-time.After(time.Second)
-			back := false
-			for call := range w.network.countCalls() {
-				back = back || call.to == "core-1" && call.path == feed.WatchCall.Path()
+			followedAgain := false
+			for call := range cluster.network.countCalls() {
+				followedAgain = followedAgain || call.to == "core-1" && call.path == feed.WatchCall.Path()
 			}
-			So(back, ShouldBeTrue)
+			So(followedAgain, ShouldBeTrue)
 			allInContact()
 		})
-		Convey("One without contact to a majority is left, and its members do not count", t, func() {
-			w.coordinators["core-0"].update(func(c *testCoordinator) { c.inContact = false })
+		Convey("Agents leave one that loses contact with a majority, and stay in contact", t, func() {
+			cluster.coordinators["core-0"].update(func(c *testCoordinator) { c.inContact = false })
 			<-time.After(2 * time.Second)
 			allInContact()
-			w.publishVersion(6)
+			cluster.publishVersion(6)
 			<-time.After(50 * time.Millisecond)
-			So(w.agentsNotAtVersion(6), ShouldBeEmpty)
-			w.coordinators["core-0"].update(func(c *testCoordinator) { c.inContact = true })
+			So(cluster.agentsNotAtVersion(6), ShouldBeEmpty)
+			cluster.coordinators["core-0"].update(func(c *testCoordinator) { c.inContact = true })
 		})
-		Convey("Without any, contact is lost, and back soon after they are", t, func() {
-			w.network.setPartition(func(_, to string) bool { return isCoordinator(to) })
+		Convey("Without a reachable coordinator agents lose contact, and they regain it soon after the partition ends", t, func() {
+			cluster.network.setPartition(func(_, to string) bool { return isCoordinator(to) })
 			<-time.After(20 * time.Second)
-			for _, a := range w.agents {
+			for _, a := range cluster.agents {
 				So(a.InContact(), ShouldBeFalse)
 			}
-			w.network.countCalls()
+			cluster.network.countCalls()
 			<-time.After(time.Second)
-			for call, count := range w.network.countCalls() {
+			for call, count := range cluster.network.countCalls() {
 				if call.path == feed.WatchCall.Path() {
 					So(count, ShouldBeLessThanOrEqualTo, 2)
 				}
 			}
-			w.network.setPartition(func(string, string) bool { return false })
+			cluster.network.setPartition(func(string, string) bool { return false })
 			<-time.After(2 * time.Second)
 			allInContact()
 		})
@@ -137,16 +137,16 @@
 }
 
 func TestOlderUpdatesAreNotMerged(t *testing.T) {
-	withTestCluster(t, 3, 4, func(w *testCluster) {
-		Convey("A core mixer that is behind moves nobody back", t, func() {
-			w.publishVersion(7)
+	withTestCluster(t, 3, 4, func(cluster *testCluster) {
+		Convey("A coordinator with an older state does not make any agent go back", t, func() {
+			cluster.publishVersion(7)
 			<-time.After(50 * time.Millisecond)
-			for _, c := range w.coordinators {
+			for _, c := range cluster.coordinators {
 				c.update(func(c *testCoordinator) { c.version, c.term = 3, 0 })
 			}
 			<-time.After(5 * time.Second)
-			So(w.agentsNotAtVersion(7), ShouldBeEmpty)
-			for _, a := range w.agents {
+			So(cluster.agentsNotAtVersion(7), ShouldBeEmpty)
+			for _, a := range cluster.agents {
 				So(a.Snapshot().Leaders["g"].Term, ShouldEqual, 1)
 				So(string(a.Snapshot().Configuration), ShouldEqual, "configuration 7")
 			}
@@ -154,16 +154,16 @@
 	})
 }
 
-// oneAnswer is a transport.Caller that gets the same answer from everyone.
+// fixedReplyCaller is a transport.Caller that returns the same reply to every call.
 type fixedReplyCaller feed.WatchReply
 
-func (o fixedReplyCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
-	*reply.(*feed.WatchReply) = feed.WatchReply(o)
+func (f fixedReplyCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
+	*reply.(*feed.WatchReply) = feed.WatchReply(f)
 	return nil
 }
 
 func TestReplyThatIsNotCurrentDoesNotConfirmContact(t *testing.T) {
-	Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
+	Convey("Its configuration is used, its members are not, and it does not confirm contact", t, func() {
 		update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
 		a := New(Config{Address: "agent-0", Caller: fixedReplyCaller{Changed: true, Snapshot: update}, Logger: zap.NewNop()})
 		_, err := a.poll(context.Background(), "core-0", 0, time.Minute)
@@ -174,25 +174,25 @@
 	})
 }
 
-// lateAnswer is a transport.Caller whose process stands still for a while before it reads an answer.
+// pausedCaller is a transport.Caller that simulates a pause of the process before the reply is read.
 type pausedCaller struct {
 	reply feed.WatchReply
 	pause time.Duration
 }
 
 // Call implements transport.Caller.
-func (l pausedCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
-	<-time.After(l.pause) // virtual; the context's end does not come between the answer and its reader
-	*reply.(*feed.WatchReply) = l.reply
+func (p pausedCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
+	<-time.After(p.pause) // virtual time; the context is ignored on purpose, so that the reply is returned after it has ended
+	*reply.(*feed.WatchReply) = p.reply
 	return nil
 }
 
 func TestReplyReadAfterPauseDoesNotConfirmContact(t *testing.T) {
 	virtualtime.Test(t, func(*testing.T) {
-		Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
+		Convey("Its configuration is used, its members are not, and it does not confirm contact", t, func() {
 			update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
-			answer := pausedCaller{feed.WatchReply{Current: true, Changed: true, Snapshot: update}, 20 * time.Second}
-			a := New(Config{Address: "agent-0", Caller: answer, Logger: zap.NewNop()})
+			caller := pausedCaller{feed.WatchReply{Current: true, Changed: true, Snapshot: update}, 20 * time.Second}
+			a := New(Config{Address: "agent-0", Caller: caller, Logger: zap.NewNop()})
 			_, err := a.poll(context.Background(), "core-0", pollWait, pollWait+replyMargin)
 			So(err, ShouldEqual, errReplyTooLate)
 			So(a.InContact(), ShouldBeFalse)
@@ -204,24 +204,24 @@
 
 func TestAgentFollowsReplacedSeeds(t *testing.T) {
 	virtualtime.Test(t, func(*testing.T) {
-		w := newTestCluster(3, 0)
-		late := w.addAgent("agent-late", []string{"gone-1", "gone-2"})
-		Convey("An agent whose seeds are gone follows new ones soon", t, func() {
+		cluster := newTestCluster(3, 0)
+		agent := cluster.addAgent("agent-late", []string{"gone-1", "gone-2"})
+		Convey("An agent whose seeds are all unreachable soon follows new seeds", t, func() {
 			<-time.After(5 * time.Second)
-			So(late.InContact(), ShouldBeFalse)
-			late.SetSeeds([]string{"gone-1", "core-2"})
+			So(agent.InContact(), ShouldBeFalse)
+			agent.SetSeeds([]string{"gone-1", "core-2"})
 			<-time.After(2 * time.Second)
-			So(late.InContact(), ShouldBeTrue)
-			So(late.Snapshot().Core, ShouldResemble, []string{"core-0", "core-1", "core-2"})
+			So(agent.InContact(), ShouldBeTrue)
+			So(agent.Snapshot().Core, ShouldResemble, []string{"core-0", "core-1", "core-2"})
 		})
-		Convey("An agent without seeds waits for some", t, func() {
-			idle := w.addAgent("agent-idle", nil)
+		Convey("An agent without seeds waits until it gets some", t, func() {
+			idle := cluster.addAgent("agent-idle", nil)
 			<-time.After(3 * time.Second)
 			So(idle.InContact(), ShouldBeFalse)
 			idle.SetSeeds([]string{"core-0"})
 			<-time.After(2 * time.Second)
 			So(idle.InContact(), ShouldBeTrue)
 		})
-		w.stop()
+		cluster.stop()
 	})
 }
--- a/internal/dataplane/agent/cluster_test.go
+++ b/internal/dataplane/agent/cluster_test.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feedserver"
 )
 
-// coordinator is a coordinator whose updates tests set.
+// testCoordinator is a coordinator whose published state is set by tests.
 type testCoordinator struct {
 	mutex         sync.Mutex
 	version       uint64
@@ -24,7 +24,7 @@
 	server        *feedserver.Server
 }
 
-// shortBody is a configuration of one chunk.
+// shortConfiguration returns a configuration that fits in one chunk.
 func shortConfiguration(version uint64) []byte { return fmt.Appendf(nil, "configuration %d", version) }
 
 func (c *testCoordinator) update(change func(*testCoordinator)) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// world is a fleet of coordinators and agents on one network in memory.
+// testCluster consists of coordinators and agents on an in-memory network.
 type testCluster struct {
 	network      *network
 	coordinators map[string]*testCoordinator
@@ -72,19 +72,19 @@
 }
 
 func newTestCluster(coordinatorCount, agentCount int) *testCluster {
-	w := &testCluster{network: newNetwork(), coordinators: make(map[string]*testCoordinator), agents: make(map[string]*Agent)}
-	w.ctx, w.cancel = context.WithCancel(context.Background())
+	cluster := &testCluster{network: newNetwork(), coordinators: make(map[string]*testCoordinator), agents: make(map[string]*Agent)}
+	cluster.ctx, cluster.cancel = context.WithCancel(context.Background())
 	var members []string
 	for i := range coordinatorCount {
 		members = append(members, fmt.Sprintf("core-%d", i))
 	}
 	for _, address := range members {
-		w.addCoordinator(address, members)
+		cluster.addCoordinator(address, members)
 	}
 	for i := range agentCount {
-		w.addAgent(fmt.Sprintf("agent-%d", i), members)
+		cluster.addAgent(fmt.Sprintf("agent-%d", i), members)
 	}
-	return w
+	return cluster
 }
 
 func (w *testCluster) addCoordinator(address string, members []string) {
@@ -115,14 +115,14 @@
 	w.running.Wait()
 }
 
-// setVersion puts a configuration in force at every coordinator.
+// publishVersion publishes a version of the configuration at every coordinator.
 func (w *testCluster) publishVersion(version uint64) {
 	for _, c := range w.coordinators {
 		c.update(func(c *testCoordinator) { c.version = version })
 	}
 }
 
-// stragglers lists the agents that know of another version.
+// agentsNotAtVersion returns the sorted addresses of the agents whose configuration has another version.
 func (w *testCluster) agentsNotAtVersion(version uint64) []string {
 	var addresses []string
 	for address, a := range w.agents {
@@ -136,15 +136,15 @@
 
 func isCoordinator(address string) bool { return strings.HasPrefix(address, "core-") }
 
-// between makes a cut between one machine and those that match.
+// partitionBetween returns a partition between one machine and the machines that match.
 func partitionBetween(address string, match func(string) bool) func(from, to string) bool {
 	return func(from, to string) bool { return from == address && match(to) }
 }
 
-// proxyRequest is a call of the proxy beside an agent.
-func callLocal(w *testCluster, address string, watch feed.WatchRequest) feed.WatchReply {
+// callLocal makes a call as the proxy on the machine of an agent, and returns the reply.
+func callLocal(cluster *testCluster, address string, watch feed.WatchRequest) feed.WatchReply {
 	var reply feed.WatchReply
-	if err := serve(context.Background(), w.network.muxes[address], feed.LocalCall.Path(), watch, &reply); err != nil {
+	if err := serve(context.Background(), cluster.network.muxes[address], feed.LocalCall.Path(), watch, &reply); err != nil {
 		panic(err)
 	}
 	return reply
--- a/internal/dataplane/agent/contact.go
+++ b/internal/dataplane/agent/contact.go
@@ -39,7 +39,7 @@
 	return c.remainingLocked(now)
 }
 
-// remainingLocked is remaining for callers that hold the mutex.
+// remainingLocked is like remaining, but the caller must hold the mutex.
 func (c *contactTracker) remainingLocked(now time.Time) time.Duration {
 	if c.lastConfirmed.IsZero() {
 		return 0
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -56,9 +56,9 @@
 
 // exchange requests from a peer what this agent lacks, and then sends the peer what the peer lacks.
 func (a *Agent) exchange(ctx context.Context, peer string) error {
-	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.exchangeMessage(nil))
+	reply, err := feed.ExchangeCall.Call(callCtx, a.config.Caller, peer, a.exchangeMessage(nil))
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 	if update == nil {
 		return nil
 	}
-	_, err = feed.ExchangeCall.Call(bounded, a.config.Caller, peer, a.exchangeMessage(update))
+	_, err = feed.ExchangeCall.Call(callCtx, a.config.Caller, peer, a.exchangeMessage(update))
 	return err
 }
 
--- a/internal/dataplane/agent/exchange_test.go
+++ b/internal/dataplane/agent/exchange_test.go
@@ -13,53 +13,53 @@
 )
 
 func TestPartitionedAgentsGetUpdatesFromPeers(t *testing.T) {
-	withTestCluster(t, 3, 8, func(w *testCluster) {
-		Convey("One that is cut off hears of changes from its peers in time", t, func() {
-			w.network.setPartition(partitionBetween("agent-3", isCoordinator))
+	withTestCluster(t, 3, 8, func(cluster *testCluster) {
+		Convey("An agent without access to the coordinators gets changes from its peers in time", t, func() {
+			cluster.network.setPartition(partitionBetween("agent-3", isCoordinator))
 			<-time.After(2 * time.Second)
-			So(w.agents["agent-3"].InContact(), ShouldBeFalse)
+			So(cluster.agents["agent-3"].InContact(), ShouldBeFalse)
 			for version := uint64(5); version < 25; version++ {
-				w.publishVersion(version)
+				cluster.publishVersion(version)
 				<-time.After(1500 * time.Millisecond)
-				So(w.agentsNotAtVersion(version), ShouldBeEmpty)
+				So(cluster.agentsNotAtVersion(version), ShouldBeEmpty)
 			}
 		})
-		Convey("So do all but one", t, func() {
-			w.network.setPartition(func(from, to string) bool { return from != "agent-3" && !isCoordinator(from) && isCoordinator(to) })
+		Convey("All agents get changes in time if only one of them has access to the coordinators", t, func() {
+			cluster.network.setPartition(func(from, to string) bool { return from != "agent-3" && !isCoordinator(from) && isCoordinator(to) })
 			<-time.After(2 * time.Second)
-			w.publishVersion(30)
+			cluster.publishVersion(30)
 			<-time.After(4 * time.Second)
-			So(w.agentsNotAtVersion(30), ShouldBeEmpty)
+			So(cluster.agentsNotAtVersion(30), ShouldBeEmpty)
 		})
-		Convey("They hear of new members as well", t, func() {
-			w.network.setPartition(partitionBetween("agent-3", isCoordinator))
+		Convey("An agent without access to the coordinators learns of new members too", t, func() {
+			cluster.network.setPartition(partitionBetween("agent-3", isCoordinator))
 			<-time.After(5 * time.Second)
-			w.addAgent("agent-8", []string{"core-1"})
+			cluster.addAgent("agent-8", []string{"core-1"})
 			<-time.After(10 * time.Second)
-			So(slices.Contains(w.agents["agent-3"].Snapshot().Agents, "agent-8"), ShouldBeTrue)
-			So(w.agents["agent-3"].InContact(), ShouldBeFalse)
+			So(slices.Contains(cluster.agents["agent-3"].Snapshot().Agents, "agent-8"), ShouldBeTrue)
+			So(cluster.agents["agent-3"].InContact(), ShouldBeFalse)
 		})
 	})
 }
 
 func TestFailedPeerIsRemovedUntilItReturns(t *testing.T) {
-	withTestCluster(t, 3, 6, func(w *testCluster) {
-		front := func() []string { return w.agents["agent-0"].Snapshot().Agents }
-		Convey("One that is down is soon dropped", t, func() {
-			w.network.setDown("agent-4", true)
+	withTestCluster(t, 3, 6, func(cluster *testCluster) {
+		agents := func() []string { return cluster.agents["agent-0"].Snapshot().Agents }
+		Convey("A peer that is down is soon removed from the members", t, func() {
+			cluster.network.setDown("agent-4", true)
 			<-time.After(8 * time.Second)
-			So(slices.Contains(front(), "agent-4"), ShouldBeFalse)
+			So(slices.Contains(agents(), "agent-4"), ShouldBeFalse)
 		})
-		Convey("It is back soon after it is up", t, func() {
-			w.network.setDown("agent-4", false)
+		Convey("It is added again soon after it is up", t, func() {
+			cluster.network.setDown("agent-4", false)
 			<-time.After(5 * time.Second)
-			So(slices.Contains(front(), "agent-4"), ShouldBeTrue)
+			So(slices.Contains(agents(), "agent-4"), ShouldBeTrue)
 		})
-		Convey("One that only its peers cannot reach stays", t, func() {
-			w.network.setPartition(partitionBetween("agent-4", func(to string) bool { return !isCoordinator(to) }))
+		Convey("A peer that still reaches the coordinators is not removed, although no other peer reaches it", t, func() {
+			cluster.network.setPartition(partitionBetween("agent-4", func(to string) bool { return !isCoordinator(to) }))
 			for range 20 {
 				<-time.After(time.Second)
-				So(slices.Contains(front(), "agent-4"), ShouldBeTrue)
+				So(slices.Contains(agents(), "agent-4"), ShouldBeTrue)
 			}
 		})
 	})
@@ -67,49 +67,49 @@
 
 func TestPeerSelectionPrefersMonitoredAndFailedPeers(t *testing.T) {
 	Convey("Given the peers of an agent", t, func() {
-		var front []string
+		var agents []string
 		for i := range 20 {
-			front = append(front, fmt.Sprintf("agent-%02d", i))
+			agents = append(agents, fmt.Sprintf("agent-%02d", i))
 		}
-		p := newPeerSelector("agent-07")
-		So(p.choose(), ShouldBeEmpty)
-		p.setAgents(front)
+		selector := newPeerSelector("agent-07")
+		So(selector.choose(), ShouldBeEmpty)
+		selector.setAgents(agents)
 
-		Convey("the monitored ones get about half of the calls more, all get some, and itself none", func() {
+		Convey("monitored peers get about half of the calls in addition to their random share, all peers get some, and the agent itself gets none", func() {
 			counts := make(map[string]int)
 			for range 2000 {
-				counts[p.choose()]++
+				counts[selector.choose()]++
 			}
 			monitored := 0
-			for _, address := range p.monitored {
+			for _, address := range selector.monitored {
 				monitored += counts[address]
 			}
-			So(len(p.monitored), ShouldEqual, monitoredPeers)
+			So(len(selector.monitored), ShouldEqual, monitoredPeers)
 			So(monitored, ShouldBeBetween, 1000, 1400)
 			So(len(counts), ShouldEqual, 19)
 			So(counts["agent-07"], ShouldEqual, 0)
 		})
-		Convey("the monitored ones change little with the fleet", func() {
-			before := slices.Clone(p.monitored)
-			p.setAgents(slices.DeleteFunc(front, func(address string) bool { return address == before[0] }))
-			So(p.monitored[:2], ShouldResemble, before[1:])
+		Convey("removing one agent keeps the other monitored peers", func() {
+			before := slices.Clone(selector.monitored)
+			selector.setAgents(slices.DeleteFunc(agents, func(address string) bool { return address == before[0] }))
+			So(selector.monitored[:2], ShouldResemble, before[1:])
 		})
-		Convey("one that fails is asked again until it is suspect", func() {
+		Convey("a failed peer is called again until it is a suspect", func() {
 			for range failuresToSuspect {
-				So(p.suspects(), ShouldBeEmpty)
-				p.recordResult("agent-11", false)
-				if len(p.suspects()) == 0 {
-					So(p.choose(), ShouldEqual, "agent-11")
+				So(selector.suspects(), ShouldBeEmpty)
+				selector.recordResult("agent-11", false)
+				if len(selector.suspects()) == 0 {
+					So(selector.choose(), ShouldEqual, "agent-11")
 				}
 			}
-			So(p.suspects(), ShouldResemble, []string{"agent-11"})
-			Convey("and no longer once it answers", func() {
-				p.recordResult("agent-11", true)
-				So(p.suspects(), ShouldBeEmpty)
+			So(selector.suspects(), ShouldResemble, []string{"agent-11"})
+			Convey("and it is no suspect after it replies", func() {
+				selector.recordResult("agent-11", true)
+				So(selector.suspects(), ShouldBeEmpty)
 			})
-			Convey("nor once it is gone", func() {
-				p.setAgents(front[:5])
-				So(p.suspects(), ShouldBeEmpty)
+			Convey("and it is no suspect after it leaves the list of agents", func() {
+				selector.setAgents(agents[:5])
+				So(selector.suspects(), ShouldBeEmpty)
 			})
 		})
 	})
@@ -122,25 +122,25 @@
 		a.snapshots.MergeWithMembers(&feed.Snapshot{Core: []string{"core-0"}, Agents: []string{"agent-0"}})
 		received := feed.Exchange{Snapshot: &feed.Snapshot{Core: []string{"core-9"}, Agents: []string{"agent-9"}}}
 		coordinator := func() string { return a.Snapshot().Core[0] }
-		tell := func(age time.Duration) {
+		sendExchange := func(age time.Duration) {
 			received.Known.MembersAgeMS = age.Milliseconds()
 			_, err := a.handleExchange(context.Background(), received)
 			So(err, ShouldBeNil)
 		}
-		Convey("fresher ones are taken over", func() {
+		Convey("newer ones replace them", func() {
 			a.membersConfirmed = time.Now().Add(-time.Minute)
-			tell(10 * time.Second)
+			sendExchange(10 * time.Second)
 			So(coordinator(), ShouldEqual, "core-9")
 			So(a.membersAge(time.Now()), ShouldBeLessThan, time.Minute)
 		})
-		Convey("older ones are not", func() {
+		Convey("older ones do not", func() {
 			a.membersConfirmed = time.Now().Add(-time.Minute)
-			tell(2 * time.Minute)
+			sendExchange(2 * time.Minute)
 			So(coordinator(), ShouldEqual, "core-0")
 		})
-		Convey("nor is any while a core mixer still confirms the own ones", func() {
+		Convey("no others replace them while a coordinator still confirms them", func() {
 			a.confirm(time.Now())
-			tell(0)
+			sendExchange(0)
 			So(coordinator(), ShouldEqual, "core-0")
 		})
 	})
--- a/internal/dataplane/agent/fetch.go
+++ b/internal/dataplane/agent/fetch.go
@@ -67,11 +67,11 @@
 // fetchOnce makes one call for chunks and returns the pause before the next one. The pause is as long as the call took, up to
 // maxFetchPause. As a result, control traffic uses at most half of the link, and less if client packets slowed down the call.
 func (a *Agent) fetchOnce(ctx context.Context, call chunksCall) (delay time.Duration) {
-	bounded, cancel := context.WithTimeout(ctx, chunksTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, chunksTimeout)
 	defer cancel()
-	began := time.Now()
-	reply, err := feed.ChunksCall.Call(bounded, a.config.Caller, call.source, call.request)
-	elapsed := time.Since(began)
+	start := time.Now()
+	reply, err := feed.ChunksCall.Call(callCtx, a.config.Caller, call.source, call.request)
+	elapsed := time.Since(start)
 	if err != nil {
 		a.download.handleFailure(call)
 		a.config.Logger.Debug("chunk request failed", zap.String("source", call.source), zap.Error(err))
--- a/internal/dataplane/agent/follow.go
+++ b/internal/dataplane/agent/follow.go
@@ -23,8 +23,8 @@
 	// minBackoff is the shortest pause before a call when all coordinators have failed recently. It is also the pause after a
 	// poll without progress and after a failed call for chunks.
 	minBackoff = 50 * time.Millisecond
-	// maxBackoff is divided by the number of candidates to limit that pause, so that each coordinator is called about once in
-	// this time.
+	// maxBackoff divided by the number of candidates is the longest pause before a call when all coordinators have failed
+	// recently. As a result, each coordinator is called about once per maxBackoff.
 	maxBackoff = time.Second
 )
 
@@ -108,8 +108,8 @@
 // progress is false if the reply contained only updates that were already known. The coordinator may send these again at once, so
 // the caller has to pause before the next call.
 func (a *Agent) poll(ctx context.Context, coordinator string, wait, timeout time.Duration) (progress bool, err error) {
-	began := time.Now()
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	start := time.Now()
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request := feed.WatchRequest{
 		Known:    a.knownOrInProgress(),
@@ -118,12 +118,12 @@
 		Suspects: a.peers.suspects(),
 		MaxBytes: a.download.callBytes(),
 	}
-	reply, err := feed.WatchCall.Call(bounded, a.config.Caller, coordinator, request)
+	reply, err := feed.WatchCall.Call(callCtx, a.config.Caller, coordinator, request)
 	if err != nil {
 		return false, err
 	}
 	now := time.Now()
-	late := now.Sub(began) > timeout // this process was paused, so the reply is old
+	late := now.Sub(start) > timeout // this process was paused, so the reply is old
 	reply.Current = reply.Current && !late
 	progress, err = a.mergeReply(reply, coordinator)
 	switch {
--- a/internal/dataplane/agent/link_test.go
+++ b/internal/dataplane/agent/link_test.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// headerBytes is about what HTTP and TCP add to a message.
+// headerBytes is the approximate overhead of HTTP and TCP for one message.
 const headerBytes = 350
 
-// link carries the messages of one machine one after the other, at a rate.
+// link simulates the network link of one machine. It transmits one message at a time at a fixed rate.
 type link struct {
-	bytesPerSecond float64 // bytes
+	bytesPerSecond float64
 
 	mutex       sync.Mutex
-	freeAt      time.Time // when the messages that wait have all been sent
-	transmitted int       // bytes
+	freeAt      time.Time // when all queued messages have been transmitted
+	transmitted int       // bytes since the last call of takeTransmitted
 }
 
-// carry waits until a message has been sent, and returns false if ctx ends before. What was not sent then frees the link.
+// transmit waits until a message has been transmitted, and returns true. If ctx ends first, transmit returns false, and the unsent
+// part of the message does not use the link.
 func (l *link) transmit(ctx context.Context, bytes int) bool {
-	expected := time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second))
+	duration := time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second))
 	l.mutex.Lock()
-	begins := time.Now()
-	if l.freeAt.After(begins) {
-		begins = l.freeAt
+	start := time.Now()
+	if l.freeAt.After(start) {
+		start = l.freeAt
 	}
-	ends := begins.Add(expected)
-	l.freeAt = ends
+	end := start.Add(duration)
+	l.freeAt = end
 	l.mutex.Unlock()
-	timer := time.NewTimer(time.Until(ends))
+	timer := time.NewTimer(time.Until(end))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -37,25 +38,26 @@
 		return true
 	case <-ctx.Done():
 	}
-	unsent := min(expected, time.Until(ends))
+	unsent := min(duration, time.Until(end))
 	l.mutex.Lock()
 	l.freeAt = l.freeAt.Add(-unsent)
 	l.mutex.Unlock()
-	l.addTransmitted(int(float64(bytes) * float64(expected-unsent) / float64(expected)))
+	l.addTransmitted(int(float64(bytes) * float64(duration-unsent) / float64(duration)))
 	return false
 }
 
+// addTransmitted adds to the count of transmitted bytes.
 func (l *link) addTransmitted(bytes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.transmitted += bytes
 }
 
-// take returns how many bytes were carried since the last time.
+// takeTransmitted returns the number of bytes transmitted since takeTransmitted was last called.
 func (l *link) takeTransmitted() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	carried := l.transmitted
+	transmitted := l.transmitted
 	l.transmitted = 0
-	return carried
+	return transmitted
 }
--- a/internal/dataplane/agent/local_test.go
+++ b/internal/dataplane/agent/local_test.go
@@ -15,50 +15,50 @@
 )
 
 func TestProxyReceivesUpdatesAndContactChanges(t *testing.T) {
-	withTestCluster(t, 3, 2, func(w *testCluster) {
-		known := func() feed.Digest { return w.agents["agent-0"].snapshots.Digest() }
-		Convey("A first call brings everything", t, func() {
-			w.publishVersion(5)
+	withTestCluster(t, 3, 2, func(cluster *testCluster) {
+		known := func() feed.Digest { return cluster.agents["agent-0"].snapshots.Digest() }
+		Convey("The first call returns the complete state", t, func() {
+			cluster.publishVersion(5)
 			<-time.After(50 * time.Millisecond)
-			reply := callLocal(w, "agent-0", feed.WatchRequest{})
+			reply := callLocal(cluster, "agent-0", feed.WatchRequest{})
 			So(reply.Current, ShouldBeTrue)
 			So(string(reply.Snapshot.Configuration), ShouldEqual, "configuration 5")
 			So(len(reply.Snapshot.Core), ShouldEqual, 3)
 		})
-		Convey("A call without news lasts as long as asked, up to a bound", t, func() {
+		Convey("A call without an update returns after the requested wait, which is limited to maxLocalWait", t, func() {
 			for _, c := range []struct{ requested, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxLocalWait}} {
-				began := time.Now()
-				reply := callLocal(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: c.requested.Milliseconds(), Current: true})
-				So(time.Since(began), ShouldEqual, c.waited)
+				start := time.Now()
+				reply := callLocal(cluster, "agent-0", feed.WatchRequest{Known: known(), WaitMS: c.requested.Milliseconds(), Current: true})
+				So(time.Since(start), ShouldEqual, c.waited)
 				So(reply, ShouldResemble, feed.WatchReply{Current: true})
 			}
 		})
-		Convey("News end it at once", t, func() {
+		Convey("An update ends a waiting call at once", t, func() {
 			replies := make(chan feed.WatchReply)
 			request := feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}
-			go func() { replies <- callLocal(w, "agent-0", request) }()
+			go func() { replies <- callLocal(cluster, "agent-0", request) }()
 			synctest.Wait()
-			began := time.Now()
-			w.publishVersion(6)
+			start := time.Now()
+			cluster.publishVersion(6)
 			So((<-replies).Snapshot.ConfigurationVersion, ShouldEqual, 6)
-			So(time.Since(began), ShouldBeLessThan, 50*time.Millisecond)
+			So(time.Since(start), ShouldBeLessThan, 50*time.Millisecond)
 		})
-		Convey("The loss of contact ends it, and so does its return", t, func() {
-			w.network.setPartition(partitionBetween("agent-0", isCoordinator))
-			began := time.Now()
-			reply := callLocal(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true})
+		Convey("Loss of contact ends a waiting call, and so does regained contact", t, func() {
+			cluster.network.setPartition(partitionBetween("agent-0", isCoordinator))
+			start := time.Now()
+			reply := callLocal(cluster, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true})
 			So(reply.Current, ShouldBeFalse)
-			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactTimeout)
-			So(callLocal(w, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}).Current, ShouldBeFalse)
+			So(time.Since(start), ShouldBeLessThanOrEqualTo, contactTimeout)
+			So(callLocal(cluster, "agent-0", feed.WatchRequest{Known: known(), WaitMS: 2000, Current: true}).Current, ShouldBeFalse)
 
 			replies := make(chan feed.WatchReply)
 			request := feed.WatchRequest{Known: known(), WaitMS: 2000}
-			go func() { replies <- callLocal(w, "agent-0", request) }()
+			go func() { replies <- callLocal(cluster, "agent-0", request) }()
 			synctest.Wait()
-			w.network.setPartition(func(string, string) bool { return false })
-			began = time.Now()
+			cluster.network.setPartition(func(string, string) bool { return false })
+			start = time.Now()
 			So((<-replies).Current, ShouldBeTrue)
-			So(time.Since(began), ShouldBeLessThanOrEqualTo, contactTimeout)
+			So(time.Since(start), ShouldBeLessThanOrEqualTo, contactTimeout)
 		})
 	})
 }
@@ -77,7 +77,7 @@
 		})
 		address := server.Listener.Addr().String()
 
-		Convey("a waiting call brings what a peer has told meanwhile", func() {
+		Convey("a waiting call returns an update that a peer sends in the meantime", func() {
 			replies := make(chan feed.WatchReply, 1)
 			go func() {
 				var reply feed.WatchReply
@@ -85,9 +85,9 @@
 				replies <- reply
 			}()
 			update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("configuration 5")}
-			var answer feed.Exchange
-			So(client.Call(context.Background(), address, feed.ExchangeCall.Route(), feed.Exchange{Snapshot: update}, &answer), ShouldBeNil)
-			So(answer.Known.ConfigurationVersion, ShouldEqual, 5)
+			var exchangeReply feed.Exchange
+			So(client.Call(context.Background(), address, feed.ExchangeCall.Route(), feed.Exchange{Snapshot: update}, &exchangeReply), ShouldBeNil)
+			So(exchangeReply.Known.ConfigurationVersion, ShouldEqual, 5)
 			reply := <-replies
 			So(reply.Snapshot.ConfigurationVersion, ShouldEqual, 5)
 			So(reply.Current, ShouldBeFalse)
--- a/internal/dataplane/agent/network_test.go
+++ b/internal/dataplane/agent/network_test.go
@@ -16,22 +16,23 @@
 )
 
 var (
-	errPartitioned = errors.New("no answer")
+	errPartitioned = errors.New("no reply")
 	errDown        = errors.New("connection refused")
 )
 
-// network carries calls in memory. Links can be cut, so that calls hang, and machines can be down, so that they fail.
+// network is an in-memory network. Calls across a partition hang until they time out. Calls from or to a machine that is down fail
+// at once.
 type network struct {
 	mutex     sync.Mutex
 	muxes     map[string]*transport.Mux
 	partition func(from, to string) bool
 	down      map[string]bool
 	calls     map[callRoute]int
-	links     map[string]*link // of machines whose link is thin
+	links     map[string]*link // by address; only of machines with a slow link
 	corrupt   func(from string, reply any)
 }
 
-// route is who called whom for what.
+// callRoute identifies the caller, the callee and the path of a call.
 type callRoute struct{ from, to, path string }
 
 func newNetwork() *network {
@@ -65,7 +66,7 @@
 	n.down[address] = down
 }
 
-// countCalls returns how many calls were made since the last time.
+// countCalls returns the number of calls by route since countCalls was last called.
 func (n *network) countCalls() map[callRoute]int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -80,10 +81,10 @@
 	address string
 }
 
-func (e endpoint) Call(ctx context.Context, address string, called transport.Route, request, reply any) error {
+func (e endpoint) Call(ctx context.Context, address string, target transport.Route, request, reply any) error {
 	n := e.network
 	n.mutex.Lock()
-	n.calls[callRoute{e.address, address, called.Path()}]++
+	n.calls[callRoute{e.address, address, target.Path()}]++
 	mux := n.muxes[address]
 	down := mux == nil || n.down[address] || n.down[e.address]
 	n.mutex.Unlock()
@@ -97,8 +98,8 @@
 	if err := n.transmit(ctx, e.address, address, request); err != nil {
 		return err
 	}
-	err := serve(ctx, mux, called.Path(), request, reply)
-	if n.isPartitioned(e.address, address) { // the answer is lost
+	err := serve(ctx, mux, target.Path(), request, reply)
+	if n.isPartitioned(e.address, address) { // the reply is lost
 		<-ctx.Done()
 		return rpcerror.WrapMayHaveExecuted(errPartitioned)
 	}
@@ -106,13 +107,13 @@
 		return err
 	}
 	n.mutex.Lock()
-	spoil := n.corrupt
+	corrupt := n.corrupt
 	n.mutex.Unlock()
-	spoil(address, reply)
+	corrupt(address, reply)
 	return n.transmit(ctx, address, e.address, reply)
 }
 
-// carry takes the time that a message needs on the links of both ends.
+// transmit waits for the time that a message needs on the links of both machines.
 func (n *network) transmit(ctx context.Context, from, to string, message any) error {
 	content, err := msgpack.Marshal(message)
 	if err != nil {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// isPartition tells whether a link is cut, which ends both directions.
+// isPartitioned reports whether a partition separates two machines. A partition affects both directions.
 func (n *network) isPartitioned(one, other string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -148,7 +149,7 @@
 		return rpcerror.WrapMayHaveExecuted(ctx.Err())
 	}
 	if recorder.Code != http.StatusOK {
-		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s answered %d", path, recorder.Code))
+		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s replied with status %d", path, recorder.Code))
 	}
 	return msgpack.Unmarshal(recorder.Body.Bytes(), reply)
 }
--- a/internal/dataplane/agent/peers.go
+++ b/internal/dataplane/agent/peers.go
@@ -59,7 +59,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, address := range p.others {
-		if failed := p.failures[address]; failed > 0 && failed < failuresToSuspect {
+		if count := p.failures[address]; count > 0 && count < failuresToSuspect {
 			return address
 		}
 	}
@@ -73,8 +73,8 @@
 func (p *peerSelector) hasUnconfirmedFailures() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, failed := range p.failures {
-		if failed < failuresToSuspect {
+	for _, count := range p.failures {
+		if count < failuresToSuspect {
 			return true
 		}
 	}
@@ -105,8 +105,8 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var suspects []string
-	for address, failed := range p.failures {
-		if failed >= failuresToSuspect {
+	for address, count := range p.failures {
+		if count >= failuresToSuspect {
 			suspects = append(suspects, address)
 		}
 	}
--- a/internal/dataplane/agent/transfer_test.go
+++ b/internal/dataplane/agent/transfer_test.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	// applyBound is the time within which a change is in force everywhere (configurationApplyMs).
+	// maxApplyTime is the time within which a change must be in force at all agents (configurationApplyMs).
 	maxApplyTime = 2500 * time.Millisecond
-	// recoveryBound is the time within which all serve again that began from nothing (recoveryS).
+	// maxRecoveryTime is the time within which agents that start without any state must serve again (recoveryS).
 	maxRecoveryTime = 15 * time.Second
-	// thinLink is what clients leave of a link of 2 Mbit/s, in bytes a second.
+	// slowLinkBytesPerSecond is the rate that remains for control traffic on a link of 2 Mbit/s with client traffic.
 	slowLinkBytesPerSecond = 250e3 * 0.4
-	// stormGap is the time between two changes in a storm.
+	// changeInterval is the time between two changes of publishRepeatedly.
 	changeInterval = 170 * time.Millisecond
 )
 
-// madeBodies holds what largeBody has made, by version.
+// largeConfigurations caches the results of largeConfiguration by version.
 var largeConfigurations sync.Map
 
-// largeBody is a configuration of 1,830 routes, about 330 KB. One route and the version differ between versions.
+// largeConfiguration returns a configuration of 1,830 routes, about 330 KB. Two versions differ in the version number and in one
+// route each.
 func largeConfiguration(version uint64) []byte {
-	if body, made := largeConfigurations.Load(version); made {
+	if body, found := largeConfigurations.Load(version); found {
 		return body.([]byte)
 	}
 	body, _ := largeConfigurations.LoadOrStore(version, buildLargeConfiguration(version))
@@ -54,85 +55,87 @@
 	return append(text, `{}]}`...)
 }
 
-// onThinLinks plays a test in virtual time on a fleet whose agents have thin links and a large configuration.
-func withSlowLinks(t *testing.T, coordinators, agents int, test func(w *testCluster)) {
+// withSlowLinks runs a test in virtual time on a cluster whose agents have slow links and have received a large configuration.
+func withSlowLinks(t *testing.T, coordinators, agents int, test func(cluster *testCluster)) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newTestCluster(coordinators, agents)
-		for _, c := range w.coordinators {
+		cluster := newTestCluster(coordinators, agents)
+		for _, c := range cluster.coordinators {
 			c.update(func(c *testCoordinator) { c.configuration = largeConfiguration })
 		}
-		for address := range w.agents {
-			w.network.addSlowLink(address)
+		for address := range cluster.agents {
+			cluster.network.addSlowLink(address)
 		}
-		w.publishVersion(1)
+		cluster.publishVersion(1)
 		<-time.After(convergenceTime)
 		synctest.Wait()
-		if stragglers := w.agentsNotAtVersion(1); len(stragglers) > 0 {
-			t.Fatalf("the first configuration is not in force at %v", stragglers)
+		if outdated := cluster.agentsNotAtVersion(1); len(outdated) > 0 {
+			t.Fatalf("the first configuration is not in force at agents %v", outdated)
 		}
-		test(w)
-		w.stop()
+		test(cluster)
+		cluster.stop()
 	})
 }
 
+// addSlowLink gives a machine a link of slowLinkBytesPerSecond.
 func (n *network) addSlowLink(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.links[address] = &link{bytesPerSecond: slowLinkBytesPerSecond}
 }
 
-// carried returns how many bytes each link carried since the last time, in the mean and at most.
-func (n *network) takeTransmitted() (mean, most int) {
+// takeTransmitted returns the mean and the maximum over all links of the bytes transmitted since takeTransmitted was last called.
+func (n *network) takeTransmitted() (mean, maximum int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, link := range n.links {
 		bytes := link.takeTransmitted()
 		mean += bytes / len(n.links)
-		most = max(most, bytes)
+		maximum = max(maximum, bytes)
 	}
-	return mean, most
+	return mean, maximum
 }
 
-// watchVersions notes what is in force at the agents while changes go on, and returns what is wrong: a version that goes
-// back, content that is not the version's, or a change that is not in force everywhere within the bound.
+// versionChecker publishes changes and checks the configurations in force at the agents. It records a violation for a version that
+// decreases, for content that does not match its version, and for a change that is not in force at all agents within maxApplyTime.
 type versionChecker struct {
 	cluster     *testCluster
-	exempt      string // an agent that need not be in time
+	exempt      string // address of an agent that may exceed maxApplyTime
 	lastSeen    map[string]uint64
 	publishedAt map[uint64]time.Time
 	violations  []string
 }
 
-func newVersionChecker(w *testCluster) *versionChecker {
-	return &versionChecker{cluster: w, lastSeen: make(map[string]uint64), publishedAt: make(map[uint64]time.Time)}
+func newVersionChecker(cluster *testCluster) *versionChecker {
+	return &versionChecker{cluster: cluster, lastSeen: make(map[string]uint64), publishedAt: make(map[uint64]time.Time)}
 }
 
+// publish publishes a version at all coordinators and records the time.
 func (v *versionChecker) publish(version uint64) {
 	v.cluster.publishVersion(version)
 	v.publishedAt[version] = time.Now()
 }
 
-// look compares what is in force with what was sent.
+// check compares the configurations in force with the published versions and records violations.
 func (v *versionChecker) check() {
 	now := time.Now()
 	for address, a := range v.cluster.agents {
 		snapshot := a.Snapshot()
 		if snapshot.ConfigurationVersion < v.lastSeen[address] {
-			v.violations = append(v.violations, fmt.Sprintf("%s goes back to %d", address, snapshot.ConfigurationVersion))
+			v.violations = append(v.violations, fmt.Sprintf("%s went back to version %d", address, snapshot.ConfigurationVersion))
 		}
 		if snapshot.ConfigurationVersion != v.lastSeen[address] && !bytes.Equal(snapshot.Configuration, largeConfiguration(snapshot.ConfigurationVersion)) {
-			v.violations = append(v.violations, fmt.Sprintf("%s has a mixture as %d", address, snapshot.ConfigurationVersion))
+			v.violations = append(v.violations, fmt.Sprintf("%s has wrong content for version %d", address, snapshot.ConfigurationVersion))
 		}
 		v.lastSeen[address] = snapshot.ConfigurationVersion
 		for version, at := range v.publishedAt {
 			if now.Sub(at) > maxApplyTime && snapshot.ConfigurationVersion < version && address != v.exempt {
-				v.violations = append(v.violations, fmt.Sprintf("%s has %d, %v after %d", address, snapshot.ConfigurationVersion, now.Sub(at), version))
+				v.violations = append(v.violations, fmt.Sprintf("%s has version %d, %v after version %d was published", address, snapshot.ConfigurationVersion, now.Sub(at), version))
 			}
 		}
 	}
 }
 
-// pass lets time go by while it looks.
+// checkFor calls check every 50 ms for the given duration.
 func (v *versionChecker) checkFor(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		<-time.After(50 * time.Millisecond)
@@ -140,7 +143,7 @@
 	}
 }
 
-// storm makes a change each stormGap for some time.
+// publishRepeatedly publishes a new version every changeInterval for the given duration, and returns the last version.
 func (v *versionChecker) publishRepeatedly(first uint64, duration time.Duration) (last uint64) {
 	for end := time.Now().Add(duration); time.Now().Before(end); first++ {
 		v.publish(first)
@@ -150,126 +153,126 @@
 }
 
 func TestFrequentChangesApplyInTimeOnSlowLinks(t *testing.T) {
-	withSlowLinks(t, 3, 8, func(w *testCluster) {
-		Convey("Each change of a large configuration is in force in time, and none goes back", t, func() {
-			watch := newVersionChecker(w)
-			w.network.takeTransmitted()
-			last := watch.publishRepeatedly(10, 6*time.Second)
-			mean, most := w.network.takeTransmitted()
-			watch.checkFor(maxApplyTime + time.Second)
-			So(watch.violations, ShouldBeEmpty)
-			So(w.agentsNotAtVersion(last), ShouldBeEmpty)
-			Convey("and control takes a part of the link only", func() {
-				So(most, ShouldBeLessThan, int(6*slowLinkBytesPerSecond/2))
-				So(mean/int(last-9), ShouldBeLessThan, 8<<10) // a change
+	withSlowLinks(t, 3, 8, func(cluster *testCluster) {
+		Convey("Each change of a large configuration is in force in time, and no agent goes back to an older version", t, func() {
+			checker := newVersionChecker(cluster)
+			cluster.network.takeTransmitted()
+			last := checker.publishRepeatedly(10, 6*time.Second)
+			mean, maximum := cluster.network.takeTransmitted()
+			checker.checkFor(maxApplyTime + time.Second)
+			So(checker.violations, ShouldBeEmpty)
+			So(cluster.agentsNotAtVersion(last), ShouldBeEmpty)
+			Convey("and control traffic uses only a part of the link", func() {
+				So(maximum, ShouldBeLessThan, int(6*slowLinkBytesPerSecond/2))
+				So(mean/int(last-9), ShouldBeLessThan, 8<<10) // bytes per change
 			})
 		})
 	})
 }
 
 func TestNewAgentsDownloadLargeConfigurationInTime(t *testing.T) {
-	withSlowLinks(t, 3, 8, func(w *testCluster) {
-		Convey("The largest configuration is in force at all agents that begin at once", t, func() {
+	withSlowLinks(t, 3, 8, func(cluster *testCluster) {
+		Convey("A large configuration is in force in time at agents that all start at once", t, func() {
 			for i := range 8 {
 				address := fmt.Sprintf("agent-new-%d", i)
-				w.network.addSlowLink(address)
-				w.addAgent(address, []string{"core-0", "core-1", "core-2"})
+				cluster.network.addSlowLink(address)
+				cluster.addAgent(address, []string{"core-0", "core-1", "core-2"})
 			}
 			<-time.After(maxRecoveryTime / 3)
-			So(w.agentsNotAtVersion(1), ShouldBeEmpty)
-			mean, most := w.network.takeTransmitted()
-			So(most, ShouldBeLessThan, 3*len(largeConfiguration(1)))
+			So(cluster.agentsNotAtVersion(1), ShouldBeEmpty)
+			mean, maximum := cluster.network.takeTransmitted()
+			So(maximum, ShouldBeLessThan, 3*len(largeConfiguration(1)))
 			So(mean, ShouldBeGreaterThan, 0)
 		})
-		Convey("So it is while it changes all the time", t, func() {
-			watch := newVersionChecker(w)
+		Convey("A large configuration that changes all the time is in force in time at agents that all start at once", t, func() {
+			checker := newVersionChecker(cluster)
 			for i := range 8 {
 				address := fmt.Sprintf("agent-late-%d", i)
-				w.network.addSlowLink(address)
-				w.addAgent(address, []string{"core-0", "core-1", "core-2"})
+				cluster.network.addSlowLink(address)
+				cluster.addAgent(address, []string{"core-0", "core-1", "core-2"})
 			}
-			last := watch.publishRepeatedly(10, 6*time.Second)
-			So(watch.violations, ShouldBeEmpty)
-			watch.checkFor(maxApplyTime)
-			So(w.agentsNotAtVersion(last), ShouldBeEmpty)
+			last := checker.publishRepeatedly(10, 6*time.Second)
+			So(checker.violations, ShouldBeEmpty)
+			checker.checkFor(maxApplyTime)
+			So(cluster.agentsNotAtVersion(last), ShouldBeEmpty)
 		})
 	})
 }
 
 func TestInterruptedDownloadContinuesFromOtherSources(t *testing.T) {
-	fresh := func(w *testCluster, address string) *Agent {
-		w.network.addSlowLink(address)
-		return w.addAgent(address, []string{"core-0", "core-1", "core-2"})
+	startAgent := func(cluster *testCluster, address string) *Agent {
+		cluster.network.addSlowLink(address)
+		return cluster.addAgent(address, []string{"core-0", "core-1", "core-2"})
 	}
-	// Alone on the link, the whole takes about 0.8 s.
-	const middle = 300 * time.Millisecond
-	withSlowLinks(t, 3, 4, func(w *testCluster) {
-		Convey("A transfer goes on at another core mixer when its source goes down, with what has arrived", t, func() {
-			a := fresh(w, "agent-a")
-			<-time.After(middle)
+	// midDownload is a time at which a download is incomplete. A download without other traffic takes about 0.8 s.
+	const midDownload = 300 * time.Millisecond
+	withSlowLinks(t, 3, 4, func(cluster *testCluster) {
+		Convey("If its source goes down, a download continues from another coordinator and keeps the received chunks", t, func() {
+			a := startAgent(cluster, "agent-a")
+			<-time.After(midDownload)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 0)
-			w.network.setDown(rank("agent-a", []string{"core-0", "core-1", "core-2"})[0], true)
+			cluster.network.setDown(rank("agent-a", []string{"core-0", "core-1", "core-2"})[0], true)
 			<-time.After(4 * time.Second)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 1)
-			carried := w.network.links["agent-a"].takeTransmitted()
-			So(carried, ShouldBeLessThan, len(largeConfiguration(1))/2)
-			w.network.setDown(rank("agent-a", []string{"core-0", "core-1", "core-2"})[0], false)
+			transmitted := cluster.network.links["agent-a"].takeTransmitted()
+			So(transmitted, ShouldBeLessThan, len(largeConfiguration(1))/2)
+			cluster.network.setDown(rank("agent-a", []string{"core-0", "core-1", "core-2"})[0], false)
 		})
-		Convey("It goes on at other agents when the whole core is cut off", t, func() {
-			a := fresh(w, "agent-b")
-			<-time.After(middle)
+		Convey("If no coordinator is reachable, a download continues from other agents", t, func() {
+			a := startAgent(cluster, "agent-b")
+			<-time.After(midDownload)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 0)
-			w.network.setPartition(partitionBetween("agent-b", isCoordinator))
+			cluster.network.setPartition(partitionBetween("agent-b", isCoordinator))
 			<-time.After(maxRecoveryTime)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 1)
 			So(a.InContact(), ShouldBeFalse)
-			w.network.setPartition(func(string, string) bool { return false })
+			cluster.network.setPartition(func(string, string) bool { return false })
 		})
-		Convey("Spoilt parts are not taken", t, func() {
-			spoilt := rank("agent-c", []string{"core-0", "core-1", "core-2"})[0]
-			w.network.setCorruption(func(from string, reply any) {
-				if answer, ok := reply.(*feed.ChunksReply); ok && from == spoilt && len(answer.Chunks) > 0 {
-					answer.Chunks[0] = []byte(strings.Repeat("x", 40))
+		Convey("Corrupted chunks are rejected", t, func() {
+			corruptSource := rank("agent-c", []string{"core-0", "core-1", "core-2"})[0]
+			cluster.network.setCorruption(func(from string, reply any) {
+				if typedReply, ok := reply.(*feed.ChunksReply); ok && from == corruptSource && len(typedReply.Chunks) > 0 {
+					typedReply.Chunks[0] = []byte(strings.Repeat("x", 40))
 				}
 			})
-			a := fresh(w, "agent-c")
+			a := startAgent(cluster, "agent-c")
 			<-time.After(10 * time.Second)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 1)
 			So(bytes.Equal(a.Snapshot().Configuration, largeConfiguration(1)), ShouldBeTrue)
-			w.network.setCorruption(func(string, any) {})
+			cluster.network.setCorruption(func(string, any) {})
 		})
 	})
 }
 
-func (n *network) setCorruption(spoil func(from string, reply any)) {
+func (n *network) setCorruption(corrupt func(from string, reply any)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.corrupt = spoil
+	n.corrupt = corrupt
 }
 
 func TestContactEndsWhileNewerConfigurationCannotBeDownloaded(t *testing.T) {
-	withSlowLinks(t, 3, 2, func(w *testCluster) {
-		Convey("An agent that cannot get a newer configuration is not in contact for long, though core mixers answer", t, func() {
-			w.network.setCorruption(func(_ string, reply any) {
-				switch answer := reply.(type) {
+	withSlowLinks(t, 3, 2, func(cluster *testCluster) {
+		Convey("An agent that cannot download a newer configuration loses contact, although coordinators reply", t, func() {
+			cluster.network.setCorruption(func(_ string, reply any) {
+				switch typedReply := reply.(type) {
 				case *feed.ChunksReply:
-					answer.Chunks = nil
+					typedReply.Chunks = nil
 				case *feed.WatchReply:
-					if answer.Snapshot != nil && answer.Snapshot.Offer != nil {
-						answer.Snapshot.Offer.Chunks = nil
+					if typedReply.Snapshot != nil && typedReply.Snapshot.Offer != nil {
+						typedReply.Snapshot.Offer.Chunks = nil
 					}
 				}
 			})
-			w.publishVersion(2)
+			cluster.publishVersion(2)
 			<-time.After(contactTimeout + 500*time.Millisecond)
-			So(len(w.agentsNotAtVersion(2)), ShouldEqual, 2)
-			for _, a := range w.agents {
+			So(len(cluster.agentsNotAtVersion(2)), ShouldEqual, 2)
+			for _, a := range cluster.agents {
 				So(a.InContact(), ShouldBeFalse)
 			}
-			w.network.setCorruption(func(string, any) {})
+			cluster.network.setCorruption(func(string, any) {})
 			<-time.After(2 * time.Second)
-			So(w.agentsNotAtVersion(2), ShouldBeEmpty)
-			for _, a := range w.agents {
+			So(cluster.agentsNotAtVersion(2), ShouldBeEmpty)
+			for _, a := range cluster.agents {
 				So(a.InContact(), ShouldBeTrue)
 			}
 		})
