--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -14,39 +14,39 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// converged is long enough for all agents to be heard of at every coordinator and back at every agent.
-const converged = 10 * time.Second
+// convergenceTime is long enough for every coordinator to learn of all agents and for every agent to receive the complete list.
+const convergenceTime = 10 * time.Second
 
-// inWorld runs a test in virtual time on a fleet that has settled.
-func inWorld(t *testing.T, coordinators, agents int, test func(w *world)) {
+// withTestCluster runs a test in virtual time on a cluster that has converged.
+func withTestCluster(t *testing.T, coordinators, agents int, test func(cluster *testCluster)) {
 	virtualtime.Test(t, func(*testing.T) {
-		w := newWorld(coordinators, agents)
-		<-time.After(converged)
+		cluster := newTestCluster(coordinators, agents)
+		<-time.After(convergenceTime)
 		synctest.Wait()
-		test(w)
-		w.stop()
+		test(cluster)
+		cluster.stop()
 	})
 }
 
 func TestUpdatesReachAllAgents(t *testing.T) {
-	inWorld(t, 3, 8, func(w *world) {
+	withTestCluster(t, 3, 8, func(cluster *testCluster) {
 		Convey("All agents know all members and are in contact", t, func() {
-			for _, a := range w.agents {
+			for _, a := range cluster.agents {
 				So(len(a.Snapshot().Core), ShouldEqual, 3)
 				So(len(a.Snapshot().Agents), ShouldEqual, 8)
 				So(a.InContact(), ShouldBeTrue)
 			}
 		})
-		Convey("A change is pushed at once", t, func() {
-			w.setVersion(5)
+		Convey("A change reaches all agents within 50 ms", t, func() {
+			cluster.publishVersion(5)
 			<-time.After(50 * time.Millisecond)
-			So(w.stragglers(5), ShouldBeEmpty)
+			So(cluster.agentsNotAtVersion(5), ShouldBeEmpty)
 		})
 		Convey("Idle agents make few calls", t, func() {
-			w.network.countCalls()
+			cluster.network.countCalls()
 			<-time.After(10 * time.Second)
 			watches, exchanges := 0, 0
-			for call, count := range w.network.countCalls() {
+			for call, count := range cluster.network.countCalls() {
 				switch call.path {
 				case feed.WatchCall.Path():
 					watches += count
@@ -60,76 +60,76 @@
 	})
 }
 
-func TestAgentsSpreadOverCoordinatorNodes(t *testing.T) {
-	inWorld(t, 3, 30, func(w *world) {
-		Convey("Every core mixer is followed by a fair share", t, func() {
-			w.network.countCalls()
+func TestAgentsAreSpreadAcrossCoordinators(t *testing.T) {
+	withTestCluster(t, 3, 30, func(cluster *testCluster) {
+		Convey("Every coordinator is followed by a fair share of the agents", t, func() {
+			cluster.network.countCalls()
 			<-time.After(time.Second)
 			followers := make(map[string]int)
-			for call := range w.network.countCalls() {
+			for call := range cluster.network.countCalls() {
 				if call.path == feed.WatchCall.Path() {
 					followers[call.to]++
 				}
 			}
-			for address := range w.coordinators {
+			for address := range cluster.coordinators {
 				So(followers[address], ShouldBeGreaterThanOrEqualTo, 4)
 			}
 		})
 	})
 }
 
-func TestCoordinatorNodesThatFail(t *testing.T) {
-	inWorld(t, 3, 8, func(w *world) {
+func TestAgentsKeepContactWhenACoordinatorFails(t *testing.T) {
+	withTestCluster(t, 3, 8, func(cluster *testCluster) {
 		allInContact := func() {
-			for _, a := range w.agents {
+			for _, a := range cluster.agents {
 				So(a.InContact(), ShouldBeTrue)
 			}
 		}
-		Convey("One that falls silent costs no contact, and changes come in time", t, func() {
-			w.network.setPartition(func(_, to string) bool { return to == "core-1" })
+		Convey("If one stops replying, all agents stay in contact and get changes in time", t, func() {
+			cluster.network.setPartition(func(_, to string) bool { return to == "core-1" })
 			for range 100 {
 				<-time.After(100 * time.Millisecond)
 				allInContact()
 			}
-			w.setVersion(5)
+			cluster.publishVersion(5)
 			<-time.After(1500 * time.Millisecond)
-			So(w.stragglers(5), ShouldBeEmpty)
+			So(cluster.agentsNotAtVersion(5), ShouldBeEmpty)
 		})
-		Convey("Its agents return to it some time after it is back", t, func() {
-			w.network.setPartition(func(string, string) bool { return false })
+		Convey("Agents return to it some time after it replies again", t, func() {
+			cluster.network.setPartition(func(string, string) bool { return false })
 			<-time.After(maxPenalty + 2*time.Second)
-			w.network.countCalls()
+			cluster.network.countCalls()
 			<-time.After(time.Second)
-			back := false
-			for call := range w.network.countCalls() {
-				back = back || call.to == "core-1" && call.path == feed.WatchCall.Path()
+			followedAgain := false
+			for call := range cluster.network.countCalls() {
+				followedAgain = followedAgain || call.to == "core-1" && call.path == feed.WatchCall.Path()
 			}
-			So(back, ShouldBeTrue)
+			So(followedAgain, ShouldBeTrue)
 			allInContact()
 		})
-		Convey("One without contact to a majority is left, and its members do not count", t, func() {
-			w.coordinators["core-0"].update(func(c *coordinator) { c.inContact = false })
+		Convey("Agents leave one that loses contact with a majority, and stay in contact", t, func() {
+			cluster.coordinators["core-0"].update(func(c *testCoordinator) { c.inContact = false })
 			<-time.After(2 * time.Second)
 			allInContact()
-			w.setVersion(6)
+			cluster.publishVersion(6)
 			<-time.After(50 * time.Millisecond)
-			So(w.stragglers(6), ShouldBeEmpty)
-			w.coordinators["core-0"].update(func(c *coordinator) { c.inContact = true })
+			So(cluster.agentsNotAtVersion(6), ShouldBeEmpty)
+			cluster.coordinators["core-0"].update(func(c *testCoordinator) { c.inContact = true })
 		})
-		Convey("Without any, contact is lost, and back soon after they are", t, func() {
-			w.network.setPartition(func(_, to string) bool { return isCoordinator(to) })
+		Convey("Without a reachable coordinator agents lose contact, and they regain it soon after the partition ends", t, func() {
+			cluster.network.setPartition(func(_, to string) bool { return isCoordinator(to) })
 			<-time.After(20 * time.Second)
-			for _, a := range w.agents {
+			for _, a := range cluster.agents {
 				So(a.InContact(), ShouldBeFalse)
 			}
-			w.network.countCalls()
+			cluster.network.countCalls()
 			<-time.After(time.Second)
-			for call, count := range w.network.countCalls() {
+			for call, count := range cluster.network.countCalls() {
 				if call.path == feed.WatchCall.Path() {
 					So(count, ShouldBeLessThanOrEqualTo, 2)
 				}
 			}
-			w.network.setPartition(func(string, string) bool { return false })
+			cluster.network.setPartition(func(string, string) bool { return false })
 			<-time.After(2 * time.Second)
 			allInContact()
 		})
@@ -137,16 +137,16 @@
 }
 
 func TestOlderUpdatesAreNotMerged(t *testing.T) {
-	inWorld(t, 3, 4, func(w *world) {
-		Convey("A core mixer that is behind moves nobody back", t, func() {
-			w.setVersion(7)
+	withTestCluster(t, 3, 4, func(cluster *testCluster) {
+		Convey("A coordinator with an older state does not make any agent go back", t, func() {
+			cluster.publishVersion(7)
 			<-time.After(50 * time.Millisecond)
-			for _, c := range w.coordinators {
-				c.update(func(c *coordinator) { c.version, c.epoch = 3, 0 })
+			for _, c := range cluster.coordinators {
+				c.update(func(c *testCoordinator) { c.version, c.term = 3, 0 })
 			}
 			<-time.After(5 * time.Second)
-			So(w.stragglers(7), ShouldBeEmpty)
-			for _, a := range w.agents {
+			So(cluster.agentsNotAtVersion(7), ShouldBeEmpty)
+			for _, a := range cluster.agents {
 				So(a.Snapshot().Leaders["g"].Term, ShouldEqual, 1)
 				So(string(a.Snapshot().Configuration), ShouldEqual, "configuration 7")
 			}
@@ -154,18 +154,18 @@
 	})
 }
 
-// oneAnswer is a transport.Caller that gets the same answer from everyone.
-type oneAnswer feed.WatchReply
+// fixedReplyCaller is a transport.Caller that returns the same reply to every call.
+type fixedReplyCaller feed.WatchReply
 
-func (o oneAnswer) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
-	*reply.(*feed.WatchReply) = feed.WatchReply(o)
+func (f fixedReplyCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
+	*reply.(*feed.WatchReply) = feed.WatchReply(f)
 	return nil
 }
 
-func TestAnswersThatAreNotCurrent(t *testing.T) {
-	Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
+func TestReplyThatIsNotCurrentDoesNotConfirmContact(t *testing.T) {
+	Convey("Its configuration is used, its members are not, and it does not confirm contact", t, func() {
 		update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
-		a := New(Config{Address: "agent-0", Caller: oneAnswer{Changed: true, Snapshot: update}, Logger: zap.NewNop()})
+		a := New(Config{Address: "agent-0", Caller: fixedReplyCaller{Changed: true, Snapshot: update}, Logger: zap.NewNop()})
 		_, err := a.poll(context.Background(), "core-0", 0, time.Minute)
 		So(err, ShouldEqual, errNotCurrent)
 		So(a.InContact(), ShouldBeFalse)
@@ -174,27 +174,27 @@
 	})
 }
 
-// lateAnswer is a transport.Caller whose process stands still for a while before it reads an answer.
-type lateAnswer struct {
-	answer feed.WatchReply
-	stood  time.Duration
+// pausedCaller is a transport.Caller that simulates a pause of the process before the reply is read.
+type pausedCaller struct {
+	reply feed.WatchReply
+	pause time.Duration
 }
 
 // Call implements transport.Caller.
-func (l lateAnswer) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
-	<-time.After(l.stood) // virtual; the context's end does not come between the answer and its reader
-	*reply.(*feed.WatchReply) = l.answer
+func (p pausedCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
+	<-time.After(p.pause) // virtual time; the context is ignored on purpose, so that the reply is returned after it has ended
+	*reply.(*feed.WatchReply) = p.reply
 	return nil
 }
 
-func TestAnswersReadAfterAStandstill(t *testing.T) {
+func TestReplyReadAfterPauseDoesNotConfirmContact(t *testing.T) {
 	virtualtime.Test(t, func(*testing.T) {
-		Convey("Their configuration counts, but not their members, and they are no contact", t, func() {
+		Convey("Its configuration is used, its members are not, and it does not confirm contact", t, func() {
 			update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
-			answer := lateAnswer{feed.WatchReply{Current: true, Changed: true, Snapshot: update}, 20 * time.Second}
-			a := New(Config{Address: "agent-0", Caller: answer, Logger: zap.NewNop()})
-			_, err := a.poll(context.Background(), "core-0", pollWait, pollWait+answerSlack)
-			So(err, ShouldEqual, errLate)
+			caller := pausedCaller{feed.WatchReply{Current: true, Changed: true, Snapshot: update}, 20 * time.Second}
+			a := New(Config{Address: "agent-0", Caller: caller, Logger: zap.NewNop()})
+			_, err := a.poll(context.Background(), "core-0", pollWait, pollWait+replyMargin)
+			So(err, ShouldEqual, errReplyTooLate)
 			So(a.InContact(), ShouldBeFalse)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 5)
 			So(a.Snapshot().Core, ShouldBeEmpty)
@@ -202,26 +202,26 @@
 	})
 }
 
-func TestSeeds(t *testing.T) {
+func TestAgentFollowsReplacedSeeds(t *testing.T) {
 	virtualtime.Test(t, func(*testing.T) {
-		w := newWorld(3, 0)
-		late := w.addAgent("agent-late", []string{"gone-1", "gone-2"})
-		Convey("An agent whose seeds are gone follows new ones soon", t, func() {
+		cluster := newTestCluster(3, 0)
+		agent := cluster.addAgent("agent-late", []string{"gone-1", "gone-2"})
+		Convey("An agent whose seeds are all unreachable soon follows new seeds", t, func() {
 			<-time.After(5 * time.Second)
-			So(late.InContact(), ShouldBeFalse)
-			late.SetSeeds([]string{"gone-1", "core-2"})
+			So(agent.InContact(), ShouldBeFalse)
+			agent.SetSeeds([]string{"gone-1", "core-2"})
 			<-time.After(2 * time.Second)
-			So(late.InContact(), ShouldBeTrue)
-			So(late.Snapshot().Core, ShouldResemble, []string{"core-0", "core-1", "core-2"})
+			So(agent.InContact(), ShouldBeTrue)
+			So(agent.Snapshot().Core, ShouldResemble, []string{"core-0", "core-1", "core-2"})
 		})
-		Convey("An agent without seeds waits for some", t, func() {
-			idle := w.addAgent("agent-idle", nil)
+		Convey("An agent without seeds waits until it gets some", t, func() {
+			idle := cluster.addAgent("agent-idle", nil)
 			<-time.After(3 * time.Second)
 			So(idle.InContact(), ShouldBeFalse)
 			idle.SetSeeds([]string{"core-0"})
 			<-time.After(2 * time.Second)
 			So(idle.InContact(), ShouldBeTrue)
 		})
-		w.stop()
+		cluster.stop()
 	})
 }
--- a/internal/dataplane/agent/network_test.go
+++ b/internal/dataplane/agent/network_test.go
@@ -16,32 +16,33 @@
 )
 
 var (
-	errPartitioned = errors.New("no answer")
+	errPartitioned = errors.New("no reply")
 	errDown        = errors.New("connection refused")
 )
 
-// network carries calls in memory. Links can be cut, so that calls hang, and machines can be down, so that they fail.
+// network is an in-memory network. Calls across a partition hang until they time out. Calls from or to a machine that is down fail
+// at once.
 type network struct {
 	mutex     sync.Mutex
 	muxes     map[string]*transport.Mux
 	partition func(from, to string) bool
 	down      map[string]bool
-	calls     map[route]int
-	links     map[string]*link // of machines whose link is thin
-	spoil     func(from string, reply any)
+	calls     map[callRoute]int
+	links     map[string]*link // by address; only of machines with a slow link
+	corrupt   func(from string, reply any)
 }
 
-// route is who called whom for what.
-type route struct{ from, to, path string }
+// callRoute identifies the caller, the callee and the path of a call.
+type callRoute struct{ from, to, path string }
 
 func newNetwork() *network {
 	return &network{
 		muxes:     make(map[string]*transport.Mux),
 		partition: func(string, string) bool { return false },
 		down:      make(map[string]bool),
-		calls:     make(map[route]int),
+		calls:     make(map[callRoute]int),
 		links:     make(map[string]*link),
-		spoil:     func(string, any) {},
+		corrupt:   func(string, any) {},
 	}
 }
 
@@ -65,12 +66,12 @@
 	n.down[address] = down
 }
 
-// countCalls returns how many calls were made since the last time.
-func (n *network) countCalls() map[route]int {
+// countCalls returns the number of calls by route since countCalls was last called.
+func (n *network) countCalls() map[callRoute]int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	calls := n.calls
-	n.calls = make(map[route]int)
+	n.calls = make(map[callRoute]int)
 	return calls
 }
 
@@ -80,25 +81,25 @@
 	address string
 }
 
-func (e endpoint) Call(ctx context.Context, address string, called transport.Route, request, reply any) error {
+func (e endpoint) Call(ctx context.Context, address string, target transport.Route, request, reply any) error {
 	n := e.network
 	n.mutex.Lock()
-	n.calls[route{e.address, address, called.Path()}]++
+	n.calls[callRoute{e.address, address, target.Path()}]++
 	mux := n.muxes[address]
 	down := mux == nil || n.down[address] || n.down[e.address]
 	n.mutex.Unlock()
-	if n.isPartition(e.address, address) {
+	if n.isPartitioned(e.address, address) {
 		<-ctx.Done()
 		return rpcerror.WrapMayHaveExecuted(errPartitioned)
 	}
 	if down {
 		return rpcerror.WrapNotExecuted(errDown, 0)
 	}
-	if err := n.carry(ctx, e.address, address, request); err != nil {
+	if err := n.transmit(ctx, e.address, address, request); err != nil {
 		return err
 	}
-	err := serve(ctx, mux, called.Path(), request, reply)
-	if n.isPartition(e.address, address) { // the answer is lost
+	err := serve(ctx, mux, target.Path(), request, reply)
+	if n.isPartitioned(e.address, address) { // the reply is lost
 		<-ctx.Done()
 		return rpcerror.WrapMayHaveExecuted(errPartitioned)
 	}
@@ -106,14 +107,14 @@
 		return err
 	}
 	n.mutex.Lock()
-	spoil := n.spoil
+	corrupt := n.corrupt
 	n.mutex.Unlock()
-	spoil(address, reply)
-	return n.carry(ctx, address, e.address, reply)
+	corrupt(address, reply)
+	return n.transmit(ctx, address, e.address, reply)
 }
 
-// carry takes the time that a message needs on the links of both ends.
-func (n *network) carry(ctx context.Context, from, to string, message any) error {
+// transmit waits for the time that a message needs on the links of both machines.
+func (n *network) transmit(ctx context.Context, from, to string, message any) error {
 	content, err := msgpack.Marshal(message)
 	if err != nil {
 		return err
@@ -122,15 +123,15 @@
 		n.mutex.Lock()
 		link := n.links[address]
 		n.mutex.Unlock()
-		if link != nil && !link.carry(ctx, len(content)+headerBytes) {
+		if link != nil && !link.transmit(ctx, len(content)+headerBytes) {
 			return rpcerror.WrapMayHaveExecuted(ctx.Err())
 		}
 	}
 	return nil
 }
 
-// isPartition tells whether a link is cut, which ends both directions.
-func (n *network) isPartition(one, other string) bool {
+// isPartitioned reports whether a partition separates two machines. A partition affects both directions.
+func (n *network) isPartitioned(one, other string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.partition(one, other) || n.partition(other, one)
@@ -148,7 +149,7 @@
 		return rpcerror.WrapMayHaveExecuted(ctx.Err())
 	}
 	if recorder.Code != http.StatusOK {
-		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s answered %d", path, recorder.Code))
+		return rpcerror.WrapMayHaveExecuted(fmt.Errorf("%s replied with status %d", path, recorder.Code))
 	}
 	return msgpack.Unmarshal(recorder.Body.Bytes(), reply)
 }
