--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -13,7 +13,7 @@
 type messageKind uint8
 
 const (
-	messageListed messageKind = iota
+	messageUpdateEntry messageKind = iota
 	messageSend
 	messageCancel
 	messageProbe
@@ -24,60 +24,60 @@
 	messageNotStarted      // connection, calls: not written and not to be any more
 	messageFramePartial    // connection: a frame that is not here to its end
 	messageFrameReceived   // connection, frameType, answer or text, at
-	messageCorrupted       // connection, name of the call it may mean, at: nothing after it is read
+	messageFrameCorrupted  // connection, name of the call it may mean, at: nothing after it is read
 	messageConnectionEnded // connection, why, text
 )
 
 // message is a message to an actor, from the policy's actor or from the actor's own connections.
 type message struct {
-	kind       messageKind
-	frameType  byte
-	entry      policy.Entry
-	address    string
-	separate   bool
-	era        int
-	newCalls   []aggregator.Call
-	calls      []*call
-	subquery   policy.SubqueryID
-	no         policy.CallNo
-	connection *connection
-	answer     answer
-	name       string
-	reason     reason
-	text       string
-	at         time.Time
+	kind         messageKind
+	frameType    byte
+	entry        policy.Entry
+	address      string
+	separate     bool
+	addressEpoch int
+	newCalls     []aggregator.Call
+	calls        []*call
+	subquery     policy.SubqueryID
+	callNo       policy.CallNo
+	connection   *connection
+	answer       answer
+	name         string
+	reason       reason
+	text         string
+	at           time.Time
 }
 
 // actor has the calls, probes and connections of one backend. Its fields but in and ended belong to the goroutine of run.
 type actor struct {
-	hub            *Hub
-	id             policy.BackendID
-	in             *eventqueue.Queue[message]
-	address        string
-	stopped        bool
-	draining       bool        // the list has it as not ready
-	removed        bool        // the list no longer names it
-	ended          atomic.Bool // run has returned
-	era            int         // of the address
-	connections    []*connection
-	dials          int           // connects to this address
-	dialsOfAllEras int           // connects to any
-	waiting        []*sharedCall // for a connection
-	calls          map[string]*call
-	pendingProbe   *pendingProbe
-	lastFrameAt    time.Time // last frame received on any connection
+	hub             *Hub
+	id              policy.BackendID
+	inbox           *eventqueue.Queue[message]
+	address         string
+	stopped         bool
+	draining        bool        // the list has it as not ready
+	removed         bool        // the list no longer names it
+	ended           atomic.Bool // run has returned
+	addressEpoch    int         // of the address
+	connections     []*connection
+	dialsToAddress  int          // connects to this address
+	dialsInProgress int          // connects to any
+	waiting         []*callBatch // for a connection
+	calls           map[string]*call
+	pendingProbe    *pendingProbe
+	lastFrameAt     time.Time // last frame received on any connection
 }
 
 func (a *actor) run() {
 	var messages []message
 	timer := time.NewTimer(0)
 	defer a.ended.Store(true)
-	for !a.stopped && !a.removed || a.dialsOfAllEras > 0 || len(a.connections) > 0 || a.removed && len(a.calls) > 0 {
+	for !a.stopped && !a.removed || a.dialsInProgress > 0 || len(a.connections) > 0 || a.removed && len(a.calls) > 0 {
 		select {
-		case <-a.in.Ready():
+		case <-a.inbox.Ready():
 		case <-timer.C:
 		}
-		messages = a.in.Take(messages)
+		messages = a.inbox.Take(messages)
 		for i := range messages {
 			a.handle(&messages[i])
 		}
@@ -89,34 +89,34 @@
 }
 
 // handle handles a message.
-func (a *actor) handle(n *message) {
-	switch n.kind {
-	case messageListed:
-		a.updateEntry(n)
+func (a *actor) handle(msg *message) {
+	switch msg.kind {
+	case messageUpdateEntry:
+		a.updateEntry(msg)
 	case messageSend:
-		a.send(n.newCalls)
+		a.send(msg.newCalls)
 	case messageCancel:
-		a.cancelCall(n.subquery, n.no)
+		a.cancelCall(msg.subquery, msg.callNo)
 	case messageProbe:
-		a.probe(n.at, n.separate)
+		a.probe(msg.at, msg.separate)
 	case messageCloseIdle:
 		a.closeIdle(reasonRequested)
 	case messageStop:
 		a.stop()
 	case messageDialed:
-		a.handleDialed(n)
+		a.handleDialed(msg)
 	case messageFrameWritten:
-		a.handleFrameWritten(n)
+		a.handleFrameWritten(msg)
 	case messageNotStarted:
-		a.endNotStarted(n.calls)
+		a.endNotStarted(msg.calls)
 	case messageFramePartial:
-		n.connection.partialFrame = true
+		msg.connection.partialFrame = true
 	case messageFrameReceived:
-		a.handleFrameReceived(n)
-	case messageCorrupted:
-		a.handleCorrupted(n.connection, n.name, n.reason, n.at)
+		a.handleFrameReceived(msg)
+	case messageFrameCorrupted:
+		a.handleCorrupted(msg.connection, msg.name, msg.reason, msg.at)
 	case messageConnectionEnded:
-		a.handleConnectionEnded(n)
+		a.handleConnectionEnded(msg)
 	}
 }
 
@@ -129,54 +129,54 @@
 }
 
 // handleFrameWritten records that a frame was written to its last byte.
-func (a *actor) handleFrameWritten(n *message) {
-	n.connection.lastUsedAt = n.at
+func (a *actor) handleFrameWritten(msg *message) {
+	msg.connection.lastUsedAt = msg.at
 	switch {
-	case n.frameType == frameCall:
-		for _, c := range n.calls {
+	case msg.frameType == frameCall:
+		for _, c := range msg.calls {
 			c.written = true
 		}
-	case n.frameType == frameCancel:
-		a.cancelWritten(n.connection, n.calls[0])
-	case a.pendingProbe != nil && a.pendingProbe.connection == n.connection:
+	case msg.frameType == frameCancel:
+		a.cancelWritten(msg.connection, msg.calls[0])
+	case a.pendingProbe != nil && a.pendingProbe.connection == msg.connection:
 		a.pendingProbe.written = true
 	}
 }
 
 // handleFrameReceived handles a valid frame, which shows that the connection is alive.
-func (a *actor) handleFrameReceived(n *message) {
-	conn := n.connection
-	conn.lastUsedAt, conn.lastFrameAt, conn.partialFrame = n.at, n.at, false
-	conn.silentSince, a.lastFrameAt = time.Time{}, n.at
-	if !conn.unansweredSince.After(n.at) {
+func (a *actor) handleFrameReceived(msg *message) {
+	conn := msg.connection
+	conn.lastUsedAt, conn.lastFrameAt, conn.partialFrame = msg.at, msg.at, false
+	conn.unresponsiveSince, a.lastFrameAt = time.Time{}, msg.at
+	if !conn.unansweredSince.After(msg.at) {
 		conn.unansweredSince = time.Time{}
 	}
-	if n.frameType == frameAnswer {
-		a.handleAnswer(n)
+	if msg.frameType == frameAnswer {
+		a.handleAnswer(msg)
 	} else {
-		a.handleProbeAnswer(n)
+		a.handleProbeAnswer(msg)
 	}
 }
 
 // updateEntry applies the list's entry. Connections to another address, or older than the backend's last start, lead to a
 // process that has ended.
-func (a *actor) updateEntry(n *message) {
-	if a.draining = n.entry.Phase != policy.Ready; a.draining {
+func (a *actor) updateEntry(msg *message) {
+	if a.draining = msg.entry.Phase != policy.Ready; a.draining {
 		a.revokeUnsent()
 	}
-	if a.removed = n.entry.Phase == policy.Removed; a.removed {
+	if a.removed = msg.entry.Phase == policy.Removed; a.removed {
 		return
 	}
-	if n.address != a.address { // connects to the old one are no use
-		a.address, a.dials = n.address, 0
-		a.era++
+	if msg.address != a.address { // connects to the old one are no use
+		a.address, a.dialsToAddress = msg.address, 0
+		a.addressEpoch++
 		defer a.assign()
 	}
 	for _, conn := range a.connections {
 		switch {
 		case conn.address != a.address:
 			a.close(conn, reasonAddressChanged)
-		case float64(conn.opened.UnixNano())/1e9 < n.entry.StartedAt:
+		case float64(conn.opened.UnixNano())/1e9 < msg.entry.StartedAt:
 			a.close(conn, reasonRestarted)
 		}
 	}
@@ -199,7 +199,7 @@
 			a.abandonCall(c, policy.TimedOut)
 		}
 	}
-	if p := a.pendingProbe; p != nil && due(p.sentAt.Add(seconds(a.hub.settings.Connect))) {
+	if p := a.pendingProbe; p != nil && due(p.sentAt.Add(seconds(a.hub.settings.ConnectTimeoutS))) {
 		outcome := policy.TimedOut
 		if p.connection == nil { // the connect that it waits for has the same time-out, and may end a moment later
 			outcome = policy.NotConnected
@@ -211,9 +211,9 @@
 	for _, conn := range a.connections {
 		switch {
 		case conn.closeReason != "":
-		case !conn.silentSince.IsZero():
+		case !conn.unresponsiveSince.IsZero():
 			// Its backend lives, and has had as long again as a probe to say something here: nobody waits any more.
-			if a.idle(conn) || !a.lastFrameAt.Before(conn.silentSince) && due(conn.silentSince.Add(seconds(a.hub.settings.Connect))) {
+			if a.idle(conn) || !a.lastFrameAt.Before(conn.unresponsiveSince) && due(conn.unresponsiveSince.Add(seconds(a.hub.settings.ConnectTimeoutS))) {
 				a.close(conn, reasonNoAnswer) // before any end on it is reported
 				for _, c := range a.calls {
 					if c.connection == conn {
@@ -222,7 +222,7 @@
 				}
 			}
 		case !a.idle(conn):
-		case a.hub.settings.Idle > 0 && due(conn.lastUsedAt.Add(a.idleLimit())):
+		case a.hub.settings.IdleTimeoutS > 0 && due(conn.lastUsedAt.Add(a.idleLimit())):
 			a.close(conn, reasonIdle)
 		}
 	}
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -28,22 +28,22 @@
 // fixture is a hub with one backend, whose subquery the test plays.
 type fixture struct {
 	*testing.T
-	hub    *Hub
-	events *queuetest.Ear[aggregator.Event]
-	peer   net.Listener
-	next   policy.SubqueryID
+	hub          *Hub
+	events       *queuetest.Ear[aggregator.Event]
+	listener     net.Listener
+	lastSubquery policy.SubqueryID
 }
 
-func newFixture(t *testing.T, change func(*settings.Net)) *fixture {
-	set := settings.Net{Streams: 100, Idle: 60, Connect: 2, Loads: true}
-	if change != nil {
-		change(&set)
+func newFixture(t *testing.T, adjust func(*settings.Net)) *fixture {
+	set := settings.Net{CallsPerConnection: 100, IdleTimeoutS: 60, ConnectTimeoutS: 2, LoadReports: true}
+	if adjust != nil {
+		adjust(&set)
 	}
 	r := &fixture{T: t, events: queuetest.New[aggregator.Event]()}
 	r.hub = New(set, 100, r.events.Queue, zap.NewNop(), counters.New())
 	t.Cleanup(r.hub.Stop)
-	r.peer = r.listen()
-	r.list(r.peer.Addr().String(), policy.Ready, 0)
+	r.listener = r.listen()
+	r.updateEntry(r.listener.Addr().String(), policy.Ready, 0)
 	return r
 }
 
@@ -56,17 +56,17 @@
 	return l
 }
 
-func (r *fixture) list(address string, phase policy.Phase, started float64) {
+func (r *fixture) updateEntry(address string, phase policy.Phase, started float64) {
 	r.hub.Update(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
 }
 
 // send sends subqueries of a query in one call; each subquery's shard is its place.
 func (r *fixture) send(id, query string, wait time.Duration, subqueries int) (calls []aggregator.Call) {
 	now := time.Now()
-	lk := &aggregator.Query{ID: id, Query: []byte(query)}
+	q := &aggregator.Query{ID: id, Query: []byte(query)}
 	for i := range subqueries {
-		r.next++
-		calls = append(calls, aggregator.Call{Subquery: r.next, Query: lk, Shard: policy.ShardID(i), Sent: now, Stop: now.Add(wait), Begin: now.Add(wait)})
+		r.lastSubquery++
+		calls = append(calls, aggregator.Call{Subquery: r.lastSubquery, Query: q, Shard: policy.ShardID(i), Sent: now, Stop: now.Add(wait), Begin: now.Add(wait)})
 	}
 	r.hub.Send(1, slices.Clone(calls))
 	return calls
@@ -87,14 +87,14 @@
 type peerConnection struct {
 	net.Conn
 	in *bufio.Reader
-	r  *fixture
+	f  *fixture
 }
 
 func (p *peerConnection) expect(frameType byte, start string) string {
-	p.r.Helper()
+	p.f.Helper()
 	got, rest, err := readFrame(p.in)
 	if err != nil || got != frameType || !strings.HasPrefix(string(rest), start) {
-		p.r.Fatalf("got frame %c %q, %v; expected %c %q", got, rest, err, frameType, start)
+		p.f.Fatalf("got frame %c %q, %v; expected %c %q", got, rest, err, frameType, start)
 	}
 	return string(rest)
 }
@@ -104,101 +104,101 @@
 }
 
 // event waits for the next thing told.
-func (r *fixture) event() aggregator.Event {
+func (r *fixture) nextEvent() aggregator.Event {
 	r.Helper()
 	e := r.events.Next(r.T)
 	return e
 }
 
-func (r *fixture) ended(subquery policy.SubqueryID, how policy.Outcome) aggregator.Event {
+func (r *fixture) expectEnd(subquery policy.SubqueryID, outcome policy.Outcome) aggregator.Event {
 	r.Helper()
-	e := r.event()
-	if e.Kind != policy.CallEnded || e.Subquery != subquery || e.Outcome != how {
-		r.Fatalf("got %+v, expected part %d to end as %s", e.Event, subquery, outcomeNames[how])
+	e := r.nextEvent()
+	if e.Kind != policy.CallEnded || e.Subquery != subquery || e.Outcome != outcome {
+		r.Fatalf("got %+v, expected part %d to end as %s", e.Event, subquery, outcomeNames[outcome])
 	}
 	return e
 }
 
-func TestAnswersInAnyOrderOnOneConnection(t *testing.T) {
+func TestAnswersMayArriveInAnyOrderOnOneConnection(t *testing.T) {
 	r := newFixture(t, nil)
 	a, b := r.send("aa", "x\"\\y", 2*time.Second, 1), r.send("bb", "", time.Second, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	if got := p.expect('S', "aa.0 0 d="); !strings.HasSuffix(got, " 4\nx\"\\y") {
 		t.Fatalf("got %q", got)
 	}
-	var left int
-	if fmt.Sscanf(p.expect('S', "bb.0 0 d="), "bb.0 0 d=%d 0", &left); left <= 0 || left > 1000 {
-		t.Fatalf("says that the mixer waits %d ms", left)
+	var remainingMs int
+	if fmt.Sscanf(p.expect('S', "bb.0 0 d="), "bb.0 0 d=%d 0", &remainingMs); remainingMs <= 0 || remainingMs > 1000 {
+		t.Fatalf("says that the mixer waits %d ms", remainingMs)
 	}
 	p.writeFrame('R', "bb.0 full 0 -\n")
 	p.writeFrame('R', "bb.0 full 0 -\n") // a second copy is no news
 	p.writeFrame('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
-	r.ended(b[0].Subquery, policy.Rejected)
-	e := r.ended(a[0].Subquery, policy.Answered)
+	r.expectEnd(b[0].Subquery, policy.Rejected)
+	e := r.expectEnd(a[0].Subquery, policy.Answered)
 	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasQueued|policy.HasService || e.Load.Queued != 3 || e.Load.ServiceS != 0.02 {
 		t.Fatalf("got %q, %+v", e.Value, e.Load)
 	}
 }
 
-func TestSubqueriesShareACall(t *testing.T) {
+func TestSubqueriesOfACallShareAFrame(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Second, 2)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	if got := p.expect('S', "aa.0 0 d="); !strings.Contains(got, " 1\nqaa.1 1 d=") {
 		t.Fatalf("got %q", got)
 	}
 	p.writeFrame('R', "aa.1 failed 0 -\n")
-	r.ended(calls[1].Subquery, policy.Errored)
+	r.expectEnd(calls[1].Subquery, policy.Errored)
 	p.writeFrame('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Subquery, policy.Answered)
+	r.expectEnd(calls[0].Subquery, policy.Answered)
 }
 
 func TestRefusedConnectIsNotExecuted(t *testing.T) {
 	r := newFixture(t, nil)
-	r.peer.Close()
+	r.listener.Close()
 	calls := r.send("aa", "q", time.Second, 2)
 	for _, c := range calls {
-		r.ended(c.Subquery, policy.NotConnected)
+		r.expectEnd(c.Subquery, policy.NotConnected)
 	}
 	r.hub.Probe(1, false)
-	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.NotConnected {
+	if e := r.nextEvent(); e.Kind != policy.ProbeEnded || e.Outcome != policy.NotConnected {
 		t.Fatalf("got %+v", e.Event)
 	}
 }
 
 // A connect that never comes up proves that nothing ran; for a probe too, however close its own time-out is.
-func TestConnectTimesOut(t *testing.T) {
-	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.1 })
-	r.list(r.unresponsive(), policy.Ready, 0)
+func TestConnectTimeoutIsReportedAsNotConnected(t *testing.T) {
+	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 0.1 })
+	r.updateEntry(r.unresponsive(), policy.Ready, 0)
 	calls := r.send("aa", "q", time.Minute, 1)
-	r.ended(calls[0].Subquery, policy.NotConnected)
+	r.expectEnd(calls[0].Subquery, policy.NotConnected)
 	r.hub.Probe(1, false)
-	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.NotConnected {
+	if e := r.nextEvent(); e.Kind != policy.ProbeEnded || e.Outcome != policy.NotConnected {
 		t.Fatalf("got %+v", e.Event)
 	}
 }
 
 // What waits for a connect to an address that the list takes back goes to the new one.
-func TestAddressChangesWhileConnecting(t *testing.T) {
-	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.5 })
-	r.list(r.unresponsive(), policy.Ready, 0)
+func TestCallMovesToTheNewAddressWhileConnecting(t *testing.T) {
+	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 0.5 })
+	r.updateEntry(r.unresponsive(), policy.Ready, 0)
 	calls := r.send("aa", "q", time.Minute, 1)
-	r.list(r.peer.Addr().String(), policy.Ready, 0)
-	p := r.accept(r.peer)
+	r.updateEntry(r.listener.Addr().String(), policy.Ready, 0)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	time.Sleep(600 * time.Millisecond) // the old connect fails meanwhile
 	p.writeFrame('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Subquery, policy.Answered)
+	r.expectEnd(calls[0].Subquery, policy.Answered)
 }
 
 // Where a connect may take all of the idle time, connections are still used.
-func TestIdleTimeShorterThanAConnect(t *testing.T) {
-	r := newFixture(t, func(n *settings.Net) { n.Idle, n.Connect = 2, 5 })
+func TestConnectionIsUsableWithIdleTimeoutBelowConnectTimeout(t *testing.T) {
+	r := newFixture(t, func(n *settings.Net) { n.IdleTimeoutS, n.ConnectTimeoutS = 2, 5 })
 	calls := r.send("aa", "q", time.Minute, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	p.writeFrame('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Subquery, policy.Answered)
+	r.expectEnd(calls[0].Subquery, policy.Answered)
 }
 
 // unresponsive is an address where no connect is ever answered.
@@ -227,22 +227,22 @@
 func TestConnectionBrokenAfterTheFrameMayHaveExecuted(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Second, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	p.Close()
-	r.ended(calls[0].Subquery, policy.Broken)
+	r.expectEnd(calls[0].Subquery, policy.Broken)
 	again := r.send("ab", "q", time.Second, 1) // on a new connection
-	p = r.accept(r.peer)
+	p = r.accept(r.listener)
 	p.expect('S', "ab.0")
 	p.writeFrame('F', "no more")
-	r.ended(again[0].Subquery, policy.Broken)
+	r.expectEnd(again[0].Subquery, policy.Broken)
 }
 
 // Whatever spoils an answer, the call that it was meant for has failed at once, long before its deadline, and so has
 // the connection; what else is out there may have run.
 func TestCorruptedAnswersFailAtOnce(t *testing.T) {
 	long := strings.Repeat("x", maxFrame)
-	for name, spoil := range map[string]func(p *peerConnection){
+	for name, corrupt := range map[string]func(p *peerConnection){
 		"noise":               func(p *peerConnection) { io.WriteString(p, "\xffnoise, and more of it") },
 		"no letter":           func(p *peerConnection) { p.Write(make([]byte, 4)) },
 		"3 GB that keep on":   func(p *peerConnection) { io.WriteString(p, "\xb0\x00\x00\x00Raa.0 done 1 -\n"+long) },
@@ -256,11 +256,11 @@
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(t, nil)
 			calls := r.send("aa", "q", time.Minute, 1)
-			p := r.accept(r.peer)
+			p := r.accept(r.listener)
 			p.expect('S', "aa.0")
 			began := time.Now()
-			spoil(p)
-			r.ended(calls[0].Subquery, policy.Errored)
+			corrupt(p)
+			r.expectEnd(calls[0].Subquery, policy.Errored)
 			if took := time.Since(began); took > 2*frameTimeout {
 				t.Fatalf("known after %v", took)
 			}
@@ -274,36 +274,36 @@
 	}
 	r := newFixture(t, nil)
 	calls := append(r.send("aa", "q", time.Minute, 1), r.send("bb", "q", time.Minute, 1)...)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
 	p.writeFrame('R', "bb.0 what 1 -\nvalue")
-	r.ended(calls[1].Subquery, policy.Errored)
-	r.ended(calls[0].Subquery, policy.Broken)
+	r.expectEnd(calls[1].Subquery, policy.Errored)
+	r.expectEnd(calls[0].Subquery, policy.Broken)
 }
 
 // An answer counts whatever comes behind it, and the next call on the connection is not hurt by that.
 func TestCorruptDataAfterAnAnswerKeepsTheAnswer(t *testing.T) {
-	for _, behind := range []string{"noise behind it", "\x00\x00\x00\x14Raa.0 done 1 -\nother", "\x00\x00\x00\x99Raa.0", "\x00", "\x00\x00\x00\x09Rzz.0 wha"} {
+	for _, trailing := range []string{"noise behind it", "\x00\x00\x00\x14Raa.0 done 1 -\nother", "\x00\x00\x00\x99Raa.0", "\x00", "\x00\x00\x00\x09Rzz.0 wha"} {
 		r := newFixture(t, nil)
 		calls := r.send("aa", "q", time.Minute, 1)
-		p := r.accept(r.peer)
+		p := r.accept(r.listener)
 		p.expect('S', "aa.0")
-		p.Write(append(appendFrame(nil, 'R', []byte("aa.0 done 1 -\nvalue")...), behind...))
-		if e := r.ended(calls[0].Subquery, policy.Answered); string(e.Value) != "value" {
-			t.Fatalf("%q: got %q", behind, e.Value)
+		p.Write(append(appendFrame(nil, 'R', []byte("aa.0 done 1 -\nvalue")...), trailing...))
+		if e := r.expectEnd(calls[0].Subquery, policy.Answered); string(e.Value) != "value" {
+			t.Fatalf("%q: got %q", trailing, e.Value)
 		}
 		time.Sleep(20 * time.Millisecond) // the next call comes later than what follows
 		next := r.send("bb", "q", time.Minute, 1)
-		if strings.HasSuffix(behind, "other") {
+		if strings.HasSuffix(trailing, "other") {
 			p.expect('S', "bb.0")
 		} else {
-			p = r.accept(r.peer)
+			p = r.accept(r.listener)
 			p.expect('S', "bb.0")
 		}
 		p.writeFrame('R', "bb.0 done 1 -\nown")
-		if e := r.ended(next[0].Subquery, policy.Answered); string(e.Value) != "own" {
-			t.Fatalf("%q: got %q", behind, e.Value)
+		if e := r.expectEnd(next[0].Subquery, policy.Answered); string(e.Value) != "own" {
+			t.Fatalf("%q: got %q", trailing, e.Value)
 		}
 	}
 }
@@ -313,11 +313,11 @@
 	r.Helper()
 	r.hub.Probe(1, true)
 	if on == nil {
-		on = r.accept(r.peer)
+		on = r.accept(r.listener)
 	}
 	on.expect('M', "")
 	on.writeFrame('M', "-")
-	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Answered {
+	if e := r.nextEvent(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Answered {
 		r.Fatalf("got %+v, expected a probe that was answered", e.Event)
 	}
 	return on
@@ -326,25 +326,25 @@
 // A connection that has fallen silent takes nothing new, and its backend is heard again on another; what is out on it may
 // still be answered, and then it is as good as before.
 func TestUnresponsiveConnectionDoesNotFailItsBackend(t *testing.T) {
-	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.1 })
+	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 0.1 })
 	out := r.send("aa", "q", time.Minute, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	for _, want := range []policy.Outcome{policy.TimedOut, policy.Answered} {
 		r.hub.Probe(1, false)
 		if want == policy.Answered {
-			other := r.accept(r.peer)
+			other := r.accept(r.listener)
 			other.expect('M', "")
 			other.writeFrame('M', "-")
 		}
-		if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != want {
+		if e := r.nextEvent(); e.Kind != policy.ProbeEnded || e.Outcome != want {
 			t.Fatalf("got %+v", e.Event)
 		}
 	}
 	p.expect('M', "")
 	p.expect('M', "") // asked by itself as well, once it had no answer in its time
 	p.writeFrame('R', "aa.0 done 1 -\nvalue")
-	r.ended(out[0].Subquery, policy.Answered)
+	r.expectEnd(out[0].Subquery, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 }
@@ -353,9 +353,9 @@
 // connection lives, and the call with it. It was taken for a connection fallen silent, and so were scores in every second.
 func TestLongQueueDoesNotMakeAConnectionUnresponsive(t *testing.T) {
 	const connect = 50 * time.Millisecond
-	r := newFixture(t, func(n *settings.Net) { n.Connect = connect.Seconds() })
+	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = connect.Seconds() })
 	out := r.send("aa", "q", time.Minute, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	other := r.separateProbe(nil)
 	p.expect('M', "")
@@ -364,28 +364,28 @@
 		r.separateProbe(other)
 	}
 	p.writeFrame('R', "aa.0 done 1 -\nvalue")
-	r.ended(out[0].Subquery, policy.Answered)
+	r.expectEnd(out[0].Subquery, policy.Answered)
 }
 
 // Asked apart, a backend is heard at once on a connection of its own, and the one that has said nothing takes nothing new.
 func TestSeparateProbeDetectsAnUnresponsiveConnection(t *testing.T) {
 	// The connect's time is what a silent connection is given: far longer than a busy machine keeps this test from running.
-	r := newFixture(t, func(n *settings.Net) { n.Connect = 2 })
+	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 2 })
 	out := r.send("aa", "q", time.Hour, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	other := r.separateProbe(nil)
 	r.send("bb", "q", time.Minute, 1)
 	other.expect('S', "bb.0")
 	p.expect('M', "")
 	p.writeFrame('R', "aa.0 done 1 -\nvalue") // it was only slow
-	r.ended(out[0].Subquery, policy.Answered)
+	r.expectEnd(out[0].Subquery, policy.Answered)
 	lost := r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 	r.separateProbe(nil) // neither connection is idle
 	other.writeFrame('R', "bb.0 done 1 -\nvalue")
-	r.event()
-	r.ended(lost[0].Subquery, policy.TimedOut) // long before its deadline
+	r.nextEvent()
+	r.expectEnd(lost[0].Subquery, policy.TimedOut) // long before its deadline
 	p.expect('M', "")
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the silent connection goes on: %v", err)
@@ -396,11 +396,11 @@
 func TestRemovedBackendsAreReleased(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	r.hub.Retain(map[policy.BackendID]bool{})
 	p.writeFrame('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Subquery, policy.Answered)
+	r.expectEnd(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the connection goes on: %v", err)
 	}
@@ -413,18 +413,18 @@
 	if len(r.hub.removed) > 0 {
 		t.Fatalf("%v are still to end", r.hub.removed)
 	}
-	r.ended(r.send("ab", "q", time.Minute, 1)[0].Subquery, policy.NotConnected)
+	r.expectEnd(r.send("ab", "q", time.Minute, 1)[0].Subquery, policy.NotConnected)
 }
 
 func TestConnectionsStayWithinTheDescriptorLimit(t *testing.T) {
-	r := newFixture(t, func(n *settings.Net) { n.Streams = 1 })
-	r.hub.descriptors = make(chan struct{}, 1)
+	r := newFixture(t, func(n *settings.Net) { n.CallsPerConnection = 1 })
+	r.hub.descriptorSlots = make(chan struct{}, 1)
 	first := r.send("aa", "q", time.Minute, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
-	r.ended(r.send("bb", "q", time.Minute, 1)[0].Subquery, policy.NotSent)
+	r.expectEnd(r.send("bb", "q", time.Minute, 1)[0].Subquery, policy.NotSent)
 	p.writeFrame('R', "aa.0 done 0 -\n")
-	r.ended(first[0].Subquery, policy.Answered)
+	r.expectEnd(first[0].Subquery, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 }
@@ -432,16 +432,16 @@
 func TestPartlyWrittenFrameIsNotExecuted(t *testing.T) {
 	r := newFixture(t, nil)
 	large := r.send("aa", strings.Repeat("q", 16<<20), time.Minute, 1) // more than sockets hold unread
-	behind := r.send("bb", "q", time.Minute, 1)
-	p := r.accept(r.peer)
+	queued := r.send("bb", "q", time.Minute, 1)
+	p := r.accept(r.listener)
 	io.ReadFull(p.in, make([]byte, 5))
 	p.Close()
 	ended := map[policy.SubqueryID]policy.Outcome{}
 	for range 2 {
-		e := r.event()
+		e := r.nextEvent()
 		ended[e.Subquery] = e.Outcome
 	}
-	if ended[large[0].Subquery] != policy.NotConnected || ended[behind[0].Subquery] != policy.NotConnected {
+	if ended[large[0].Subquery] != policy.NotConnected || ended[queued[0].Subquery] != policy.NotConnected {
 		t.Fatalf("got %v", ended)
 	}
 }
@@ -449,23 +449,23 @@
 func TestTimeoutAndCancelAreSentAndLateAnswersDropped(t *testing.T) {
 	r := newFixture(t, nil)
 	slow, kept := r.send("aa", "q", 60*time.Millisecond, 1), r.send("bb", "q", time.Minute, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
 	p.expect('C', "aa.0")
-	r.ended(slow[0].Subquery, policy.TimedOut)
+	r.expectEnd(slow[0].Subquery, policy.TimedOut)
 	r.hub.Cancel(1, kept[0].Subquery, kept[0].No)
-	r.ended(kept[0].Subquery, policy.Canceled)
+	r.expectEnd(kept[0].Subquery, policy.Canceled)
 	p.expect('C', "bb.0")
 	// Sent again, it goes on another connection: there no answer to the first can be taken for its own.
 	kept[0].No++
 	r.hub.Send(1, kept)
-	other := r.accept(r.peer)
+	other := r.accept(r.listener)
 	other.expect('S', "bb.0")
 	p.writeFrame('R', "bb.0 full 0 -\n")
 	p.writeFrame('R', "aa.0 done 0 -\nlate")
 	other.writeFrame('R', "bb.0 done 0 -\nown")
-	if e := r.ended(kept[0].Subquery, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
+	if e := r.expectEnd(kept[0].Subquery, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
 		t.Fatalf("got %+v", e)
 	}
 }
@@ -474,83 +474,83 @@
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 2)
 	r.hub.Cancel(1, calls[0].Subquery, 0)
-	r.ended(calls[0].Subquery, policy.Canceled)
-	p := r.accept(r.peer)
+	r.expectEnd(calls[0].Subquery, policy.Canceled)
+	p := r.accept(r.listener)
 	if got := p.expect('S', ""); strings.Contains(got, "aa.0") {
 		p.expect('C', "aa.0") // the connection came first
 	}
 }
 
-func TestConnectionCarriesTheStatedNumberOfCalls(t *testing.T) {
-	r := newFixture(t, func(n *settings.Net) { n.Streams = 2 })
+func TestConnectionCarriesAtMostTheConfiguredNumberOfCalls(t *testing.T) {
+	r := newFixture(t, func(n *settings.Net) { n.CallsPerConnection = 2 })
 	var calls []aggregator.Call
 	for i := range 3 {
 		calls = append(calls, r.send(fmt.Sprint("a", i), "q", time.Minute, 1)...)
 	}
-	p, o := r.accept(r.peer), r.accept(r.peer)
+	p, o := r.accept(r.listener), r.accept(r.listener)
 	if first, _, _ := readFrame(p.in); first != 'S' {
 		t.Fatalf("got %c", first)
 	}
 	o.expect('S', "")
 	for _, c := range calls {
 		r.hub.Cancel(1, c.Subquery, 0)
-		r.ended(c.Subquery, policy.Canceled)
+		r.expectEnd(c.Subquery, policy.Canceled)
 	}
 	r.send("b0", "q", time.Minute, 1) // on a connection that is there: no third is accepted
-	r.peer.(*net.TCPListener).SetDeadline(time.Now().Add(50 * time.Millisecond))
-	if c, err := r.peer.Accept(); err == nil {
+	r.listener.(*net.TCPListener).SetDeadline(time.Now().Add(50 * time.Millisecond))
+	if c, err := r.listener.Accept(); err == nil {
 		t.Fatalf("a third connection from %v", c.RemoteAddr())
 	}
 }
 
-func TestProbes(t *testing.T) {
-	r := newFixture(t, func(n *settings.Net) { n.Connect = 0.2 })
+func TestProbeOutcomesAreReported(t *testing.T) {
+	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 0.2 })
 	p := (*peerConnection)(nil)
 	for _, c := range []struct {
-		say  string
-		want policy.Outcome
+		reply string
+		want  policy.Outcome
 	}{{"queue=2", policy.Answered}, {"-", policy.Answered}, {"failed", policy.Errored}, {"", policy.TimedOut}} {
 		r.hub.Probe(1, false)
 		if p == nil {
-			p = r.accept(r.peer)
+			p = r.accept(r.listener)
 		}
 		p.expect('M', "") // on the connection that is open
-		if c.say != "" {
-			p.writeFrame('M', c.say)
+		if c.reply != "" {
+			p.writeFrame('M', c.reply)
 		}
-		if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != c.want {
-			t.Fatalf("%q: got %+v", c.say, e.Event)
+		if e := r.nextEvent(); e.Kind != policy.ProbeEnded || e.Outcome != c.want {
+			t.Fatalf("%q: got %+v", c.reply, e.Event)
 		}
 	}
 	r.hub.Probe(1, false)
-	p = r.accept(r.peer) // the other had no answer
+	p = r.accept(r.listener) // the other had no answer
 	p.expect('M', "")
 	p.Close()
-	if e := r.event(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Broken {
+	if e := r.nextEvent(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Broken {
 		t.Fatalf("got %+v", e.Event)
 	}
 }
 
-func TestConnectionsToAnOldAddressEndOnce(t *testing.T) {
+func TestOutdatedConnectionsEndTheirCallsOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		started float64
-		moves   bool
+		started        float64
+		addressChanges bool
 	}{"another address": {0, true}, "a later start": {float64(time.Now().Unix()) + 3600, false}} {
 		r := newFixture(t, nil)
 		calls := r.send("aa", "q", time.Minute, 1)
-		r.accept(r.peer).expect('S', "aa.0")
-		to := r.peer
-		if c.moves {
+		r.accept(r.listener).expect('S', "aa.0")
+		to := r.listener
+		if c.addressChanges {
 			to = r.listen()
 		}
-		r.list(to.Addr().String(), policy.Ready, c.started)
-		r.ended(calls[0].Subquery, policy.Broken)
+		r.updateEntry(to.Addr().String(), policy.Ready, c.started)
+		r.expectEnd(calls[0].Subquery, policy.Broken)
 		next := r.send("ab", "q", time.Minute, 1)
 		p := r.accept(to)
 		p.expect('S', "ab.0")
-		r.list("", policy.Removed, 0) // completes what it has
+		r.updateEntry("", policy.Removed, 0) // completes what it has
 		p.writeFrame('R', "ab.0 done 0 -\n")
-		if e := r.ended(next[0].Subquery, policy.Answered); len(r.events.Rest()) > 0 {
+		if e := r.expectEnd(next[0].Subquery, policy.Answered); len(r.events.Rest()) > 0 {
 			t.Fatalf("%s: more than %+v was told", name, e)
 		}
 	}
@@ -558,22 +558,22 @@
 
 // A connection goes before its backend would end a call on it, and on request, but not while anything is out on it.
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	r := newFixture(t, func(n *settings.Net) { n.Idle, n.Connect = 0.3, 0.2 })
+	r := newFixture(t, func(n *settings.Net) { n.IdleTimeoutS, n.ConnectTimeoutS = 0.3, 0.2 })
 	calls := r.send("aa", "q", time.Minute, 1)
-	p := r.accept(r.peer)
+	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	r.hub.CloseIdle(1)
 	time.Sleep(150 * time.Millisecond) // longer than it may be idle
 	p.writeFrame('R', "aa.0 done 0 -\n")
-	r.ended(calls[0].Subquery, policy.Answered)
+	r.expectEnd(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("got %v", err)
 	}
 	calls = r.send("ab", "q", time.Minute, 1)
-	p = r.accept(r.peer)
+	p = r.accept(r.listener)
 	p.expect('S', "ab.0")
 	p.writeFrame('R', "ab.0 done 0 -\n")
-	r.ended(calls[0].Subquery, policy.Answered)
+	r.expectEnd(calls[0].Subquery, policy.Answered)
 	r.hub.CloseIdle(1)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("got %v", err)
@@ -589,11 +589,11 @@
 		r := bufio.NewReader(bytes.NewReader(in))
 		var again []byte
 		for {
-			letter, rest, err := readFrame(r)
+			frameType, rest, err := readFrame(r)
 			if err != nil {
 				break
 			}
-			again = appendFrame(again, letter, rest...)
+			again = appendFrame(again, frameType, rest...)
 			a, err := parseAnswer(rest)
 			if err != nil {
 				continue
--- a/internal/dataplane/backends/call.go
+++ b/internal/dataplane/backends/call.go
@@ -12,7 +12,7 @@
 type call struct {
 	aggregator.Call
 	name          string
-	shared        *sharedCall
+	batch         *callBatch
 	connection    *connection // nil while it waits for one
 	written       bool
 	canceled      bool           // its cancel frame is being written
@@ -21,7 +21,7 @@
 }
 
 const (
-	writeWaiting int32 = iota
+	writePending int32 = iota
 	writeStarted
 	writeRevoked
 )
@@ -30,20 +30,20 @@
 // taken back, its backend wants nothing new, nobody waits for it, or a repeat of it would no longer be known as one.
 func (c *call) startWrite(now time.Time) bool {
 	if now.After(c.Begin) {
-		c.writeState.CompareAndSwap(writeWaiting, writeRevoked)
+		c.writeState.CompareAndSwap(writePending, writeRevoked)
 	}
-	return c.writeState.CompareAndSwap(writeWaiting, writeStarted)
+	return c.writeState.CompareAndSwap(writePending, writeStarted)
 }
 
 // revokeWrite tells its actor whether it surely was not written and never will be.
 func (c *call) revokeWrite() bool {
-	return c.connection == nil || c.writeState.CompareAndSwap(writeWaiting, writeRevoked) || c.writeState.Load() == writeRevoked
+	return c.connection == nil || c.writeState.CompareAndSwap(writePending, writeRevoked) || c.writeState.Load() == writeRevoked
 }
 
 // sharedCall has the calls that share a frame; it counts as one on its connection.
-type sharedCall struct {
-	calls []*call
-	live  int
+type callBatch struct {
+	calls   []*call
+	pending int
 }
 
 // outcome is that of a call whose connection has ended: a call that was not completely written was not executed.
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -10,9 +10,9 @@
 )
 
 // cancelCall cancels a call for the policy.
-func (a *actor) cancelCall(subquery policy.SubqueryID, no policy.CallNo) {
+func (a *actor) cancelCall(subquery policy.SubqueryID, callNo policy.CallNo) {
 	for _, c := range a.calls {
-		if c.Subquery == subquery && c.No == no {
+		if c.Subquery == subquery && c.No == callNo {
 			a.abandonCall(c, policy.Canceled)
 			return
 		}
@@ -43,41 +43,41 @@
 
 // send takes calls that share a frame.
 func (a *actor) send(calls []aggregator.Call) {
-	t := &sharedCall{}
+	batch := &callBatch{}
 	for _, c := range calls {
-		t.calls = append(t.calls, &call{Call: c, name: subqueryName(&c), shared: t})
+		batch.calls = append(batch.calls, &call{Call: c, name: subqueryName(&c), batch: batch})
 	}
-	t.live = len(t.calls)
-	for _, c := range slices.Clone(t.calls) {
+	batch.pending = len(batch.calls)
+	for _, c := range slices.Clone(batch.calls) {
 		if a.draining || a.calls[c.name] != nil { // their answers would have the same name
 			a.end(c, policy.NotSent, time.Now(), answer{})
 			continue
 		}
 		a.calls[c.name] = c
 	}
-	if t.live == 0 {
+	if batch.pending == 0 {
 		return
 	}
-	a.waiting = append(a.waiting, t)
+	a.waiting = append(a.waiting, batch)
 	a.assign()
 }
 
 // assign gives waiting calls and the pending probe to the first connections that can take them, and dials more connections
 // where there are too few.
 func (a *actor) assign() {
-	var unassigned []*sharedCall
-	for _, t := range a.waiting {
-		conn := a.connectionFor(t)
+	var unassigned []*callBatch
+	for _, batch := range a.waiting {
+		conn := a.connectionFor(batch)
 		if conn == nil {
-			unassigned = append(unassigned, t)
+			unassigned = append(unassigned, batch)
 			continue
 		}
-		conn.sharedCalls++
+		conn.batchesInFlight++
 		conn.expectAnswer(time.Now())
-		for _, c := range t.calls {
+		for _, c := range batch.calls {
 			c.connection = conn
 		}
-		conn.out.Put(outgoing{frameType: frameCall, calls: t.calls})
+		conn.out.Put(outgoing{frameType: frameCall, calls: batch.calls})
 	}
 	a.waiting = unassigned
 	if p := a.pendingProbe; p != nil && p.connection == nil {
@@ -88,28 +88,28 @@
 			}
 		}
 	}
-	for needed := a.dialsNeeded(); a.dials < needed; {
+	for needed := a.dialsNeeded(); a.dialsToAddress < needed; {
 		a.dial()
 	}
 }
 
 // end removes a call from the records and reports its end.
-func (a *actor) end(c *call, outcome policy.Outcome, at time.Time, with answer) {
+func (a *actor) end(c *call, outcome policy.Outcome, at time.Time, result answer) {
 	if a.calls[c.name] == c {
 		delete(a.calls, c.name)
 	}
-	t := c.shared
-	t.live--
+	batch := c.batch
+	batch.pending--
 	switch {
 	case c.connection == nil: // not handed to a connection yet
-		t.calls = slices.DeleteFunc(t.calls, func(o *call) bool { return o == c })
-		if t.live == 0 {
-			a.waiting = slices.DeleteFunc(a.waiting, func(o *sharedCall) bool { return o == t })
+		batch.calls = slices.DeleteFunc(batch.calls, func(o *call) bool { return o == c })
+		if batch.pending == 0 {
+			a.waiting = slices.DeleteFunc(a.waiting, func(o *callBatch) bool { return o == batch })
 		}
-	case t.live == 0:
-		c.connection.sharedCalls--
+	case batch.pending == 0:
+		c.connection.batchesInFlight--
 	}
-	a.hub.notifyEnd(&c.Call, a.id, outcome, at, with)
+	a.hub.notifyEnd(&c.Call, a.id, outcome, at, result)
 }
 
 // abandonCall cancels a call that nobody waits for any more. Its end is reported once the cancel frame was written: until then
--- a/internal/dataplane/backends/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -36,17 +36,17 @@
 	mu       sync.Mutex
 	finished bool // nothing more is written, and only what has arrived is read
 
-	address         string
-	opened          time.Time
-	lastUsedAt      time.Time            // last frame either way
-	sharedCalls     int                  // calls that it carries
-	canceledUntil   map[string]time.Time // names of calls canceled on it, and until when they may be answered
-	lastAnswer      string               // name of the last answer on it, which may come twice
-	lastFrameAt     time.Time            // last frame that came
-	unansweredSince time.Time            // first frame passed to it since; zero if none was
-	silentSince     time.Time            // when a frame sent on it timed out; zero if a frame was received since
-	partialFrame    bool                 // a frame has arrived in part; as it may never end, no new call is sent
-	closeReason     reason               // why we closed it; "" if we did not
+	address           string
+	opened            time.Time
+	lastUsedAt        time.Time            // last frame either way
+	batchesInFlight   int                  // calls that it carries
+	canceledUntil     map[string]time.Time // names of calls canceled on it, and until when they may be answered
+	lastAnswer        string               // name of the last answer on it, which may come twice
+	lastFrameAt       time.Time            // last frame that came
+	unansweredSince   time.Time            // first frame passed to it since; zero if none was
+	unresponsiveSince time.Time            // when a frame sent on it timed out; zero if a frame was received since
+	partialFrame      bool                 // a frame has arrived in part; as it may never end, no new call is sent
+	closeReason       reason               // why we closed it; "" if we did not
 }
 
 // reason is the code of why a connection ended, as docs/oncall.md lists them.
@@ -77,13 +77,13 @@
 func (conn *connection) run(notify func(message)) (ended message) {
 	stop := make(chan struct{})
 	var once sync.Once
-	var why reason
+	var cause reason
 	var text string
-	end := func(w reason, err error) {
+	end := func(c reason, err error) {
 		once.Do(func() {
-			why, text = w, err.Error()
+			cause, text = c, err.Error()
 			close(stop)
-			if w == reasonWriteFailed { // what came before it counts, and may still be unread
+			if c == reasonWriteFailed { // what came before it counts, and may still be unread
 				conn.finish()
 			} else {
 				conn.socket.Close()
@@ -97,7 +97,7 @@
 	})
 	conn.write(notify, stop, end)
 	readers.Wait()
-	return message{kind: messageConnectionEnded, connection: conn, reason: why, text: text}
+	return message{kind: messageConnectionEnded, connection: conn, reason: cause, text: text}
 }
 
 // finish ends writing, and lets the reader take what has arrived already: a complete answer counts, whatever became of its
@@ -120,11 +120,11 @@
 }
 
 // readBy sets the deadline of reads, unless the connection is read for the last time.
-func (conn *connection) readBy(at time.Time) {
+func (conn *connection) setReadDeadline(deadline time.Time) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if !conn.finished {
-		conn.socket.SetReadDeadline(at)
+		conn.socket.SetReadDeadline(deadline)
 	}
 }
 
@@ -132,9 +132,9 @@
 // the call that the bad one may mean is told at once, and the connection is closed.
 func (conn *connection) read(notify func(message)) (reason, error) {
 	r := bufio.NewReader(conn.socket)
-	corrupt := func(name string, why reason, err error) (reason, error) {
-		notify(message{kind: messageCorrupted, connection: conn, name: name, reason: why, at: time.Now()})
-		return why, err
+	corrupt := func(name string, cause reason, err error) (reason, error) {
+		notify(message{kind: messageFrameCorrupted, connection: conn, name: name, reason: cause, at: time.Now()})
+		return cause, err
 	}
 	for {
 		var frameType byte
@@ -144,42 +144,42 @@
 			if !buffered(r) {
 				notify(message{kind: messageFramePartial, connection: conn})
 			}
-			conn.readBy(time.Now().Add(frameTimeout))
+			conn.setReadDeadline(time.Now().Add(frameTimeout))
 			frameType, payload, err = readFrame(r)
 		}
 		at := time.Now()
-		var sys syscall.Errno
+		var errno syscall.Errno
 		switch {
 		case err == nil:
-			conn.readBy(time.Time{})
+			conn.setReadDeadline(time.Time{})
 		case conn.finishing():
 			return reasonWriteFailed, err
 		case errors.Is(err, io.EOF):
 			return reasonEOF, err
-		case errors.As(err, &sys), errors.Is(err, net.ErrClosed), errors.Is(err, io.ErrUnexpectedEOF):
+		case errors.As(err, &errno), errors.Is(err, net.ErrClosed), errors.Is(err, io.ErrUnexpectedEOF):
 			return reasonReset, err
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return corrupt("", reasonPartialFrame, err)
 		default:
 			return corrupt("", reasonBadFrame, err)
 		}
-		n := message{kind: messageFrameReceived, connection: conn, frameType: frameType, at: at}
+		msg := message{kind: messageFrameReceived, connection: conn, frameType: frameType, at: at}
 		switch frameType {
 		case frameAnswer:
-			if n.answer, err = parseAnswer(payload); err != nil {
-				return corrupt(n.answer.name, reasonBadFrame, err)
+			if msg.answer, err = parseAnswer(payload); err != nil {
+				return corrupt(msg.answer.name, reasonBadFrame, err)
 			}
-		case frameAlive, frameLoad:
-			n.text = string(payload)
-			if frameType == frameAlive && n.text != probeDone && n.text != probeFailed {
-				return corrupt("", reasonBadFrame, malformed("probe answered %.80q", n.text))
+		case frameHealthProbe, frameLoadProbe:
+			msg.text = string(payload)
+			if frameType == frameHealthProbe && msg.text != probeDone && msg.text != probeFailed {
+				return corrupt("", reasonBadFrame, malformed("probe answered %.80q", msg.text))
 			}
 		case frameRefuse:
 			return reasonFrameRefused, refusedError(payload)
 		default:
 			return corrupt("", reasonBadFrame, malformed("unknown letter %q", frameType))
 		}
-		notify(n)
+		notify(msg)
 	}
 }
 
@@ -196,18 +196,18 @@
 }
 
 // packetStart is the offset of packet i, of packets that end at upTo.
-func packetStart(upTo []int, i int) int {
+func frameStart(frameEnds []int, i int) int {
 	if i == 0 {
 		return 0
 	}
-	return upTo[i-1]
+	return frameEnds[i-1]
 }
 
 // write writes outgoing frames until the connection ends.
 func (conn *connection) write(notify func(message), stop chan struct{}, end func(reason, error)) {
-	var waiting []outgoing
+	var frames []outgoing
 	var buf []byte
-	var upTo []int // where each packet ends in buf
+	var frameEnds []int // where each packet ends in buf
 	for {
 		if cap(buf) > maxFrame { // one large batch is no reason to hold as much for good
 			buf = nil
@@ -217,35 +217,35 @@
 			return
 		case <-conn.out.Ready():
 		}
-		waiting = conn.out.Take(waiting)
-		buf, upTo = buf[:0], upTo[:0]
+		frames = conn.out.Take(frames)
+		buf, frameEnds = buf[:0], frameEnds[:0]
 		conn.socket.SetWriteDeadline(time.Now().Add(conn.writeTimeout)) // before the look at what may begin: hurry may cut it short
 		now := time.Now()
-		for i := range waiting {
-			packet := &waiting[i]
-			switch packet.frameType {
+		for i := range frames {
+			frame := &frames[i]
+			switch frame.frameType {
 			case frameCall:
 				var revoked []*call
-				if packet.calls, revoked = splitStartable(packet.calls, now); len(revoked) > 0 {
+				if frame.calls, revoked = splitStartable(frame.calls, now); len(revoked) > 0 {
 					notify(message{kind: messageNotStarted, connection: conn, calls: revoked})
 				}
-				if len(packet.calls) > 0 {
-					buf = appendCall(buf, packet.calls, now)
+				if len(frame.calls) > 0 {
+					buf = appendCall(buf, frame.calls, now)
 				}
 			case frameCancel:
-				buf = appendFrame(buf, frameCancel, []byte(packet.calls[0].name)...)
+				buf = appendFrame(buf, frameCancel, []byte(frame.calls[0].name)...)
 			default:
-				buf = appendFrame(buf, packet.frameType)
+				buf = appendFrame(buf, frame.frameType)
 			}
-			upTo = append(upTo, len(buf))
+			frameEnds = append(frameEnds, len(buf))
 		}
 		if len(buf) == 0 {
 			continue
 		}
 		n, err := conn.socket.Write(buf)
-		for i, packet := range waiting {
-			if n >= upTo[i] && upTo[i] > packetStart(upTo, i) {
-				notify(message{kind: messageFrameWritten, connection: conn, frameType: packet.frameType, calls: packet.calls, at: now})
+		for i, frame := range frames {
+			if n >= frameEnds[i] && frameEnds[i] > frameStart(frameEnds, i) {
+				notify(message{kind: messageFrameWritten, connection: conn, frameType: frame.frameType, calls: frame.calls, at: now})
 			}
 		}
 		if err != nil {
--- a/internal/dataplane/backends/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -14,25 +14,25 @@
 
 // idle tells whether nothing is in flight on a connection.
 func (a *actor) idle(conn *connection) bool {
-	return conn.sharedCalls == 0 && (a.pendingProbe == nil || a.pendingProbe.connection != conn)
+	return conn.batchesInFlight == 0 && (a.pendingProbe == nil || a.pendingProbe.connection != conn)
 }
 
 // closeIdle closes all idle connections.
-func (a *actor) closeIdle(why reason) {
+func (a *actor) closeIdle(cause reason) {
 	for _, conn := range a.connections {
 		if a.idle(conn) {
-			a.close(conn, why)
+			a.close(conn, cause)
 		}
 	}
 }
 
 // close closes a connection; calls in flight on it end once its goroutines have reported all they know.
-func (a *actor) close(conn *connection, why reason) {
+func (a *actor) close(conn *connection, cause reason) {
 	if conn.closeReason != "" {
 		return
 	}
-	conn.closeReason = why
-	if conn.sharedCalls > 0 && (why == reasonAddressChanged || why == reasonRestarted) { // the process before may have answered
+	conn.closeReason = cause
+	if conn.batchesInFlight > 0 && (cause == reasonAddressChanged || cause == reasonRestarted) { // the process before may have answered
 		conn.finish()
 	} else {
 		conn.socket.Close()
@@ -41,12 +41,12 @@
 
 // connectionFor finds a connection for a shared call. One on which a call of the same name was canceled can't be used: its
 // late answer could not be told from the new one's.
-func (a *actor) connectionFor(t *sharedCall) *connection {
+func (a *actor) connectionFor(batch *callBatch) *connection {
 	for _, conn := range a.connections {
-		if !a.usable(conn) || a.hub.settings.Streams > 0 && conn.sharedCalls >= a.hub.settings.Streams {
+		if !a.usable(conn) || a.hub.settings.CallsPerConnection > 0 && conn.batchesInFlight >= a.hub.settings.CallsPerConnection {
 			continue
 		}
-		if !slices.ContainsFunc(t.calls, func(c *call) bool { return !conn.canceledUntil[c.name].IsZero() }) {
+		if !slices.ContainsFunc(batch.calls, func(c *call) bool { return !conn.canceledUntil[c.name].IsZero() }) {
 			return conn
 		}
 	}
@@ -56,24 +56,24 @@
 // usable tells whether a connection may carry new calls and probes. One that has become unresponsive can't be told from an
 // unresponsive backend but by another connection, and a backend that is alive must not be lost with its connection.
 func (a *actor) usable(conn *connection) bool {
-	return conn.closeReason == "" && !conn.partialFrame && conn.silentSince.IsZero() && !a.nearIdleClose(conn)
+	return conn.closeReason == "" && !conn.partialFrame && conn.unresponsiveSince.IsZero() && !a.nearIdleClose(conn)
 }
 
 // recordTimeout records that a connection had no answer in time to what was sent on it. That time is at least a probe's, as a
 // client's time-out may be next to nothing.
 func (a *actor) recordTimeout(conn *connection, sentAt, now time.Time) {
-	if conn.lastFrameAt.Before(sentAt) && now.Sub(sentAt) >= seconds(a.hub.settings.Connect) {
-		a.markSilent(conn, now)
+	if conn.lastFrameAt.Before(sentAt) && now.Sub(sentAt) >= seconds(a.hub.settings.ConnectTimeoutS) {
+		a.markUnresponsive(conn, now)
 	}
 }
 
 // markSilent starts the final time-out of an unresponsive connection, and sends a probe on it, which a backend answers at once
 // however long its calls wait. Without the probe, slow backends lost connection after connection, and the work done on them.
-func (a *actor) markSilent(conn *connection, now time.Time) {
-	if conn.closeReason != "" || !conn.silentSince.IsZero() {
+func (a *actor) markUnresponsive(conn *connection, now time.Time) {
+	if conn.closeReason != "" || !conn.unresponsiveSince.IsZero() {
 		return
 	}
-	conn.silentSince = now
+	conn.unresponsiveSince = now
 	conn.out.Put(outgoing{frameType: a.probeFrame()})
 }
 
@@ -88,20 +88,20 @@
 // nearIdleClose tells whether the backend may close an idle connection before a frame gets there, which may take as long as a
 // connect.
 func (a *actor) nearIdleClose(conn *connection) bool {
-	idle := a.hub.settings.Idle
+	idle := a.hub.settings.IdleTimeoutS
 	return idle > 0 && a.idle(conn) && time.Since(conn.lastUsedAt) >= a.idleLimit()
 }
 
 // idleLimit is how long an idle connection is kept; where a connect may take nearly all of the idle time, half of that.
 func (a *actor) idleLimit() time.Duration {
-	return seconds(max(a.hub.settings.Idle-a.hub.settings.Connect, a.hub.settings.Idle/2))
+	return seconds(max(a.hub.settings.IdleTimeoutS-a.hub.settings.ConnectTimeoutS, a.hub.settings.IdleTimeoutS/2))
 }
 
 // dialsNeeded is the number of dials in progress that the waiting calls and the pending probe need.
 func (a *actor) dialsNeeded() int {
-	needed, per := len(a.waiting), a.hub.settings.Streams
-	if needed > 0 && per > 0 {
-		needed = (needed + per - 1) / per
+	needed, callsPerConnection := len(a.waiting), a.hub.settings.CallsPerConnection
+	if needed > 0 && callsPerConnection > 0 {
+		needed = (needed + callsPerConnection - 1) / callsPerConnection
 	} else if needed > 0 {
 		needed = 1
 	}
@@ -113,69 +113,69 @@
 
 // dial dials a connection in a goroutine of its own, if a descriptor is free.
 func (a *actor) dial() {
-	a.dials++
-	a.dialsOfAllEras++
+	a.dialsToAddress++
+	a.dialsInProgress++
 	a.hub.counters.Add("lines", "dialled", 1)
-	address, era, connect := a.address, a.era, seconds(a.hub.settings.Connect)
+	address, era, timeout := a.address, a.addressEpoch, seconds(a.hub.settings.ConnectTimeoutS)
 	select {
-	case a.hub.descriptors <- struct{}{}:
+	case a.hub.descriptorSlots <- struct{}{}:
 	default:
-		a.in.Put(message{kind: messageDialed, era: era, address: address, reason: reasonNoDescriptor})
+		a.inbox.Put(message{kind: messageDialed, addressEpoch: era, address: address, reason: reasonNoDescriptor})
 		return
 	}
 	go func() {
-		last := a.connect(address, era, connect)
-		<-a.hub.descriptors // before the end is reported: its handler may need the descriptor
-		a.in.Put(last)
+		lastMessage := a.connect(address, era, timeout)
+		<-a.hub.descriptorSlots // before the end is reported: its handler may need the descriptor
+		a.inbox.Put(lastMessage)
 	}()
 }
 
 // connect dials, and serves the connection where one comes up. It returns the last message of either, which the caller has to send.
-func (a *actor) connect(address string, era int, within time.Duration) (last message) {
-	socket, err := a.hub.dialer(a.hub.dialContext, within, address)
+func (a *actor) connect(address string, era int, timeout time.Duration) (lastMessage message) {
+	socket, err := a.hub.dialer(a.hub.dialContext, timeout, address)
 	if err != nil {
-		why := reasonConnectRefused
-		if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
-			why = reasonConnectTimeout
+		cause := reasonConnectRefused
+		if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
+			cause = reasonConnectTimeout
 		}
-		return message{kind: messageDialed, era: era, address: address, reason: why, text: err.Error()}
+		return message{kind: messageDialed, addressEpoch: era, address: address, reason: cause, text: err.Error()}
 	}
 	conn := &connection{socket: socket, writeTimeout: a.hub.writeTimeout, out: eventqueue.New[outgoing](), address: address, opened: time.Now(),
 		lastUsedAt: time.Now(), canceledUntil: map[string]time.Time{}}
-	a.in.Put(message{kind: messageDialed, era: era, connection: conn})
-	return conn.run(func(n message) { a.in.Put(n) })
+	a.inbox.Put(message{kind: messageDialed, addressEpoch: era, connection: conn})
+	return conn.run(func(msg message) { a.inbox.Put(msg) })
 }
 
 // handleDialed handles the end of a dial.
-func (a *actor) handleDialed(n *message) {
-	a.dialsOfAllEras--
-	old := n.era != a.era
-	if !old {
-		a.dials--
-	}
-	if n.connection != nil {
-		a.connections = append(a.connections, n.connection)
+func (a *actor) handleDialed(msg *message) {
+	a.dialsInProgress--
+	outdated := msg.addressEpoch != a.addressEpoch
+	if !outdated {
+		a.dialsToAddress--
+	}
+	if msg.connection != nil {
+		a.connections = append(a.connections, msg.connection)
 		switch {
 		case a.stopped:
-			a.close(n.connection, reasonShutdown)
-		case old:
-			a.close(n.connection, reasonAddressChanged)
+			a.close(msg.connection, reasonShutdown)
+		case outdated:
+			a.close(msg.connection, reasonAddressChanged)
 		case a.draining && a.pendingProbe == nil: // idle ones were closed when it began to drain
-			a.close(n.connection, reasonRequested)
+			a.close(msg.connection, reasonRequested)
 		}
 		a.assign()
 		return
 	}
-	a.logEnd(n.reason, n.text, n.address, 0)
-	if old || a.dials > 0 {
+	a.logEnd(msg.reason, msg.text, msg.address, 0)
+	if outdated || a.dialsToAddress > 0 {
 		return // another may come up
 	}
 	outcome := policy.NotConnected
-	if n.reason == reasonNoDescriptor { // no fault of the backend
+	if msg.reason == reasonNoDescriptor { // no fault of the backend
 		outcome = policy.NotSent
 	}
-	for _, t := range slices.Clone(a.waiting) {
-		for _, c := range slices.Clone(t.calls) {
+	for _, batch := range slices.Clone(a.waiting) {
+		for _, c := range slices.Clone(batch.calls) {
 			a.end(c, outcome, time.Now(), answer{})
 		}
 	}
@@ -186,14 +186,14 @@
 
 // handleConnectionEnded ends the calls and the probe in flight on a connection, once: what was not completely written was not
 // executed.
-func (a *actor) handleConnectionEnded(n *message) {
-	conn, now := n.connection, time.Now()
+func (a *actor) handleConnectionEnded(msg *message) {
+	conn, now := msg.connection, time.Now()
 	a.connections = slices.DeleteFunc(a.connections, func(o *connection) bool { return o == conn })
-	why := n.reason
+	cause := msg.reason
 	if conn.closeReason != "" {
-		why = conn.closeReason
+		cause = conn.closeReason
 	}
-	a.logEnd(why, n.text, conn.address, now.Sub(conn.opened))
+	a.logEnd(cause, msg.text, conn.address, now.Sub(conn.opened))
 	for _, c := range a.calls {
 		if c.connection == conn {
 			a.end(c, c.outcome(), now, answer{})
@@ -211,17 +211,17 @@
 	}
 }
 
-func (a *actor) logEnd(why reason, text, address string, lived time.Duration) {
-	a.hub.counters.Add("lines", string(why), 1)
+func (a *actor) logEnd(cause reason, text, address string, lifetime time.Duration) {
+	a.hub.counters.Add("lines", string(cause), 1)
 	entry := a.hub.log.Check(zap.InfoLevel, "connection ended")
 	if entry == nil {
 		return
 	}
 	entry.Write(
 		zap.String("peer", "searcher"),
-		zap.String("reason", string(why)),
+		zap.String("reason", string(cause)),
 		zap.String("address", address),
 		zap.Uint32("searcher", uint32(a.id)),
-		zap.Float64("lived_s", lived.Seconds()),
+		zap.Float64("lived_s", lifetime.Seconds()),
 		zap.String("text", text))
 }
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -26,12 +26,12 @@
 
 // The types of frames, by their first byte.
 const (
-	frameCall   = 'S'
-	frameCancel = 'C'
-	frameAlive  = 'H'
-	frameLoad   = 'M'
-	frameAnswer = 'R'
-	frameRefuse = 'F'
+	frameCall        = 'S'
+	frameCancel      = 'C'
+	frameHealthProbe = 'H'
+	frameLoadProbe   = 'M'
+	frameAnswer      = 'R'
+	frameRefuse      = 'F'
 )
 
 // The answers to a probe.
@@ -49,19 +49,19 @@
 }
 
 var (
-	outcomesByWord = map[string]policy.Outcome{"done": policy.Answered, "failed": policy.Errored, "full": policy.Rejected}
+	outcomesByName = map[string]policy.Outcome{"done": policy.Answered, "failed": policy.Errored, "full": policy.Rejected}
 	errNoFrameType = errors.New("frame without a letter")
-	errNotText     = errors.New("value is not UTF-8, which no answer to a client can carry unchanged")
+	errInvalidUTF8 = errors.New("value is not UTF-8, which no answer to a client can carry unchanged")
 )
 
 // readFrame reads one frame; what it returns is the caller's. Memory is taken as bytes come, never on the word
 // of a length.
 func readFrame(r *bufio.Reader) (frameType byte, payload []byte, err error) {
-	var head [5]byte
-	if _, err = io.ReadFull(r, head[:4]); err != nil {
+	var header [5]byte
+	if _, err = io.ReadFull(r, header[:4]); err != nil {
 		return 0, nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:4])
+	n := binary.BigEndian.Uint32(header[:4])
 	switch {
 	case n == 0:
 		return 0, nil, errNoFrameType
@@ -80,12 +80,12 @@
 
 // buffered tells whether the next frame is completely in the buffer.
 func buffered(r *bufio.Reader) bool {
-	have := r.Buffered()
-	if have < 4 {
+	available := r.Buffered()
+	if available < 4 {
 		return false
 	}
-	head, _ := r.Peek(4)
-	return uint64(have) >= 4+uint64(binary.BigEndian.Uint32(head))
+	header, _ := r.Peek(4)
+	return uint64(available) >= 4+uint64(binary.BigEndian.Uint32(header))
 }
 
 func appendFrame(b []byte, frameType byte, payload ...byte) []byte {
@@ -128,11 +128,11 @@
 		return a, malformed("answer %.80q: expected ID END SCORE REPORT and a line end", header)
 	}
 	known := false
-	if a.outcome, known = outcomesByWord[string(fields[1])]; !known {
+	if a.outcome, known = outcomesByName[string(fields[1])]; !known {
 		return a, malformed("answer %.80q: unknown end", header)
 	}
 	if !utf8.Valid(value) {
-		return a, errNotText
+		return a, errInvalidUTF8
 	}
 	a.load, a.value = parseLoad(fields[3]), value
 	return a, nil
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -28,24 +28,24 @@
 
 // Hub has the actors of all backends, and passes each its messages. Its methods are called by the policy's actor alone.
 type Hub struct {
-	settings     settings.Net
-	events       *eventqueue.Queue[aggregator.Event]
-	log          *zap.Logger
-	counters     *counters.Set
-	actors       map[policy.BackendID]*actor
-	removed      map[policy.BackendID]*actor // those of actors that the list no longer names
-	descriptors  chan struct{}               // one place for each descriptor in use
-	writeTimeout time.Duration               // that a write may take
-	dialContext  context.Context             // ends with all connects
-	dialer       func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error)
-	cancelDials  context.CancelFunc
-	running      sync.WaitGroup
+	settings        settings.Net
+	events          *eventqueue.Queue[aggregator.Event]
+	log             *zap.Logger
+	counters        *counters.Set
+	actors          map[policy.BackendID]*actor
+	removed         map[policy.BackendID]*actor // those of actors that the list no longer names
+	descriptorSlots chan struct{}               // one place for each descriptor in use
+	writeTimeout    time.Duration               // that a write may take
+	dialContext     context.Context             // ends with all connects
+	dialer          func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error)
+	cancelDials     context.CancelFunc
+	running         sync.WaitGroup
 }
 
 // New makes a hub that has at most maxConnections connections, and puts its events into events.
-func New(set settings.Net, maxConnections int, events *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Hub {
-	h := &Hub{settings: set, events: events, log: log, counters: count, actors: map[policy.BackendID]*actor{},
-		removed: map[policy.BackendID]*actor{}, descriptors: make(chan struct{}, maxConnections), writeTimeout: writeTimeout}
+func New(netSettings settings.Net, maxConnections int, events *eventqueue.Queue[aggregator.Event], log *zap.Logger, counterSet *counters.Set) *Hub {
+	h := &Hub{settings: netSettings, events: events, log: log, counters: counterSet, actors: map[policy.BackendID]*actor{},
+		removed: map[policy.BackendID]*actor{}, descriptorSlots: make(chan struct{}, maxConnections), writeTimeout: writeTimeout}
 	h.dialContext, h.cancelDials = context.WithCancel(context.Background())
 	h.dialer = func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error) {
 		return (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp", address)
@@ -67,13 +67,13 @@
 	case a == nil && entry.Phase == policy.Removed:
 		return
 	case a == nil:
-		a = &actor{hub: h, id: entry.Backend, in: eventqueue.New[message](), calls: map[string]*call{}}
+		a = &actor{hub: h, id: entry.Backend, inbox: eventqueue.New[message](), calls: map[string]*call{}}
 		h.actors[entry.Backend] = a
 		h.running.Go(a.run)
 	case entry.Phase == policy.Removed:
 		h.removed[entry.Backend] = a
 	}
-	a.in.Put(message{kind: messageListed, entry: entry, address: address})
+	a.inbox.Put(message{kind: messageUpdateEntry, entry: entry, address: address})
 }
 
 // Retain removes the backends that a complete list does not name.
@@ -86,47 +86,47 @@
 }
 
 // put passes a message to a backend's actor; for an unknown backend it does nothing.
-func (h *Hub) put(to policy.BackendID, n message) {
-	if a := h.actors[to]; a != nil {
-		a.in.Put(n)
+func (h *Hub) put(backend policy.BackendID, msg message) {
+	if a := h.actors[backend]; a != nil {
+		a.inbox.Put(msg)
 	}
 }
 
 // Send sends calls that share a frame, and count as one on their connection.
-func (h *Hub) Send(to policy.BackendID, calls []aggregator.Call) {
-	if a := h.actors[to]; a != nil && !a.ended.Load() {
-		a.in.Put(message{kind: messageSend, newCalls: calls})
+func (h *Hub) Send(backend policy.BackendID, calls []aggregator.Call) {
+	if a := h.actors[backend]; a != nil && !a.ended.Load() {
+		a.inbox.Put(message{kind: messageSend, newCalls: calls})
 		return
 	}
 	for i := range calls {
-		h.notifyEnd(&calls[i], to, policy.NotConnected, time.Now(), answer{})
+		h.notifyEnd(&calls[i], backend, policy.NotConnected, time.Now(), answer{})
 	}
 }
 
 // notifyEnd reports a call's end to the policy's actor.
-func (h *Hub) notifyEnd(c *aggregator.Call, backend policy.BackendID, outcome policy.Outcome, endedAt time.Time, with answer) {
+func (h *Hub) notifyEnd(c *aggregator.Call, backend policy.BackendID, outcome policy.Outcome, endedAt time.Time, result answer) {
 	h.counters.Add("calls", outcomeNames[outcome], 1)
-	h.events.Put(aggregator.Event{Value: with.value, Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.No,
-		Backend: backend, Outcome: outcome, Elapsed: max(0, endedAt.Sub(c.Sent).Seconds()), Load: with.load}})
+	h.events.Put(aggregator.Event{Value: result.value, Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.No,
+		Backend: backend, Outcome: outcome, Elapsed: max(0, endedAt.Sub(c.Sent).Seconds()), Load: result.load}})
 }
 
 // Cancel cancels a call: its answer does not count any more.
-func (h *Hub) Cancel(at policy.BackendID, subquery policy.SubqueryID, no policy.CallNo) {
-	h.put(at, message{kind: messageCancel, subquery: subquery, no: no})
+func (h *Hub) Cancel(backend policy.BackendID, subquery policy.SubqueryID, callNo policy.CallNo) {
+	h.put(backend, message{kind: messageCancel, subquery: subquery, callNo: callNo})
 }
 
 // Probe sends a health check to a backend; with separate, on a connection with nothing else in flight.
-func (h *Hub) Probe(at policy.BackendID, separate bool) {
-	h.put(at, message{kind: messageProbe, separate: separate, at: time.Now()})
+func (h *Hub) Probe(backend policy.BackendID, separate bool) {
+	h.put(backend, message{kind: messageProbe, separate: separate, at: time.Now()})
 }
 
 // CloseIdle closes the idle connections to a backend.
-func (h *Hub) CloseIdle(at policy.BackendID) { h.put(at, message{kind: messageCloseIdle}) }
+func (h *Hub) CloseIdle(backend policy.BackendID) { h.put(backend, message{kind: messageCloseIdle}) }
 
 // Stop ends all actors and their connections; the policy's actor must have ended before.
 func (h *Hub) Stop() {
 	for _, a := range h.actors {
-		a.in.Put(message{kind: messageStop})
+		a.inbox.Put(message{kind: messageStop})
 	}
 	h.cancelDials() // nobody waits for them any more
 	h.running.Wait()
--- a/internal/dataplane/backends/probes.go
+++ b/internal/dataplane/backends/probes.go
@@ -32,29 +32,29 @@
 
 // probeFrame is the type of a probe's frame.
 func (a *actor) probeFrame() byte {
-	if a.hub.settings.Loads {
-		return frameLoad
+	if a.hub.settings.LoadReports {
+		return frameLoadProbe
 	}
-	return frameAlive
+	return frameHealthProbe
 }
 
 // handleProbeAnswer handles the answer of a probe. One that comes after its time-out may be taken for the next one's; it still
 // shows that the backend is alive.
-func (a *actor) handleProbeAnswer(n *message) {
-	if p := a.pendingProbe; p == nil || p.connection != n.connection {
+func (a *actor) handleProbeAnswer(msg *message) {
+	if p := a.pendingProbe; p == nil || p.connection != msg.connection {
 		a.hub.counters.Add("late", "probes", 1)
 		return
 	} else if p.separate { // the backend is alive, and connections with frames unanswered from before the probe are not
 		for _, conn := range a.connections {
 			if !conn.unansweredSince.IsZero() && conn.unansweredSince.Before(p.sentAt) {
-				a.markSilent(conn, n.at)
+				a.markUnresponsive(conn, msg.at)
 			}
 		}
 	}
-	if n.text == probeFailed {
-		a.endProbe(policy.Errored, n.at, policy.Load{})
+	if msg.text == probeFailed {
+		a.endProbe(policy.Errored, msg.at, policy.Load{})
 	} else {
-		a.endProbe(policy.Answered, n.at, parseLoad([]byte(n.text)))
+		a.endProbe(policy.Answered, msg.at, parseLoad([]byte(msg.text)))
 	}
 }
 
--- a/internal/dataplane/clients/protocol.go
+++ b/internal/dataplane/clients/protocol.go
@@ -23,7 +23,7 @@
 }
 
 func newNameTable(set settings.Net) nameTable {
-	return nameTable{settings.Numbered[policy.IndexID](set.Indexes), settings.Numbered[policy.CustomerID](set.Customers), set.Shards}
+	return nameTable{settings.IDsByName[policy.IndexID](set.Indexes), settings.IDsByName[policy.CustomerID](set.Customers), set.Shards}
 }
 
 // index is the one that the first subquery of a path names.
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -38,21 +38,21 @@
 const (
 	messageSubscribe messageKind = iota // on
 	messageRequestFullList
-	messageMoveTo     // address
-	messageLine       // watch, line
-	messageWatchEnded // watch, err
-	messageFullList   // address: its URL; version: that known when it was asked for; line or err
+	messageMoveTo       // address
+	messageLine         // watch, line
+	messageWatchEnded   // watch, err
+	messageCompleteList // address: its URL; version: that known when it was asked for; line or err
 	messageStop
 )
 
 type message struct {
-	kind    messageKind
-	on      bool
-	address string
-	watch   int
-	version int64
-	line    []byte
-	err     error
+	kind      messageKind
+	subscribe bool
+	address   string
+	watch     int
+	version   int64
+	line      []byte
+	err       error
 }
 
 // Listener receives changes of the list: the policy's actor, or one in front of it. Put may not block.
@@ -60,41 +60,41 @@
 
 // Client is the registry's client, an actor. Its fields but in and finished belong to the goroutine of Run.
 type Client struct {
-	in           *eventqueue.Queue[message]
-	listener     Listener
-	log          *zap.Logger
-	counters     *counters.Set
-	url          string
-	watchTimeout time.Duration // of a watch, after which it is renewed
-	onRequest    bool          // the policy asks for the list; else it comes unasked
-	client       *http.Client
-	locations    map[string]int
-	kinds        map[string]int
-	ids          map[string]policy.BackendID // of those named now
-	lastID       policy.BackendID
-	version      int64
-	subscribed   bool
-	watchNo      int // number of the watch that counts
-	cancel       context.CancelFunc
-	lastLineAt   time.Time
-	watchStarted time.Time // of the watch in hand
-	backoff      time.Duration
-	nextWatchAt  time.Time // when to watch again; zero while one runs
-	finished     chan struct{}
+	inbox          *eventqueue.Queue[message]
+	listener       Listener
+	log            *zap.Logger
+	counters       *counters.Set
+	url            string
+	watchTimeout   time.Duration // of a watch, after which it is renewed
+	listOnRequest  bool          // the policy asks for the list; else it comes unasked
+	client         *http.Client
+	locations      map[string]int
+	machineKinds   map[string]int
+	backendIDs     map[string]policy.BackendID // of those named now
+	lastID         policy.BackendID
+	version        int64
+	subscribed     bool
+	currentWatch   int // number of the watch that counts
+	cancel         context.CancelFunc
+	lastLineAt     time.Time
+	watchStartedAt time.Time // of the watch in hand
+	backoff        time.Duration
+	nextWatchAt    time.Time // when to watch again; zero while one runs
+	done           chan struct{}
 }
 
 // New makes a client and passes the list known at the start to the listener.
-func New(address string, known []byte, set settings.Settings, listener Listener, log *zap.Logger,
-	count *counters.Set) (*Client, error) {
+func New(address string, known []byte, aggregatorSettings settings.Settings, listener Listener, log *zap.Logger,
+	counterSet *counters.Set) (*Client, error) {
 	if err := checkAddress(address); err != nil {
 		return nil, err
 	}
-	r := &Client{in: eventqueue.New[message](), listener: listener, log: log, counters: count,
-		url: listURL(address), watchTimeout: time.Duration(missedHeartbeats * float64(heartbeatInterval)), onRequest: set.ListOnRequest, subscribed: !set.ListOnRequest,
+	r := &Client{inbox: eventqueue.New[message](), listener: listener, log: log, counters: counterSet,
+		url: listURL(address), watchTimeout: time.Duration(missedHeartbeats * float64(heartbeatInterval)), listOnRequest: aggregatorSettings.ListOnRequest, subscribed: !aggregatorSettings.ListOnRequest,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: heartbeatInterval}).DialContext}},
-		locations: settings.Numbered[int](set.Net.Locations), kinds: settings.Numbered[int](set.Net.Kinds), ids: map[string]policy.BackendID{},
-		finished: make(chan struct{})}
+		locations: settings.IDsByName[int](aggregatorSettings.Net.Locations), machineKinds: settings.IDsByName[int](aggregatorSettings.Net.MachineKinds), backendIDs: map[string]policy.BackendID{},
+		done: make(chan struct{})}
 	if err := r.applyList(known, true); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
@@ -107,7 +107,7 @@
 	if err := checkAddress(address); err != nil {
 		return err
 	}
-	r.in.Put(message{kind: messageMoveTo, address: address})
+	r.inbox.Put(message{kind: messageMoveTo, address: address})
 	return nil
 }
 
@@ -124,28 +124,28 @@
 func listURL(address string) string { return "http://" + address + "/discovery/hosts" }
 
 // Subscribe starts or ends the watch, for the policy.
-func (r *Client) Subscribe(on bool) { r.in.Put(message{kind: messageSubscribe, on: on}) }
+func (r *Client) Subscribe(on bool) { r.inbox.Put(message{kind: messageSubscribe, subscribe: on}) }
 
 // RequestFullList requests the complete list once, for the policy.
-func (r *Client) RequestFullList() { r.in.Put(message{kind: messageRequestFullList}) }
+func (r *Client) RequestFullList() { r.inbox.Put(message{kind: messageRequestFullList}) }
 
 // Stop ends the actor.
 func (r *Client) Stop() {
-	r.in.Put(message{kind: messageStop})
-	<-r.finished
+	r.inbox.Put(message{kind: messageStop})
+	<-r.done
 }
 
 // Run is the actor's goroutine.
 func (r *Client) Run() {
-	defer close(r.finished)
+	defer close(r.done)
 	var messages []message
 	timer := time.NewTimer(0)
 	for {
 		select {
-		case <-r.in.Ready():
+		case <-r.inbox.Ready():
 		case <-timer.C:
 		}
-		messages = r.in.Take(messages)
+		messages = r.inbox.Take(messages)
 		for i := range messages {
 			if messages[i].kind == messageStop {
 				r.cancelWatch()
@@ -157,44 +157,44 @@
 	}
 }
 
-func (r *Client) handle(n *message) {
-	switch n.kind {
+func (r *Client) handle(msg *message) {
+	switch msg.kind {
 	case messageSubscribe:
-		r.subscribed = n.on
+		r.subscribed = msg.subscribe
 		r.cancelWatch()
 		r.nextWatchAt = time.Time{}
 	case messageRequestFullList:
 		go r.fetch(r.url, r.version)
 	case messageMoveTo:
-		if url := listURL(n.address); url != r.url {
+		if url := listURL(msg.address); url != r.url {
 			r.url, r.backoff, r.nextWatchAt = url, 0, time.Time{}
 			if r.cancel != nil {
 				r.endWatch("address_changed", nil)
 			}
 		}
 	case messageLine:
-		if n.watch != r.watchNo {
+		if msg.watch != r.currentWatch {
 			return
 		}
 		r.lastLineAt, r.backoff = time.Now(), 0 // a heartbeat as well: what it misses from here on has its own 6 s
-		if len(n.line) == 0 {
+		if len(msg.line) == 0 {
 			return
 		}
-		if err := r.applyList(n.line, false); err != nil {
+		if err := r.applyList(msg.line, false); err != nil {
 			r.retryWatch("bad_line", err)
 		}
 	case messageWatchEnded:
-		if n.watch == r.watchNo && r.cancel != nil {
-			r.retryWatch("watch_ended", n.err)
+		if msg.watch == r.currentWatch && r.cancel != nil {
+			r.retryWatch("watch_ended", msg.err)
 		}
-	case messageFullList:
-		if n.address != r.url || n.version != r.version && n.olderThan(r.version) { // of another address, or older than what a watch has delivered
+	case messageCompleteList:
+		if msg.address != r.url || msg.version != r.version && msg.olderThan(r.version) { // of another address, or older than what a watch has delivered
 			go r.fetch(r.url, r.version)
 			return
 		}
-		err := n.err
+		err := msg.err
 		if err == nil {
-			err = r.applyList(n.line, false)
+			err = r.applyList(msg.line, false)
 		}
 		if err != nil {
 			r.log.Info("connection ended", zap.String("peer", "register"), zap.String("reason", "whole_list_failed"), zap.String("text", err.Error()))
@@ -204,7 +204,7 @@
 }
 
 // olderThan tells whether a complete list is older than a version.
-func (n *message) olderThan(version int64) bool {
+func (msg *message) olderThan(version int64) bool {
 	var p page
-	return n.err == nil && json.Unmarshal(n.line, &p) == nil && p.Version != nil && *p.Version < version
+	return msg.err == nil && json.Unmarshal(msg.line, &p) == nil && p.Version != nil && *p.Version < version
 }
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -28,16 +28,16 @@
 type fixture struct {
 	*testing.T
 	*Client
-	events *queuetest.Ear[aggregator.Event]
-	asks   chan listRequest
-	server string // its address
+	events   *queuetest.Ear[aggregator.Event]
+	requests chan listRequest
+	address  string // its address
 }
 
 type listRequest struct {
-	query string
-	write func(text string)
-	end   context.CancelFunc
-	gone  <-chan struct{}
+	query  string
+	write  func(text string)
+	end    context.CancelFunc
+	closed <-chan struct{}
 }
 
 func listLine(version int, complete bool, entries ...string) string {
@@ -49,12 +49,12 @@
 		id, id, state)
 }
 
-func newFixture(t *testing.T, asked bool, change func(*Client)) *fixture {
-	r := &fixture{T: t, events: queuetest.New[aggregator.Event](), asks: make(chan listRequest, 100)}
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		ctx, end := context.WithCancel(q.Context())
+func newFixture(t *testing.T, listOnRequest bool, adjust func(*Client)) *fixture {
+	r := &fixture{T: t, events: queuetest.New[aggregator.Event](), requests: make(chan listRequest, 100)}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		ctx, end := context.WithCancel(req.Context())
 		out := make(chan string, 10)
-		r.asks <- listRequest{q.URL.String(), func(text string) { out <- text }, end, q.Context().Done()}
+		r.requests <- listRequest{req.URL.String(), func(text string) { out <- text }, end, req.Context().Done()}
 		for {
 			select {
 			case text := <-out:
@@ -66,16 +66,16 @@
 		}
 	}))
 	set := settings.Settings{Net: settings.Net{Locations: []string{"a", "b"}}}
-	set.ListOnRequest = asked
+	set.ListOnRequest = listOnRequest
 	var err error
-	r.server = strings.TrimPrefix(server.URL, "http://")
-	r.Client, err = New(r.server, []byte(listLine(41, true, backend("s1", "SERVING"))), set,
+	r.address = strings.TrimPrefix(server.URL, "http://")
+	r.Client, err = New(r.address, []byte(listLine(41, true, backend("s1", "SERVING"))), set,
 		r.events.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if change != nil {
-		change(r.Client)
+	if adjust != nil {
+		adjust(r.Client)
 	}
 	go r.Client.Run()
 	t.Cleanup(func() { r.Stop(); server.CloseClientConnections(); server.Close() })
@@ -86,11 +86,11 @@
 func (r *fixture) expectRequest(query string) listRequest {
 	r.Helper()
 	select {
-	case a := <-r.asks:
-		if a.query != query {
-			r.Fatalf("asked %q, expected %q", a.query, query)
+	case request := <-r.requests:
+		if request.query != query {
+			r.Fatalf("asked %q, expected %q", request.query, query)
 		}
-		return a
+		return request
 	case <-time.After(patience):
 		r.Fatal("nothing was asked")
 	}
@@ -102,9 +102,9 @@
 	r.Helper()
 	e := r.events.Next(r.T)
 	var got []string
-	for i, x := range e.Entries {
+	for i, listed := range e.Entries {
 		name := strings.TrimSuffix(strings.TrimPrefix(e.Addresses[i], "h-"), ":1")
-		got = append(got, fmt.Sprintf("%s:%d", name, x.Phase))
+		got = append(got, fmt.Sprintf("%s:%d", name, listed.Phase))
 	}
 	if e.Kind != policy.ListChanged || e.List != kind || fmt.Sprint(got) != fmt.Sprint(entries) {
 		r.Fatalf("told kind %d of %v, expected %d of %v", e.List, got, kind, entries)
@@ -112,13 +112,13 @@
 	return e
 }
 
-func TestChangesAreOrderedAndTheWatchResumesAtItsVersion(t *testing.T) {
+func TestChangesKeepTheirOrderAndTheWatchResumesAtTheLastVersion(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	w.write("\n" + listLine(43, false, backend("s2", "DRAINING")) + listLine(44, false, backend("s2", "DELETED")))
 	e := r.expect(policy.ListPatch, "s2:1")
-	if x := e.Entries[0]; x.Backend != 2 || x.Location != 1 || x.Cell != 3 || x.Share != 2 || x.StartedAt != 1.5 {
-		t.Fatalf("got %+v", x)
+	if listed := e.Entries[0]; listed.Backend != 2 || listed.Location != 1 || listed.Cell != 3 || listed.Share != 2 || listed.StartedAt != 1.5 {
+		t.Fatalf("got %+v", listed)
 	}
 	r.expect(policy.ListPatch, "s2:2")
 	w.end()
@@ -130,7 +130,7 @@
 }
 
 // A name that comes again after it was gone is another backend's, and nothing is kept of those that are gone.
-func TestRemovedBackendsAreReleased(t *testing.T) {
+func TestRemovedBackendIsForgottenAndItsNameGetsANewNumber(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	w.write(listLine(42, false, backend("s2", "SERVING"), backend("s7", "DELETED")) + listLine(43, false, backend("s2", "DELETED")) +
@@ -144,13 +144,13 @@
 	}
 	w.write(listLine(45, true, backend("s4", "SERVING")) + listLine(46, true, backend("s1", "SERVING")))
 	r.expect(policy.ListComplete, "s4:0")
-	if e := r.expect(policy.ListComplete, "s1:0"); e.Entries[0].Backend != 5 || len(r.ids) != 1 {
-		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Backend, r.ids)
+	if e := r.expect(policy.ListComplete, "s1:0"); e.Entries[0].Backend != 5 || len(r.backendIDs) != 1 {
+		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Backend, r.backendIDs)
 	}
 }
 
 // At a new address the watch goes on from the version last read; the old one is left, and what it says ignored.
-func TestServiceRegistryMoves(t *testing.T) {
+func TestWatchContinuesAtTheNewRegistryAddress(t *testing.T) {
 	r, other := newFixture(t, false, nil), newFixture(t, false, nil)
 	other.expectRequest("/discovery/hosts?stream=1&index=41").end()
 	old := r.expectRequest("/discovery/hosts?stream=1&index=41")
@@ -161,15 +161,15 @@
 			t.Fatalf("%q was taken for an address", address)
 		}
 	}
-	if err := r.MoveTo(other.server); err != nil {
+	if err := r.MoveTo(other.address); err != nil {
 		t.Fatal(err)
 	}
 	var w listRequest
 	for w.query != "/discovery/hosts?stream=1&index=47" { // but for the watches of the other fixture's own register
-		w = <-other.asks
+		w = <-other.requests
 	}
 	select {
-	case <-old.gone:
+	case <-old.closed:
 	case <-time.After(patience):
 		t.Fatal("the old watch stays open")
 	}
@@ -188,7 +188,7 @@
 		t.Fatalf("s1 became %d", e.Entries[0].Backend)
 	}
 	select {
-	case <-w.gone:
+	case <-w.closed:
 	case <-time.After(patience):
 		t.Fatal("the broken watch stays open")
 	}
@@ -211,7 +211,7 @@
 		time.Sleep(100 * time.Millisecond)
 		w.write("\n")
 	}
-	if len(r.asks) > 0 {
+	if len(r.requests) > 0 {
 		t.Fatal("a watch with beats was given up")
 	}
 	r.expectRequest("/discovery/hosts?stream=1&index=41").write(listLine(42, false, backend("s2", "SERVING")))
@@ -224,7 +224,7 @@
 }
 
 // A list may come indented, over several lines; one that breaks off ends the watch at the next heartbeat, and not later.
-func TestIndentedLists(t *testing.T) {
+func TestIndentedListsAreReadAndTruncatedOnesEndTheWatch(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	indented := func(text string) string {
@@ -237,11 +237,11 @@
 	w.write(indented(listLine(42, false, backend("s{2", "SERVING"))) + "\n\n" + listLine(43, false, backend("s3", "SERVING")))
 	r.expect(policy.ListPatch, "s{2:0")
 	r.expect(policy.ListPatch, "s3:0")
-	whole := indented(listLine(44, true, backend("s3", "DRAINING")))
-	w.write(whole[:len(whole)/2])
-	w.write(whole[len(whole)/2:] + "\n")
+	complete := indented(listLine(44, true, backend("s3", "DRAINING")))
+	w.write(complete[:len(complete)/2])
+	w.write(complete[len(complete)/2:] + "\n")
 	r.expect(policy.ListComplete, "s3:1")
-	w.write(whole[:strings.LastIndex(whole, "}")] + "\n\n")
+	w.write(complete[:strings.LastIndex(complete, "}")] + "\n\n")
 	r.expectRequest("/discovery/hosts?stream=1&index=44")
 	if rest := r.events.Rest(); len(rest) > 0 {
 		t.Fatalf("told %+v", rest)
@@ -258,7 +258,7 @@
 	go func() { // the third, and on a busy machine those after it
 		for {
 			select {
-			case w := <-r.asks:
+			case w := <-r.requests:
 				w.write(listLine(42, false, backend("s1", "DRAINING")))
 			case <-t.Context().Done():
 				return
@@ -303,21 +303,21 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		queue := eventqueue.New[aggregator.Event]()
-		r := &Client{listener: queue, locations: map[string]int{}, kinds: map[string]int{},
-			ids: map[string]policy.BackendID{}, version: -7}
+		r := &Client{listener: queue, locations: map[string]int{}, machineKinds: map[string]int{},
+			backendIDs: map[string]policy.BackendID{}, version: -7}
 		err := r.applyList(text, false)
-		told := queue.Take(nil)
+		events := queue.Take(nil)
 		if err != nil {
-			if len(told) > 0 || r.version != -7 {
-				t.Fatalf("%q: %v, but %+v was told", text, err, told)
+			if len(events) > 0 || r.version != -7 {
+				t.Fatalf("%q: %v, but %+v was told", text, err, events)
 			}
 			return
 		}
-		if len(told) != 1 || len(told[0].Entries) != len(told[0].Addresses) || len(told[0].Entries) != len(told[0].Names) {
-			t.Fatalf("%q: told %+v", text, told)
+		if len(events) != 1 || len(events[0].Entries) != len(events[0].Addresses) || len(events[0].Entries) != len(events[0].Names) {
+			t.Fatalf("%q: told %+v", text, events)
 		}
-		for i, e := range told[0].Entries {
-			if e.Backend == 0 || e.Cell < 0 || e.Phase != policy.Removed && told[0].Addresses[i] == "" {
+		for i, e := range events[0].Entries {
+			if e.Backend == 0 || e.Cell < 0 || e.Phase != policy.Removed && events[0].Addresses[i] == "" {
 				t.Fatalf("%q: told %+v", text, e)
 			}
 		}
--- a/internal/dataplane/discovery/lineassembler.go
+++ b/internal/dataplane/discovery/lineassembler.go
@@ -28,14 +28,14 @@
 
 // lineAssembler joins the lines of an indented list: from the one that opens an object to the one that closes it. An empty line
 // in between is a heartbeat behind a truncated list, which is then passed on as it is, to be rejected.
-type lineAssembler struct {
-	text            []byte
-	depth           int
-	quoted, escaped bool
+type listAssembler struct {
+	text              []byte
+	depth             int
+	inString, escaped bool
 }
 
 // add adds a line, and returns what it completes: a list, or an empty line.
-func (g *lineAssembler) add(line []byte) (text []byte, done bool) {
+func (g *listAssembler) add(line []byte) (text []byte, complete bool) {
 	if len(g.text) > 0 {
 		g.text = append(g.text, '\n')
 	}
@@ -44,19 +44,19 @@
 		switch {
 		case g.escaped:
 			g.escaped = false
-		case g.quoted:
-			g.escaped, g.quoted = c == '\\', c != '"'
+		case g.inString:
+			g.escaped, g.inString = c == '\\', c != '"'
 		case c == '"':
-			g.quoted = true
+			g.inString = true
 		case c == '{' || c == '[':
 			g.depth++
 		case c == '}' || c == ']':
 			g.depth--
 		}
 	}
-	if g.depth > 0 && !g.quoted && len(line) > 0 && len(g.text) <= maxLine {
+	if g.depth > 0 && !g.inString && len(line) > 0 && len(g.text) <= maxLine {
 		return nil, false
 	}
-	text, *g = g.text, lineAssembler{}
+	text, *g = g.text, listAssembler{}
 	return text, true
 }
--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -28,7 +28,7 @@
 }
 
 // check checks an entry; known says that it is of the list that the configuration has.
-func (e *entry) check(known bool) error {
+func (e *entry) check(initial bool) error {
 	phase, valid := phases[e.State]
 	switch {
 	case !valid:
@@ -40,7 +40,7 @@
 	case e.Cell < 0:
 		return malformed("searcher %q: cell %d", e.ID, e.Cell)
 	// In a configuration it is a mistake. A later list is not rejected for a weight: its drains are more important.
-	case known && e.Weight != nil && *e.Weight <= 0:
+	case initial && e.Weight != nil && *e.Weight <= 0:
 		return malformed("searcher %q: weight is %g, expected more than 0", e.ID, *e.Weight)
 	}
 	return nil
@@ -56,7 +56,7 @@
 var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
 
 // applyList parses a list and passes it to the listener, all or nothing: half a list would be worse than an old one.
-func (r *Client) applyList(line []byte, known bool) error {
+func (r *Client) applyList(line []byte, initial bool) error {
 	var list page
 	if err := json.Unmarshal(line, &list); err != nil {
 		return err
@@ -66,41 +66,41 @@
 	}
 	event := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListPatch}}
 	switch {
-	case known:
+	case initial:
 		event.List = policy.ListStale
 	case list.Complete:
 		event.List = policy.ListComplete
 	}
 	for i := range list.Instances { // all of them, before the first one is applied
-		if err := list.Instances[i].check(known); err != nil {
+		if err := list.Instances[i].check(initial); err != nil {
 			return err
 		}
 	}
-	before := r.ids
+	before := r.backendIDs
 	if event.List != policy.ListPatch { // those that it leaves out are removed
-		r.ids = make(map[string]policy.BackendID, len(list.Instances))
+		r.backendIDs = make(map[string]policy.BackendID, len(list.Instances))
 	}
 	for i := range list.Instances {
 		instance := &list.Instances[i]
 		phase := phases[instance.State]
-		id, seen := r.ids[instance.ID]
-		if !seen {
-			id, seen = before[instance.ID]
+		id, known := r.backendIDs[instance.ID]
+		if !known {
+			id, known = before[instance.ID]
 		}
 		switch {
-		case !seen && phase == policy.Removed:
+		case !known && phase == policy.Removed:
 			continue
-		case !seen:
+		case !known:
 			r.lastID++
 			id = r.lastID
 		}
 		if phase == policy.Removed { // should the name come again, it is another backend's
-			delete(r.ids, instance.ID)
+			delete(r.backendIDs, instance.ID)
 		} else {
-			r.ids[instance.ID] = id
+			r.backendIDs[instance.ID] = id
 		}
-		event.Entries = append(event.Entries, policy.Entry{Backend: id, Location: policy.LocationID(number(r.locations, instance.Zone)),
-			Kind: number(r.kinds, instance.Kind), Cell: policy.CellID(instance.Cell), Phase: phase, Share: instance.weight(),
+		event.Entries = append(event.Entries, policy.Entry{Backend: id, Location: policy.LocationID(numberOf(r.locations, instance.Zone)),
+			Kind: numberOf(r.machineKinds, instance.Kind), Cell: policy.CellID(instance.Cell), Phase: phase, Share: instance.weight(),
 			StartedAt: instance.StartedMs / 1000})
 		event.Addresses = append(event.Addresses, instance.Address)
 		event.Names = append(event.Names, aggregator.Name{Backend: instance.ID, Location: instance.Zone})
@@ -111,7 +111,7 @@
 }
 
 // number is a name's number; names that the settings do not have get further numbers.
-func number(names map[string]int, name string) int {
+func numberOf(names map[string]int, name string) int {
 	no, known := names[name]
 	if !known {
 		no = len(names)
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -18,7 +18,7 @@
 // watchDeadline is when the current watch times out. A new one without any line yet gets half as long, in which a heartbeat is
 // due: if it is unresponsive as the one before, a third one is established before drains have to be in force.
 func (r *Client) watchDeadline() time.Time {
-	if r.lastLineAt.Equal(r.watchStarted) {
+	if r.lastLineAt.Equal(r.watchStartedAt) {
 		return r.lastLineAt.Add(r.watchTimeout / 2)
 	}
 	return r.lastLineAt.Add(r.watchTimeout)
@@ -46,12 +46,12 @@
 // startWatch starts a watch from the version last read.
 func (r *Client) startWatch(now time.Time) {
 	ctx, cancel := context.WithCancel(context.Background())
-	r.watchNo++
-	r.cancel, r.lastLineAt, r.watchStarted = cancel, now, now
+	r.currentWatch++
+	r.cancel, r.lastLineAt, r.watchStartedAt = cancel, now, now
 	r.counters.Add("watches", "begun", 1)
-	go func(no int, url string) {
-		r.in.Put(message{kind: messageWatchEnded, watch: no, err: r.follow(ctx, no, url)})
-	}(r.watchNo, r.url+"?stream=1&index="+strconv.FormatInt(r.version, 10))
+	go func(watch int, url string) {
+		r.inbox.Put(message{kind: messageWatchEnded, watch: watch, err: r.follow(ctx, watch, url)})
+	}(r.currentWatch, r.url+"?stream=1&index="+strconv.FormatInt(r.version, 10))
 }
 
 // cancelWatch cancels the current watch; what it may still report is ignored.
@@ -60,13 +60,13 @@
 		r.cancel()
 		r.cancel = nil
 	}
-	r.watchNo++
+	r.currentWatch++
 }
 
 // endWatch cancels the current watch and logs the reason.
 func (r *Client) endWatch(reason string, err error) {
 	r.counters.Add("watches", reason, 1)
-	fields := []zap.Field{zap.String("peer", "register"), zap.String("reason", reason), zap.Float64("lived_s", time.Since(r.watchStarted).Seconds())}
+	fields := []zap.Field{zap.String("peer", "register"), zap.String("reason", reason), zap.Float64("lived_s", time.Since(r.watchStartedAt).Seconds())}
 	if err != nil {
 		fields = append(fields, zap.String("text", err.Error()))
 	}
@@ -80,7 +80,7 @@
 	r.endWatch(reason, err)
 	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
 	r.nextWatchAt = time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(r.backoff)))
-	if r.onRequest { // the policy says when to subscribe again
+	if r.listOnRequest { // the policy says when to subscribe again
 		r.subscribed = false
 		r.listener.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
 	}
@@ -101,7 +101,7 @@
 }
 
 // follow reads a watch until it ends.
-func (r *Client) follow(ctx context.Context, no int, url string) error {
+func (r *Client) follow(ctx context.Context, watch int, url string) error {
 	res, err := r.get(ctx, url)
 	if err != nil {
 		return err
@@ -111,10 +111,10 @@
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLine)
 	lines.Split(body.lines)
-	var assembler lineAssembler
+	var assembler listAssembler
 	for lines.Scan() {
 		if text, done := assembler.add(lines.Bytes()); done {
-			r.in.Put(message{kind: messageLine, watch: no, line: text})
+			r.inbox.Put(message{kind: messageLine, watch: watch, line: text})
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -127,11 +127,11 @@
 func (r *Client) fetch(url string, version int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.watchTimeout)
 	defer cancel()
-	n := message{kind: messageFullList, address: url, version: version}
+	msg := message{kind: messageCompleteList, address: url, version: version}
 	var res *http.Response
-	if res, n.err = r.get(ctx, url); n.err == nil {
-		n.line, n.err = io.ReadAll(io.LimitReader(res.Body, maxLine))
+	if res, msg.err = r.get(ctx, url); msg.err == nil {
+		msg.line, msg.err = io.ReadAll(io.LimitReader(res.Body, maxLine))
 		res.Body.Close()
 	}
-	r.in.Put(n)
+	r.inbox.Put(msg)
 }
--- a/internal/dataplane/discovery/wire_test.go
+++ b/internal/dataplane/discovery/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
 		goldentest.Form{Name: "entry", Value: new(entry)},
 		goldentest.Form{Name: "page", Value: new(page)},
--- a/internal/dataplane/settings/validate.go
+++ b/internal/dataplane/settings/validate.go
@@ -3,22 +3,22 @@
 import "fmt"
 
 // figure is a number of the settings object, named by its key.
-type figure struct {
+type number struct {
 	name  string
 	value float64
 }
 
 // check validates the numbers of a settings object. The first one that is wrong makes the error.
-func check(raw *wire) error {
-	if err := checkLists(raw); err != nil {
+func validate(raw *wire) error {
+	if err := validateLists(raw); err != nil {
 		return err
 	}
-	for _, f := range nonNegative(raw) {
+	for _, f := range nonNegativeNumbers(raw) {
 		if f.value < 0 {
 			return invalid("settings: %s is %g, expected 0 or more", f.name, f.value)
 		}
 	}
-	for _, f := range shares(raw) {
+	for _, f := range shareNumbers(raw) {
 		if f.value < 0 || f.value > 1 {
 			return invalid("settings: %s is %g, expected a share from 0 to 1", f.name, f.value)
 		}
@@ -28,80 +28,80 @@
 
 // checkLists validates the lists that have an element for each class: their lengths, and that no class has a floor above what
 // completes its answers.
-func checkLists(raw *wire) error {
-	layout, classes := &raw.Specifics, len(raw.RequestClasses)
-	for _, list := range classLists(raw) {
-		if n := len(list.values); n > 0 && n != classes {
-			return invalid("settings: specifics.%s has %d figures, expected one for each of %d classes", list.name, n, classes)
+func validateLists(raw *wire) error {
+	layout, indexes := &raw.Layout, len(raw.Indexes)
+	for _, list := range shareLists(raw) {
+		if n := len(list.values); n > 0 && n != indexes {
+			return invalid("settings: specifics.%s has %d figures, expected one for each of %d classes", list.name, n, indexes)
 		}
 	}
-	for i, floor := range layout.FloorByClass {
-		if need := valueAt(layout.ClassNeed, i); need > 0 && floor > need && floor < 1 { // 1 is what a class without a floor has
-			return invalid("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, floor, need)
+	for i, minimum := range layout.MinimumShares {
+		if required := valueAt(layout.RequiredShares, i); required > 0 && minimum > required && minimum < 1 { // 1 is what a class without a floor has
+			return invalid("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, minimum, required)
 		}
 	}
-	if n := len(layout.SecondStep); n > 0 && n != classes {
-		return invalid("settings: specifics.secondStep has %d figures, expected one for each of %d classes", n, classes)
+	if n := len(layout.SecondSteps); n > 0 && n != indexes {
+		return invalid("settings: specifics.secondStep has %d figures, expected one for each of %d classes", n, indexes)
 	}
 	return nil
 }
 
 // classList is a list of shares, one for each class.
-type classList struct {
+type indexShares struct {
 	name   string
 	values []float64
 }
 
-func classLists(raw *wire) []classList {
-	layout := &raw.Specifics
-	return []classList{{"classNeed", layout.ClassNeed}, {"floorByClass", layout.FloorByClass}, {"shortWorth", layout.ShortWorth}}
+func shareLists(raw *wire) []indexShares {
+	layout := &raw.Layout
+	return []indexShares{{"classNeed", layout.RequiredShares}, {"floorByClass", layout.MinimumShares}, {"shortWorth", layout.PartialValues}}
 }
 
 // nonNegative lists the figures that must not be negative.
-func nonNegative(raw *wire) []figure {
-	layout, rules, limits := &raw.Specifics, &raw.Invariants, &raw.Limits
-	list := []figure{{"granularityS", raw.GranularityS}, {"siblings", float64(raw.Siblings)},
-		{"specifics.places", float64(layout.Places)}, {"specifics.width", float64(layout.Width)},
-		{"specifics.perCall", float64(layout.PerCall)}, {"specifics.callCostS", layout.CallCostS},
-		{"limits.mostTries", float64(limits.MostTries)}, {"limits.mostHeld", float64(limits.MostHeld)},
-		{"specifics.slices", float64(layout.Slices)}, {"limits.multiplex", float64(limits.Multiplex)},
-		{"limits.idleCloseS", limits.IdleCloseS}, {"limits.maxRetryAfterS", limits.MaxRetryAfterS}, {"limits.connectTimeoutS", limits.ConnectTimeoutS},
-		{"invariants.answerSlackS", rules.AnswerSlackS}, {"invariants.askEveryS", rules.AskEveryS},
-		{"invariants.coldS", rules.ColdS}, {"invariants.drainGraceS", rules.DrainGraceS},
-		{"invariants.fallMultiple", rules.FallMultiple}, {"invariants.fallS", rules.FallS},
-		{"invariants.freeResends", rules.FreeResends}}
-	if rules.ExtraShare != nil {
-		list = append(list, figure{"invariants.extraShare", *rules.ExtraShare})
+func nonNegativeNumbers(raw *wire) []number {
+	layout, rules, limits := &raw.Layout, &raw.Rules, &raw.Limits
+	list := []number{{"granularityS", raw.StepIntervalS}, {"siblings", float64(raw.AggregatorCount)},
+		{"specifics.places", float64(layout.Cells)}, {"specifics.width", float64(layout.Width)},
+		{"specifics.perCall", float64(layout.SubqueriesPerCall)}, {"specifics.callCostS", layout.CallCostS},
+		{"limits.mostTries", float64(limits.MaxAttempts)}, {"limits.mostHeld", float64(limits.MaxPending)},
+		{"specifics.slices", float64(layout.Shards)}, {"limits.multiplex", float64(limits.CallsPerConnection)},
+		{"limits.idleCloseS", limits.IdleTimeoutS}, {"limits.maxRetryAfterS", limits.MaxRetryAfterS}, {"limits.connectTimeoutS", limits.ConnectTimeoutS},
+		{"invariants.answerSlackS", rules.AnswerSlackS}, {"invariants.askEveryS", rules.ListPollIntervalS},
+		{"invariants.coldS", rules.SlowStartS}, {"invariants.drainGraceS", rules.DrainGraceS},
+		{"invariants.fallMultiple", rules.OverloadMultiple}, {"invariants.fallS", rules.OverloadWindowS},
+		{"invariants.freeResends", rules.RetryBudgetMin}}
+	if rules.RetryBudgetRatio != nil {
+		list = append(list, number{"invariants.extraShare", *rules.RetryBudgetRatio})
 	}
-	if rules.BudgetSpanS != nil {
-		list = append(list, figure{"invariants.budgetSpanS", *rules.BudgetSpanS})
+	if rules.RetryBudgetWindowS != nil {
+		list = append(list, number{"invariants.budgetSpanS", *rules.RetryBudgetWindowS})
 	}
-	for i, c := range raw.RequestClasses {
+	for i, c := range raw.Indexes {
 		name := fmt.Sprintf("requestClasses[%d].", i)
-		list = append(list, figure{name + "promiseS", c.PromiseS}, figure{name + "giveUpS", c.GiveUpS},
-			figure{name + "worth", c.Worth}, figure{name + "repeatWindowS", c.RepeatWindowS})
+		list = append(list, number{name + "promiseS", c.SoftDeadlineS}, number{name + "giveUpS", c.HardDeadlineS},
+			number{name + "worth", c.Value}, number{name + "repeatWindowS", c.DedupWindowS})
 	}
-	for i, c := range raw.Tenants {
-		list = append(list, figure{fmt.Sprintf("tenants[%d].quotaPerS", i), c.QuotaPerS})
+	for i, c := range raw.Customers {
+		list = append(list, number{fmt.Sprintf("tenants[%d].quotaPerS", i), c.QuotaPerS})
 	}
-	for i, n := range layout.SecondStep {
-		list = append(list, figure{fmt.Sprintf("specifics.secondStep[%d]", i), float64(n)})
+	for i, n := range layout.SecondSteps {
+		list = append(list, number{fmt.Sprintf("specifics.secondStep[%d]", i), float64(n)})
 	}
 	return list
 }
 
 // shares lists the figures that must be from 0 to 1.
-func shares(raw *wire) []figure {
-	list := []figure{{"invariants.coldShare", raw.Invariants.ColdShare}, {"overShareWorth", raw.OverShareWorth}}
-	for i, c := range raw.RequestClasses {
-		list = append(list, figure{fmt.Sprintf("requestClasses[%d].lateWorth", i), c.LateWorth})
+func shareNumbers(raw *wire) []number {
+	list := []number{{"invariants.coldShare", raw.Rules.SlowStartShare}, {"overShareWorth", raw.OverQuotaValue}}
+	for i, c := range raw.Indexes {
+		list = append(list, number{fmt.Sprintf("requestClasses[%d].lateWorth", i), c.LateValue})
 	}
-	for i, c := range raw.Tenants {
-		list = append(list, figure{fmt.Sprintf("tenants[%d].portion", i), c.Portion})
+	for i, c := range raw.Customers {
+		list = append(list, number{fmt.Sprintf("tenants[%d].portion", i), c.Share})
 	}
-	for _, l := range classLists(raw) {
+	for _, l := range shareLists(raw) {
 		for i, v := range l.values {
-			list = append(list, figure{fmt.Sprintf("specifics.%s[%d]", l.name, i), v})
+			list = append(list, number{fmt.Sprintf("specifics.%s[%d]", l.name, i), v})
 		}
 	}
 	return list
--- a/internal/dataplane/settings/wire_test.go
+++ b/internal/dataplane/settings/wire_test.go
@@ -7,6 +7,6 @@
 )
 
 // TestWireForms pins the keys of the settings, which this package only reads.
-func TestWireForms(t *testing.T) {
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON, goldentest.Form{Name: "settings", Value: new(wire)})
 }
