--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -9,26 +9,26 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// messageKind is the kind of a message, each with the fields that count for it.
+// messageKind is the kind of a message. The comments of the constants list the fields that are set for a kind.
 type messageKind uint8
 
 const (
-	messageUpdateEntry messageKind = iota
-	messageSend
-	messageCancel
-	messageProbe
+	messageUpdateEntry messageKind = iota // entry, address
+	messageSend                           // newCalls
+	messageCancel                         // subquery, callNo
+	messageProbe                          // at, separate
 	messageCloseIdle
 	messageStop
-	messageDialed          // era, connection, or why and text
-	messageFrameWritten    // connection, frameType, calls: written to the last byte; at: when that began
-	messageNotStarted      // connection, calls: not written and not to be any more
-	messageFramePartial    // connection: a frame that is not here to its end
-	messageFrameReceived   // connection, frameType, answer or text, at
-	messageFrameCorrupted  // connection, name of the call it may mean, at: nothing after it is read
-	messageConnectionEnded // connection, why, text
+	messageDialed          // addressEpoch, and connection if the dial succeeded or else address, closeReason and text
+	messageFrameWritten    // connection, frameType and calls of a frame that was written completely; at: when its write began
+	messageNotStarted      // connection, calls: calls that were not written and never will be
+	messageFramePartial    // connection: a frame has arrived only in part
+	messageFrameReceived   // connection, frameType, at, and answer or text
+	messageFrameCorrupted  // connection, closeReason, at, and name if the corrupt frame may name a call; the reader stops after it
+	messageConnectionEnded // connection, closeReason, text
 )
 
-// message is a message to an actor, from the policy's actor or from the actor's own connections.
+// message is a message to an actor, sent by the policy's actor or by the actor's own connections.
 type message struct {
 	kind         messageKind
 	frameType    byte
@@ -48,24 +48,25 @@
 	at           time.Time
 }
 
-// actor has the calls, probes and connections of one backend. Its fields but in and ended belong to the goroutine of run.
+// actor manages the calls, probes and connections of one backend. Only the goroutine of run accesses its fields, except for
+// inbox and ended, which are safe for concurrent use, and hub and id, which never change.
 type actor struct {
 	hub             *Hub
 	id              policy.BackendID
 	inbox           *eventqueue.Queue[message]
 	address         string
 	stopped         bool
-	draining        bool        // the list has it as not ready
-	removed         bool        // the list no longer names it
+	draining        bool        // the list does not have the backend as ready
+	removed         bool        // the list no longer contains the backend
 	ended           atomic.Bool // run has returned
-	addressEpoch    int         // of the address
+	addressEpoch    int         // number of the address, incremented when the address changes
 	connections     []*connection
-	dialsToAddress  int          // connects to this address
-	dialsInProgress int          // connects to any
-	waiting         []*callBatch // for a connection
-	calls           map[string]*call
-	pendingProbe    *pendingProbe
-	lastFrameAt     time.Time // last frame received on any connection
+	dialsToAddress  int              // dials in progress to the current address
+	dialsInProgress int              // dials in progress to any address
+	waiting         []*callBatch     // batches that wait for a connection
+	calls           map[string]*call // by name on the wire
+	pendingProbe    *pendingProbe    // nil if no probe is in flight
+	lastFrameAt     time.Time        // when the last frame was received on any connection
 }
 
 func (a *actor) run() {
@@ -88,7 +89,7 @@
 	}
 }
 
-// handle handles a message.
+// handle dispatches a message by its kind.
 func (a *actor) handle(msg *message) {
 	switch msg.kind {
 	case messageUpdateEntry:
@@ -120,7 +121,7 @@
 	}
 }
 
-// stop closes all connections; the actor ends once they have.
+// stop closes all connections. The actor ends once all of them have ended.
 func (a *actor) stop() {
 	a.stopped = true
 	for _, conn := range a.connections {
@@ -128,7 +129,7 @@
 	}
 }
 
-// handleFrameWritten records that a frame was written to its last byte.
+// handleFrameWritten records that a frame was written completely.
 func (a *actor) handleFrameWritten(msg *message) {
 	msg.connection.lastUsedAt = msg.at
 	switch {
@@ -143,7 +144,7 @@
 	}
 }
 
-// handleFrameReceived handles a valid frame, which shows that the connection is alive.
+// handleFrameReceived handles a valid frame. Any valid frame shows that the connection is alive.
 func (a *actor) handleFrameReceived(msg *message) {
 	conn := msg.connection
 	conn.lastUsedAt, conn.lastFrameAt, conn.partialFrame = msg.at, msg.at, false
@@ -158,8 +159,8 @@
 	}
 }
 
-// updateEntry applies the list's entry. Connections to another address, or older than the backend's last start, lead to a
-// process that has ended.
+// updateEntry applies an entry of the list. It closes connections to another address and connections opened before the
+// backend's last start, because the process at their other end has ended.
 func (a *actor) updateEntry(msg *message) {
 	if a.draining = msg.entry.Phase != policy.Ready; a.draining {
 		a.revokeUnsent()
@@ -167,7 +168,7 @@
 	if a.removed = msg.entry.Phase == policy.Removed; a.removed {
 		return
 	}
-	if msg.address != a.address { // connects to the old one are no use
+	if msg.address != a.address { // dials to the old address are useless now
 		a.address, a.dialsToAddress = msg.address, 0
 		a.addressEpoch++
 		defer a.assign()
@@ -182,7 +183,7 @@
 	}
 }
 
-// checkTimeouts ends calls, probes and connections whose time is up, and returns when to check again.
+// checkTimeouts ends calls, probes and connections whose timeout has expired, and returns the time of the next check.
 func (a *actor) checkTimeouts(now time.Time) time.Time {
 	next := now.Add(time.Hour)
 	due := func(at time.Time) bool {
@@ -201,7 +202,7 @@
 	}
 	if p := a.pendingProbe; p != nil && due(p.sentAt.Add(seconds(a.hub.settings.ConnectTimeoutS))) {
 		outcome := policy.TimedOut
-		if p.connection == nil { // the connect that it waits for has the same time-out, and may end a moment later
+		if p.connection == nil { // the probe waits for a dial, whose timeout is equal and may expire slightly later
 			outcome = policy.NotConnected
 		} else if p.written {
 			a.recordTimeout(p.connection, p.sentAt, now)
@@ -212,9 +213,10 @@
 		switch {
 		case conn.closeReason != "":
 		case !conn.unresponsiveSince.IsZero():
-			// Its backend lives, and has had as long again as a probe to say something here: nobody waits any more.
+			// Closes an unresponsive connection if nothing is in flight on it. Closes it as well if the backend has answered on
+			// another connection since, and this one has stayed unresponsive for another probe timeout.
 			if a.idle(conn) || !a.lastFrameAt.Before(conn.unresponsiveSince) && due(conn.unresponsiveSince.Add(seconds(a.hub.settings.ConnectTimeoutS))) {
-				a.close(conn, reasonNoAnswer) // before any end on it is reported
+				a.close(conn, reasonNoAnswer) // before its calls' ends are reported, so that no retry uses it
 				for _, c := range a.calls {
 					if c.connection == conn {
 						a.end(c, policy.TimedOut, now, answer{})
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -25,7 +25,7 @@
 
 const patience = queuetest.Patience
 
-// fixture is a hub with one backend, whose subquery the test plays.
+// fixture is a hub with one backend, whose side of the connections the test plays.
 type fixture struct {
 	*testing.T
 	hub          *Hub
@@ -60,7 +60,7 @@
 	r.hub.Update(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
 }
 
-// send sends subqueries of a query in one call; each subquery's shard is its place.
+// send sends the subqueries of a query in one call. The shard of a subquery is its index.
 func (r *fixture) send(id, query string, wait time.Duration, subqueries int) (calls []aggregator.Call) {
 	now := time.Now()
 	q := &aggregator.Query{ID: id, Query: []byte(query)}
@@ -72,7 +72,7 @@
 	return calls
 }
 
-// accept takes a connection as a backend would.
+// accept accepts the next connection to a backend's listener.
 func (r *fixture) accept(l net.Listener) *peerConnection {
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 	c, err := l.Accept()
@@ -84,12 +84,14 @@
 	return &peerConnection{c, bufio.NewReader(c), r}
 }
 
+// peerConnection is the backend's side of a connection.
 type peerConnection struct {
 	net.Conn
 	in *bufio.Reader
 	f  *fixture
 }
 
+// expect reads a frame and checks its type and the start of its payload. It returns the payload.
 func (p *peerConnection) expect(frameType byte, start string) string {
 	p.f.Helper()
 	got, rest, err := readFrame(p.in)
@@ -103,18 +105,19 @@
 	p.Write(appendFrame(nil, frameType, []byte(rest)...))
 }
 
-// event waits for the next thing told.
+// nextEvent waits for the next event of the hub.
 func (r *fixture) nextEvent() aggregator.Event {
 	r.Helper()
 	e := r.events.Next(r.T)
 	return e
 }
 
+// expectEnd waits for the next event, which has to be the end of the subquery's call with the outcome.
 func (r *fixture) expectEnd(subquery policy.SubqueryID, outcome policy.Outcome) aggregator.Event {
 	r.Helper()
 	e := r.nextEvent()
 	if e.Kind != policy.CallEnded || e.Subquery != subquery || e.Outcome != outcome {
-		r.Fatalf("got %+v, expected part %d to end as %s", e.Event, subquery, outcomeNames[outcome])
+		r.Fatalf("got %+v, expected subquery %d to end as %s", e.Event, subquery, outcomeNames[outcome])
 	}
 	return e
 }
@@ -128,10 +131,10 @@
 	}
 	var remainingMs int
 	if fmt.Sscanf(p.expect('S', "bb.0 0 d="), "bb.0 0 d=%d 0", &remainingMs); remainingMs <= 0 || remainingMs > 1000 {
-		t.Fatalf("says that the mixer waits %d ms", remainingMs)
+		t.Fatalf("got a remaining time of %d ms, expected 1 to 1000", remainingMs)
 	}
 	p.writeFrame('R', "bb.0 full 0 -\n")
-	p.writeFrame('R', "bb.0 full 0 -\n") // a second copy is no news
+	p.writeFrame('R', "bb.0 full 0 -\n") // a repeated answer is dropped
 	p.writeFrame('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
 	r.expectEnd(b[0].Subquery, policy.Rejected)
 	e := r.expectEnd(a[0].Subquery, policy.Answered)
@@ -166,7 +169,8 @@
 	}
 }
 
-// A connect that never comes up proves that nothing ran; for a probe too, however close its own time-out is.
+// A dial that times out shows that nothing was executed. That holds for a probe too, although its own timeout expires at about
+// the same time.
 func TestConnectTimeoutIsReportedAsNotConnected(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 0.1 })
 	r.updateEntry(r.unresponsive(), policy.Ready, 0)
@@ -178,7 +182,7 @@
 	}
 }
 
-// What waits for a connect to an address that the list takes back goes to the new one.
+// A call that waits for a dial to an outdated address is sent to the new address.
 func TestCallMovesToTheNewAddressWhileConnecting(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 0.5 })
 	r.updateEntry(r.unresponsive(), policy.Ready, 0)
@@ -186,12 +190,12 @@
 	r.updateEntry(r.listener.Addr().String(), policy.Ready, 0)
 	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
-	time.Sleep(600 * time.Millisecond) // the old connect fails meanwhile
+	time.Sleep(600 * time.Millisecond) // the dial to the old address times out meanwhile
 	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.expectEnd(calls[0].Subquery, policy.Answered)
 }
 
-// Where a connect may take all of the idle time, connections are still used.
+// Connections are used even if the connect timeout is longer than the idle timeout.
 func TestConnectionIsUsableWithIdleTimeoutBelowConnectTimeout(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.IdleTimeoutS, n.ConnectTimeoutS = 2, 5 })
 	calls := r.send("aa", "q", time.Minute, 1)
@@ -201,7 +205,7 @@
 	r.expectEnd(calls[0].Subquery, policy.Answered)
 }
 
-// unresponsive is an address where no connect is ever answered.
+// unresponsive returns an address where dials are never answered.
 func (r *fixture) unresponsive() string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -215,7 +219,7 @@
 		r.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
-	for { // its queue once full, the kernel is silent
+	for { // the kernel answers no dials once the accept queue is full
 		c, err := net.DialTimeout("tcp", address, 50*time.Millisecond)
 		if err != nil {
 			return address
@@ -238,20 +242,20 @@
 	r.expectEnd(again[0].Subquery, policy.Broken)
 }
 
-// Whatever spoils an answer, the call that it was meant for has failed at once, long before its deadline, and so has
-// the connection; what else is out there may have run.
+// A corrupt answer fails its call at once, long before the call's deadline, and closes the connection. Other calls in flight
+// there may have been executed.
 func TestCorruptedAnswersFailAtOnce(t *testing.T) {
 	long := strings.Repeat("x", maxFrame)
 	for name, corrupt := range map[string]func(p *peerConnection){
-		"noise":               func(p *peerConnection) { io.WriteString(p, "\xffnoise, and more of it") },
-		"no letter":           func(p *peerConnection) { p.Write(make([]byte, 4)) },
-		"3 GB that keep on":   func(p *peerConnection) { io.WriteString(p, "\xb0\x00\x00\x00Raa.0 done 1 -\n"+long) },
-		"a length too long":   func(p *peerConnection) { io.WriteString(p, "\x00\x00\x01\x00Raa.0 done 1 -\nvalue") },
-		"a line without end":  func(p *peerConnection) { p.writeFrame('R', "aa.0 done 1 -"+long[:1000]) },
-		"an unknown letter":   func(p *peerConnection) { p.writeFrame('Q', "aa.0 done 1 -\nvalue") },
-		"an unknown end":      func(p *peerConnection) { p.writeFrame('R', "aa.0 dome 1 -\nvalue") },
-		"an unknown id":       func(p *peerConnection) { p.writeFrame('R', "ab.0 done 1 -\nvalue") },
-		"a value not in UTF8": func(p *peerConnection) { p.writeFrame('R', "aa.0 done 1 -\nval\xc3") },
+		"noise":                     func(p *peerConnection) { io.WriteString(p, "\xffnoise, and more of it") },
+		"no frame type":             func(p *peerConnection) { p.Write(make([]byte, 4)) },
+		"length of 3 GB":            func(p *peerConnection) { io.WriteString(p, "\xb0\x00\x00\x00Raa.0 done 1 -\n"+long) },
+		"length too long":           func(p *peerConnection) { io.WriteString(p, "\x00\x00\x01\x00Raa.0 done 1 -\nvalue") },
+		"header without a line end": func(p *peerConnection) { p.writeFrame('R', "aa.0 done 1 -"+long[:1000]) },
+		"unknown frame type":        func(p *peerConnection) { p.writeFrame('Q', "aa.0 done 1 -\nvalue") },
+		"unknown outcome":           func(p *peerConnection) { p.writeFrame('R', "aa.0 dome 1 -\nvalue") },
+		"unknown id":                func(p *peerConnection) { p.writeFrame('R', "ab.0 done 1 -\nvalue") },
+		"value not in UTF-8":        func(p *peerConnection) { p.writeFrame('R', "aa.0 done 1 -\nval\xc3") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(t, nil)
@@ -262,13 +266,13 @@
 			corrupt(p)
 			r.expectEnd(calls[0].Subquery, policy.Errored)
 			if took := time.Since(began); took > 2*frameTimeout {
-				t.Fatalf("known after %v", took)
+				t.Fatalf("the call ended only after %v", took)
 			}
 			if _, _, err := readFrame(p.in); err == nil {
-				t.Fatal("the connection stays open")
+				t.Fatal("the connection is still open")
 			}
 			if r.hub.counters.Get("lines", string(reasonReset)) > 0 {
-				t.Fatal("the connection is said to have broken")
+				t.Fatal("the end of the connection is counted as a reset")
 			}
 		})
 	}
@@ -282,7 +286,7 @@
 	r.expectEnd(calls[0].Subquery, policy.Broken)
 }
 
-// An answer counts whatever comes behind it, and the next call on the connection is not hurt by that.
+// An answer counts whatever data follows it. The next call succeeds, on a new connection if that data was corrupt.
 func TestCorruptDataAfterAnAnswerKeepsTheAnswer(t *testing.T) {
 	for _, trailing := range []string{"noise behind it", "\x00\x00\x00\x14Raa.0 done 1 -\nother", "\x00\x00\x00\x99Raa.0", "\x00", "\x00\x00\x00\x09Rzz.0 wha"} {
 		r := newFixture(t, nil)
@@ -293,7 +297,7 @@
 		if e := r.expectEnd(calls[0].Subquery, policy.Answered); string(e.Value) != "value" {
 			t.Fatalf("%q: got %q", trailing, e.Value)
 		}
-		time.Sleep(20 * time.Millisecond) // the next call comes later than what follows
+		time.Sleep(20 * time.Millisecond) // the trailing data is read before the next call is sent
 		next := r.send("bb", "q", time.Minute, 1)
 		if strings.HasSuffix(trailing, "other") {
 			p.expect('S', "bb.0")
@@ -308,7 +312,8 @@
 	}
 }
 
-// separateProbe has the backend asked apart, and answers for it on that connection, or else on the new one that this takes.
+// separateProbe requests a separate probe and answers it on the given connection. If that is nil, it accepts a new connection.
+// It returns the connection.
 func (r *fixture) separateProbe(on *peerConnection) *peerConnection {
 	r.Helper()
 	r.hub.Probe(1, true)
@@ -318,13 +323,13 @@
 	on.expect('M', "")
 	on.writeFrame('M', "-")
 	if e := r.nextEvent(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Answered {
-		r.Fatalf("got %+v, expected a probe that was answered", e.Event)
+		r.Fatalf("got %+v, expected an answered probe", e.Event)
 	}
 	return on
 }
 
-// A connection that has fallen silent takes nothing new, and its backend is heard again on another; what is out on it may
-// still be answered, and then it is as good as before.
+// An unresponsive connection carries no new calls, and the next probe reaches the backend on another connection. An answer to a
+// call in flight makes the connection usable again.
 func TestUnresponsiveConnectionDoesNotFailItsBackend(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 0.1 })
 	out := r.send("aa", "q", time.Minute, 1)
@@ -342,15 +347,15 @@
 		}
 	}
 	p.expect('M', "")
-	p.expect('M', "") // asked by itself as well, once it had no answer in its time
+	p.expect('M', "") // sent on the connection when it was marked unresponsive
 	p.writeFrame('R', "aa.0 done 1 -\nvalue")
 	r.expectEnd(out[0].Subquery, policy.Answered)
 	r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
 }
 
-// A backend whose queue is long answers probes at once, on a connection of its own as on that of a call that waits: the
-// connection lives, and the call with it. It was taken for a connection fallen silent, and so were scores in every second.
+// A backend with a long queue answers probes at once, also on the connection of a queued call. That connection and its call
+// must survive. Such connections were once taken for unresponsive ones and closed, by the dozen in every second.
 func TestLongQueueDoesNotMakeAConnectionUnresponsive(t *testing.T) {
 	const connect = 50 * time.Millisecond
 	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = connect.Seconds() })
@@ -360,16 +365,17 @@
 	other := r.separateProbe(nil)
 	p.expect('M', "")
 	p.writeFrame('M', "-")
-	for begun := time.Now(); time.Since(begun) < 4*connect; { // a silent connection would have ended by then
+	for begun := time.Now(); time.Since(begun) < 4*connect; { // an unresponsive connection would be closed by then
 		r.separateProbe(other)
 	}
 	p.writeFrame('R', "aa.0 done 1 -\nvalue")
 	r.expectEnd(out[0].Subquery, policy.Answered)
 }
 
-// Asked apart, a backend is heard at once on a connection of its own, and the one that has said nothing takes nothing new.
+// A separate probe is answered on a connection of its own. That shows that the connection without any answer is unresponsive, and
+// it carries no new calls.
 func TestSeparateProbeDetectsAnUnresponsiveConnection(t *testing.T) {
-	// The connect's time is what a silent connection is given: far longer than a busy machine keeps this test from running.
+	// An unresponsive connection is closed after the connect timeout, which is far longer than a busy machine delays this test.
 	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 2 })
 	out := r.send("aa", "q", time.Hour, 1)
 	p := r.accept(r.listener)
@@ -378,7 +384,7 @@
 	r.send("bb", "q", time.Minute, 1)
 	other.expect('S', "bb.0")
 	p.expect('M', "")
-	p.writeFrame('R', "aa.0 done 1 -\nvalue") // it was only slow
+	p.writeFrame('R', "aa.0 done 1 -\nvalue") // the call was only slow
 	r.expectEnd(out[0].Subquery, policy.Answered)
 	lost := r.send("cc", "q", time.Minute, 1)
 	p.expect('S', "cc.0")
@@ -388,11 +394,11 @@
 	r.expectEnd(lost[0].Subquery, policy.TimedOut) // long before its deadline
 	p.expect('M', "")
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
-		t.Fatalf("the silent connection goes on: %v", err)
+		t.Fatalf("the unresponsive connection is still open: %v", err)
 	}
 }
 
-// Once the list no longer names a backend, its actor ends with its last call, and its connections with it.
+// The actor of a backend that the list no longer contains ends after its last call, and its connections with it.
 func TestRemovedBackendsAreReleased(t *testing.T) {
 	r := newFixture(t, nil)
 	calls := r.send("aa", "q", time.Minute, 1)
@@ -402,16 +408,16 @@
 	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.expectEnd(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
-		t.Fatalf("the connection goes on: %v", err)
+		t.Fatalf("the connection is still open: %v", err)
 	}
 	for late := time.Now().Add(patience); len(r.hub.actors) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
-			t.Fatal("the actor goes on")
+			t.Fatal("the actor is still running")
 		}
 		r.hub.Update(policy.Entry{Backend: 2, Phase: policy.Removed}, "")
 	}
 	if len(r.hub.removed) > 0 {
-		t.Fatalf("%v are still to end", r.hub.removed)
+		t.Fatalf("removed actors are still kept: %v", r.hub.removed)
 	}
 	r.expectEnd(r.send("ab", "q", time.Minute, 1)[0].Subquery, policy.NotConnected)
 }
@@ -431,7 +437,7 @@
 
 func TestPartlyWrittenFrameIsNotExecuted(t *testing.T) {
 	r := newFixture(t, nil)
-	large := r.send("aa", strings.Repeat("q", 16<<20), time.Minute, 1) // more than sockets hold unread
+	large := r.send("aa", strings.Repeat("q", 16<<20), time.Minute, 1) // more than the kernel buffers hold
 	queued := r.send("bb", "q", time.Minute, 1)
 	p := r.accept(r.listener)
 	io.ReadFull(p.in, make([]byte, 5))
@@ -457,7 +463,7 @@
 	r.hub.Cancel(1, kept[0].Subquery, kept[0].No)
 	r.expectEnd(kept[0].Subquery, policy.Canceled)
 	p.expect('C', "bb.0")
-	// Sent again, it goes on another connection: there no answer to the first can be taken for its own.
+	// The retry uses another connection, where no answer to the first attempt can be taken for its own.
 	kept[0].No++
 	r.hub.Send(1, kept)
 	other := r.accept(r.listener)
@@ -477,7 +483,7 @@
 	r.expectEnd(calls[0].Subquery, policy.Canceled)
 	p := r.accept(r.listener)
 	if got := p.expect('S', ""); strings.Contains(got, "aa.0") {
-		p.expect('C', "aa.0") // the connection came first
+		p.expect('C', "aa.0") // the connection was established before the cancellation
 	}
 }
 
@@ -496,10 +502,10 @@
 		r.hub.Cancel(1, c.Subquery, 0)
 		r.expectEnd(c.Subquery, policy.Canceled)
 	}
-	r.send("b0", "q", time.Minute, 1) // on a connection that is there: no third is accepted
+	r.send("b0", "q", time.Minute, 1) // on an existing connection, without a third one
 	r.listener.(*net.TCPListener).SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if c, err := r.listener.Accept(); err == nil {
-		t.Fatalf("a third connection from %v", c.RemoteAddr())
+		t.Fatalf("got a third connection from %v", c.RemoteAddr())
 	}
 }
 
@@ -514,7 +520,7 @@
 		if p == nil {
 			p = r.accept(r.listener)
 		}
-		p.expect('M', "") // on the connection that is open
+		p.expect('M', "") // on the open connection
 		if c.reply != "" {
 			p.writeFrame('M', c.reply)
 		}
@@ -523,7 +529,7 @@
 		}
 	}
 	r.hub.Probe(1, false)
-	p = r.accept(r.listener) // the other had no answer
+	p = r.accept(r.listener) // the first connection left the last probe unanswered
 	p.expect('M', "")
 	p.Close()
 	if e := r.nextEvent(); e.Kind != policy.ProbeEnded || e.Outcome != policy.Broken {
@@ -535,7 +541,7 @@
 	for name, c := range map[string]struct {
 		started        float64
 		addressChanges bool
-	}{"another address": {0, true}, "a later start": {float64(time.Now().Unix()) + 3600, false}} {
+	}{"address change": {0, true}, "later start": {float64(time.Now().Unix()) + 3600, false}} {
 		r := newFixture(t, nil)
 		calls := r.send("aa", "q", time.Minute, 1)
 		r.accept(r.listener).expect('S', "aa.0")
@@ -548,22 +554,22 @@
 		next := r.send("ab", "q", time.Minute, 1)
 		p := r.accept(to)
 		p.expect('S', "ab.0")
-		r.updateEntry("", policy.Removed, 0) // completes what it has
+		r.updateEntry("", policy.Removed, 0) // calls in flight are completed
 		p.writeFrame('R', "ab.0 done 0 -\n")
 		if e := r.expectEnd(next[0].Subquery, policy.Answered); len(r.events.Rest()) > 0 {
-			t.Fatalf("%s: more than %+v was told", name, e)
+			t.Fatalf("%s: got more events than %+v", name, e)
 		}
 	}
 }
 
-// A connection goes before its backend would end a call on it, and on request, but not while anything is out on it.
+// An idle connection is closed before its backend may close it, and on request. A connection with a call in flight is not.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.IdleTimeoutS, n.ConnectTimeoutS = 0.3, 0.2 })
 	calls := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	r.hub.CloseIdle(1)
-	time.Sleep(150 * time.Millisecond) // longer than it may be idle
+	time.Sleep(150 * time.Millisecond) // longer than the idle limit
 	p.writeFrame('R', "aa.0 done 0 -\n")
 	r.expectEnd(calls[0].Subquery, policy.Answered)
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
@@ -599,14 +605,14 @@
 				continue
 			}
 			if !utf8.Valid(a.value) || a.load.InFlight < 0 {
-				t.Fatalf("%q read as %+v", rest, a)
+				t.Fatalf("%q parsed as %+v", rest, a)
 			}
 			if !bytes.HasSuffix(rest, a.value) || !strings.HasPrefix(string(rest), a.name+" ") || strings.Contains(a.name, "\n") {
-				t.Fatalf("%q read as %+v", rest, a)
+				t.Fatalf("%q parsed as %+v", rest, a)
 			}
 		}
 		if !bytes.HasPrefix(in, again) {
-			t.Fatalf("%q came back as %q", in, again)
+			t.Fatalf("the frames of %q encode as %q", in, again)
 		}
 	})
 }
--- a/internal/dataplane/backends/call.go
+++ b/internal/dataplane/backends/call.go
@@ -8,26 +8,28 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// call is a call in flight. name, the Call and shared never change.
+// call is a call in flight. The embedded Call, name and batch never change.
 type call struct {
 	aggregator.Call
 	name          string
 	batch         *callBatch
-	connection    *connection // nil while it waits for one
-	written       bool
-	canceled      bool           // its cancel frame is being written
-	cancelOutcome policy.Outcome // the outcome of a canceled call
-	writeState    atomic.Int32   // decides whether its actor or its connection's writer comes first
+	connection    *connection    // nil while the call waits for a connection
+	written       bool           // its frame was written completely
+	canceled      bool           // its cancel frame is queued or being written
+	cancelOutcome policy.Outcome // the outcome to report for a canceled call
+	writeState    atomic.Int32   // one of the write states; resolves the race between the actor, which may revoke the write, and the writer
 }
 
+// The write states of a call.
 const (
 	writePending int32 = iota
 	writeStarted
 	writeRevoked
 )
 
-// startWrite tells its connection's writer whether its write may begin, however long it waited for that: it may not once it was
-// taken back, its backend wants nothing new, nobody waits for it, or a repeat of it would no longer be known as one.
+// startWrite reports whether the connection's writer may write the call, and marks the write as started if so. The write may
+// not start once the actor has revoked it, because the call was canceled, timed out or its backend is draining. It may not
+// start after Begin either: the backend might then no longer recognize a retry as a duplicate.
 func (c *call) startWrite(now time.Time) bool {
 	if now.After(c.Begin) {
 		c.writeState.CompareAndSwap(writePending, writeRevoked)
@@ -35,18 +37,19 @@
 	return c.writeState.CompareAndSwap(writePending, writeStarted)
 }
 
-// revokeWrite tells its actor whether it surely was not written and never will be.
+// revokeWrite revokes the call's write if it has not started. It reports whether the call was certainly not written and never
+// will be.
 func (c *call) revokeWrite() bool {
 	return c.connection == nil || c.writeState.CompareAndSwap(writePending, writeRevoked) || c.writeState.Load() == writeRevoked
 }
 
-// sharedCall has the calls that share a frame; it counts as one on its connection.
+// callBatch holds the calls that share a frame. It counts as one call against the connection's limit.
 type callBatch struct {
 	calls   []*call
-	pending int
+	pending int // calls that have not ended
 }
 
-// outcome is that of a call whose connection has ended: a call that was not completely written was not executed.
+// outcome returns the outcome of a call whose connection has ended. A call that was not written completely was not executed.
 func (c *call) outcome() policy.Outcome {
 	switch {
 	case c.canceled:
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// cancelCall cancels a call for the policy.
+// cancelCall cancels a call at the request of the policy.
 func (a *actor) cancelCall(subquery policy.SubqueryID, callNo policy.CallNo) {
 	for _, c := range a.calls {
 		if c.Subquery == subquery && c.No == callNo {
@@ -19,7 +19,7 @@
 	}
 }
 
-// endNotStarted ends calls whose write may not start any more.
+// endNotStarted ends calls whose write was revoked before it started.
 func (a *actor) endNotStarted(calls []*call) {
 	for _, c := range calls {
 		if a.calls[c.name] == c {
@@ -28,8 +28,8 @@
 	}
 }
 
-// revokeUnsent ends all calls whose write has not started, for a backend that drains: none of them may start later, when a
-// connect or a write has delayed it beyond the drain's grace.
+// revokeUnsent ends all calls whose write has not started, because the backend is draining. A slow dial or write could
+// otherwise delay such a call beyond the drain's grace period. It also shortens the timeout of writes in progress.
 func (a *actor) revokeUnsent() {
 	for _, c := range a.calls {
 		switch {
@@ -41,7 +41,7 @@
 	}
 }
 
-// send takes calls that share a frame.
+// send queues calls that share a frame, and assigns them to a connection.
 func (a *actor) send(calls []aggregator.Call) {
 	batch := &callBatch{}
 	for _, c := range calls {
@@ -49,7 +49,7 @@
 	}
 	batch.pending = len(batch.calls)
 	for _, c := range slices.Clone(batch.calls) {
-		if a.draining || a.calls[c.name] != nil { // their answers would have the same name
+		if a.draining || a.calls[c.name] != nil { // a call with the same name is in flight, and their answers could not be told apart
 			a.end(c, policy.NotSent, time.Now(), answer{})
 			continue
 		}
@@ -62,8 +62,8 @@
 	a.assign()
 }
 
-// assign gives waiting calls and the pending probe to the first connections that can take them, and dials more connections
-// where there are too few.
+// assign passes the waiting calls and the pending probe to the first connections that can carry them, and dials more
+// connections if there are too few.
 func (a *actor) assign() {
 	var unassigned []*callBatch
 	for _, batch := range a.waiting {
@@ -93,7 +93,7 @@
 	}
 }
 
-// end removes a call from the records and reports its end.
+// end removes a call from the actor's state and reports its end to the policy's actor.
 func (a *actor) end(c *call, outcome policy.Outcome, at time.Time, result answer) {
 	if a.calls[c.name] == c {
 		delete(a.calls, c.name)
@@ -101,7 +101,7 @@
 	batch := c.batch
 	batch.pending--
 	switch {
-	case c.connection == nil: // not handed to a connection yet
+	case c.connection == nil: // not assigned to a connection yet
 		batch.calls = slices.DeleteFunc(batch.calls, func(o *call) bool { return o == c })
 		if batch.pending == 0 {
 			a.waiting = slices.DeleteFunc(a.waiting, func(o *callBatch) bool { return o == batch })
@@ -112,8 +112,9 @@
 	a.hub.notifyEnd(&c.Call, a.id, outcome, at, result)
 }
 
-// abandonCall cancels a call that nobody waits for any more. Its end is reported once the cancel frame was written: until then
-// another call of its subquery would be a duplicate. An answer that comes before that counts.
+// abandonCall cancels a call whose result is no longer needed. If the call may have been written, its end is reported only
+// after the cancel frame was written, because until then another call of its subquery would be a duplicate. An answer that
+// arrives before that counts.
 func (a *actor) abandonCall(c *call, outcome policy.Outcome) {
 	conn, now := c.connection, time.Now()
 	switch {
@@ -129,10 +130,10 @@
 	conn.out.Put(outgoing{frameType: frameCancel, calls: []*call{c}})
 }
 
-// cancelWritten ends a call whose cancel frame was written; a later answer is dropped.
+// cancelWritten ends a call whose cancel frame was written. A later answer to it is dropped.
 func (a *actor) cancelWritten(conn *connection, c *call) {
 	if a.calls[c.name] != c {
-		return // answered meanwhile
+		return // the answer arrived first
 	}
 	now := time.Now()
 	maps.DeleteFunc(conn.canceledUntil, func(_ string, until time.Time) bool { return until.Before(now) })
@@ -140,8 +141,9 @@
 	a.end(c, c.cancelOutcome, now, answer{})
 }
 
-// handleAnswer handles a valid answer. One to a canceled call is late, and the last answer may come twice; any other that
-// names no call of this connection is corrupt, and meant for a call that it does not name.
+// handleAnswer handles a well-formed answer. An answer to a canceled call, or a repetition of the connection's last answer,
+// is counted as late and dropped. Any other answer that names no call of this connection is corrupt: it was meant for a call
+// that it does not name.
 func (a *actor) handleAnswer(n *message) {
 	conn, name := n.connection, n.answer.name
 	c := a.calls[name]
@@ -158,8 +160,9 @@
 	}
 }
 
-// handleCorrupted closes a connection on which no data can be trusted any more. The call that the corrupt answer names, or else
-// the only one in flight there, was executed and has failed; the others end with the connection.
+// handleCorrupted closes a connection after a corrupt frame, because no later data on it can be trusted. The call that the
+// frame names, or else the only call in flight on the connection, ends as failed after execution. The other calls end with
+// the connection.
 func (a *actor) handleCorrupted(conn *connection, name string, why reason, at time.Time) {
 	a.hub.counters.Add("late", "spoilt", 1)
 	meant := a.calls[name]
@@ -174,7 +177,7 @@
 			}
 		}
 	}
-	a.close(conn, why) // before its call's end is reported, as another call of that subquery may be sent then
+	a.close(conn, why) // before the call's end is reported, because the subquery may be retried at once
 	if meant != nil {
 		a.end(meant, policy.Errored, at, answer{})
 	}
--- a/internal/dataplane/backends/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -13,43 +13,44 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-// writeTimeout is how long a backend may leave data unread once the kernel's buffers are full: what waits behind it is not
-// bounded otherwise.
+// writeTimeout is how long a write may block because the backend leaves data unread and the kernel's buffers are full. Without
+// it, the frames that wait behind the write would be delayed without bound.
 const writeTimeout = time.Second
 
-// finalReadTimeout is how long a finished connection is still read: what has arrived only has to be taken from the buffers.
+// finalReadTimeout is how long a connection is still read after finish. That is enough for data that has already arrived,
+// which only has to be read from the kernel's buffers.
 const finalReadTimeout = 50 * time.Millisecond
 
-// outgoing is a frame to write, all or nothing as far as its backend's actor knows.
+// outgoing is a frame to write. The actor treats a frame that was written in part as not written.
 type outgoing struct {
 	frameType byte
-	calls     []*call // S, and C with one
+	calls     []*call // the calls of a call frame, or the one call of a cancel frame
 }
 
-// connection is one TCP connection to a backend, with a goroutine for each direction, so that a write that gets stuck holds
-// up nothing else. Its fields below out belong to the backend's actor.
+// connection is a TCP connection to a backend. Each direction has its own goroutine, so that a blocked write delays neither
+// reads nor the actor. mu guards finished; only the backend's actor accesses the fields below finished.
 type connection struct {
 	socket       net.Conn
-	writeTimeout time.Duration // that a write may take
+	writeTimeout time.Duration // the longest time for a write
 	out          *eventqueue.Queue[outgoing]
 
 	mu       sync.Mutex
-	finished bool // nothing more is written, and only what has arrived is read
+	finished bool // no more frames are written, and only data that has already arrived is read
 
 	address           string
 	opened            time.Time
-	lastUsedAt        time.Time            // last frame either way
-	batchesInFlight   int                  // calls that it carries
-	canceledUntil     map[string]time.Time // names of calls canceled on it, and until when they may be answered
-	lastAnswer        string               // name of the last answer on it, which may come twice
-	lastFrameAt       time.Time            // last frame that came
-	unansweredSince   time.Time            // first frame passed to it since; zero if none was
-	unresponsiveSince time.Time            // when a frame sent on it timed out; zero if a frame was received since
-	partialFrame      bool                 // a frame has arrived in part; as it may never end, no new call is sent
-	closeReason       reason               // why we closed it; "" if we did not
+	lastUsedAt        time.Time            // when the last frame was sent or received
+	batchesInFlight   int                  // batches that have calls in flight on the connection
+	canceledUntil     map[string]time.Time // by name of a call canceled on the connection: until when a late answer is expected
+	lastAnswer        string               // name of the last answer, which may arrive twice
+	lastFrameAt       time.Time            // when the last frame was received
+	unansweredSince   time.Time            // when the oldest unanswered frame was queued; zero if there is none
+	unresponsiveSince time.Time            // when a frame timed out on the connection; zero if none did, or a frame was received since
+	partialFrame      bool                 // a frame has arrived in part; it may never be completed, so no new call is sent
+	closeReason       reason               // why the actor closed the connection; "" if it did not
 }
 
-// reason is the code of why a connection ended, as docs/oncall.md lists them.
+// reason is the code that logs and metrics show for the end of a connection. docs/oncall.md lists the codes.
 type reason string
 
 const (
@@ -72,8 +73,8 @@
 	reasonWriteFailed    reason = "write_failed"
 )
 
-// run serves the connection until it ends, telling the actor what was written and what came. It returns the note of the end, which is for
-// the caller to tell, when neither direction can tell anything more and the descriptor is closed.
+// run serves the connection until it ends, and notifies the actor of the frames that were written and received. It returns
+// once both directions have ended and the socket is closed. The caller has to pass the returned message to the actor.
 func (conn *connection) run(notify func(message)) (ended message) {
 	stop := make(chan struct{})
 	var once sync.Once
@@ -83,7 +84,7 @@
 		once.Do(func() {
 			cause, text = c, err.Error()
 			close(stop)
-			if c == reasonWriteFailed { // what came before it counts, and may still be unread
+			if c == reasonWriteFailed { // answers that arrived before the failure count, and may still be unread
 				conn.finish()
 			} else {
 				conn.socket.Close()
@@ -100,26 +101,26 @@
 	return message{kind: messageConnectionEnded, connection: conn, reason: cause, text: text}
 }
 
-// finish ends writing, and lets the reader take what has arrived already: a complete answer counts, whatever became of its
-// connection since.
+// finish ends writing, and lets the reader read the data that has already arrived. A complete answer counts even if its
+// connection has failed since.
 func (conn *connection) finish() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.finished = true
 	conn.socket.SetReadDeadline(time.Now().Add(finalReadTimeout))
 	if c, ok := conn.socket.(*net.TCPConn); ok {
-		_ = c.CloseWrite() // it fails only on a connection that is broken, which the reader finds
+		_ = c.CloseWrite() // fails only on a broken connection, and the reader detects that
 	}
 }
 
-// finishing tells whether the connection is read for the last time.
+// finishing reports whether finish was called.
 func (conn *connection) finishing() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return conn.finished
 }
 
-// readBy sets the deadline of reads, unless the connection is read for the last time.
+// setReadDeadline sets the read deadline, unless finish has set the final one.
 func (conn *connection) setReadDeadline(deadline time.Time) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -128,8 +129,9 @@
 	}
 }
 
-// read tells what comes in until the connection ends or says what can't be read. From there on no frame can be trusted:
-// the call that the bad one may mean is told at once, and the connection is closed.
+// read notifies the actor of received frames until the connection ends or a frame is corrupt, and returns the reason. No data
+// after a corrupt frame can be trusted, so read reports at once the call that the frame may name, and its caller closes the
+// connection.
 func (conn *connection) read(notify func(message)) (reason, error) {
 	r := bufio.NewReader(conn.socket)
 	corrupt := func(name string, cause reason, err error) (reason, error) {
@@ -183,7 +185,7 @@
 	}
 }
 
-// splitStartable starts the writes of calls, and separates those that must not be written any more.
+// splitStartable starts the writes of calls. It returns the calls to write, and those whose write was revoked.
 func splitStartable(calls []*call, now time.Time) (startable, revoked []*call) {
 	for _, c := range calls {
 		if c.startWrite(now) {
@@ -195,7 +197,7 @@
 	return startable, revoked
 }
 
-// packetStart is the offset of packet i, of packets that end at upTo.
+// frameStart returns the offset of frame i in a buffer whose frames end at the offsets frameEnds.
 func frameStart(frameEnds []int, i int) int {
 	if i == 0 {
 		return 0
@@ -203,13 +205,13 @@
 	return frameEnds[i-1]
 }
 
-// write writes outgoing frames until the connection ends.
+// write writes the queued frames until the connection ends.
 func (conn *connection) write(notify func(message), stop chan struct{}, end func(reason, error)) {
 	var frames []outgoing
 	var buf []byte
-	var frameEnds []int // where each packet ends in buf
+	var frameEnds []int // the offset at which each frame ends in buf
 	for {
-		if cap(buf) > maxFrame { // one large batch is no reason to hold as much for good
+		if cap(buf) > maxFrame { // does not keep the memory of an unusually large batch
 			buf = nil
 		}
 		select {
@@ -219,7 +221,7 @@
 		}
 		frames = conn.out.Take(frames)
 		buf, frameEnds = buf[:0], frameEnds[:0]
-		conn.socket.SetWriteDeadline(time.Now().Add(conn.writeTimeout)) // before the look at what may begin: hurry may cut it short
+		conn.socket.SetWriteDeadline(time.Now().Add(conn.writeTimeout)) // before the writes are started, as the actor may shorten the deadline of started writes
 		now := time.Now()
 		for i := range frames {
 			frame := &frames[i]
--- a/internal/dataplane/backends/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// idle tells whether nothing is in flight on a connection.
+// idle reports whether nothing is in flight on a connection.
 func (a *actor) idle(conn *connection) bool {
 	return conn.batchesInFlight == 0 && (a.pendingProbe == nil || a.pendingProbe.connection != conn)
 }
@@ -26,21 +26,22 @@
 	}
 }
 
-// close closes a connection; calls in flight on it end once its goroutines have reported all they know.
+// close closes a connection. The calls in flight on it end once its goroutines have ended, so that answers they have already
+// received still count.
 func (a *actor) close(conn *connection, cause reason) {
 	if conn.closeReason != "" {
 		return
 	}
 	conn.closeReason = cause
-	if conn.batchesInFlight > 0 && (cause == reasonAddressChanged || cause == reasonRestarted) { // the process before may have answered
+	if conn.batchesInFlight > 0 && (cause == reasonAddressChanged || cause == reasonRestarted) { // the previous process may have answered already
 		conn.finish()
 	} else {
 		conn.socket.Close()
 	}
 }
 
-// connectionFor finds a connection for a shared call. One on which a call of the same name was canceled can't be used: its
-// late answer could not be told from the new one's.
+// connectionFor returns a connection for a batch, or nil if there is none. It skips connections on which a call of the same
+// name was canceled, because a late answer to that call could not be told from an answer to the new one.
 func (a *actor) connectionFor(batch *callBatch) *connection {
 	for _, conn := range a.connections {
 		if !a.usable(conn) || a.hub.settings.CallsPerConnection > 0 && conn.batchesInFlight >= a.hub.settings.CallsPerConnection {
@@ -53,22 +54,24 @@
 	return nil
 }
 
-// usable tells whether a connection may carry new calls and probes. One that has become unresponsive can't be told from an
-// unresponsive backend but by another connection, and a backend that is alive must not be lost with its connection.
+// usable reports whether a connection may carry new calls and probes. An unresponsive connection may not: only a frame on
+// another connection shows whether the backend itself is unresponsive, and a backend that is alive must stay in use when one of
+// its connections fails.
 func (a *actor) usable(conn *connection) bool {
 	return conn.closeReason == "" && !conn.partialFrame && conn.unresponsiveSince.IsZero() && !a.nearIdleClose(conn)
 }
 
-// recordTimeout records that a connection had no answer in time to what was sent on it. That time is at least a probe's, as a
-// client's time-out may be next to nothing.
+// recordTimeout marks a connection as unresponsive if no frame was received on it since sentAt. It ignores timeouts shorter
+// than that of a probe, because a client's timeout may be close to zero.
 func (a *actor) recordTimeout(conn *connection, sentAt, now time.Time) {
 	if conn.lastFrameAt.Before(sentAt) && now.Sub(sentAt) >= seconds(a.hub.settings.ConnectTimeoutS) {
 		a.markUnresponsive(conn, now)
 	}
 }
 
-// markSilent starts the final time-out of an unresponsive connection, and sends a probe on it, which a backend answers at once
-// however long its calls wait. Without the probe, slow backends lost connection after connection, and the work done on them.
+// markUnresponsive starts the final timeout of an unresponsive connection and sends a probe on it. A backend answers a probe at
+// once, however long its calls are queued. Without the probe, slow backends lost one connection after another, together with
+// the work in progress on them.
 func (a *actor) markUnresponsive(conn *connection, now time.Time) {
 	if conn.closeReason != "" || !conn.unresponsiveSince.IsZero() {
 		return
@@ -77,27 +80,29 @@
 	conn.out.Put(outgoing{frameType: a.probeFrame()})
 }
 
-// expectAnswer records that a frame is passed to a connection. The time counts from here and not from the writer's report: on a
-// busy machine that may come after the answer of a probe on another connection, which would then find nothing unanswered here.
+// expectAnswer records that a frame was queued on a connection. The time starts here and not when the writer reports the frame
+// as written. On a busy machine that report may arrive after the answer to a probe on another connection, and that answer
+// would then find no unanswered frame here.
 func (conn *connection) expectAnswer(now time.Time) {
 	if conn.unansweredSince.IsZero() {
 		conn.unansweredSince = now
 	}
 }
 
-// nearIdleClose tells whether the backend may close an idle connection before a frame gets there, which may take as long as a
-// connect.
+// nearIdleClose reports whether the backend may close an idle connection before a new frame arrives there. A frame may take as
+// long as a dial.
 func (a *actor) nearIdleClose(conn *connection) bool {
 	idle := a.hub.settings.IdleTimeoutS
 	return idle > 0 && a.idle(conn) && time.Since(conn.lastUsedAt) >= a.idleLimit()
 }
 
-// idleLimit is how long an idle connection is kept; where a connect may take nearly all of the idle time, half of that.
+// idleLimit returns how long an idle connection is kept: the backend's idle timeout less the connect timeout, but at least half
+// of the idle timeout.
 func (a *actor) idleLimit() time.Duration {
 	return seconds(max(a.hub.settings.IdleTimeoutS-a.hub.settings.ConnectTimeoutS, a.hub.settings.IdleTimeoutS/2))
 }
 
-// dialsNeeded is the number of dials in progress that the waiting calls and the pending probe need.
+// dialsNeeded returns the number of dials in progress that the waiting calls and the pending probe need.
 func (a *actor) dialsNeeded() int {
 	needed, callsPerConnection := len(a.waiting), a.hub.settings.CallsPerConnection
 	if needed > 0 && callsPerConnection > 0 {
@@ -111,7 +116,7 @@
 	return needed
 }
 
-// dial dials a connection in a goroutine of its own, if a descriptor is free.
+// dial opens a connection in a new goroutine. If no descriptor is free, the dial fails at once.
 func (a *actor) dial() {
 	a.dialsToAddress++
 	a.dialsInProgress++
@@ -125,12 +130,13 @@
 	}
 	go func() {
 		lastMessage := a.connect(address, era, timeout)
-		<-a.hub.descriptorSlots // before the end is reported: its handler may need the descriptor
+		<-a.hub.descriptorSlots // before the end is reported, because its handler may need the descriptor for another dial
 		a.inbox.Put(lastMessage)
 	}()
 }
 
-// connect dials, and serves the connection where one comes up. It returns the last message of either, which the caller has to send.
+// connect dials and, if that succeeds, serves the connection until it ends. The caller has to pass the returned message to the
+// actor: it reports the failure of the dial or the end of the connection.
 func (a *actor) connect(address string, era int, timeout time.Duration) (lastMessage message) {
 	socket, err := a.hub.dialer(a.hub.dialContext, timeout, address)
 	if err != nil {
@@ -160,7 +166,7 @@
 			a.close(msg.connection, reasonShutdown)
 		case outdated:
 			a.close(msg.connection, reasonAddressChanged)
-		case a.draining && a.pendingProbe == nil: // idle ones were closed when it began to drain
+		case a.draining && a.pendingProbe == nil: // idle connections were closed when the drain began
 			a.close(msg.connection, reasonRequested)
 		}
 		a.assign()
@@ -168,10 +174,10 @@
 	}
 	a.logEnd(msg.reason, msg.text, msg.address, 0)
 	if outdated || a.dialsToAddress > 0 {
-		return // another may come up
+		return // another dial may succeed
 	}
 	outcome := policy.NotConnected
-	if msg.reason == reasonNoDescriptor { // no fault of the backend
+	if msg.reason == reasonNoDescriptor { // not the backend's fault
 		outcome = policy.NotSent
 	}
 	for _, batch := range slices.Clone(a.waiting) {
@@ -184,8 +190,8 @@
 	}
 }
 
-// handleConnectionEnded ends the calls and the probe in flight on a connection, once: what was not completely written was not
-// executed.
+// handleConnectionEnded ends the calls and the probe in flight on a connection that has ended. A frame that was not written
+// completely was not executed.
 func (a *actor) handleConnectionEnded(msg *message) {
 	conn, now := msg.connection, time.Now()
 	a.connections = slices.DeleteFunc(a.connections, func(o *connection) bool { return o == conn })
@@ -211,6 +217,7 @@
 	}
 }
 
+// logEnd logs and counts the end of a connection or a failed dial.
 func (a *actor) logEnd(cause reason, text, address string, lifetime time.Duration) {
 	a.hub.counters.Add("lines", string(cause), 1)
 	entry := a.hub.log.Check(zap.InfoLevel, "connection ended")
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// maxFrame is the longest frame that can be an answer: a client's whole answer holds at most 64 KiB, so no
-	// value is longer; id, end, score and report come on top. A longer one is rejected by its length alone.
+	// maxFrame is the maximum length of an answer frame in bytes. A complete answer to a client holds at most 64 KiB, so no value
+	// is longer; the rest is for id, end, score and report. A longer frame is rejected by its length alone.
 	maxFrame = 72 << 10
-	// frameTimeout is how long a frame that has begun may take: it is written in one piece, so the rest is here
-	// within a round trip, or its length is wrong and it never ends.
+	// frameTimeout is how long the rest of a frame may take to arrive after its first byte. A backend writes a frame in one piece,
+	// so the rest arrives within a round trip, or else the length is wrong and the frame never ends.
 	frameTimeout = 250 * time.Millisecond
 )
 
-// The types of frames, by their first byte.
+// The frame types, which are the first byte of a frame.
 const (
 	frameCall        = 'S'
 	frameCancel      = 'C'
@@ -34,13 +34,13 @@
 	frameRefuse      = 'F'
 )
 
-// The answers to a probe.
+// The answers to a health probe.
 const (
 	probeDone   = "done"
 	probeFailed = "failed"
 )
 
-// answer is a decoded frame R.
+// answer is a decoded answer frame.
 type answer struct {
 	name    string
 	outcome policy.Outcome
@@ -54,8 +54,8 @@
 	errInvalidUTF8 = errors.New("value is not UTF-8, which no answer to a client can carry unchanged")
 )
 
-// readFrame reads one frame; what it returns is the caller's. Memory is taken as bytes come, never on the word
-// of a length.
+// readFrame reads one frame. The payload belongs to the caller. Memory is allocated as data arrives and not by the length that
+// the frame states, which may be wrong.
 func readFrame(r *bufio.Reader) (frameType byte, payload []byte, err error) {
 	var header [5]byte
 	if _, err = io.ReadFull(r, header[:4]); err != nil {
@@ -78,7 +78,7 @@
 	return payload[0], payload[1:], nil
 }
 
-// buffered tells whether the next frame is completely in the buffer.
+// buffered reports whether the next frame is completely in the buffer.
 func buffered(r *bufio.Reader) bool {
 	available := r.Buffered()
 	if available < 4 {
@@ -88,18 +88,19 @@
 	return uint64(available) >= 4+uint64(binary.BigEndian.Uint32(header))
 }
 
+// appendFrame appends a frame to b.
 func appendFrame(b []byte, frameType byte, payload ...byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(1+len(payload)))
 	return append(append(b, frameType), payload...)
 }
 
-// subqueryName is a call's name on the wire.
+// subqueryName returns the name of a call's subquery on the wire.
 func subqueryName(c *aggregator.Call) string {
 	return c.Query.ID + "." + strconv.Itoa(int(c.Shard))
 }
 
-// appendCall appends a frame with the subqueries of one call; the remaining time is rounded down, so that it is never more than
-// the client waits.
+// appendCall appends a call frame with the subqueries of the calls. The remaining time is rounded down to milliseconds, so that
+// it is never longer than the client waits.
 func appendCall(b []byte, calls []*call, now time.Time) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, frameCall)
@@ -116,13 +117,13 @@
 	return b
 }
 
-// parseAnswer reads the rest of an R frame; the value keeps its bytes. With an error, name is still the word in
-// the id's place, so that the call it may mean can be told at once.
+// parseAnswer parses the payload of an answer frame. The value's bytes are kept unchanged. The name is set even if an error is
+// returned: it is then whatever stands in place of the id, so that the call it may name can be ended at once.
 func parseAnswer(payload []byte) (a answer, err error) {
 	header, value, found := bytes.Cut(payload, []byte{'\n'})
 	name, _, _ := bytes.Cut(header, []byte{' '})
 	a.name = string(name)
-	// Only id and end are read strictly: the report may hold anything, and the answer beside it stands.
+	// Only id and end are validated: an answer is valid whatever its load report contains.
 	fields := bytes.SplitN(header, []byte{' '}, 4)
 	if !found || len(fields) != 4 {
 		return a, malformed("answer %.80q: expected ID END SCORE REPORT and a line end", header)
@@ -138,8 +139,7 @@
 	return a, nil
 }
 
-// parseLoad reads a load report. A name that is not known and a figure that can't be read are left out: the
-// answer beside them stands.
+// parseLoad parses a load report. It skips unknown names and invalid numbers, because they don't make the answer invalid.
 func parseLoad(report []byte) (l policy.Load) {
 	for pair := range bytes.SplitSeq(report, []byte{','}) {
 		name, value, _ := bytes.Cut(pair, []byte{'='})
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -1,5 +1,9 @@
-// Package backends is the network side towards backends: an actor for each, with its connections, calls, probes and
-// time-outs. What is sent where is the policy's decision.
+// Package backends manages the aggregator's connections to backends. Each backend has an actor, which owns its connections,
+// calls, probes and timeouts.
+//
+// Each call to a listed backend ends with exactly one event on the hub's event queue, unless the hub is stopped first. A call is
+// reported as not executed only if it was not written completely. The policy's actor is the only caller of a Hub. The package
+// never chooses a backend and never retries a call: both are decisions of the policy.
 package backends
 
 import (
@@ -18,31 +22,31 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// lateAnswerPeriod is how long after its cancellation a call may still be answered: longer than any backend works on a call
-// that nobody waits for, and short enough that the names to remember are few.
+// lateAnswerPeriod is how long after its cancellation an answer to a call is still expected. It is longer than any backend works
+// on a canceled call, and short enough that few names have to be kept.
 const lateAnswerPeriod = 30 * time.Second
 
-// drainWriteTimeout is the time-out of a write in progress to a backend that begins to drain: one that is not stuck is done by
-// then.
+// drainWriteTimeout is the timeout of a write that is in progress when its backend begins to drain. A write that is not blocked
+// completes within that time.
 const drainWriteTimeout = 100 * time.Millisecond
 
-// Hub has the actors of all backends, and passes each its messages. Its methods are called by the policy's actor alone.
+// Hub holds the actors of all backends, and passes messages to them. Only the policy's actor may call its methods.
 type Hub struct {
 	settings        settings.Net
 	events          *eventqueue.Queue[aggregator.Event]
 	log             *zap.Logger
 	counters        *counters.Set
 	actors          map[policy.BackendID]*actor
-	removed         map[policy.BackendID]*actor // those of actors that the list no longer names
-	descriptorSlots chan struct{}               // one place for each descriptor in use
-	writeTimeout    time.Duration               // that a write may take
-	dialContext     context.Context             // ends with all connects
+	removed         map[policy.BackendID]*actor // the actors of backends that the list no longer contains
+	descriptorSlots chan struct{}               // semaphore with one element for each descriptor in use
+	writeTimeout    time.Duration               // the longest time for a write
+	dialContext     context.Context             // canceled to end all dials
 	dialer          func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error)
 	cancelDials     context.CancelFunc
 	running         sync.WaitGroup
 }
 
-// New makes a hub that has at most maxConnections connections, and puts its events into events.
+// New returns a hub with at most maxConnections connections, which puts its events into events.
 func New(netSettings settings.Net, maxConnections int, events *eventqueue.Queue[aggregator.Event], log *zap.Logger, counterSet *counters.Set) *Hub {
 	h := &Hub{settings: netSettings, events: events, log: log, counters: counterSet, actors: map[policy.BackendID]*actor{},
 		removed: map[policy.BackendID]*actor{}, descriptorSlots: make(chan struct{}, maxConnections), writeTimeout: writeTimeout}
@@ -53,8 +57,8 @@
 	return h
 }
 
-// Update applies an entry of the list, and starts an actor for a new backend. The actor of a removed backend ends with its
-// last call; the list never uses its number again.
+// Update applies an entry of the list, and starts an actor for a new backend. The actor of a removed backend ends after its
+// last call. The list never reuses the number of a removed backend.
 func (h *Hub) Update(entry policy.Entry, address string) {
 	maps.DeleteFunc(h.removed, func(id policy.BackendID, a *actor) bool {
 		if a.ended.Load() {
@@ -76,7 +80,7 @@
 	a.inbox.Put(message{kind: messageUpdateEntry, entry: entry, address: address})
 }
 
-// Retain removes the backends that a complete list does not name.
+// Retain removes the backends that a complete list does not contain.
 func (h *Hub) Retain(listed map[policy.BackendID]bool) {
 	for id := range h.actors {
 		if !listed[id] {
@@ -85,14 +89,15 @@
 	}
 }
 
-// put passes a message to a backend's actor; for an unknown backend it does nothing.
+// put passes a message to a backend's actor. It ignores messages for unknown backends.
 func (h *Hub) put(backend policy.BackendID, msg message) {
 	if a := h.actors[backend]; a != nil {
 		a.inbox.Put(msg)
 	}
 }
 
-// Send sends calls that share a frame, and count as one on their connection.
+// Send sends calls in one frame. Together they count as one call against the connection's limit. If the backend is unknown, they
+// end as not connected.
 func (h *Hub) Send(backend policy.BackendID, calls []aggregator.Call) {
 	if a := h.actors[backend]; a != nil && !a.ended.Load() {
 		a.inbox.Put(message{kind: messageSend, newCalls: calls})
@@ -110,12 +115,12 @@
 		Backend: backend, Outcome: outcome, Elapsed: max(0, endedAt.Sub(c.Sent).Seconds()), Load: result.load}})
 }
 
-// Cancel cancels a call: its answer does not count any more.
+// Cancel cancels a call. An answer that arrives after the cancel frame was written is dropped.
 func (h *Hub) Cancel(backend policy.BackendID, subquery policy.SubqueryID, callNo policy.CallNo) {
 	h.put(backend, message{kind: messageCancel, subquery: subquery, callNo: callNo})
 }
 
-// Probe sends a health check to a backend; with separate, on a connection with nothing else in flight.
+// Probe sends a probe to a backend. If separate is true, the probe uses a connection with nothing else in flight.
 func (h *Hub) Probe(backend policy.BackendID, separate bool) {
 	h.put(backend, message{kind: messageProbe, separate: separate, at: time.Now()})
 }
@@ -123,17 +128,19 @@
 // CloseIdle closes the idle connections to a backend.
 func (h *Hub) CloseIdle(backend policy.BackendID) { h.put(backend, message{kind: messageCloseIdle}) }
 
-// Stop ends all actors and their connections; the policy's actor must have ended before.
+// Stop ends all actors and their connections, and waits for them. The policy's actor must have ended before.
 func (h *Hub) Stop() {
 	for _, a := range h.actors {
 		a.inbox.Put(message{kind: messageStop})
 	}
-	h.cancelDials() // nobody waits for them any more
+	h.cancelDials() // the dials are no longer needed
 	h.running.Wait()
 }
 
+// seconds converts seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// outcomeNames are the names of the outcomes in the counters.
 var outcomeNames = [...]string{policy.Answered: "answered", policy.Errored: "errored", policy.Rejected: "turned_away",
 	policy.TimedOut: "timed_out", policy.NotConnected: "not_connected", policy.Broken: "broken",
 	policy.Canceled: "withdrawn", policy.NotSent: "not_sent"}
--- a/internal/dataplane/backends/probes.go
+++ b/internal/dataplane/backends/probes.go
@@ -7,14 +7,15 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// pendingProbe is the probe in flight; the policy has one per backend at a time.
+// pendingProbe is a probe in flight. The policy sends one probe per backend at a time.
 type pendingProbe struct {
 	sentAt     time.Time
-	separate   bool // on a connection with nothing else out
-	connection *connection
-	written    bool
+	separate   bool        // needs a connection with nothing else in flight
+	connection *connection // nil while the probe waits for a connection
+	written    bool        // its frame was written completely
 }
 
+// probe starts a probe, unless one is in flight.
 func (a *actor) probe(at time.Time, separate bool) {
 	if a.pendingProbe != nil {
 		return
@@ -30,7 +31,7 @@
 	conn.out.Put(outgoing{frameType: a.probeFrame()})
 }
 
-// probeFrame is the type of a probe's frame.
+// probeFrame returns the frame type of probes.
 func (a *actor) probeFrame() byte {
 	if a.hub.settings.LoadReports {
 		return frameLoadProbe
@@ -38,13 +39,13 @@
 	return frameHealthProbe
 }
 
-// handleProbeAnswer handles the answer of a probe. One that comes after its time-out may be taken for the next one's; it still
-// shows that the backend is alive.
+// handleProbeAnswer handles the answer to a probe. An answer that arrives after its probe's timeout may be taken for the answer
+// to the next probe. That is harmless, because it still shows that the backend is alive.
 func (a *actor) handleProbeAnswer(msg *message) {
 	if p := a.pendingProbe; p == nil || p.connection != msg.connection {
 		a.hub.counters.Add("late", "probes", 1)
 		return
-	} else if p.separate { // the backend is alive, and connections with frames unanswered from before the probe are not
+	} else if p.separate { // the backend is alive, so connections with frames unanswered since before the probe are unresponsive
 		for _, conn := range a.connections {
 			if !conn.unansweredSince.IsZero() && conn.unansweredSince.Before(p.sentAt) {
 				a.markUnresponsive(conn, msg.at)
--- a/internal/dataplane/backends/races_test.go
+++ b/internal/dataplane/backends/races_test.go
@@ -18,11 +18,11 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// stuck sends a call that is larger than sockets hold unread, and returns its connection once the write of it has begun: what is
-// sent there next waits behind it until the connection is read.
+// blockWrites sends a call that is larger than the kernel buffers, and returns its connection once the write has begun. Frames
+// sent later wait behind that write until the test reads from the connection.
 func (r *fixture) blockWrites() *peerConnection {
 	r.Helper()
-	r.hub.writeTimeout = patience // it is the test that reads on, however busy the machine is
+	r.hub.writeTimeout = patience // the write must not time out before the test reads, however busy the machine is
 	r.send("large", strings.Repeat("q", 16<<20), time.Minute, 1)
 	p := r.accept(r.listener)
 	if _, err := p.in.Peek(5); err != nil {
@@ -31,7 +31,7 @@
 	return p
 }
 
-// rest reads the large call to its end, and then what else was written before the connection was closed by us.
+// drain reads the large call completely, and returns what was written after it until the hub closed the connection.
 func (p *peerConnection) drain() string {
 	p.f.Helper()
 	header := make([]byte, 4)
@@ -42,14 +42,14 @@
 	if _, err := io.CopyN(io.Discard, p.in, int64(n)); err != nil {
 		p.f.Fatal(err)
 	}
-	p.writeFrame('R', "large.0 done 0 -\n") // so that it is idle, and closed where that is asked for
+	p.writeFrame('R', "large.0 done 0 -\n") // makes the connection idle, so that CloseIdle closes it
 	p.f.expectEnd(1, policy.Answered)
 	p.f.hub.CloseIdle(1)
 	text, _ := io.ReadAll(p.in)
 	return string(text)
 }
 
-// A call that was taken back while it waited behind a write is not written after it, and neither is its withdrawal.
+// A call that is canceled while it waits behind a write is never written, and neither is its cancel frame.
 func TestCallCanceledBehindAWriteIsNotSent(t *testing.T) {
 	r := newFixture(t, nil)
 	p := r.blockWrites()
@@ -61,7 +61,7 @@
 	}
 }
 
-// One whose time passed while it waited: nobody waits for its answer.
+// A call that times out while it waits behind a write is never written.
 func TestCallTimedOutBehindAWriteIsNotSent(t *testing.T) {
 	r := newFixture(t, nil)
 	p := r.blockWrites()
@@ -72,8 +72,8 @@
 	}
 }
 
-// A call that is on its way to its backend ends once that was told: before, another call of its subquery would be a second copy,
-// which a deployment may not allow.
+// A call that was written ends only after its cancel frame was written. Until then, another call of its subquery would be a
+// duplicate, which a deployment may forbid.
 func TestCanceledCallEndsOnceTheCancelFrameIsWritten(t *testing.T) {
 	r := newFixture(t, nil)
 	r.hub.writeTimeout = patience
@@ -81,7 +81,7 @@
 	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	large := r.send("large", strings.Repeat("q", 16<<20), time.Minute, 1)
-	if _, err := p.in.Peek(5); err != nil { // the write is stuck behind it
+	if _, err := p.in.Peek(5); err != nil { // the cancel frame waits behind this write
 		t.Fatal(err)
 	}
 	r.hub.Cancel(1, calls[0].Subquery, 0)
@@ -89,7 +89,7 @@
 	r.lastSubquery++
 	duplicate.Subquery = r.lastSubquery
 	r.hub.Send(1, append(calls[:0:0], duplicate))
-	r.expectEnd(duplicate.Subquery, policy.NotSent) // the other is still out, and its withdrawal was heard
+	r.expectEnd(duplicate.Subquery, policy.NotSent) // the first call has not ended, as its cancel frame is not written yet
 	if _, err := io.CopyN(io.Discard, p.in, int64(4+1+len("large.0 0 d=59999 16777216\n")+16<<20)); err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	r.expectEnd(large[0].Subquery, policy.Answered)
 }
 
-// A repeat that waits for its connection, or behind a write, until it would no longer be known as one.
+// A retry is not written after the end of its deduplication window, if it waited behind a write until then.
 func TestRetryBeyondItsDedupWindowIsNotSent(t *testing.T) {
 	r := newFixture(t, nil)
 	p := r.blockWrites()
@@ -109,7 +109,7 @@
 	late.Subquery, late.Shard, late.Begin = r.lastSubquery, 7, time.Now()
 	kept := r.send("cc", "q", time.Minute, 1)
 	r.hub.Send(1, append(kept[:0:0], late))
-	io.CopyN(io.Discard, p.in, 4+int64(1+len("large.0 0 d=60000 16777216\n")+16<<20)-1) // but for what its length may vary by
+	io.CopyN(io.Discard, p.in, 4+int64(1+len("large.0 0 d=60000 16777216\n")+16<<20)-1) // one byte less, because the length of the remaining time varies
 	r.expectEnd(late.Subquery, policy.NotSent)
 	var text string
 	for !strings.Contains(text, "cc.0") {
@@ -124,7 +124,7 @@
 	}
 }
 
-// A drain, or the end, takes back at once what waits for a connect that does not come up; later calls are not begun either.
+// The drain or removal of a backend revokes at once the calls that wait for a dial. Later calls are not sent either.
 func TestDrainRevokesCallsWaitingForAConnect(t *testing.T) {
 	for _, phase := range []policy.Phase{policy.Draining, policy.Removed} {
 		r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 50 })
@@ -141,8 +141,8 @@
 	}
 }
 
-// The same for what waits behind a write: it is not written once the connection is read again, whether by then the connection was given
-// up or not.
+// A drain revokes calls that wait behind a write. They are not written once the connection is read again, whether the blocked
+// write has timed out by then or not.
 func TestDrainRevokesCallsWaitingBehindAWrite(t *testing.T) {
 	r := newFixture(t, nil)
 	p := r.blockWrites()
@@ -153,7 +153,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got > 16<<20 { // it was not canceled
+	if got > 16<<20 { // the blocked write was completed
 		p.writeFrame('R', "large.0 done 0 -\n")
 	}
 	if e := r.nextEvent(); e.Subquery != 1 {
@@ -165,14 +165,14 @@
 	}
 }
 
-// A stop does not wait for connects that nobody needs any more.
+// Stop cancels dials in progress and doesn't wait for their timeout.
 func TestStopCancelsConnects(t *testing.T) {
 	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 3600 })
 	r.updateEntry(r.unresponsive(), policy.Ready, 0)
 	r.send("aa", "q", time.Hour, 1)
 	for late := time.Now().Add(patience); r.hub.counters.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
-			t.Fatal("no connect")
+			t.Fatal("no dial was started")
 		}
 	}
 	stopped := make(chan struct{})
@@ -180,11 +180,11 @@
 	select {
 	case <-stopped:
 	case <-time.After(patience):
-		t.Fatal("it still waits")
+		t.Fatal("Stop still waits for a dial")
 	}
 }
 
-// heldSocket is a connection that is not read until it is let go: what comes meanwhile is here, unread.
+// blockedSocket is a socket whose reads block until it is released. Data that arrives earlier stays in the kernel's buffers.
 type blockedSocket struct {
 	net.Conn
 	release chan struct{}
@@ -195,7 +195,7 @@
 	return s.Conn.Read(b)
 }
 
-// heldConnection is a connection over such a one, with what it tells.
+// newBlockedConnection returns a connection over a blockedSocket, the other end of it, and the messages of the connection.
 func newBlockedConnection(t *testing.T) (conn *connection, peer *net.TCPConn, release chan struct{}, messages chan message) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -216,7 +216,7 @@
 	return conn, p.(*net.TCPConn), release, messages
 }
 
-// answeredThenEnded expects one answer and then the connection's end.
+// expectAnswerThenEnd expects one answer and then the end of the connection.
 func expectAnswerThenEnd(t *testing.T, messages chan message) {
 	t.Helper()
 	answers := 0
@@ -228,20 +228,20 @@
 			t.Fatalf("got %+v", n)
 		case messageConnectionEnded:
 			if answers != 1 {
-				t.Fatalf("%d answers came before the end", answers)
+				t.Fatalf("got %d answers before the end, expected 1", answers)
 			}
 			return
 		}
 	}
 }
 
-// An answer that is whole counts, though its connection was reset under the next write before it was read.
+// A complete answer counts even if its connection was reset, and the next write failed, before the answer was read.
 func TestAnswerReceivedBeforeAResetCounts(t *testing.T) {
 	conn, peer, release, messages := newBlockedConnection(t)
 	peer.Write(appendFrame(nil, frameAnswer, []byte("aa.0 done 0 -\nvalue")...))
 	peer.SetLinger(0)
 	peer.Close()
-	for broken := false; !broken; { // until a write has failed
+	for broken := false; !broken; { // until a write fails
 		conn.out.Put(outgoing{frameType: frameHealthProbe})
 		select {
 		case n := <-messages:
@@ -256,7 +256,7 @@
 	expectAnswerThenEnd(t, messages)
 }
 
-// The same where the connection is closed as its backend was started anew.
+// A complete answer counts even if the connection is closed before the answer was read, because its backend was restarted.
 func TestAnswerReceivedBeforeACloseCounts(t *testing.T) {
 	conn, peer, release, messages := newBlockedConnection(t)
 	defer peer.Close()
@@ -267,13 +267,13 @@
 	expectAnswerThenEnd(t, messages)
 }
 
-// dialGate holds connects that have come up until the test lets them go.
+// dialGate holds back established connections until the test releases them.
 type dialGate struct {
-	connected chan struct{} // one has come up
+	connected chan struct{} // receives a value for each established connection
 	release   chan struct{}
 }
 
-// holdDials comes before anything is sent.
+// holdDials makes all dials wait at a gate. The test calls it before it sends anything.
 func (r *fixture) holdDials() dialGate {
 	g := dialGate{make(chan struct{}, 100), make(chan struct{})}
 	dial := r.hub.dialer
@@ -286,8 +286,9 @@
 	return g
 }
 
-// A connect comes up late: after its call was withdrawn, timed out or could no longer begin, its backend drained, was gone or moved. What it was
-// for has ended long before and is never written. A connection of use is kept for the next call, any other is closed.
+// A dial succeeds only after its call has ended: the call was canceled or timed out, or the backend began to drain or was
+// removed. The call is never written. The connection is kept for the next call if the backend is still ready, and closed
+// otherwise.
 func TestLateConnectSendsNoEndedCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		wait    time.Duration
@@ -315,7 +316,7 @@
 			continue
 		}
 		next := r.send("bb", "q", time.Minute, 1)
-		p.expect('S', "bb.0") // the first that is written on it
+		p.expect('S', "bb.0") // the first frame on the connection
 		p.writeFrame('R', "bb.0 done 0 -\n")
 		r.expectEnd(next[0].Subquery, policy.Answered)
 		if n := r.hub.counters.Get("lines", "dialled"); n != 1 {
@@ -324,7 +325,8 @@
 	}
 }
 
-// A connect that comes up as its backend has moved goes to an address that leads nowhere any more: closed, and the call goes to the new one.
+// A dial to the old address succeeds after the backend's address has changed. The connection is closed, and the call is sent to
+// the new address.
 func TestLateConnectToAnOldAddressIsClosed(t *testing.T) {
 	r := newFixture(t, nil)
 	g := r.holdDials()
@@ -344,7 +346,7 @@
 	r.expectEnd(calls[0].Subquery, policy.Answered)
 }
 
-// A stop comes while a connect is under way, and it comes up after that: it is closed, nothing is written, and the stop ends.
+// A dial succeeds after Stop was called. The connection is closed, nothing is written on it, and Stop returns.
 func TestLateConnectAfterAStopIsClosed(t *testing.T) {
 	r := newFixture(t, nil)
 	g := r.holdDials()
@@ -353,13 +355,13 @@
 	var wg sync.WaitGroup
 	wg.Go(r.hub.Stop)
 	p := r.accept(r.listener)
-	<-r.hub.dialContext.Done() // the stop has been told by then
+	<-r.hub.dialContext.Done() // the actor's stop message is queued by then
 	close(g.release)
 	if text, _ := io.ReadAll(p.in); len(text) > 0 {
 		t.Fatalf("%q was written", text)
 	}
 	wg.Wait()
 	if len(r.hub.descriptorSlots) != 0 {
-		t.Fatalf("%d places of descriptors are still taken", len(r.hub.descriptorSlots))
+		t.Fatalf("%d descriptor slots are still in use", len(r.hub.descriptorSlots))
 	}
 }
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -1,5 +1,9 @@
-// Package discovery is the client of the service registry: the list of backends known at the start, the watch on its changes,
-// the complete list on request, and reconnects.
+// Package discovery is the client of the service registry. It passes the initial list of backends to a listener, watches the
+// registry for changes, fetches the complete list on request, and reconnects after failures.
+//
+// A list is applied completely or not at all. A watch resumes at the version that was applied last. An aggregator's node creates
+// and runs the Client, and the policy's actor calls its methods. The package never removes a backend because the registry is
+// unreachable.
 package discovery
 
 import (
@@ -20,31 +24,36 @@
 )
 
 const (
-	// heartbeatInterval is how often the protocol sends an empty line while nothing changes; a watch silent for so many of them
-	// is dead or its registry unreachable, and only a new one can tell. A change counts as
-	// known 6 s later at the latest: a new watch must be established before.
+	// heartbeatInterval is how often the registry sends an empty line while nothing changes.
 	heartbeatInterval = 2 * time.Second
-	missedHeartbeats  = 2.5
-	// Waits between watches grow, so that aggregators that lost the registry together leave it room, but not far, for
-	// the same reason.
+	// missedHeartbeats is the number of heartbeat intervals without a line after which a watch has timed out. The watch is then
+	// broken or its registry unreachable, and only a new watch shows which. Drains count as known 6 s after a change at the
+	// latest, so a new watch must be established before that.
+	missedHeartbeats = 2.5
+	// minBackoff is the first delay between watches. The delay doubles with each failure, so that aggregators that lost the
+	// registry at the same time don't overload it.
 	minBackoff = 50 * time.Millisecond
+	// maxBackoff is the longest delay between watches, before jitter. It is short, because a new watch must be established within
+	// the 6 s.
 	maxBackoff = time.Second
-	// maxLine bounds what one list can make us hold: some 10,000 backends.
+	// maxLine bounds the memory for one list, in bytes. It is enough for about 10,000 backends.
 	maxLine = 4 << 20
 )
 
+// messageKind is the kind of a message. The comments of the constants list the fields that are set for a kind.
 type messageKind uint8
 
 const (
-	messageSubscribe messageKind = iota // on
+	messageSubscribe messageKind = iota // subscribe
 	messageRequestFullList
 	messageMoveTo       // address
 	messageLine         // watch, line
 	messageWatchEnded   // watch, err
-	messageCompleteList // address: its URL; version: that known when it was asked for; line or err
+	messageCompleteList // address: the URL of the request; version: the version known at the request; line or err
 	messageStop
 )
 
+// message is a message to the client's actor.
 type message struct {
 	kind      messageKind
 	subscribe bool
@@ -55,35 +64,36 @@
 	err       error
 }
 
-// Listener receives changes of the list: the policy's actor, or one in front of it. Put may not block.
+// Listener receives changes of the list. It is the policy's actor or a queue in front of it. Put must not block.
 type Listener interface{ Put(...aggregator.Event) }
 
-// Client is the registry's client, an actor. Its fields but in and finished belong to the goroutine of Run.
+// Client is an actor that reads the list from the registry. Only the goroutine of Run accesses its fields, except for inbox and
+// done, which are safe for concurrent use, and fields that never change.
 type Client struct {
 	inbox          *eventqueue.Queue[message]
 	listener       Listener
 	log            *zap.Logger
 	counters       *counters.Set
 	url            string
-	watchTimeout   time.Duration // of a watch, after which it is renewed
-	listOnRequest  bool          // the policy asks for the list; else it comes unasked
+	watchTimeout   time.Duration // how long a watch may be without a line before it is replaced
+	listOnRequest  bool          // the policy decides when to subscribe; otherwise the client watches all the time
 	client         *http.Client
 	locations      map[string]int
 	machineKinds   map[string]int
-	backendIDs     map[string]policy.BackendID // of those named now
+	backendIDs     map[string]policy.BackendID // by name, of the backends in the current list
 	lastID         policy.BackendID
 	version        int64
 	subscribed     bool
-	currentWatch   int // number of the watch that counts
+	currentWatch   int // number of the current watch; messages of other watches are ignored
 	cancel         context.CancelFunc
 	lastLineAt     time.Time
-	watchStartedAt time.Time // of the watch in hand
+	watchStartedAt time.Time // when the current watch was started
 	backoff        time.Duration
-	nextWatchAt    time.Time // when to watch again; zero while one runs
+	nextWatchAt    time.Time // when to start the next watch; zero for at once
 	done           chan struct{}
 }
 
-// New makes a client and passes the list known at the start to the listener.
+// New returns a client of the registry at an address, and passes the initial list, known, to the listener.
 func New(address string, known []byte, aggregatorSettings settings.Settings, listener Listener, log *zap.Logger,
 	counterSet *counters.Set) (*Client, error) {
 	if err := checkAddress(address); err != nil {
@@ -101,8 +111,8 @@
 	return r, nil
 }
 
-// MoveTo continues with another address of the registry, from the version last read: the list stays complete meanwhile. An
-// invalid address changes nothing.
+// MoveTo changes the address of the registry. The watch resumes there at the version that was applied last, so the list stays
+// complete. An invalid address is an error and changes nothing.
 func (r *Client) MoveTo(address string) error {
 	if err := checkAddress(address); err != nil {
 		return err
@@ -111,7 +121,7 @@
 	return nil
 }
 
-// checkAddress checks that an address has a host and a port.
+// checkAddress checks that an address has a host and a valid port.
 func checkAddress(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -121,21 +131,22 @@
 	return err
 }
 
+// listURL returns the URL of the list at a registry's address.
 func listURL(address string) string { return "http://" + address + "/discovery/hosts" }
 
-// Subscribe starts or ends the watch, for the policy.
+// Subscribe starts or ends the watch, at the request of the policy.
 func (r *Client) Subscribe(on bool) { r.inbox.Put(message{kind: messageSubscribe, subscribe: on}) }
 
-// RequestFullList requests the complete list once, for the policy.
+// RequestFullList requests the complete list once, at the request of the policy.
 func (r *Client) RequestFullList() { r.inbox.Put(message{kind: messageRequestFullList}) }
 
-// Stop ends the actor.
+// Stop ends the actor and waits for it.
 func (r *Client) Stop() {
 	r.inbox.Put(message{kind: messageStop})
 	<-r.done
 }
 
-// Run is the actor's goroutine.
+// Run runs the actor until Stop is called.
 func (r *Client) Run() {
 	defer close(r.done)
 	var messages []message
@@ -157,6 +168,7 @@
 	}
 }
 
+// handle handles a message.
 func (r *Client) handle(msg *message) {
 	switch msg.kind {
 	case messageSubscribe:
@@ -176,7 +188,7 @@
 		if msg.watch != r.currentWatch {
 			return
 		}
-		r.lastLineAt, r.backoff = time.Now(), 0 // a heartbeat as well: what it misses from here on has its own 6 s
+		r.lastLineAt, r.backoff = time.Now(), 0 // also for a heartbeat, as the 6 s for a new watch start again at each line
 		if len(msg.line) == 0 {
 			return
 		}
@@ -188,7 +200,7 @@
 			r.retryWatch("watch_ended", msg.err)
 		}
 	case messageCompleteList:
-		if msg.address != r.url || msg.version != r.version && msg.olderThan(r.version) { // of another address, or older than what a watch has delivered
+		if msg.address != r.url || msg.version != r.version && msg.olderThan(r.version) { // from another address, or older than what a watch has delivered
 			go r.fetch(r.url, r.version)
 			return
 		}
@@ -203,7 +215,7 @@
 	}
 }
 
-// olderThan tells whether a complete list is older than a version.
+// olderThan reports whether the complete list in the message is older than a version.
 func (msg *message) olderThan(version int64) bool {
 	var p page
 	return msg.err == nil && json.Unmarshal(msg.line, &p) == nil && p.Version != nil && *p.Version < version
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -23,16 +23,16 @@
 
 const patience = queuetest.Patience
 
-// fixture is a register's actor and the registry it speaks with, which the test plays: each request comes as a
-// function that writes a line to it.
+// fixture is a client and a registry that the test plays. Each request of the client arrives in requests.
 type fixture struct {
 	*testing.T
 	*Client
 	events   *queuetest.Ear[aggregator.Event]
 	requests chan listRequest
-	address  string // its address
+	address  string // of the registry
 }
 
+// listRequest is a request for the list, with functions that write to its response and end it.
 type listRequest struct {
 	query  string
 	write  func(text string)
@@ -40,10 +40,12 @@
 	closed <-chan struct{}
 }
 
+// listLine returns a list in the registry's JSON.
 func listLine(version int, complete bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", version, complete, strings.Join(entries, ","))
 }
 
+// backend returns a backend in the registry's JSON.
 func backend(id, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":"h-%s:1","zone":"b","machineType":"m","cell":3,"lifecycle":%q,"weight":2,"startedAtMs":1500}`,
 		id, id, state)
@@ -83,16 +85,17 @@
 	return r
 }
 
+// expectRequest waits for the next request, which has to be for this URL.
 func (r *fixture) expectRequest(query string) listRequest {
 	r.Helper()
 	select {
 	case request := <-r.requests:
 		if request.query != query {
-			r.Fatalf("asked %q, expected %q", request.query, query)
+			r.Fatalf("got request %q, expected %q", request.query, query)
 		}
 		return request
 	case <-time.After(patience):
-		r.Fatal("nothing was asked")
+		r.Fatal("got no request")
 	}
 	return listRequest{}
 }
@@ -107,7 +110,7 @@
 		got = append(got, fmt.Sprintf("%s:%d", name, listed.Phase))
 	}
 	if e.Kind != policy.ListChanged || e.List != kind || fmt.Sprint(got) != fmt.Sprint(entries) {
-		r.Fatalf("told kind %d of %v, expected %d of %v", e.List, got, kind, entries)
+		r.Fatalf("got list kind %d with %v, expected %d with %v", e.List, got, kind, entries)
 	}
 	return e
 }
@@ -125,11 +128,11 @@
 	w = r.expectRequest("/discovery/hosts?stream=1&index=44")
 	w.write(listLine(50, true, backend("s3", "SERVING"), backend("s1", "SERVING")))
 	if e = r.expect(policy.ListComplete, "s3:0", "s1:0"); e.Entries[1].Backend != 1 {
-		t.Fatalf("s1 became %d", e.Entries[1].Backend)
+		t.Fatalf("s1 is now backend %d, expected 1", e.Entries[1].Backend)
 	}
 }
 
-// A name that comes again after it was gone is another backend's, and nothing is kept of those that are gone.
+// A name that is listed again after its removal is a new backend. Nothing is kept of removed backends.
 func TestRemovedBackendIsForgottenAndItsNameGetsANewNumber(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
@@ -137,19 +140,19 @@
 		listLine(44, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
 	if e := r.expect(policy.ListPatch, "s2:2"); e.Entries[0].Backend != 2 {
-		t.Fatalf("s2 is gone as %d", e.Entries[0].Backend)
+		t.Fatalf("s2 was removed as backend %d, expected 2", e.Entries[0].Backend)
 	}
 	if e := r.expect(policy.ListPatch, "s2:0"); e.Entries[0].Backend != 3 {
-		t.Fatalf("the new s2 is %d", e.Entries[0].Backend)
+		t.Fatalf("the new s2 is backend %d, expected 3", e.Entries[0].Backend)
 	}
 	w.write(listLine(45, true, backend("s4", "SERVING")) + listLine(46, true, backend("s1", "SERVING")))
 	r.expect(policy.ListComplete, "s4:0")
 	if e := r.expect(policy.ListComplete, "s1:0"); e.Entries[0].Backend != 5 || len(r.backendIDs) != 1 {
-		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Backend, r.backendIDs)
+		t.Fatalf("the new s1 is backend %d of %v, expected 5", e.Entries[0].Backend, r.backendIDs)
 	}
 }
 
-// At a new address the watch goes on from the version last read; the old one is left, and what it says ignored.
+// At a new address the watch resumes at the last version. The watch at the old address is closed.
 func TestWatchContinuesAtTheNewRegistryAddress(t *testing.T) {
 	r, other := newFixture(t, false, nil), newFixture(t, false, nil)
 	other.expectRequest("/discovery/hosts?stream=1&index=41").end()
@@ -158,20 +161,20 @@
 	r.expect(policy.ListPatch, "s2:0")
 	for _, address := range []string{"nowhere", "127.0.0.1:none", ""} {
 		if r.MoveTo(address) == nil {
-			t.Fatalf("%q was taken for an address", address)
+			t.Fatalf("%q was accepted as an address", address)
 		}
 	}
 	if err := r.MoveTo(other.address); err != nil {
 		t.Fatal(err)
 	}
 	var w listRequest
-	for w.query != "/discovery/hosts?stream=1&index=47" { // but for the watches of the other fixture's own register
+	for w.query != "/discovery/hosts?stream=1&index=47" { // skips the watches of the other fixture's own client
 		w = <-other.requests
 	}
 	select {
 	case <-old.closed:
 	case <-time.After(patience):
-		t.Fatal("the old watch stays open")
+		t.Fatal("the old watch is still open")
 	}
 	w.write(listLine(48, false, backend("s2", "DRAINING")))
 	r.expect(policy.ListPatch, "s2:1")
@@ -184,17 +187,17 @@
 	w2 := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	w2.write(listLine(43, false, backend("s6", "SERVING")) + listLine(44, false, backend("s1", "DRAINING")))
 	r.expect(policy.ListPatch, "s6:0")
-	if e := r.expect(policy.ListPatch, "s1:1"); e.Entries[0].Backend != 1 { // it was never told to be gone
-		t.Fatalf("s1 became %d", e.Entries[0].Backend)
+	if e := r.expect(policy.ListPatch, "s1:1"); e.Entries[0].Backend != 1 { // its removal in the invalid list was not applied
+		t.Fatalf("s1 is now backend %d, expected 1", e.Entries[0].Backend)
 	}
 	select {
 	case <-w.closed:
 	case <-time.After(patience):
-		t.Fatal("the broken watch stays open")
+		t.Fatal("the failed watch is still open")
 	}
 }
 
-// A weight that can't be one counts as none stated: refusing the list for it would cost the drains that it tells of.
+// An invalid weight counts as a missing one. Rejecting the list for it would lose the drains that the list contains.
 func TestListWithAnInvalidWeightIsApplied(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
@@ -207,23 +210,23 @@
 func TestWatchWithoutHeartbeatsIsRenewed(t *testing.T) {
 	r := newFixture(t, false, func(r *Client) { r.watchTimeout = 600 * time.Millisecond })
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
-	for range 8 { // heartbeats keep it
+	for range 8 { // heartbeats keep the watch alive
 		time.Sleep(100 * time.Millisecond)
 		w.write("\n")
 	}
 	if len(r.requests) > 0 {
-		t.Fatal("a watch with beats was given up")
+		t.Fatal("a watch with heartbeats was replaced")
 	}
 	r.expectRequest("/discovery/hosts?stream=1&index=41").write(listLine(42, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
-	w.write(listLine(42, false, backend("s9", "SERVING"))) // the old one is heard no more
+	w.write(listLine(42, false, backend("s9", "SERVING"))) // lines of the old watch are ignored
 	r.expectRequest("/discovery/hosts?stream=1&index=42")
 	if rest := r.events.Rest(); len(rest) > 0 {
-		t.Fatalf("told %+v", rest)
+		t.Fatalf("got %+v", rest)
 	}
 }
 
-// A list may come indented, over several lines; one that breaks off ends the watch at the next heartbeat, and not later.
+// A list may be indented, over several lines. A truncated list ends the watch at the next heartbeat.
 func TestIndentedListsAreReadAndTruncatedOnesEndTheWatch(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
@@ -244,18 +247,18 @@
 	w.write(complete[:strings.LastIndex(complete, "}")] + "\n\n")
 	r.expectRequest("/discovery/hosts?stream=1&index=44")
 	if rest := r.events.Rest(); len(rest) > 0 {
-		t.Fatalf("told %+v", rest)
+		t.Fatalf("got %+v", rest)
 	}
 }
 
-// What a watch that fell silent misses counts as told 6 s later, and drains then have 2 s of grace. Should the watch that takes its
-// place be silent too, a third one stands within that; nobody is called gone meanwhile, as nothing says so.
+// Changes that an unresponsive watch misses count as known after 6 s, and drains then have a grace period of 2 s. If the next watch
+// is unresponsive too, a third one is established within that time. No backend is removed meanwhile.
 func TestNewWatchWithoutHeartbeatsIsRenewedSooner(t *testing.T) {
-	const scale = 50 // times faster
+	const scale = 50 // the test runs this many times faster
 	r := newFixture(t, false, func(r *Client) { r.watchTimeout /= scale })
 	r.expectRequest("/discovery/hosts?stream=1&index=41").write("\n")
 	r.expectRequest("/discovery/hosts?stream=1&index=41")
-	go func() { // the third, and on a busy machine those after it
+	go func() { // answers the third watch and, on a busy machine, later ones
 		for {
 			select {
 			case w := <-r.requests:
@@ -266,14 +269,14 @@
 		}
 	}()
 	r.expect(policy.ListPatch, "s1:1")
-	for _, e := range r.events.Rest() { // told again at most
+	for _, e := range r.events.Rest() { // a repeated patch at most
 		if e.List != policy.ListPatch {
-			t.Fatalf("told %+v", e)
+			t.Fatalf("got %+v", e)
 		}
 	}
-	// How long that is in full, with the longest waits of chance between two watches.
+	// The unscaled time for two watches without heartbeats, with the longest random delays between watches.
 	if total := time.Duration(missedHeartbeats*float64(heartbeatInterval))*3/2 + 2*minBackoff*3/2; total > 8*time.Second {
-		t.Errorf("two silent watches take %s, expected 6 s and a drain's grace at most", total)
+		t.Errorf("two watches without heartbeats take %s, expected at most 6 s and the drain grace period of 2 s", total)
 	}
 }
 
@@ -309,16 +312,16 @@
 		events := queue.Take(nil)
 		if err != nil {
 			if len(events) > 0 || r.version != -7 {
-				t.Fatalf("%q: %v, but %+v was told", text, err, events)
+				t.Fatalf("%q: got error %v and events %+v", text, err, events)
 			}
 			return
 		}
 		if len(events) != 1 || len(events[0].Entries) != len(events[0].Addresses) || len(events[0].Entries) != len(events[0].Names) {
-			t.Fatalf("%q: told %+v", text, events)
+			t.Fatalf("%q: got %+v", text, events)
 		}
 		for i, e := range events[0].Entries {
 			if e.Backend == 0 || e.Cell < 0 || e.Phase != policy.Removed && events[0].Addresses[i] == "" {
-				t.Fatalf("%q: told %+v", text, e)
+				t.Fatalf("%q: got %+v", text, e)
 			}
 		}
 	})
--- a/internal/dataplane/discovery/errors.go
+++ b/internal/dataplane/discovery/errors.go
@@ -5,20 +5,22 @@
 	"fmt"
 )
 
+// errWatchTimeout is the error of a watch without any line for too long.
 var errWatchTimeout = errors.New("no line and no beat")
 
-// StatusError is an HTTP status other than 200 of the registry.
+// StatusError is the error for an HTTP status other than 200 from the registry.
 type StatusError int
 
-// Error has the status.
+// Error returns the text, with the status.
 func (e StatusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
-// ListError says what of a list is not as the registry's protocol has it.
+// ListError is the error for a list that violates the registry's protocol.
 type ListError string
 
-// Error is the text, with the backend and the field.
+// Error returns the text, with the backend and the field if there is one.
 func (e ListError) Error() string { return string(e) }
 
+// malformed returns a ListError with the formatted text.
 func malformed(format string, arguments ...any) error {
 	return ListError(fmt.Sprintf(format, arguments...))
 }
--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// entry is a backend in the registry's JSON.
+// entry is the registry's JSON of a backend.
 type entry struct {
 	ID        string   `json:"instanceId"`
 	Address   string   `json:"hostPort"`
@@ -19,7 +19,7 @@
 	StartedMs float64  `json:"startedAtMs"`
 }
 
-// weight is the backend's size; where none is stated, or none that can be, all count alike.
+// weight returns the backend's weight, or 1 if the weight is missing or not positive.
 func (e *entry) weight() float64 {
 	if e.Weight == nil || *e.Weight <= 0 {
 		return 1
@@ -27,7 +27,7 @@
 	return *e.Weight
 }
 
-// check checks an entry; known says that it is of the list that the configuration has.
+// check validates an entry. initial is set for the entries of the list in the configuration.
 func (e *entry) check(initial bool) error {
 	phase, valid := phases[e.State]
 	switch {
@@ -39,23 +39,26 @@
 		return malformed("searcher %q without an address", e.ID)
 	case e.Cell < 0:
 		return malformed("searcher %q: cell %d", e.ID, e.Cell)
-	// In a configuration it is a mistake. A later list is not rejected for a weight: its drains are more important.
+	// An invalid weight in the configuration is an error. A later list is not rejected for a weight, because the drains in it are
+	// more important.
 	case initial && e.Weight != nil && *e.Weight <= 0:
 		return malformed("searcher %q: weight is %g, expected more than 0", e.ID, *e.Weight)
 	}
 	return nil
 }
 
-// page is a list of the registry, complete or a patch.
+// page is the registry's JSON of a list, which is complete or a patch.
 type page struct {
 	Version   *int64  `json:"generation"`
 	Complete  bool    `json:"reset"`
 	Instances []entry `json:"instances"`
 }
 
+// phases maps the registry's states to phases.
 var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
 
-// applyList parses a list and passes it to the listener, all or nothing: half a list would be worse than an old one.
+// applyList parses a list and passes it to the listener, completely or not at all, because a partial list would be worse than
+// the previous one.
 func (r *Client) applyList(line []byte, initial bool) error {
 	var list page
 	if err := json.Unmarshal(line, &list); err != nil {
@@ -71,13 +74,13 @@
 	case list.Complete:
 		event.List = policy.ListComplete
 	}
-	for i := range list.Instances { // all of them, before the first one is applied
+	for i := range list.Instances { // all entries are validated before the first one is applied
 		if err := list.Instances[i].check(initial); err != nil {
 			return err
 		}
 	}
 	before := r.backendIDs
-	if event.List != policy.ListPatch { // those that it leaves out are removed
+	if event.List != policy.ListPatch { // backends that it does not contain are removed
 		r.backendIDs = make(map[string]policy.BackendID, len(list.Instances))
 	}
 	for i := range list.Instances {
@@ -94,7 +97,7 @@
 			r.lastID++
 			id = r.lastID
 		}
-		if phase == policy.Removed { // should the name come again, it is another backend's
+		if phase == policy.Removed { // the name may be reused later, for another backend
 			delete(r.backendIDs, instance.ID)
 		} else {
 			r.backendIDs[instance.ID] = id
@@ -110,7 +113,7 @@
 	return nil
 }
 
-// number is a name's number; names that the settings do not have get further numbers.
+// numberOf returns the number of a name. It assigns new numbers to names that are not in the settings.
 func numberOf(names map[string]int, name string) int {
 	no, known := names[name]
 	if !known {
--- a/internal/dataplane/discovery/races_test.go
+++ b/internal/dataplane/discovery/races_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// bare is a register by hand, whose answers need not be whole.
+// rawServer is a client and a registry on raw TCP connections, whose responses may be truncated.
 type rawServer struct {
 	*testing.T
 	*Client
@@ -49,11 +49,11 @@
 	}
 	go r.Client.Run()
 	t.Cleanup(func() { r.Stop(); l.Close() })
-	r.events.Next(t) // what was known
+	r.events.Next(t) // the initial list
 	return r
 }
 
-// accept takes the next request, which has to be this one.
+// accept accepts the next request, which has to be for this URL.
 func (r *rawServer) accept(url string) *net.TCPConn {
 	r.Helper()
 	r.listener.SetDeadline(time.Now().Add(patience))
@@ -64,32 +64,36 @@
 	r.Cleanup(func() { c.Close() })
 	req, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil || req.URL.String() != url {
-		r.Fatalf("asked %v, %v, expected %q", req, err, url)
+		r.Fatalf("got request %v, %v, expected %q", req, err, url)
 	}
 	return c
 }
 
+// The headers of responses that end with the connection, and of responses in chunks.
 const (
 	untilCloseHeader = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	chunkedHeader    = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
 
+// chunk returns a chunk of the chunked transfer encoding.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
+// reset closes a connection with a TCP reset.
 func reset(c *net.TCPConn) {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// nothing expects that nothing was told by now.
+// expectNoEvent checks that no event is pending.
 func (r *rawServer) expectNoEvent() {
 	r.Helper()
 	if rest := r.events.Rest(); len(rest) > 0 {
-		r.Fatalf("told %+v", rest)
+		r.Fatalf("got %+v", rest)
 	}
 }
 
-// What was not ended by its line break before a reset is no list, though it can be read; what was, counts. The watch goes on from there.
+// A line without its line break before a reset is not a list, even if it can be parsed. A line with its line break counts, and the
+// watch resumes at its version.
 func TestConnectionResetDoesNotCompleteALine(t *testing.T) {
 	r := newRawServer(t, false, nil)
 	list := listLine(43, false, backend("s2", "SERVING"))
@@ -107,14 +111,15 @@
 	r.expectNoEvent()
 	c.Write([]byte(chunkedHeader + chunk(list) + chunk(`{"generation":44`)))
 	if e := r.events.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got %+v", e)
 	}
 	reset(c)
 	r.accept("/discovery/hosts?stream=1&index=43")
 	r.expectNoEvent()
 }
 
-// Neither is a complete list that is reset, in whatever form it came; and what is cut short is none either.
+// A complete list is rejected if its connection was reset, whatever its transfer encoding, or if it is shorter than its stated
+// length.
 func TestConnectionResetDoesNotCompleteAList(t *testing.T) {
 	r := newRawServer(t, true, nil)
 	list := listLine(43, true, backend("s2", "SERVING"))
@@ -124,7 +129,7 @@
 		c.Write([]byte(text))
 		reset(c)
 		if e := r.events.Next(t); e.List != policy.ListFailed {
-			t.Fatalf("%q: told %+v", text, e)
+			t.Fatalf("%q: got %+v", text, e)
 		}
 	}
 	r.RequestFullList()
@@ -132,11 +137,11 @@
 	c.Write([]byte(untilCloseHeader + list))
 	c.Close()
 	if e := r.events.Next(t); e.List != policy.ListComplete {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got %+v", e)
 	}
 }
 
-// A whole list that was asked for at the old address, or before what a watch has told since, is asked for anew.
+// A complete list is requested again if it came from the old address, or is older than what a watch has delivered meanwhile.
 func TestOutdatedCompleteListIsRequestedAgain(t *testing.T) {
 	r, other := newRawServer(t, true, nil), newRawServer(t, true, nil)
 	r.RequestFullList()
@@ -144,7 +149,7 @@
 	if err := r.MoveTo(other.listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	r.Subscribe(true) // told behind the move: its watch shows that the move was taken
+	r.Subscribe(true) // queued after the move, so its watch shows that the move was handled
 	c := other.accept("/discovery/hosts?stream=1&index=41")
 	old.Write([]byte(untilCloseHeader + listLine(99, true, backend("s9", "SERVING"))))
 	old.Close()
@@ -152,21 +157,21 @@
 	r.expectNoEvent()
 	c.Write([]byte(chunkedHeader + chunk(listLine(44, false, backend("s1", "DRAINING")))))
 	if e := r.events.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got %+v", e)
 	}
-	again.Write([]byte(untilCloseHeader + listLine(41, true, backend("s1", "SERVING")))) // as it was before the drain
+	again.Write([]byte(untilCloseHeader + listLine(41, true, backend("s1", "SERVING")))) // the list before the drain
 	again.Close()
 	third := other.accept("/discovery/hosts")
 	r.expectNoEvent()
 	third.Write([]byte(untilCloseHeader + listLine(45, true, backend("s1", "DRAINING"))))
 	third.Close()
 	if e := r.events.Next(t); e.List != policy.ListComplete || e.Entries[0].Phase != policy.Draining {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got %+v", e)
 	}
 }
 
-// A watch that falls silent is renewed wherever it stands: with its request taken and no head, with a head and no line, with half a
-// line, behind heartbeats. What the old one says late counts no more.
+// A watch without heartbeats is replaced at whatever point it stalls: before the response header, within it, before the first line,
+// within a line, or after a heartbeat. Late lines of the old watch are ignored.
 func TestWatchStalledAtAnyPointIsRenewed(t *testing.T) {
 	r := newRawServer(t, false, func(r *Client) { r.watchTimeout = 200 * time.Millisecond })
 	list := listLine(43, false, backend("s9", "SERVING"))
@@ -182,14 +187,14 @@
 	}
 	c.Write([]byte(chunkedHeader + chunk(listLine(44, false, backend("s1", "DRAINING")))))
 	if e := r.events.Next(t); e.List != policy.ListPatch || len(e.Entries) != 1 || e.Entries[0].Backend != 1 {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got %+v", e)
 	}
 	r.accept("/discovery/hosts?stream=1&index=44")
 	r.expectNoEvent()
 }
 
-// A register that comes back after a while is heard at once: of what it has, the first line counts, drains above all. The waits between
-// tries have grown by then, and go back with the first heartbeat: the next silence has 6 s of its own.
+// The delay between watches grows while the registry is unavailable. The first heartbeat resets it, so that a new watch is again
+// established within 6 s of the last line and drains are known in time.
 func TestHeartbeatResetsTheBackoff(t *testing.T) {
 	queue := eventqueue.New[aggregator.Event]()
 	r, err := New("127.0.0.1:1", []byte(listLine(41, true)), settings.Settings{}, queue, zap.NewNop(), counters.New())
@@ -202,22 +207,22 @@
 		r.handle(&message{kind: messageWatchEnded, watch: r.currentWatch, err: net.ErrClosed})
 	}
 	if r.backoff != maxBackoff {
-		t.Fatalf("waits %s after ten tries, expected %s", r.backoff, maxBackoff)
+		t.Fatalf("the backoff is %s after ten failures, expected %s", r.backoff, maxBackoff)
 	}
 	r.cancel = func() {}
 	r.handle(&message{kind: messageLine, watch: r.currentWatch})
 	lastLineAt := r.lastLineAt
 	r.retryWatch("silent", net.ErrClosed)
 	if r.backoff != minBackoff {
-		t.Fatalf("waits %s after a beat, expected %s", r.backoff, minBackoff)
+		t.Fatalf("the backoff is %s after a heartbeat, expected %s", r.backoff, minBackoff)
 	}
 	if longest := r.watchTimeout + minBackoff*3/2; longest >= 6*time.Second || lastLineAt.IsZero() {
-		t.Fatalf("a new watch stands %s after the last byte, expected less than 6 s", longest)
+		t.Fatalf("a new watch starts %s after the last line, expected less than 6 s", longest)
 	}
 }
 
-// Outage and return: while nobody listens at the registry's address the list stays as it is; once somebody does, the watch is there
-// within the longest wait between tries.
+// The list stays unchanged while the registry is unavailable. Once the registry listens again, a watch is
+// established within the longest backoff.
 func TestRegistryIsWatchedAgainAfterAnOutage(t *testing.T) {
 	r := newRawServer(t, false, nil)
 	address := r.listener.Addr().(*net.TCPAddr)
@@ -227,7 +232,7 @@
 	reset(c)
 	for late := time.Now().Add(patience); r.counters.Get("watches", "watch_ended") < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
-			t.Fatal("it does not try again")
+			t.Fatal("the watch is not retried")
 		}
 	}
 	r.expectNoEvent()
@@ -239,6 +244,6 @@
 	c = r.accept("/discovery/hosts?stream=1&index=41")
 	c.Write([]byte(chunkedHeader + chunk(listLine(50, false, backend("s1", "DRAINING")))))
 	if e := r.events.Next(t); e.List != policy.ListPatch || e.Entries[0].Phase != policy.Draining {
-		t.Fatalf("told %+v", e)
+		t.Fatalf("got %+v", e)
 	}
 }
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -15,8 +15,9 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// watchDeadline is when the current watch times out. A new one without any line yet gets half as long, in which a heartbeat is
-// due: if it is unresponsive as the one before, a third one is established before drains have to be in force.
+// watchDeadline returns when the current watch times out. A new watch that has received no line yet gets only half the timeout,
+// in which a heartbeat is due. If it is as unresponsive as the previous watch, a third watch is established before drains have
+// to be in force.
 func (r *Client) watchDeadline() time.Time {
 	if r.lastLineAt.Equal(r.watchStartedAt) {
 		return r.lastLineAt.Add(r.watchTimeout / 2)
@@ -24,7 +25,7 @@
 	return r.lastLineAt.Add(r.watchTimeout)
 }
 
-// checkWatch starts a watch where one is due, ends one that has timed out, and returns when to check again.
+// checkWatch starts a watch if one is due, ends a watch that has timed out, and returns the time of the next check.
 func (r *Client) checkWatch(now time.Time) time.Time {
 	deadline := r.watchDeadline()
 	if r.cancel != nil && !now.Before(deadline) {
@@ -43,7 +44,7 @@
 	return now.Add(time.Hour)
 }
 
-// startWatch starts a watch from the version last read.
+// startWatch starts a watch at the version that was applied last.
 func (r *Client) startWatch(now time.Time) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.currentWatch++
@@ -54,7 +55,7 @@
 	}(r.currentWatch, r.url+"?stream=1&index="+strconv.FormatInt(r.version, 10))
 }
 
-// cancelWatch cancels the current watch; what it may still report is ignored.
+// cancelWatch cancels the current watch. Messages that it still sends are ignored.
 func (r *Client) cancelWatch() {
 	if r.cancel != nil {
 		r.cancel()
@@ -74,19 +75,19 @@
 	r.cancelWatch()
 }
 
-// retryWatch ends a watch that has failed, and schedules the next one with backoff and jitter, as aggregators that lost the
-// registry together must not reconnect together.
+// retryWatch ends a watch that has failed, and schedules the next one with backoff and jitter. Without jitter, aggregators that
+// lost the registry at the same time would reconnect at the same time.
 func (r *Client) retryWatch(reason string, err error) {
 	r.endWatch(reason, err)
 	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
 	r.nextWatchAt = time.Now().Add(time.Duration((0.5 + rand.Float64()) * float64(r.backoff)))
-	if r.listOnRequest { // the policy says when to subscribe again
+	if r.listOnRequest { // the policy decides when to subscribe again
 		r.subscribed = false
 		r.listener.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
 	}
 }
 
-// get sends a GET; a status other than 200 is a StatusError.
+// get sends a GET request. A status other than 200 is a StatusError.
 func (r *Client) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return res, err
 }
 
-// follow reads a watch until it ends.
+// follow requests a watch, and passes its lines to the actor until the watch ends. It returns the reason.
 func (r *Client) follow(ctx context.Context, watch int, url string) error {
 	res, err := r.get(ctx, url)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return io.EOF
 }
 
-// fetch requests the complete list once.
+// fetch requests the complete list once, and passes the result to the actor. version is the version known at the request.
 func (r *Client) fetch(url string, version int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.watchTimeout)
 	defer cancel()
--- a/internal/dataplane/discovery/wire_test.go
+++ b/internal/dataplane/discovery/wire_test.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
+// TestEncodedFormsMatchGoldenFiles guards the JSON keys of the registry's list, which this package only reads.
 func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
 		goldentest.Form{Name: "entry", Value: new(entry)},
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads and validates the settings object that every instance is given at its start, for both the
-// aggregator and the bench's adapter.
+// Package settings parses and validates the settings object of an aggregator. Each aggregator gets the object at its
+// start. The aggregator's node and the benchmark adapter call Read, which returns an error for invalid settings. The package never
+// reads files.
 package settings
 
 import (
@@ -8,24 +9,23 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Settings are the policy's settings, with those of the network side.
+// Settings are the settings of the policy and of the network side.
 type Settings struct {
 	policy.Settings
 	Net Net
 }
 
-// Net are the settings of the network side: names, which the policy does not know, and limits of connections. Times are in
-// seconds.
+// Net are the settings of the network side: the names behind the policy's ids, and the limits of connections.
 type Net struct {
-	Indexes, Customers, Locations, MachineKinds []string // each in the order of its ids
+	Indexes, Customers, Locations, MachineKinds []string // names, each at the index that is its id
 	Shards                                      int
-	CallsPerConnection                          int     // calls that one connection carries at once
-	IdleTimeoutS                                float64 // a connection idle for so long is closed by its backend
-	ConnectTimeoutS                             float64 // a connect that takes longer has failed; a probe too, as the settings have no other value for it
-	LoadReports                                 bool    // probes may ask for a load report
+	CallsPerConnection                          int     // the maximum number of concurrent calls on a connection; 0 for no limit
+	IdleTimeoutS                                float64 // how long a connection may be idle before its backend closes it; 0 for no limit
+	ConnectTimeoutS                             float64 // the timeout of dials, and of probes, for which the settings have no other value
+	LoadReports                                 bool    // probes request a load report
 }
 
-// wire is the settings object's JSON, with the operators' keys; other keys are ignored.
+// wire is the JSON of the settings object. The tags are the keys that operators write. Other keys are ignored.
 type wire struct {
 	StepIntervalS   float64  `json:"granularityS"`
 	AggregatorIndex int      `json:"ordinal"`
@@ -100,12 +100,14 @@
 	} `json:"prices"`
 }
 
+// effects maps the values of the key effect to effects.
 var effects = map[string]policy.Effect{
 	"repeatable": policy.Idempotent, "by_key": policy.Deduplicated, "once": policy.AtMostOnce,
 }
 
-// Read parses the settings object. Every number is validated, so that a mistake in a site's files shows at the start and not as
-// an odd decision later; an error is a ValidationError.
+// Read parses and validates the settings object. It rejects negative numbers, shares above 1 and lists of a wrong length, so that
+// a mistake in a deployment's files is found at the start and does not cause a wrong decision later. It does not check prices.
+// An error is a ValidationError.
 func Read(seed uint64, text []byte) (Settings, error) {
 	var raw wire
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -151,7 +153,7 @@
 	return result, validate(&raw)
 }
 
-// Numbered maps names to their ids, which are their indexes.
+// IDsByName returns the id of each name, which is its index in names.
 func IDsByName[ID ~int](names []string) map[string]ID {
 	ids := make(map[string]ID, len(names))
 	for i, name := range names {
@@ -160,7 +162,7 @@
 	return ids
 }
 
-// valueAt is list[i], or 0 beyond the list's end.
+// valueAt returns list[i], or 0 beyond the end of the list.
 func valueAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
--- a/internal/dataplane/settings/settings_test.go
+++ b/internal/dataplane/settings/settings_test.go
@@ -30,7 +30,7 @@
 		`{"requestClasses":[{"effect":"by_key","repeatWindowS":-1}]}`, `{"requestClasses":[{"effect":"twice"}]}`, `{"requestClasses":[{"effect":"once","worth":-1}]}`,
 		`{"requestClasses":[{"effect":"once"}],"specifics":{"classNeed":[0.5],"floorByClass":[0.6]}}`, `[]`, ``} {
 		if _, err := Read(7, []byte(invalidText)); err == nil {
-			t.Errorf("%s was taken", invalidText)
+			t.Errorf("%s was accepted, expected an error", invalidText)
 		}
 	}
 }
--- a/internal/dataplane/settings/validate.go
+++ b/internal/dataplane/settings/validate.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// figure is a number of the settings object, named by its key.
+// number is a number of the settings object and its key.
 type number struct {
 	name  string
 	value float64
 }
 
-// check validates the numbers of a settings object. The first one that is wrong makes the error.
+// validate checks the numbers of a settings object, and returns an error for the first invalid one.
 func validate(raw *wire) error {
 	if err := validateLists(raw); err != nil {
 		return err
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// checkLists validates the lists that have an element for each class: their lengths, and that no class has a floor above what
-// completes its answers.
+// validateLists checks the lists that have an element for each index: their lengths, and that the minimum share of an index is
+// not above its required share.
 func validateLists(raw *wire) error {
 	layout, indexes := &raw.Layout, len(raw.Indexes)
 	for _, list := range shareLists(raw) {
@@ -36,7 +36,7 @@
 		}
 	}
 	for i, minimum := range layout.MinimumShares {
-		if required := valueAt(layout.RequiredShares, i); required > 0 && minimum > required && minimum < 1 { // 1 is what a class without a floor has
+		if required := valueAt(layout.RequiredShares, i); required > 0 && minimum > required && minimum < 1 { // a minimum of 1 means that the index has none
 			return invalid("settings: specifics.floorByClass[%d] is %g, expected at most classNeed, %g", i, minimum, required)
 		}
 	}
@@ -46,18 +46,19 @@
 	return nil
 }
 
-// classList is a list of shares, one for each class.
+// indexShares is a list of shares, one for each index, and its key.
 type indexShares struct {
 	name   string
 	values []float64
 }
 
+// shareLists returns the lists of shares.
 func shareLists(raw *wire) []indexShares {
 	layout := &raw.Layout
 	return []indexShares{{"classNeed", layout.RequiredShares}, {"floorByClass", layout.MinimumShares}, {"shortWorth", layout.PartialValues}}
 }
 
-// nonNegative lists the figures that must not be negative.
+// nonNegativeNumbers returns the numbers that must not be negative.
 func nonNegativeNumbers(raw *wire) []number {
 	layout, rules, limits := &raw.Layout, &raw.Rules, &raw.Limits
 	list := []number{{"granularityS", raw.StepIntervalS}, {"siblings", float64(raw.AggregatorCount)},
@@ -90,7 +91,7 @@
 	return list
 }
 
-// shares lists the figures that must be from 0 to 1.
+// shareNumbers returns the numbers that must be from 0 to 1.
 func shareNumbers(raw *wire) []number {
 	list := []number{{"invariants.coldShare", raw.Rules.SlowStartShare}, {"overShareWorth", raw.OverQuotaValue}}
 	for i, c := range raw.Indexes {
