--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -19,13 +19,13 @@
 	messageProbe                          // at, separate
 	messageCloseIdle
 	messageStop
-	messageDialed          // addressEpoch, and connection if the dial succeeded or else address, closeReason and text
+	messageDialed          // addressEpoch, and connection if the dial succeeded or else address, reason and text
 	messageFrameWritten    // connection, frameType and calls of a frame that was written completely; at: when its write began
-	messageNotStarted      // connection, calls: calls that were not written and never will be
+	messageWriteRevoked    // connection, calls: calls that were not written and never will be
 	messageFramePartial    // connection: a frame has arrived only in part
 	messageFrameReceived   // connection, frameType, at, and answer or text
-	messageFrameCorrupted  // connection, closeReason, at, and name if the corrupt frame may name a call; the reader stops after it
-	messageConnectionEnded // connection, closeReason, text
+	messageFrameCorrupted  // connection, reason, at, and name if the corrupt frame may name a call; the reader stops after it
+	messageConnectionEnded // connection, reason, text
 )
 
 // message is a message to an actor, sent by the policy's actor or by the actor's own connections.
@@ -108,8 +108,8 @@
 		a.handleDialed(msg)
 	case messageFrameWritten:
 		a.handleFrameWritten(msg)
-	case messageNotStarted:
-		a.endNotStarted(msg.calls)
+	case messageWriteRevoked:
+		a.endRevoked(msg.calls)
 	case messageFramePartial:
 		msg.connection.partialFrame = true
 	case messageFrameReceived:
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -47,6 +47,7 @@
 	return r
 }
 
+// listen returns a listener for a backend.
 func (r *fixture) listen() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,6 +57,7 @@
 	return l
 }
 
+// updateEntry passes a list entry of the backend to the hub.
 func (r *fixture) updateEntry(address string, phase policy.Phase, started float64) {
 	r.hub.Update(policy.Entry{Backend: 1, Phase: phase, StartedAt: started}, address)
 }
@@ -355,17 +357,17 @@
 }
 
 // A backend with a long queue answers probes at once, also on the connection of a queued call. That connection and its call
-// must survive. Such connections were once taken for unresponsive ones and closed, by the dozen in every second.
+// must survive. Such connections were once taken for unresponsive ones and closed, dozens of them per second.
 func TestLongQueueDoesNotMakeAConnectionUnresponsive(t *testing.T) {
-	const connect = 50 * time.Millisecond
-	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = connect.Seconds() })
+	const connectTimeout = 50 * time.Millisecond
+	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = connectTimeout.Seconds() })
 	out := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	other := r.separateProbe(nil)
 	p.expect('M', "")
 	p.writeFrame('M', "-")
-	for begun := time.Now(); time.Since(begun) < 4*connect; { // an unresponsive connection would be closed by then
+	for begun := time.Now(); time.Since(begun) < 4*connectTimeout; { // an unresponsive connection would be closed by then
 		r.separateProbe(other)
 	}
 	p.writeFrame('R', "aa.0 done 1 -\nvalue")
@@ -410,8 +412,8 @@
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the connection is still open: %v", err)
 	}
-	for late := time.Now().Add(patience); len(r.hub.actors) > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(patience); len(r.hub.actors) > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the actor is still running")
 		}
 		r.hub.Update(policy.Entry{Backend: 2, Phase: policy.Removed}, "")
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -20,7 +20,7 @@
 }
 
 // endNotStarted ends calls whose write was revoked before it started.
-func (a *actor) endNotStarted(calls []*call) {
+func (a *actor) endRevoked(calls []*call) {
 	for _, c := range calls {
 		if a.calls[c.name] == c {
 			a.end(c, policy.NotSent, time.Now(), answer{})
@@ -144,41 +144,41 @@
 // handleAnswer handles a well-formed answer. An answer to a canceled call, or a repetition of the connection's last answer,
 // is counted as late and dropped. Any other answer that names no call of this connection is corrupt: it was meant for a call
 // that it does not name.
-func (a *actor) handleAnswer(n *message) {
-	conn, name := n.connection, n.answer.name
+func (a *actor) handleAnswer(msg *message) {
+	conn, name := msg.connection, msg.answer.name
 	c := a.calls[name]
 	switch _, abandoned := conn.canceledUntil[name]; {
 	case c != nil && c.connection == conn:
 		conn.lastAnswer = name
-		a.end(c, n.answer.outcome, n.at, n.answer)
+		a.end(c, msg.answer.outcome, msg.at, msg.answer)
 	case abandoned, name == conn.lastAnswer:
 		conn.lastAnswer = name
 		delete(conn.canceledUntil, name)
 		a.hub.counters.Add("late", "answers", 1)
 	default:
-		a.handleCorrupted(conn, name, reasonUnknownID, n.at)
+		a.handleCorrupted(conn, name, reasonUnknownID, msg.at)
 	}
 }
 
 // handleCorrupted closes a connection after a corrupt frame, because no later data on it can be trusted. The call that the
 // frame names, or else the only call in flight on the connection, ends as failed after execution. The other calls end with
 // the connection.
-func (a *actor) handleCorrupted(conn *connection, name string, why reason, at time.Time) {
+func (a *actor) handleCorrupted(conn *connection, name string, cause reason, at time.Time) {
 	a.hub.counters.Add("late", "spoilt", 1)
-	meant := a.calls[name]
-	if meant == nil || meant.connection != conn {
-		meant = nil
+	affected := a.calls[name]
+	if affected == nil || affected.connection != conn {
+		affected = nil
 		for _, c := range a.calls {
-			if c.connection == conn && meant != nil {
-				meant = nil
+			if c.connection == conn && affected != nil {
+				affected = nil
 				break
 			} else if c.connection == conn {
-				meant = c
+				affected = c
 			}
 		}
 	}
-	a.close(conn, why) // before the call's end is reported, because the subquery may be retried at once
-	if meant != nil {
-		a.end(meant, policy.Errored, at, answer{})
+	a.close(conn, cause) // before the call's end is reported, because the subquery may be retried at once
+	if affected != nil {
+		a.end(affected, policy.Errored, at, answer{})
 	}
 }
--- a/internal/dataplane/backends/connection.go
+++ b/internal/dataplane/backends/connection.go
@@ -229,7 +229,7 @@
 			case frameCall:
 				var revoked []*call
 				if frame.calls, revoked = splitStartable(frame.calls, now); len(revoked) > 0 {
-					notify(message{kind: messageNotStarted, connection: conn, calls: revoked})
+					notify(message{kind: messageWriteRevoked, connection: conn, calls: revoked})
 				}
 				if len(frame.calls) > 0 {
 					buf = appendCall(buf, frame.calls, now)
--- a/internal/dataplane/backends/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -121,15 +121,15 @@
 	a.dialsToAddress++
 	a.dialsInProgress++
 	a.hub.counters.Add("lines", "dialled", 1)
-	address, era, timeout := a.address, a.addressEpoch, seconds(a.hub.settings.ConnectTimeoutS)
+	address, addressEpoch, timeout := a.address, a.addressEpoch, seconds(a.hub.settings.ConnectTimeoutS)
 	select {
 	case a.hub.descriptorSlots <- struct{}{}:
 	default:
-		a.inbox.Put(message{kind: messageDialed, addressEpoch: era, address: address, reason: reasonNoDescriptor})
+		a.inbox.Put(message{kind: messageDialed, addressEpoch: addressEpoch, address: address, reason: reasonNoDescriptor})
 		return
 	}
 	go func() {
-		lastMessage := a.connect(address, era, timeout)
+		lastMessage := a.connect(address, addressEpoch, timeout)
 		<-a.hub.descriptorSlots // before the end is reported, because its handler may need the descriptor for another dial
 		a.inbox.Put(lastMessage)
 	}()
@@ -137,22 +137,23 @@
 
 // connect dials and, if that succeeds, serves the connection until it ends. The caller has to pass the returned message to the
 // actor: it reports the failure of the dial or the end of the connection.
-func (a *actor) connect(address string, era int, timeout time.Duration) (lastMessage message) {
+func (a *actor) connect(address string, addressEpoch int, timeout time.Duration) (lastMessage message) {
 	socket, err := a.hub.dialer(a.hub.dialContext, timeout, address)
 	if err != nil {
 		cause := reasonConnectRefused
 		if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
 			cause = reasonConnectTimeout
 		}
-		return message{kind: messageDialed, addressEpoch: era, address: address, reason: cause, text: err.Error()}
+		return message{kind: messageDialed, addressEpoch: addressEpoch, address: address, reason: cause, text: err.Error()}
 	}
 	conn := &connection{socket: socket, writeTimeout: a.hub.writeTimeout, out: eventqueue.New[outgoing](), address: address, opened: time.Now(),
 		lastUsedAt: time.Now(), canceledUntil: map[string]time.Time{}}
-	a.inbox.Put(message{kind: messageDialed, addressEpoch: era, connection: conn})
+	a.inbox.Put(message{kind: messageDialed, addressEpoch: addressEpoch, connection: conn})
 	return conn.run(func(msg message) { a.inbox.Put(msg) })
 }
 
-// handleDialed handles the end of a dial.
+// handleDialed handles the end of a dial. If the last dial in progress has failed, the calls and the probe that wait for a
+// connection end.
 func (a *actor) handleDialed(msg *message) {
 	a.dialsInProgress--
 	outdated := msg.addressEpoch != a.addressEpoch
--- a/internal/dataplane/backends/races_test.go
+++ b/internal/dataplane/backends/races_test.go
@@ -170,8 +170,8 @@
 	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 3600 })
 	r.updateEntry(r.unresponsive(), policy.Ready, 0)
 	r.send("aa", "q", time.Hour, 1)
-	for late := time.Now().Add(patience); r.hub.counters.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(patience); r.hub.counters.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("no dial was started")
 		}
 	}
@@ -320,7 +320,7 @@
 		p.writeFrame('R', "bb.0 done 0 -\n")
 		r.expectEnd(next[0].Subquery, policy.Answered)
 		if n := r.hub.counters.Get("lines", "dialled"); n != 1 {
-			t.Fatalf("%s: %d connects, expected 1", name, n)
+			t.Fatalf("%s: got %d dials, expected 1", name, n)
 		}
 	}
 }
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -2,8 +2,8 @@
 // registry for changes, fetches the complete list on request, and reconnects after failures.
 //
 // A list is applied completely or not at all. A watch resumes at the version that was applied last. An aggregator's node creates
-// and runs the Client, and the policy's actor calls its methods. The package never removes a backend because the registry is
-// unreachable.
+// and runs the Client, and changes the registry's address. The policy's actor subscribes and requests lists. The package never
+// removes a backend because the registry is unreachable.
 package discovery
 
 import (
@@ -27,8 +27,8 @@
 	// heartbeatInterval is how often the registry sends an empty line while nothing changes.
 	heartbeatInterval = 2 * time.Second
 	// missedHeartbeats is the number of heartbeat intervals without a line after which a watch has timed out. The watch is then
-	// broken or its registry unreachable, and only a new watch shows which. Drains count as known 6 s after a change at the
-	// latest, so a new watch must be established before that.
+	// broken or its registry unreachable, and only a new watch shows which. A change counts as known 6 s after it was made at
+	// the latest, so a new watch must be established before that.
 	missedHeartbeats = 2.5
 	// minBackoff is the first delay between watches. The delay doubles with each failure, so that aggregators that lost the
 	// registry at the same time don't overload it.
@@ -93,7 +93,7 @@
 	done           chan struct{}
 }
 
-// New returns a client of the registry at an address, and passes the initial list, known, to the listener.
+// New returns a client of the registry at an address, and passes known, the initial list in JSON, to the listener.
 func New(address string, known []byte, aggregatorSettings settings.Settings, listener Listener, log *zap.Logger,
 	counterSet *counters.Set) (*Client, error) {
 	if err := checkAddress(address); err != nil {
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -34,7 +34,7 @@
 
 // listRequest is a request for the list, with functions that write to its response and end it.
 type listRequest struct {
-	query  string
+	url    string
 	write  func(text string)
 	end    context.CancelFunc
 	closed <-chan struct{}
@@ -86,12 +86,12 @@
 }
 
 // expectRequest waits for the next request, which has to be for this URL.
-func (r *fixture) expectRequest(query string) listRequest {
+func (r *fixture) expectRequest(url string) listRequest {
 	r.Helper()
 	select {
 	case request := <-r.requests:
-		if request.query != query {
-			r.Fatalf("got request %q, expected %q", request.query, query)
+		if request.url != url {
+			r.Fatalf("got request %q, expected %q", request.url, url)
 		}
 		return request
 	case <-time.After(patience):
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	var w listRequest
-	for w.query != "/discovery/hosts?stream=1&index=47" { // skips the watches of the other fixture's own client
+	for w.url != "/discovery/hosts?stream=1&index=47" { // skips the watches of the other fixture's own client
 		w = <-other.requests
 	}
 	select {
--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -79,7 +79,7 @@
 			return err
 		}
 	}
-	before := r.backendIDs
+	previous := r.backendIDs
 	if event.List != policy.ListPatch { // backends that it does not contain are removed
 		r.backendIDs = make(map[string]policy.BackendID, len(list.Instances))
 	}
@@ -88,7 +88,7 @@
 		phase := phases[instance.State]
 		id, known := r.backendIDs[instance.ID]
 		if !known {
-			id, known = before[instance.ID]
+			id, known = previous[instance.ID]
 		}
 		switch {
 		case !known && phase == policy.Removed:
@@ -115,10 +115,10 @@
 
 // numberOf returns the number of a name. It assigns new numbers to names that are not in the settings.
 func numberOf(names map[string]int, name string) int {
-	no, known := names[name]
+	number, known := names[name]
 	if !known {
-		no = len(names)
-		names[name] = no
+		number = len(names)
+		names[name] = number
 	}
-	return no
+	return number
 }
--- a/internal/dataplane/discovery/races_test.go
+++ b/internal/dataplane/discovery/races_test.go
@@ -24,20 +24,20 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// rawServer is a client and a registry on raw TCP connections, whose responses may be truncated.
-type rawServer struct {
+// rawFixture is a client and a registry that the test plays on raw TCP connections, so that responses may be truncated.
+type rawFixture struct {
 	*testing.T
 	*Client
 	events   *queuetest.Ear[aggregator.Event]
 	listener *net.TCPListener
 }
 
-func newRawServer(t *testing.T, listOnRequest bool, adjust func(*Client)) *rawServer {
+func newRawFixture(t *testing.T, listOnRequest bool, adjust func(*Client)) *rawFixture {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rawServer{T: t, events: queuetest.New[aggregator.Event](), listener: l}
+	r := &rawFixture{T: t, events: queuetest.New[aggregator.Event](), listener: l}
 	set := settings.Settings{}
 	set.ListOnRequest = listOnRequest
 	r.Client, err = New(l.Addr().String(), []byte(listLine(41, true, backend("s1", "SERVING"))), set, r.events.Queue, zap.NewNop(), counters.New())
@@ -54,7 +54,7 @@
 }
 
 // accept accepts the next request, which has to be for this URL.
-func (r *rawServer) accept(url string) *net.TCPConn {
+func (r *rawFixture) accept(url string) *net.TCPConn {
 	r.Helper()
 	r.listener.SetDeadline(time.Now().Add(patience))
 	c, err := r.listener.AcceptTCP()
@@ -85,7 +85,7 @@
 }
 
 // expectNoEvent checks that no event is pending.
-func (r *rawServer) expectNoEvent() {
+func (r *rawFixture) expectNoEvent() {
 	r.Helper()
 	if rest := r.events.Rest(); len(rest) > 0 {
 		r.Fatalf("got %+v", rest)
@@ -95,7 +95,7 @@
 // A line without its line break before a reset is not a list, even if it can be parsed. A line with its line break counts, and the
 // watch resumes at its version.
 func TestConnectionResetDoesNotCompleteALine(t *testing.T) {
-	r := newRawServer(t, false, nil)
+	r := newRawFixture(t, false, nil)
 	list := listLine(43, false, backend("s2", "SERVING"))
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(strings.TrimSpace(list)), "", " "); err != nil {
@@ -121,7 +121,7 @@
 // A complete list is rejected if its connection was reset, whatever its transfer encoding, or if it is shorter than its stated
 // length.
 func TestConnectionResetDoesNotCompleteAList(t *testing.T) {
-	r := newRawServer(t, true, nil)
+	r := newRawFixture(t, true, nil)
 	list := listLine(43, true, backend("s2", "SERVING"))
 	for _, text := range []string{untilCloseHeader + list, chunkedHeader + chunk(list), "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + list} {
 		r.RequestFullList()
@@ -143,7 +143,7 @@
 
 // A complete list is requested again if it came from the old address, or is older than what a watch has delivered meanwhile.
 func TestOutdatedCompleteListIsRequestedAgain(t *testing.T) {
-	r, other := newRawServer(t, true, nil), newRawServer(t, true, nil)
+	r, other := newRawFixture(t, true, nil), newRawFixture(t, true, nil)
 	r.RequestFullList()
 	old := r.accept("/discovery/hosts")
 	if err := r.MoveTo(other.listener.Addr().String()); err != nil {
@@ -173,7 +173,7 @@
 // A watch without heartbeats is replaced at whatever point it stalls: before the response header, within it, before the first line,
 // within a line, or after a heartbeat. Late lines of the old watch are ignored.
 func TestWatchStalledAtAnyPointIsRenewed(t *testing.T) {
-	r := newRawServer(t, false, func(r *Client) { r.watchTimeout = 200 * time.Millisecond })
+	r := newRawFixture(t, false, func(r *Client) { r.watchTimeout = 200 * time.Millisecond })
 	list := listLine(43, false, backend("s9", "SERVING"))
 	var old []*net.TCPConn
 	for _, text := range []string{"", "HTTP/1.1 200", chunkedHeader, untilCloseHeader, chunkedHeader + chunk(list[:50]), chunkedHeader + chunk("\n") + chunk(list[:50])} {
@@ -224,14 +224,14 @@
 // The list stays unchanged while the registry is unavailable. Once the registry listens again, a watch is
 // established within the longest backoff.
 func TestRegistryIsWatchedAgainAfterAnOutage(t *testing.T) {
-	r := newRawServer(t, false, nil)
+	r := newRawFixture(t, false, nil)
 	address := r.listener.Addr().(*net.TCPAddr)
 	c := r.accept("/discovery/hosts?stream=1&index=41")
 	r.listener.Close()
 	c.Write([]byte(chunkedHeader + chunk("\n")))
 	reset(c)
-	for late := time.Now().Add(patience); r.counters.Get("watches", "watch_ended") < 3; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(patience); r.counters.Get("watches", "watch_ended") < 3; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the watch is not retried")
 		}
 	}
