--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -9,18 +9,18 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// cancelCall cancels a call for the policy.
-func (a *actor) cancelCall(subquery policy.SubqueryID, no policy.CallNo) {
+// cancelCall cancels a call at the request of the policy.
+func (a *actor) cancelCall(subquery policy.SubqueryID, callNo policy.CallNo) {
 	for _, c := range a.calls {
-		if c.Subquery == subquery && c.No == no {
+		if c.Subquery == subquery && c.No == callNo {
 			a.abandonCall(c, policy.Canceled)
 			return
 		}
 	}
 }
 
-// endNotStarted ends calls whose write may not start any more.
-func (a *actor) endNotStarted(calls []*call) {
+// endNotStarted ends calls whose write was revoked before it started.
+func (a *actor) endRevoked(calls []*call) {
 	for _, c := range calls {
 		if a.calls[c.name] == c {
 			a.end(c, policy.NotSent, time.Now(), answer{})
@@ -28,8 +28,8 @@
 	}
 }
 
-// revokeUnsent ends all calls whose write has not started, for a backend that drains: none of them may start later, when a
-// connect or a write has delayed it beyond the drain's grace.
+// revokeUnsent ends all calls whose write has not started, because the backend is draining. A slow dial or write could
+// otherwise delay such a call beyond the drain's grace period. It also shortens the timeout of writes in progress.
 func (a *actor) revokeUnsent() {
 	for _, c := range a.calls {
 		switch {
@@ -41,43 +41,43 @@
 	}
 }
 
-// send takes calls that share a frame.
+// send queues calls that share a frame, and assigns them to a connection.
 func (a *actor) send(calls []aggregator.Call) {
-	t := &sharedCall{}
+	batch := &callBatch{}
 	for _, c := range calls {
-		t.calls = append(t.calls, &call{Call: c, name: subqueryName(&c), shared: t})
+		batch.calls = append(batch.calls, &call{Call: c, name: subqueryName(&c), batch: batch})
 	}
-	t.live = len(t.calls)
-	for _, c := range slices.Clone(t.calls) {
-		if a.draining || a.calls[c.name] != nil { // their answers would have the same name
+	batch.pending = len(batch.calls)
+	for _, c := range slices.Clone(batch.calls) {
+		if a.draining || a.calls[c.name] != nil { // a call with the same name is in flight, and their answers could not be told apart
 			a.end(c, policy.NotSent, time.Now(), answer{})
 			continue
 		}
 		a.calls[c.name] = c
 	}
-	if t.live == 0 {
+	if batch.pending == 0 {
 		return
 	}
-	a.waiting = append(a.waiting, t)
+	a.waiting = append(a.waiting, batch)
 	a.assign()
 }
 
-// assign gives waiting calls and the pending probe to the first connections that can take them, and dials more connections
-// where there are too few.
+// assign passes the waiting calls and the pending probe to the first connections that can carry them, and dials more
+// connections if there are too few.
 func (a *actor) assign() {
-	var unassigned []*sharedCall
-	for _, t := range a.waiting {
-		conn := a.connectionFor(t)
+	var unassigned []*callBatch
+	for _, batch := range a.waiting {
+		conn := a.connectionFor(batch)
 		if conn == nil {
-			unassigned = append(unassigned, t)
+			unassigned = append(unassigned, batch)
 			continue
 		}
-		conn.sharedCalls++
+		conn.batchesInFlight++
 		conn.expectAnswer(time.Now())
-		for _, c := range t.calls {
+		for _, c := range batch.calls {
 			c.connection = conn
 		}
-		conn.out.Put(outgoing{frameType: frameCall, calls: t.calls})
+		conn.out.Put(outgoing{frameType: frameCall, calls: batch.calls})
 	}
 	a.waiting = unassigned
 	if p := a.pendingProbe; p != nil && p.connection == nil {
@@ -88,32 +88,33 @@
 			}
 		}
 	}
-	for needed := a.dialsNeeded(); a.dials < needed; {
+	for needed := a.dialsNeeded(); a.dialsToAddress < needed; {
 		a.dial()
 	}
 }
 
-// end removes a call from the records and reports its end.
-func (a *actor) end(c *call, outcome policy.Outcome, at time.Time, with answer) {
+// end removes a call from the actor's state and reports its end to the policy's actor.
+func (a *actor) end(c *call, outcome policy.Outcome, at time.Time, result answer) {
 	if a.calls[c.name] == c {
 		delete(a.calls, c.name)
 	}
-	t := c.shared
-	t.live--
+	batch := c.batch
+	batch.pending--
 	switch {
-	case c.connection == nil: // not handed to a connection yet
-		t.calls = slices.DeleteFunc(t.calls, func(o *call) bool { return o == c })
-		if t.live == 0 {
-			a.waiting = slices.DeleteFunc(a.waiting, func(o *sharedCall) bool { return o == t })
+	case c.connection == nil: // not assigned to a connection yet
+		batch.calls = slices.DeleteFunc(batch.calls, func(o *call) bool { return o == c })
+		if batch.pending == 0 {
+			a.waiting = slices.DeleteFunc(a.waiting, func(o *callBatch) bool { return o == batch })
 		}
-	case t.live == 0:
-		c.connection.sharedCalls--
+	case batch.pending == 0:
+		c.connection.batchesInFlight--
 	}
-	a.hub.notifyEnd(&c.Call, a.id, outcome, at, with)
+	a.hub.notifyEnd(&c.Call, a.id, outcome, at, result)
 }
 
-// abandonCall cancels a call that nobody waits for any more. Its end is reported once the cancel frame was written: until then
-// another call of its subquery would be a duplicate. An answer that comes before that counts.
+// abandonCall cancels a call whose result is no longer needed. If the call may have been written, its end is reported only
+// after the cancel frame was written, because until then another call of its subquery would be a duplicate. An answer that
+// arrives before that counts.
 func (a *actor) abandonCall(c *call, outcome policy.Outcome) {
 	conn, now := c.connection, time.Now()
 	switch {
@@ -129,10 +130,10 @@
 	conn.out.Put(outgoing{frameType: frameCancel, calls: []*call{c}})
 }
 
-// cancelWritten ends a call whose cancel frame was written; a later answer is dropped.
+// cancelWritten ends a call whose cancel frame was written. A later answer to it is dropped.
 func (a *actor) cancelWritten(conn *connection, c *call) {
 	if a.calls[c.name] != c {
-		return // answered meanwhile
+		return // the answer arrived first
 	}
 	now := time.Now()
 	maps.DeleteFunc(conn.canceledUntil, func(_ string, until time.Time) bool { return until.Before(now) })
@@ -140,42 +141,44 @@
 	a.end(c, c.cancelOutcome, now, answer{})
 }
 
-// handleAnswer handles a valid answer. One to a canceled call is late, and the last answer may come twice; any other that
-// names no call of this connection is corrupt, and meant for a call that it does not name.
-func (a *actor) handleAnswer(n *message) {
-	conn, name := n.connection, n.answer.name
+// handleAnswer handles a well-formed answer. An answer to a canceled call, or a repetition of the connection's last answer,
+// is counted as late and dropped. Any other answer that names no call of this connection is corrupt: it was meant for a call
+// that it does not name.
+func (a *actor) handleAnswer(msg *message) {
+	conn, name := msg.connection, msg.answer.name
 	c := a.calls[name]
 	switch _, abandoned := conn.canceledUntil[name]; {
 	case c != nil && c.connection == conn:
 		conn.lastAnswer = name
-		a.end(c, n.answer.outcome, n.at, n.answer)
+		a.end(c, msg.answer.outcome, msg.at, msg.answer)
 	case abandoned, name == conn.lastAnswer:
 		conn.lastAnswer = name
 		delete(conn.canceledUntil, name)
 		a.hub.counters.Add("late", "answers", 1)
 	default:
-		a.handleCorrupted(conn, name, reasonUnknownID, n.at)
+		a.handleCorrupted(conn, name, reasonUnknownID, msg.at)
 	}
 }
 
-// handleCorrupted closes a connection on which no data can be trusted any more. The call that the corrupt answer names, or else
-// the only one in flight there, was executed and has failed; the others end with the connection.
-func (a *actor) handleCorrupted(conn *connection, name string, why reason, at time.Time) {
+// handleCorrupted closes a connection after a corrupt frame, because no later data on it can be trusted. The call that the
+// frame names, or else the only call in flight on the connection, ends as failed after execution. The other calls end with
+// the connection.
+func (a *actor) handleCorrupted(conn *connection, name string, cause reason, at time.Time) {
 	a.hub.counters.Add("late", "spoilt", 1)
-	meant := a.calls[name]
-	if meant == nil || meant.connection != conn {
-		meant = nil
+	affected := a.calls[name]
+	if affected == nil || affected.connection != conn {
+		affected = nil
 		for _, c := range a.calls {
-			if c.connection == conn && meant != nil {
-				meant = nil
+			if c.connection == conn && affected != nil {
+				affected = nil
 				break
 			} else if c.connection == conn {
-				meant = c
+				affected = c
 			}
 		}
 	}
-	a.close(conn, why) // before its call's end is reported, as another call of that subquery may be sent then
-	if meant != nil {
-		a.end(meant, policy.Errored, at, answer{})
+	a.close(conn, cause) // before the call's end is reported, because the subquery may be retried at once
+	if affected != nil {
+		a.end(affected, policy.Errored, at, answer{})
 	}
 }
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -1,5 +1,9 @@
-// Package discovery is the client of the service registry: the list of backends known at the start, the watch on its changes,
-// the complete list on request, and reconnects.
+// Package discovery is the client of the service registry. It passes the initial list of backends to a listener, watches the
+// registry for changes, fetches the complete list on request, and reconnects after failures.
+//
+// A list is applied completely or not at all. A watch resumes at the version that was applied last. An aggregator's node creates
+// and runs the Client, and changes the registry's address. The policy's actor subscribes and requests lists. The package never
+// removes a backend because the registry is unreachable.
 package discovery
 
 import (
@@ -20,98 +24,104 @@
 )
 
 const (
-	// heartbeatInterval is how often the protocol sends an empty line while nothing changes; a watch silent for so many of them
-	// is dead or its registry unreachable, and only a new one can tell. A change counts as
-	// known 6 s later at the latest: a new watch must be established before.
+	// heartbeatInterval is how often the registry sends an empty line while nothing changes.
 	heartbeatInterval = 2 * time.Second
-	missedHeartbeats  = 2.5
-	// Waits between watches grow, so that aggregators that lost the registry together leave it room, but not far, for
-	// the same reason.
+	// missedHeartbeats is the number of heartbeat intervals without a line after which a watch has timed out. The watch is then
+	// broken or its registry unreachable, and only a new watch shows which. A change counts as known 6 s after it was made at
+	// the latest, so a new watch must be established before that.
+	missedHeartbeats = 2.5
+	// minBackoff is the first delay between watches. The delay doubles with each failure, so that aggregators that lost the
+	// registry at the same time don't overload it.
 	minBackoff = 50 * time.Millisecond
+	// maxBackoff is the longest delay between watches, before jitter. It is short, because a new watch must be established within
+	// the 6 s.
 	maxBackoff = time.Second
-	// maxLine bounds what one list can make us hold: some 10,000 backends.
+	// maxLine bounds the memory for one list, in bytes. It is enough for about 10,000 backends.
 	maxLine = 4 << 20
 )
 
+// messageKind is the kind of a message. The comments of the constants list the fields that are set for a kind.
 type messageKind uint8
 
 const (
-	messageSubscribe messageKind = iota // on
+	messageSubscribe messageKind = iota // subscribe
 	messageRequestFullList
-	messageMoveTo     // address
-	messageLine       // watch, line
-	messageWatchEnded // watch, err
-	messageFullList   // address: its URL; version: that known when it was asked for; line or err
+	messageMoveTo       // address
+	messageLine         // watch, line
+	messageWatchEnded   // watch, err
+	messageCompleteList // address: the URL of the request; version: the version known at the request; line or err
 	messageStop
 )
 
+// message is a message to the client's actor.
 type message struct {
-	kind    messageKind
-	on      bool
-	address string
-	watch   int
-	version int64
-	line    []byte
-	err     error
+	kind      messageKind
+	subscribe bool
+	address   string
+	watch     int
+	version   int64
+	line      []byte
+	err       error
 }
 
-// Listener receives changes of the list: the policy's actor, or one in front of it. Put may not block.
+// Listener receives changes of the list. It is the policy's actor or a queue in front of it. Put must not block.
 type Listener interface{ Put(...aggregator.Event) }
 
-// Client is the registry's client, an actor. Its fields but in and finished belong to the goroutine of Run.
+// Client is an actor that reads the list from the registry. Only the goroutine of Run accesses its fields, except for inbox and
+// done, which are safe for concurrent use, and fields that never change.
 type Client struct {
-	in           *eventqueue.Queue[message]
-	listener     Listener
-	log          *zap.Logger
-	counters     *counters.Set
-	url          string
-	watchTimeout time.Duration // of a watch, after which it is renewed
-	onRequest    bool          // the policy asks for the list; else it comes unasked
-	client       *http.Client
-	locations    map[string]int
-	kinds        map[string]int
-	ids          map[string]policy.BackendID // of those named now
-	lastID       policy.BackendID
-	version      int64
-	subscribed   bool
-	watchNo      int // number of the watch that counts
-	cancel       context.CancelFunc
-	lastLineAt   time.Time
-	watchStarted time.Time // of the watch in hand
-	backoff      time.Duration
-	nextWatchAt  time.Time // when to watch again; zero while one runs
-	finished     chan struct{}
+	inbox          *eventqueue.Queue[message]
+	listener       Listener
+	log            *zap.Logger
+	counters       *counters.Set
+	url            string
+	watchTimeout   time.Duration // how long a watch may be without a line before it is replaced
+	listOnRequest  bool          // the policy decides when to subscribe; otherwise the client watches all the time
+	client         *http.Client
+	locations      map[string]int
+	machineKinds   map[string]int
+	backendIDs     map[string]policy.BackendID // by name, of the backends in the current list
+	lastID         policy.BackendID
+	version        int64
+	subscribed     bool
+	currentWatch   int // number of the current watch; messages of other watches are ignored
+	cancel         context.CancelFunc
+	lastLineAt     time.Time
+	watchStartedAt time.Time // when the current watch was started
+	backoff        time.Duration
+	nextWatchAt    time.Time // when to start the next watch; zero for at once
+	done           chan struct{}
 }
 
-// New makes a client and passes the list known at the start to the listener.
-func New(address string, known []byte, set settings.Settings, listener Listener, log *zap.Logger,
-	count *counters.Set) (*Client, error) {
+// New returns a client of the registry at an address, and passes known, the initial list in JSON, to the listener.
+func New(address string, known []byte, aggregatorSettings settings.Settings, listener Listener, log *zap.Logger,
+	counterSet *counters.Set) (*Client, error) {
 	if err := checkAddress(address); err != nil {
 		return nil, err
 	}
-	r := &Client{in: eventqueue.New[message](), listener: listener, log: log, counters: count,
-		url: listURL(address), watchTimeout: time.Duration(missedHeartbeats * float64(heartbeatInterval)), onRequest: set.ListOnRequest, subscribed: !set.ListOnRequest,
+	r := &Client{inbox: eventqueue.New[message](), listener: listener, log: log, counters: counterSet,
+		url: listURL(address), watchTimeout: time.Duration(missedHeartbeats * float64(heartbeatInterval)), listOnRequest: aggregatorSettings.ListOnRequest, subscribed: !aggregatorSettings.ListOnRequest,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: heartbeatInterval}).DialContext}},
-		locations: settings.Numbered[int](set.Net.Locations), kinds: settings.Numbered[int](set.Net.Kinds), ids: map[string]policy.BackendID{},
-		finished: make(chan struct{})}
+		locations: settings.IDsByName[int](aggregatorSettings.Net.Locations), machineKinds: settings.IDsByName[int](aggregatorSettings.Net.MachineKinds), backendIDs: map[string]policy.BackendID{},
+		done: make(chan struct{})}
 	if err := r.applyList(known, true); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	return r, nil
 }
 
-// MoveTo continues with another address of the registry, from the version last read: the list stays complete meanwhile. An
-// invalid address changes nothing.
+// MoveTo changes the address of the registry. The watch resumes there at the version that was applied last, so the list stays
+// complete. An invalid address is an error and changes nothing.
 func (r *Client) MoveTo(address string) error {
 	if err := checkAddress(address); err != nil {
 		return err
 	}
-	r.in.Put(message{kind: messageMoveTo, address: address})
+	r.inbox.Put(message{kind: messageMoveTo, address: address})
 	return nil
 }
 
-// checkAddress checks that an address has a host and a port.
+// checkAddress checks that an address has a host and a valid port.
 func checkAddress(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -121,31 +131,32 @@
 	return err
 }
 
+// listURL returns the URL of the list at a registry's address.
 func listURL(address string) string { return "http://" + address + "/discovery/hosts" }
 
-// Subscribe starts or ends the watch, for the policy.
-func (r *Client) Subscribe(on bool) { r.in.Put(message{kind: messageSubscribe, on: on}) }
+// Subscribe starts or ends the watch, at the request of the policy.
+func (r *Client) Subscribe(on bool) { r.inbox.Put(message{kind: messageSubscribe, subscribe: on}) }
 
-// RequestFullList requests the complete list once, for the policy.
-func (r *Client) RequestFullList() { r.in.Put(message{kind: messageRequestFullList}) }
+// RequestFullList requests the complete list once, at the request of the policy.
+func (r *Client) RequestFullList() { r.inbox.Put(message{kind: messageRequestFullList}) }
 
-// Stop ends the actor.
+// Stop ends the actor and waits for it.
 func (r *Client) Stop() {
-	r.in.Put(message{kind: messageStop})
-	<-r.finished
+	r.inbox.Put(message{kind: messageStop})
+	<-r.done
 }
 
-// Run is the actor's goroutine.
+// Run runs the actor until Stop is called.
 func (r *Client) Run() {
-	defer close(r.finished)
+	defer close(r.done)
 	var messages []message
 	timer := time.NewTimer(0)
 	for {
 		select {
-		case <-r.in.Ready():
+		case <-r.inbox.Ready():
 		case <-timer.C:
 		}
-		messages = r.in.Take(messages)
+		messages = r.inbox.Take(messages)
 		for i := range messages {
 			if messages[i].kind == messageStop {
 				r.cancelWatch()
@@ -157,44 +168,45 @@
 	}
 }
 
-func (r *Client) handle(n *message) {
-	switch n.kind {
+// handle handles a message.
+func (r *Client) handle(msg *message) {
+	switch msg.kind {
 	case messageSubscribe:
-		r.subscribed = n.on
+		r.subscribed = msg.subscribe
 		r.cancelWatch()
 		r.nextWatchAt = time.Time{}
 	case messageRequestFullList:
 		go r.fetch(r.url, r.version)
 	case messageMoveTo:
-		if url := listURL(n.address); url != r.url {
+		if url := listURL(msg.address); url != r.url {
 			r.url, r.backoff, r.nextWatchAt = url, 0, time.Time{}
 			if r.cancel != nil {
 				r.endWatch("address_changed", nil)
 			}
 		}
 	case messageLine:
-		if n.watch != r.watchNo {
+		if msg.watch != r.currentWatch {
 			return
 		}
-		r.lastLineAt, r.backoff = time.Now(), 0 // a heartbeat as well: what it misses from here on has its own 6 s
-		if len(n.line) == 0 {
+		r.lastLineAt, r.backoff = time.Now(), 0 // also for a heartbeat, as the 6 s for a new watch start again at each line
+		if len(msg.line) == 0 {
 			return
 		}
-		if err := r.applyList(n.line, false); err != nil {
+		if err := r.applyList(msg.line, false); err != nil {
 			r.retryWatch("bad_line", err)
 		}
 	case messageWatchEnded:
-		if n.watch == r.watchNo && r.cancel != nil {
-			r.retryWatch("watch_ended", n.err)
+		if msg.watch == r.currentWatch && r.cancel != nil {
+			r.retryWatch("watch_ended", msg.err)
 		}
-	case messageFullList:
-		if n.address != r.url || n.version != r.version && n.olderThan(r.version) { // of another address, or older than what a watch has delivered
+	case messageCompleteList:
+		if msg.address != r.url || msg.version != r.version && msg.olderThan(r.version) { // from another address, or older than what a watch has delivered
 			go r.fetch(r.url, r.version)
 			return
 		}
-		err := n.err
+		err := msg.err
 		if err == nil {
-			err = r.applyList(n.line, false)
+			err = r.applyList(msg.line, false)
 		}
 		if err != nil {
 			r.log.Info("connection ended", zap.String("peer", "register"), zap.String("reason", "whole_list_failed"), zap.String("text", err.Error()))
@@ -203,8 +215,8 @@
 	}
 }
 
-// olderThan tells whether a complete list is older than a version.
-func (n *message) olderThan(version int64) bool {
+// olderThan reports whether the complete list in the message is older than a version.
+func (msg *message) olderThan(version int64) bool {
 	var p page
-	return n.err == nil && json.Unmarshal(n.line, &p) == nil && p.Version != nil && *p.Version < version
+	return msg.err == nil && json.Unmarshal(msg.line, &p) == nil && p.Version != nil && *p.Version < version
 }
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -23,38 +23,40 @@
 
 const patience = queuetest.Patience
 
-// fixture is a register's actor and the registry it speaks with, which the test plays: each request comes as a
-// function that writes a line to it.
+// fixture is a client and a registry that the test plays. Each request of the client arrives in requests.
 type fixture struct {
 	*testing.T
 	*Client
-	events *queuetest.Ear[aggregator.Event]
-	asks   chan listRequest
-	server string // its address
+	events   *queuetest.Ear[aggregator.Event]
+	requests chan listRequest
+	address  string // of the registry
 }
 
+// listRequest is a request for the list, with functions that write to its response and end it.
 type listRequest struct {
-	query string
-	write func(text string)
-	end   context.CancelFunc
-	gone  <-chan struct{}
+	url    string
+	write  func(text string)
+	end    context.CancelFunc
+	closed <-chan struct{}
 }
 
+// listLine returns a list in the registry's JSON.
 func listLine(version int, complete bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", version, complete, strings.Join(entries, ","))
 }
 
+// backend returns a backend in the registry's JSON.
 func backend(id, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":"h-%s:1","zone":"b","machineType":"m","cell":3,"lifecycle":%q,"weight":2,"startedAtMs":1500}`,
 		id, id, state)
 }
 
-func newFixture(t *testing.T, asked bool, change func(*Client)) *fixture {
-	r := &fixture{T: t, events: queuetest.New[aggregator.Event](), asks: make(chan listRequest, 100)}
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		ctx, end := context.WithCancel(q.Context())
+func newFixture(t *testing.T, listOnRequest bool, adjust func(*Client)) *fixture {
+	r := &fixture{T: t, events: queuetest.New[aggregator.Event](), requests: make(chan listRequest, 100)}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		ctx, end := context.WithCancel(req.Context())
 		out := make(chan string, 10)
-		r.asks <- listRequest{q.URL.String(), func(text string) { out <- text }, end, q.Context().Done()}
+		r.requests <- listRequest{req.URL.String(), func(text string) { out <- text }, end, req.Context().Done()}
 		for {
 			select {
 			case text := <-out:
@@ -66,16 +68,16 @@
 		}
 	}))
 	set := settings.Settings{Net: settings.Net{Locations: []string{"a", "b"}}}
-	set.ListOnRequest = asked
+	set.ListOnRequest = listOnRequest
 	var err error
-	r.server = strings.TrimPrefix(server.URL, "http://")
-	r.Client, err = New(r.server, []byte(listLine(41, true, backend("s1", "SERVING"))), set,
+	r.address = strings.TrimPrefix(server.URL, "http://")
+	r.Client, err = New(r.address, []byte(listLine(41, true, backend("s1", "SERVING"))), set,
 		r.events.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if change != nil {
-		change(r.Client)
+	if adjust != nil {
+		adjust(r.Client)
 	}
 	go r.Client.Run()
 	t.Cleanup(func() { r.Stop(); server.CloseClientConnections(); server.Close() })
@@ -83,16 +85,17 @@
 	return r
 }
 
-func (r *fixture) expectRequest(query string) listRequest {
+// expectRequest waits for the next request, which has to be for this URL.
+func (r *fixture) expectRequest(url string) listRequest {
 	r.Helper()
 	select {
-	case a := <-r.asks:
-		if a.query != query {
-			r.Fatalf("asked %q, expected %q", a.query, query)
+	case request := <-r.requests:
+		if request.url != url {
+			r.Fatalf("got request %q, expected %q", request.url, url)
 		}
-		return a
+		return request
 	case <-time.After(patience):
-		r.Fatal("nothing was asked")
+		r.Fatal("got no request")
 	}
 	return listRequest{}
 }
@@ -102,55 +105,55 @@
 	r.Helper()
 	e := r.events.Next(r.T)
 	var got []string
-	for i, x := range e.Entries {
+	for i, listed := range e.Entries {
 		name := strings.TrimSuffix(strings.TrimPrefix(e.Addresses[i], "h-"), ":1")
-		got = append(got, fmt.Sprintf("%s:%d", name, x.Phase))
+		got = append(got, fmt.Sprintf("%s:%d", name, listed.Phase))
 	}
 	if e.Kind != policy.ListChanged || e.List != kind || fmt.Sprint(got) != fmt.Sprint(entries) {
-		r.Fatalf("told kind %d of %v, expected %d of %v", e.List, got, kind, entries)
+		r.Fatalf("got list kind %d with %v, expected %d with %v", e.List, got, kind, entries)
 	}
 	return e
 }
 
-func TestChangesAreOrderedAndTheWatchResumesAtItsVersion(t *testing.T) {
+func TestChangesKeepTheirOrderAndTheWatchResumesAtTheLastVersion(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	w.write("\n" + listLine(43, false, backend("s2", "DRAINING")) + listLine(44, false, backend("s2", "DELETED")))
 	e := r.expect(policy.ListPatch, "s2:1")
-	if x := e.Entries[0]; x.Backend != 2 || x.Location != 1 || x.Cell != 3 || x.Share != 2 || x.StartedAt != 1.5 {
-		t.Fatalf("got %+v", x)
+	if listed := e.Entries[0]; listed.Backend != 2 || listed.Location != 1 || listed.Cell != 3 || listed.Share != 2 || listed.StartedAt != 1.5 {
+		t.Fatalf("got %+v", listed)
 	}
 	r.expect(policy.ListPatch, "s2:2")
 	w.end()
 	w = r.expectRequest("/discovery/hosts?stream=1&index=44")
 	w.write(listLine(50, true, backend("s3", "SERVING"), backend("s1", "SERVING")))
 	if e = r.expect(policy.ListComplete, "s3:0", "s1:0"); e.Entries[1].Backend != 1 {
-		t.Fatalf("s1 became %d", e.Entries[1].Backend)
+		t.Fatalf("s1 is now backend %d, expected 1", e.Entries[1].Backend)
 	}
 }
 
-// A name that comes again after it was gone is another backend's, and nothing is kept of those that are gone.
-func TestRemovedBackendsAreReleased(t *testing.T) {
+// A name that is listed again after its removal is a new backend. Nothing is kept of removed backends.
+func TestRemovedBackendIsForgottenAndItsNameGetsANewNumber(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	w.write(listLine(42, false, backend("s2", "SERVING"), backend("s7", "DELETED")) + listLine(43, false, backend("s2", "DELETED")) +
 		listLine(44, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
 	if e := r.expect(policy.ListPatch, "s2:2"); e.Entries[0].Backend != 2 {
-		t.Fatalf("s2 is gone as %d", e.Entries[0].Backend)
+		t.Fatalf("s2 was removed as backend %d, expected 2", e.Entries[0].Backend)
 	}
 	if e := r.expect(policy.ListPatch, "s2:0"); e.Entries[0].Backend != 3 {
-		t.Fatalf("the new s2 is %d", e.Entries[0].Backend)
+		t.Fatalf("the new s2 is backend %d, expected 3", e.Entries[0].Backend)
 	}
 	w.write(listLine(45, true, backend("s4", "SERVING")) + listLine(46, true, backend("s1", "SERVING")))
 	r.expect(policy.ListComplete, "s4:0")
-	if e := r.expect(policy.ListComplete, "s1:0"); e.Entries[0].Backend != 5 || len(r.ids) != 1 {
-		t.Fatalf("the new s1 is %d of %v", e.Entries[0].Backend, r.ids)
+	if e := r.expect(policy.ListComplete, "s1:0"); e.Entries[0].Backend != 5 || len(r.backendIDs) != 1 {
+		t.Fatalf("the new s1 is backend %d of %v, expected 5", e.Entries[0].Backend, r.backendIDs)
 	}
 }
 
-// At a new address the watch goes on from the version last read; the old one is left, and what it says ignored.
-func TestServiceRegistryMoves(t *testing.T) {
+// At a new address the watch resumes at the last version. The watch at the old address is closed.
+func TestWatchContinuesAtTheNewRegistryAddress(t *testing.T) {
 	r, other := newFixture(t, false, nil), newFixture(t, false, nil)
 	other.expectRequest("/discovery/hosts?stream=1&index=41").end()
 	old := r.expectRequest("/discovery/hosts?stream=1&index=41")
@@ -158,20 +161,20 @@
 	r.expect(policy.ListPatch, "s2:0")
 	for _, address := range []string{"nowhere", "127.0.0.1:none", ""} {
 		if r.MoveTo(address) == nil {
-			t.Fatalf("%q was taken for an address", address)
+			t.Fatalf("%q was accepted as an address", address)
 		}
 	}
-	if err := r.MoveTo(other.server); err != nil {
+	if err := r.MoveTo(other.address); err != nil {
 		t.Fatal(err)
 	}
 	var w listRequest
-	for w.query != "/discovery/hosts?stream=1&index=47" { // but for the watches of the other fixture's own register
-		w = <-other.asks
+	for w.url != "/discovery/hosts?stream=1&index=47" { // skips the watches of the other fixture's own client
+		w = <-other.requests
 	}
 	select {
-	case <-old.gone:
+	case <-old.closed:
 	case <-time.After(patience):
-		t.Fatal("the old watch stays open")
+		t.Fatal("the old watch is still open")
 	}
 	w.write(listLine(48, false, backend("s2", "DRAINING")))
 	r.expect(policy.ListPatch, "s2:1")
@@ -184,17 +187,17 @@
 	w2 := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	w2.write(listLine(43, false, backend("s6", "SERVING")) + listLine(44, false, backend("s1", "DRAINING")))
 	r.expect(policy.ListPatch, "s6:0")
-	if e := r.expect(policy.ListPatch, "s1:1"); e.Entries[0].Backend != 1 { // it was never told to be gone
-		t.Fatalf("s1 became %d", e.Entries[0].Backend)
+	if e := r.expect(policy.ListPatch, "s1:1"); e.Entries[0].Backend != 1 { // its removal in the invalid list was not applied
+		t.Fatalf("s1 is now backend %d, expected 1", e.Entries[0].Backend)
 	}
 	select {
-	case <-w.gone:
+	case <-w.closed:
 	case <-time.After(patience):
-		t.Fatal("the broken watch stays open")
+		t.Fatal("the failed watch is still open")
 	}
 }
 
-// A weight that can't be one counts as none stated: refusing the list for it would cost the drains that it tells of.
+// An invalid weight counts as a missing one. Rejecting the list for it would lose the drains that the list contains.
 func TestListWithAnInvalidWeightIsApplied(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
@@ -207,24 +210,24 @@
 func TestWatchWithoutHeartbeatsIsRenewed(t *testing.T) {
 	r := newFixture(t, false, func(r *Client) { r.watchTimeout = 600 * time.Millisecond })
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
-	for range 8 { // heartbeats keep it
+	for range 8 { // heartbeats keep the watch alive
 		time.Sleep(100 * time.Millisecond)
 		w.write("\n")
 	}
-	if len(r.asks) > 0 {
-		t.Fatal("a watch with beats was given up")
+	if len(r.requests) > 0 {
+		t.Fatal("a watch with heartbeats was replaced")
 	}
 	r.expectRequest("/discovery/hosts?stream=1&index=41").write(listLine(42, false, backend("s2", "SERVING")))
 	r.expect(policy.ListPatch, "s2:0")
-	w.write(listLine(42, false, backend("s9", "SERVING"))) // the old one is heard no more
+	w.write(listLine(42, false, backend("s9", "SERVING"))) // lines of the old watch are ignored
 	r.expectRequest("/discovery/hosts?stream=1&index=42")
 	if rest := r.events.Rest(); len(rest) > 0 {
-		t.Fatalf("told %+v", rest)
+		t.Fatalf("got %+v", rest)
 	}
 }
 
-// A list may come indented, over several lines; one that breaks off ends the watch at the next heartbeat, and not later.
-func TestIndentedLists(t *testing.T) {
+// A list may be indented, over several lines. A truncated list ends the watch at the next heartbeat.
+func TestIndentedListsAreReadAndTruncatedOnesEndTheWatch(t *testing.T) {
 	r := newFixture(t, false, nil)
 	w := r.expectRequest("/discovery/hosts?stream=1&index=41")
 	indented := func(text string) string {
@@ -237,28 +240,28 @@
 	w.write(indented(listLine(42, false, backend("s{2", "SERVING"))) + "\n\n" + listLine(43, false, backend("s3", "SERVING")))
 	r.expect(policy.ListPatch, "s{2:0")
 	r.expect(policy.ListPatch, "s3:0")
-	whole := indented(listLine(44, true, backend("s3", "DRAINING")))
-	w.write(whole[:len(whole)/2])
-	w.write(whole[len(whole)/2:] + "\n")
+	complete := indented(listLine(44, true, backend("s3", "DRAINING")))
+	w.write(complete[:len(complete)/2])
+	w.write(complete[len(complete)/2:] + "\n")
 	r.expect(policy.ListComplete, "s3:1")
-	w.write(whole[:strings.LastIndex(whole, "}")] + "\n\n")
+	w.write(complete[:strings.LastIndex(complete, "}")] + "\n\n")
 	r.expectRequest("/discovery/hosts?stream=1&index=44")
 	if rest := r.events.Rest(); len(rest) > 0 {
-		t.Fatalf("told %+v", rest)
+		t.Fatalf("got %+v", rest)
 	}
 }
 
-// What a watch that fell silent misses counts as told 6 s later, and drains then have 2 s of grace. Should the watch that takes its
-// place be silent too, a third one stands within that; nobody is called gone meanwhile, as nothing says so.
+// Changes that an unresponsive watch misses count as known after 6 s, and drains then have a grace period of 2 s. If the next watch
+// is unresponsive too, a third one is established within that time. No backend is removed meanwhile.
 func TestNewWatchWithoutHeartbeatsIsRenewedSooner(t *testing.T) {
-	const scale = 50 // times faster
+	const scale = 50 // the test runs this many times faster
 	r := newFixture(t, false, func(r *Client) { r.watchTimeout /= scale })
 	r.expectRequest("/discovery/hosts?stream=1&index=41").write("\n")
 	r.expectRequest("/discovery/hosts?stream=1&index=41")
-	go func() { // the third, and on a busy machine those after it
+	go func() { // answers the third watch and, on a busy machine, later ones
 		for {
 			select {
-			case w := <-r.asks:
+			case w := <-r.requests:
 				w.write(listLine(42, false, backend("s1", "DRAINING")))
 			case <-t.Context().Done():
 				return
@@ -266,14 +269,14 @@
 		}
 	}()
 	r.expect(policy.ListPatch, "s1:1")
-	for _, e := range r.events.Rest() { // told again at most
+	for _, e := range r.events.Rest() { // a repeated patch at most
 		if e.List != policy.ListPatch {
-			t.Fatalf("told %+v", e)
+			t.Fatalf("got %+v", e)
 		}
 	}
-	// How long that is in full, with the longest waits of chance between two watches.
+	// The unscaled time for two watches without heartbeats, with the longest random delays between watches.
 	if total := time.Duration(missedHeartbeats*float64(heartbeatInterval))*3/2 + 2*minBackoff*3/2; total > 8*time.Second {
-		t.Errorf("two silent watches take %s, expected 6 s and a drain's grace at most", total)
+		t.Errorf("two watches without heartbeats take %s, expected at most 6 s and the drain grace period of 2 s", total)
 	}
 }
 
@@ -303,22 +306,22 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		queue := eventqueue.New[aggregator.Event]()
-		r := &Client{listener: queue, locations: map[string]int{}, kinds: map[string]int{},
-			ids: map[string]policy.BackendID{}, version: -7}
+		r := &Client{listener: queue, locations: map[string]int{}, machineKinds: map[string]int{},
+			backendIDs: map[string]policy.BackendID{}, version: -7}
 		err := r.applyList(text, false)
-		told := queue.Take(nil)
+		events := queue.Take(nil)
 		if err != nil {
-			if len(told) > 0 || r.version != -7 {
-				t.Fatalf("%q: %v, but %+v was told", text, err, told)
+			if len(events) > 0 || r.version != -7 {
+				t.Fatalf("%q: got error %v and events %+v", text, err, events)
 			}
 			return
 		}
-		if len(told) != 1 || len(told[0].Entries) != len(told[0].Addresses) || len(told[0].Entries) != len(told[0].Names) {
-			t.Fatalf("%q: told %+v", text, told)
+		if len(events) != 1 || len(events[0].Entries) != len(events[0].Addresses) || len(events[0].Entries) != len(events[0].Names) {
+			t.Fatalf("%q: got %+v", text, events)
 		}
-		for i, e := range told[0].Entries {
-			if e.Backend == 0 || e.Cell < 0 || e.Phase != policy.Removed && told[0].Addresses[i] == "" {
-				t.Fatalf("%q: told %+v", text, e)
+		for i, e := range events[0].Entries {
+			if e.Backend == 0 || e.Cell < 0 || e.Phase != policy.Removed && events[0].Addresses[i] == "" {
+				t.Fatalf("%q: got %+v", text, e)
 			}
 		}
 	})
--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// entry is a backend in the registry's JSON.
+// entry is the registry's JSON of a backend.
 type entry struct {
 	ID        string   `json:"instanceId"`
 	Address   string   `json:"hostPort"`
@@ -19,7 +19,7 @@
 	StartedMs float64  `json:"startedAtMs"`
 }
 
-// weight is the backend's size; where none is stated, or none that can be, all count alike.
+// weight returns the backend's weight, or 1 if the weight is missing or not positive.
 func (e *entry) weight() float64 {
 	if e.Weight == nil || *e.Weight <= 0 {
 		return 1
@@ -27,8 +27,8 @@
 	return *e.Weight
 }
 
-// check checks an entry; known says that it is of the list that the configuration has.
-func (e *entry) check(known bool) error {
+// check validates an entry. initial is set for the entries of the list in the configuration.
+func (e *entry) check(initial bool) error {
 	phase, valid := phases[e.State]
 	switch {
 	case !valid:
@@ -39,24 +39,27 @@
 		return malformed("searcher %q without an address", e.ID)
 	case e.Cell < 0:
 		return malformed("searcher %q: cell %d", e.ID, e.Cell)
-	// In a configuration it is a mistake. A later list is not rejected for a weight: its drains are more important.
-	case known && e.Weight != nil && *e.Weight <= 0:
+	// An invalid weight in the configuration is an error. A later list is not rejected for a weight, because the drains in it are
+	// more important.
+	case initial && e.Weight != nil && *e.Weight <= 0:
 		return malformed("searcher %q: weight is %g, expected more than 0", e.ID, *e.Weight)
 	}
 	return nil
 }
 
-// page is a list of the registry, complete or a patch.
+// page is the registry's JSON of a list, which is complete or a patch.
 type page struct {
 	Version   *int64  `json:"generation"`
 	Complete  bool    `json:"reset"`
 	Instances []entry `json:"instances"`
 }
 
+// phases maps the registry's states to phases.
 var phases = map[string]policy.Phase{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
 
-// applyList parses a list and passes it to the listener, all or nothing: half a list would be worse than an old one.
-func (r *Client) applyList(line []byte, known bool) error {
+// applyList parses a list and passes it to the listener, completely or not at all, because a partial list would be worse than
+// the previous one.
+func (r *Client) applyList(line []byte, initial bool) error {
 	var list page
 	if err := json.Unmarshal(line, &list); err != nil {
 		return err
@@ -66,41 +69,41 @@
 	}
 	event := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListPatch}}
 	switch {
-	case known:
+	case initial:
 		event.List = policy.ListStale
 	case list.Complete:
 		event.List = policy.ListComplete
 	}
-	for i := range list.Instances { // all of them, before the first one is applied
-		if err := list.Instances[i].check(known); err != nil {
+	for i := range list.Instances { // all entries are validated before the first one is applied
+		if err := list.Instances[i].check(initial); err != nil {
 			return err
 		}
 	}
-	before := r.ids
-	if event.List != policy.ListPatch { // those that it leaves out are removed
-		r.ids = make(map[string]policy.BackendID, len(list.Instances))
+	previous := r.backendIDs
+	if event.List != policy.ListPatch { // backends that it does not contain are removed
+		r.backendIDs = make(map[string]policy.BackendID, len(list.Instances))
 	}
 	for i := range list.Instances {
 		instance := &list.Instances[i]
 		phase := phases[instance.State]
-		id, seen := r.ids[instance.ID]
-		if !seen {
-			id, seen = before[instance.ID]
+		id, known := r.backendIDs[instance.ID]
+		if !known {
+			id, known = previous[instance.ID]
 		}
 		switch {
-		case !seen && phase == policy.Removed:
+		case !known && phase == policy.Removed:
 			continue
-		case !seen:
+		case !known:
 			r.lastID++
 			id = r.lastID
 		}
-		if phase == policy.Removed { // should the name come again, it is another backend's
-			delete(r.ids, instance.ID)
+		if phase == policy.Removed { // the name may be reused later, for another backend
+			delete(r.backendIDs, instance.ID)
 		} else {
-			r.ids[instance.ID] = id
+			r.backendIDs[instance.ID] = id
 		}
-		event.Entries = append(event.Entries, policy.Entry{Backend: id, Location: policy.LocationID(number(r.locations, instance.Zone)),
-			Kind: number(r.kinds, instance.Kind), Cell: policy.CellID(instance.Cell), Phase: phase, Share: instance.weight(),
+		event.Entries = append(event.Entries, policy.Entry{Backend: id, Location: policy.LocationID(numberOf(r.locations, instance.Zone)),
+			Kind: numberOf(r.machineKinds, instance.Kind), Cell: policy.CellID(instance.Cell), Phase: phase, Share: instance.weight(),
 			StartedAt: instance.StartedMs / 1000})
 		event.Addresses = append(event.Addresses, instance.Address)
 		event.Names = append(event.Names, aggregator.Name{Backend: instance.ID, Location: instance.Zone})
@@ -110,12 +113,12 @@
 	return nil
 }
 
-// number is a name's number; names that the settings do not have get further numbers.
-func number(names map[string]int, name string) int {
-	no, known := names[name]
+// numberOf returns the number of a name. It assigns new numbers to names that are not in the settings.
+func numberOf(names map[string]int, name string) int {
+	number, known := names[name]
 	if !known {
-		no = len(names)
-		names[name] = no
+		number = len(names)
+		names[name] = number
 	}
-	return no
+	return number
 }
