--- a/internal/controlplane/fleet/admission.go
+++ b/internal/controlplane/fleet/admission.go
@@ -13,36 +13,38 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// maxAdmissionPause is how long a process may take from reading the clock to having spent a token. Beyond it the token may have
-// expired in between, and counts as spent on nothing.
+// maxAdmissionPause is the longest time, in seconds, that may pass between reading the clock and spending a token. After a
+// longer pause the token may have expired before it was spent: the query is refused, and the token is lost.
 const maxAdmissionPause = 0.1
 
-// Reasons for refusals, as the log and the counters have them.
+// Reasons for refusing a query, as they appear in the log and in the counters.
 const (
-	refusedUnconfirmed = "contract_unsure"
-	refusedElsewhere   = "contract_elsewhere"
-	refusedQuota       = "over_quota"
+	reasonContractsUnconfirmed = "contract_unsure"
+	reasonOtherLocation        = "contract_elsewhere"
+	reasonOverQuota            = "over_quota"
 )
 
-// trafficView is what queries are admitted by. It is immutable; publish replaces it.
+// trafficView is the state that queries are admitted by. It is immutable: publishTrafficView replaces it as a whole.
 type trafficView struct {
 	rules     *residency.Rules
-	strict    map[policy.CustomerID]bool
-	allStrict bool // every tenant is strict
+	strict    map[policy.CustomerID]bool // tenants that are refused while the contracts are not confirmed
+	allStrict bool                       // every tenant is strict
 	buckets   map[policy.CustomerID]*quota.Bucket
 }
 
-// admission decides on queries. Any number of goroutines may call admit; it takes no lock.
+// admission decides whether queries are accepted. Its admit method takes no lock, and any number of goroutines may call it.
 type admission struct {
 	clock
 	location    string
 	maxDeadline float64
 	view        atomic.Pointer[trafficView]
-	// contractsConfirmedUntil holds the bits of a float64: until when the contracts in the view are known to be the newest.
+	// contractsConfirmedUntil is the time until which the contracts in the view are known to be the newest, as the bits of a
+	// float64.
 	contractsConfirmedUntil atomic.Uint64
 }
 
-// Admit says whether a query may be accepted, and in which zones. It never waits: it reads a view and spends from a counter.
+// Admit decides whether a query is accepted, and which zones may serve it. It never blocks: it reads the current view and
+// spends a token from a local counter.
 func (f *Fleet) Admit(customer policy.CustomerID, index policy.IndexID) aggregator.AdmissionDecision {
 	return f.admission.admit(customer, index)
 }
@@ -51,11 +53,11 @@
 	view, now := a.view.Load(), a.Now()
 	confirmedUntil := math.Float64frombits(a.contractsConfirmedUntil.Load())
 	if now >= confirmedUntil && (view.allStrict || view.strict[customer]) {
-		return aggregator.AdmissionDecision{Reason: refusedUnconfirmed, RetryAfter: requestInterval, Text: "which zones the contract allows is not sure here at the moment"}
+		return aggregator.AdmissionDecision{Reason: reasonContractsUnconfirmed, RetryAfter: requestInterval, Text: "which zones the contract allows is not sure here at the moment"}
 	}
 	rule := view.rules.Of(customer, index)
 	if !rule.Here {
-		return aggregator.AdmissionDecision{Reason: refusedElsewhere, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", a.location)}
+		return aggregator.AdmissionDecision{Reason: reasonOtherLocation, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", a.location)}
 	}
 	if out.Zones = rule.Zones; rule.Zones != nil {
 		out.MaxTimeout = a.maxDeadline
@@ -64,7 +66,7 @@
 		spent := bucket.Spend(now)
 		failpoint.Pass(failpoint.Spend)
 		if !spent || a.Now()-now > maxAdmissionPause {
-			return aggregator.AdmissionDecision{Reason: refusedQuota, RetryAfter: min(1, bucket.Wait(now)), Text: "the tenant's quota is used up"}
+			return aggregator.AdmissionDecision{Reason: reasonOverQuota, RetryAfter: min(1, bucket.Wait(now)), Text: "the tenant's quota is used up"}
 		}
 	}
 	return out
@@ -74,15 +76,15 @@
 	a.contractsConfirmedUntil.Store(math.Float64bits(until))
 }
 
-// CallEnded records how a subquery to a backend ended: when, and how many seconds after it was sent. Only the aggregator's
-// goroutine calls it.
+// CallEnded records the outcome of a subquery to a backend, the time at which it ended, and the seconds that it took. Only the
+// aggregator's goroutine may call it.
 func (f *Fleet) CallEnded(at time.Time, backend string, outcome policy.Outcome, elapsed float64) {
 	if observations, due := f.calls.record(f.seconds(at), backend, outcome, elapsed); due {
 		f.events.Put(event{kind: callsObserved, observations: observations})
 	}
 }
 
-// BackendsChanged takes the backends that there are now.
+// BackendsChanged replaces the list of backends.
 func (f *Fleet) BackendsChanged(places []aggregator.Placement) {
-	f.events.Put(event{kind: backendsListed, places: places})
+	f.events.Put(event{kind: backendsChanged, places: places})
 }
--- a/internal/controlplane/fleet/commands.go
+++ b/internal/controlplane/fleet/commands.go
@@ -16,47 +16,51 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// Result is the outcome of a command: the version of the table that it changed, or why it changed none.
+// Result is the outcome of a command: the new version of the table that it changed, or the reason why it changed none.
 type Result struct {
-	Version uint64 `cbor:"1,keyasint" json:"version"`                   // of the table that it made
-	Failure string `cbor:"2,keyasint,omitempty" json:"wrong,omitempty"` // why it changed nothing
+	Version uint64 `cbor:"1,keyasint" json:"version"`                   // of the changed table
+	Failure string `cbor:"2,keyasint,omitempty" json:"wrong,omitempty"` // why the command changed nothing
 }
 
-// Errors that an operator sees.
+// Errors that operators see.
 var (
-	// ErrNoLeader says that no confirmed leader answered a command in time.
+	// ErrNoLeader reports that no confirmed leader answered a command before its deadline.
 	ErrNoLeader = errors.New("no mixer that leads the council answers: a majority of voters has to reach each other; the command may still act, and sending it again with its id does no harm")
 	errStopping = errors.New("the mixer stops")
 	errNotOpen  = errors.New("the fleet's address or directory is not open yet")
 )
 
 const (
+	// commandTimeout is the time, in seconds, that a command may wait for its outcome.
 	commandTimeout = 10.0
-	// commandRetryInterval is how often a command is sent again whose response may be lost.
+	// commandRetryInterval is the time, in seconds, after which a pending command is sent again: the request or its response may
+	// be lost.
 	commandRetryInterval = 0.5
-	maxPendingCommands   = 64 // as many as operators have connections, and those of other nodes
+	// maxPendingCommands allows one command for each connection of an operator, and the commands that other nodes forward.
+	maxPendingCommands = 64
 )
 
-// pendingCommand is a command, or a question about one, of ours or of another node.
+// pendingCommand is a command, or a progress query about one, that waits for its outcome. It was submitted at this node, or
+// forwarded by another one.
 type pendingCommand struct {
 	commandRequest
-	reply    chan commandOutcome // ours; it has room for one
-	from     membership.Name     // another's; "" for ours
+	reply    chan commandOutcome // buffers one outcome; set for a local command
+	from     membership.Name     // the node that forwarded the command; "" for a local command
 	deadline float64
 	retryAt  float64
 }
 
-// ours tells whether the command came from this node.
-func (c *pendingCommand) ours() bool { return c.from == "" }
+// isLocal reports whether the command was submitted at this node.
+func (c *pendingCommand) isLocal() bool { return c.from == "" }
 
-// commandOutcome is what a command or question comes to.
+// commandOutcome is the outcome of a command or of a progress query.
 type commandOutcome struct {
 	result   Result
 	progress *residency.Progress
 	err      error
 }
 
-// commandQueue keeps the commands that wait for their outcome.
+// commandQueue holds the commands that wait for their outcome.
 type commandQueue struct{ pending []*pendingCommand }
 
 func (q *commandQueue) full() bool { return len(q.pending) >= maxPendingCommands }
@@ -67,23 +71,24 @@
 	q.pending = slices.DeleteFunc(q.pending, func(other *pendingCommand) bool { return other == c })
 }
 
-// has tells whether a node's command of that number waits.
-func (q *commandQueue) has(from membership.Name, number uint64) bool {
+// contains reports whether a node's command with that number is pending.
+func (q *commandQueue) contains(from membership.Name, number uint64) bool {
 	return slices.ContainsFunc(q.pending, func(c *pendingCommand) bool { return c.from == from && c.Number == number })
 }
 
-// all is a copy, so that commands may be removed while it is read.
+// all returns a copy of the queue, so that the caller may remove commands while it iterates.
 func (q *commandQueue) all() []*pendingCommand { return slices.Clone(q.pending) }
 
-// Do proposes a command, and returns once it was applied or rejected, which Result tells, or after 10 s. The error is
-// ErrNoLeader where no leader answered in that time: the command may still be applied. The same CommandID may be sent again.
+// Do proposes a command and waits until it is applied or rejected, for at most 10 s (commandTimeout). Result.Failure is empty if
+// the command was applied. The error is ErrNoLeader if no leader answered in that time: the command may still be applied later. It
+// is safe to submit the command again under the same CommandID.
 func (f *Fleet) Do(c consensus.Command) (Result, error) {
 	outcome := f.doCommand(commandRequest{Command: c})
 	return outcome.result, outcome.err
 }
 
-// Progress asks the leader how many nodes apply a version of the contracts, 0 for the current one, to one tenant. Its errors are
-// those of Do.
+// Progress asks the leader how many nodes apply a version of the contracts to one tenant. Version 0 selects the current version.
+// It returns the same errors as Do.
 func (f *Fleet) Progress(version residency.Version, tenant quota.Tenant) (residency.Progress, error) {
 	outcome := f.doCommand(commandRequest{Query: &progressQuery{version, tenant}})
 	if outcome.err != nil || outcome.progress == nil {
@@ -110,7 +115,7 @@
 		return f.settings.Names.Check(c.Contract.Tenant, c.Contract.Contract)
 	case c.Quota != nil && c.Quota.Quota != nil:
 		if !slices.Contains(f.settings.Names.Tenants, string(c.Quota.Tenant)) {
-			return invalid("tenant %q is none that the settings know, expected one of %q", c.Quota.Tenant, f.settings.Names.Tenants)
+			return newValidationError("tenant %q is none that the settings know, expected one of %q", c.Quota.Tenant, f.settings.Names.Tenants)
 		}
 		if fault, _ := c.Quota.Quota.Check(len(f.settings.Membership.Members)); fault != "" {
 			return ValidationError(fault)
@@ -128,30 +133,31 @@
 	case f.commands.full():
 		c.reply <- commandOutcome{err: errTooManyCommands}
 	default:
-		c.Number, c.deadline, c.retryAt = f.granters.nextNumber(), f.now+commandTimeout, f.now
+		c.Number, c.deadline, c.retryAt = f.granterClient.nextNumber(), f.now+commandTimeout, f.now
 		f.commands.add(c)
 		f.attemptCommand(c)
 	}
 }
 
-// attemptCommand executes a command where this node leads, and else forwards one of ours to the leader.
+// attemptCommand executes a command if this node is the confirmed leader. Otherwise it forwards a local command to the leader.
 func (f *Fleet) attemptCommand(c *pendingCommand) {
 	c.retryAt = f.now + commandRetryInterval
 	switch leader := f.currentGranter(); {
 	case f.isConfirmedLeader():
 		f.executeCommand(c)
-	case c.ours() && leader != f.settings.Self:
+	case c.isLocal() && leader != f.settings.Self:
 		for range failpoint.Pass(failpoint.ForwardCommand).Times() {
 			f.send(leader, messageCommandRequest, c.commandRequest)
 		}
 	}
 }
 
-// executeCommand answers a question, or proposes a command that was not applied before. This node leads.
+// executeCommand answers a progress query, or proposes a command that was not applied before. It must be called only on the
+// confirmed leader.
 func (f *Fleet) executeCommand(c *pendingCommand) {
 	state := f.voter.machine.State()
 	if query := c.Query; query != nil {
-		strict := f.settings.strict(query.Tenant) && !f.leadership.anyDiffersInStrict()
+		strict := f.settings.isStrict(query.Tenant) && !f.leadership.anyStrictMismatch()
 		progress := f.leadership.rollout.Progress(f.now, cmp.Or(query.Version, state.Contracts.Version), strict)
 		failpoint.Pass(failpoint.ReportProgress)
 		f.completeCommand(c, commandOutcome{progress: &progress})
@@ -168,7 +174,8 @@
 	})
 }
 
-// commandCommitted completes the commands that were committed and applied. A leader answers them.
+// commandCommitted completes the pending commands that have the ID of a command that was committed and applied. Only the leader
+// completes them here: another node waits for the leader's response.
 func (f *Fleet) commandCommitted(applied consensus.AppliedCommand) {
 	for _, c := range f.commands.all() {
 		if c.Query == nil && c.Command.ID == applied.ID && f.voter.machine.Leads() {
@@ -179,16 +186,17 @@
 
 func (f *Fleet) completeCommand(c *pendingCommand, outcome commandOutcome) {
 	f.commands.remove(c)
-	if c.ours() {
+	if c.isLocal() {
 		c.reply <- outcome
 		return
 	}
 	f.send(c.from, messageCommandResponse, commandResponse{c.Number, outcome.result, outcome.progress})
 }
 
-// receiveCommand takes a command that another node forwarded. Where it is not accepted the sender tries again.
+// receiveCommand queues and attempts a command that another node forwarded. It drops the command if this node is not the
+// confirmed leader, if the queue is full, or if the command is pending already. The sender retries.
 func (f *Fleet) receiveCommand(from membership.Name, request *commandRequest) {
-	if !f.isConfirmedLeader() || f.commands.full() || f.commands.has(from, request.Number) {
+	if !f.isConfirmedLeader() || f.commands.full() || f.commands.contains(from, request.Number) {
 		return
 	}
 	c := &pendingCommand{commandRequest: *request, from: from, deadline: f.now + commandTimeout, retryAt: f.now}
@@ -198,17 +206,17 @@
 
 func (f *Fleet) receiveCommandResponse(_ membership.Name, response *commandResponse) {
 	for _, c := range f.commands.all() {
-		if c.ours() && c.Number == response.Number {
+		if c.isLocal() && c.Number == response.Number {
 			f.completeCommand(c, commandOutcome{result: response.Result, progress: response.Progress})
 		}
 	}
 }
 
-// retryCommands attempts commands again, and gives up those whose deadline has passed.
+// retryCommands attempts the commands whose retry is due, and removes those whose deadline has passed.
 func (f *Fleet) retryCommands() {
 	for _, c := range f.commands.all() {
 		switch {
-		case f.now >= c.deadline && c.ours():
+		case f.now >= c.deadline && c.isLocal():
 			f.completeCommand(c, commandOutcome{err: ErrNoLeader})
 		case f.now >= c.deadline:
 			f.commands.remove(c)
@@ -218,7 +226,8 @@
 	}
 }
 
-// proposeFileTablesIfDue proposes the tables of our operator's file: those that are newer there are applied.
+// proposeFileTablesIfDue proposes the tables of this node's operator file. The voters apply those tables of the file that are
+// newer than the ones last applied from a file.
 func (f *Fleet) proposeFileTablesIfDue() {
 	file := f.settings.FileTables
 	if f.now < f.due.fileTables || file.ContractsVersion == 0 && file.QuotasVersion == 0 {
@@ -249,10 +258,10 @@
 	}
 }
 
-// rejectCommands ends our commands that wait with a RefusedError, and forgets the others.
+// rejectCommands completes the pending local commands with a RefusedError, and drops the forwarded ones.
 func (f *Fleet) rejectCommands(reason string) {
 	for _, c := range f.commands.pending {
-		if c.ours() {
+		if c.isLocal() {
 			c.reply <- commandOutcome{err: RefusedError(reason)}
 		}
 	}
--- a/internal/controlplane/fleet/consensus/consensus.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -73,16 +73,16 @@
 
 // Machine is one voter. One goroutine uses it.
 type Machine struct {
-	self            membership.Name
-	voterNames      []membership.Name // of the membership
-	id              uint64
-	node            *raft.RawNode // nil before the founding
-	storage         *raft.MemoryStorage
-	state           State
-	confState       *pb.ConfState
-	ready           *raft.Ready
-	pendingSnapshot *pb.Snapshot   // of our own, to be saved
-	unconfirmed     map[uint64]int // ticks since a snapshot was sent to a voter, while we lead
+	self                 membership.Name
+	voterNames           []membership.Name // of the membership
+	id                   uint64
+	node                 *raft.RawNode // nil before the founding
+	storage              *raft.MemoryStorage
+	state                State
+	confState            *pb.ConfState
+	ready                *raft.Ready
+	pendingSnapshot      *pb.Snapshot   // of our own, to be saved
+	pendingSnapshotTicks map[uint64]int // ticks since a snapshot was sent to a voter, while we lead
 	// receivedIDs are those that voters gave in introductions.
 	receivedIDs map[membership.Name]uint64
 	nonce       uint64
@@ -96,15 +96,15 @@
 		return nil, errNoDirectoryID
 	}
 	m := &Machine{self: self, voterNames: slices.Sorted(slices.Values(voters)), id: stored.ID, storage: raft.NewMemoryStorage(),
-		receivedIDs: map[membership.Name]uint64{}, emptyPeers: map[membership.Name]uint64{}, confState: &pb.ConfState{}, unconfirmed: map[uint64]int{}}
+		receivedIDs: map[membership.Name]uint64{}, emptyPeers: map[membership.Name]uint64{}, confState: &pb.ConfState{}, pendingSnapshotTicks: map[uint64]int{}}
 	if !stored.hasState() {
 		return m, nil
 	}
-	return m, m.start(stored)
+	return m, m.startNode(stored)
 }
 
 // start makes the library's node. It panics about impossible contents of a directory.
-func (m *Machine) start(stored Stored) (err error) {
+func (m *Machine) startNode(stored Stored) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			m.node, err = nil, directoryError{p}
@@ -114,7 +114,7 @@
 		if err := m.storage.ApplySnapshot(stored.Snapshot); err != nil {
 			return err
 		}
-		if err := m.restore(stored.Snapshot); err != nil {
+		if err := m.restoreSnapshot(stored.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -132,7 +132,7 @@
 	return err
 }
 
-func (m *Machine) restore(s *pb.Snapshot) error {
+func (m *Machine) restoreSnapshot(s *pb.Snapshot) error {
 	var state State
 	if err := cbor.Unmarshal(s.Data, &state); err != nil {
 		return fmt.Errorf("snapshot %d: %w", s.GetMetadata().GetIndex(), err)
@@ -145,7 +145,7 @@
 func (m *Machine) State() *State { return &m.state }
 
 // Founded tells whether this voter takes part in a consensus group.
-func (m *Machine) Founded() bool { return m.node != nil }
+func (m *Machine) IsBootstrapped() bool { return m.node != nil }
 
 // Leads tells whether this voter believes that it leads; a Read confirms it.
 func (m *Machine) Leads() bool {
@@ -165,11 +165,11 @@
 	if m.node == nil {
 		return ""
 	}
-	return m.name(m.node.BasicStatus().Lead)
+	return m.voterName(m.node.BasicStatus().Lead)
 }
 
 // name is the voter with an ID, "" for none.
-func (m *Machine) name(id uint64) membership.Name {
+func (m *Machine) voterName(id uint64) membership.Name {
 	if id == m.id && id != 0 {
 		return m.self
 	}
@@ -208,11 +208,11 @@
 	if msg.GetTo() != m.id { // for a directory that we had before
 		return nil
 	}
-	if m.name(msg.GetFrom()) == "" {
+	if m.voterName(msg.GetFrom()) == "" {
 		m.receivedIDs[from] = msg.GetFrom()
 	}
-	if m.name(msg.GetFrom()) != from {
-		return impostorError{from, msg.GetFrom()}
+	if m.voterName(msg.GetFrom()) != from {
+		return voterIDMismatchError{from, msg.GetFrom()}
 	}
 	return m.node.Step(msg)
 }
@@ -223,13 +223,13 @@
 	if !m.Leads() {
 		return ErrNotLeader
 	}
-	return m.node.Propose(encoded(c))
+	return m.node.Propose(encodeCanonical(c))
 }
 
 // Read asks whether we still lead (a read index, section 6.4); a Result confirms it.
 func (m *Machine) Read(no ReadNumber) {
 	if m.Leads() {
-		m.node.ReadIndex(encoded(no))
+		m.node.ReadIndex(encodeCanonical(no))
 	}
 }
 
@@ -263,7 +263,7 @@
 		if err := m.storage.ApplySnapshot(ready.Snapshot); err != nil {
 			return result, err
 		}
-		if err := m.restore(ready.Snapshot); err != nil {
+		if err := m.restoreSnapshot(ready.Snapshot); err != nil {
 			return result, err
 		}
 		result.StateChanged = true
@@ -277,7 +277,7 @@
 		return result, err
 	}
 	for _, msg := range ready.Messages {
-		if to := m.name(msg.GetTo()); to != "" {
+		if to := m.voterName(msg.GetTo()); to != "" {
 			data, err := proto.Marshal(msg)
 			if err != nil {
 				return result, err
@@ -287,7 +287,7 @@
 	}
 	votersChanged := false
 	for _, entry := range ready.CommittedEntries {
-		changed, err := m.commit(entry, &result)
+		changed, err := m.applyEntry(entry, &result)
 		if err != nil {
 			return result, err
 		}
@@ -308,7 +308,7 @@
 }
 
 // commit applies a committed entry, and tells whether it changed the voters.
-func (m *Machine) commit(entry *pb.Entry, result *Result) (votersChanged bool, err error) {
+func (m *Machine) applyEntry(entry *pb.Entry, result *Result) (votersChanged bool, err error) {
 	m.state.Index = entry.GetIndex()
 	switch entry.GetType() {
 	case pb.EntryNormal:
@@ -331,7 +331,7 @@
 			if err := cbor.Unmarshal(change.Context, &voter); err != nil {
 				return false, err
 			}
-			m.state.replace(voter)
+			m.state.setVoterID(voter)
 		}
 		m.confState, result.StateChanged = m.node.ApplyConfChange(change), true
 		return true, nil
--- a/internal/controlplane/fleet/consensus/consensus_test.go
+++ b/internal/controlplane/fleet/consensus/consensus_test.go
@@ -218,7 +218,7 @@
 	}
 	for _, name := range w.names {
 		m := w.voters[name]
-		w.Logf("%s: number %d, founded %t, term %d, leads %t, state %d, cut off %t, votes by %v and %v", name, m.id, m.Founded(), m.Term(),
+		w.Logf("%s: number %d, founded %t, term %d, leads %t, state %d, cut off %t, votes by %v and %v", name, m.id, m.IsBootstrapped(), m.Term(),
 			m.Leads(), m.state.Index, w.partitioned[name], m.confState.GetVoters(), m.confState.GetVotersOutgoing())
 	}
 	w.Fatalf("not within %d ticks: %s", ticks, what)
@@ -241,7 +241,7 @@
 	for _, name := range w.names {
 		s := *w.voters[name].State()
 		s.Index = 0 // the last entry may be one that changes nothing
-		if b := encoded(&s); first == nil {
+		if b := encodeCanonical(&s); first == nil {
 			first = b
 		} else if !bytes.Equal(first, b) {
 			return false
@@ -255,7 +255,7 @@
 func (w *simulation) toleratesAnotherLoss() bool {
 	there := map[uint64]bool{}
 	for _, m := range w.voters {
-		if m.Founded() {
+		if m.IsBootstrapped() {
 			there[m.id] = true
 		}
 	}
@@ -286,7 +286,7 @@
 			lost := w.names[i]
 			w.startEmpty(lost)
 			w.applyCommand(fmt.Sprint("after a directory was lost ", i))
-			w.eventually(300, "it takes part again", func() bool { return w.voters[lost].Founded() && w.sameState() })
+			w.eventually(300, "it takes part again", func() bool { return w.voters[lost].IsBootstrapped() && w.sameState() })
 		}
 		w.partitioned[w.names[0]] = true
 		w.applyCommand("with one cut off")
@@ -307,7 +307,7 @@
 	w := newSimulation(t, 3, 5)
 	w.partitioned["v2"] = true
 	w.ticks(100)
-	if w.voters["v0"].Founded() || w.voters["v1"].Founded() {
+	if w.voters["v0"].IsBootstrapped() || w.voters["v1"].IsBootstrapped() {
 		t.Fatal("founded without v2")
 	}
 	delete(w.partitioned, "v2")
@@ -336,7 +336,7 @@
 		"a snapshot of no state":  {ID: 1, Snapshot: &pb.Snapshot{Data: []byte{0xff}, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(3), Term: proto.Uint64(1)}}},
 		"a log with a gap in it":  {ID: 1, Entries: []*pb.Entry{{Index: proto.Uint64(7), Term: proto.Uint64(1)}}},
 	} {
-		if m, err := New("a", names, stored); err == nil || m != nil && m.Founded() {
+		if m, err := New("a", names, stored); err == nil || m != nil && m.IsBootstrapped() {
 			t.Errorf("%s is taken: %v", what, err)
 		}
 	}
@@ -350,7 +350,7 @@
 		w.eventually(100, "one has founded it, and another heard of that", func() bool {
 			n := 0
 			for _, name := range w.names {
-				if w.voters[name].Founded() {
+				if w.voters[name].IsBootstrapped() {
 					if n++; n == 1 {
 						founder = name
 					}
@@ -419,7 +419,7 @@
 		t.Error("a command of nothing is taken")
 	}
 	var back State
-	if err := cbor.Unmarshal(encoded(&s), &back); err != nil || !bytes.Equal(encoded(&back), encoded(&s)) {
+	if err := cbor.Unmarshal(encodeCanonical(&s), &back); err != nil || !bytes.Equal(encodeCanonical(&back), encodeCanonical(&s)) {
 		t.Errorf("a state does not come back as it was: %v", err)
 	}
 }
--- a/internal/controlplane/fleet/consensus/errors.go
+++ b/internal/controlplane/fleet/consensus/errors.go
@@ -18,13 +18,13 @@
 func (e directoryError) Error() string { return fmt.Sprintf("the directory: %v", e.value) }
 
 // impostorError names a member that sends under another voter's ID.
-type impostorError struct {
-	from   membership.Name
-	number uint64
+type voterIDMismatchError struct {
+	from membership.Name
+	id   uint64
 }
 
-func (e impostorError) Error() string {
-	return fmt.Sprintf("%s speaks as %x, which is another voter's", e.from, e.number)
+func (e voterIDMismatchError) Error() string {
+	return fmt.Sprintf("%s speaks as %x, which is another voter's", e.from, e.id)
 }
 
 // staleTableError says that a table of a file is not newer than the one last applied from a file.
--- a/internal/controlplane/fleet/consensus/founding.go
+++ b/internal/controlplane/fleet/consensus/founding.go
@@ -25,7 +25,7 @@
 	Echo   uint64  `cbor:"4,keyasint,omitempty"`
 	// Founders are those of that group. Each of them may start from that by itself: were only one to know them and fail before
 	// it told the others, a majority would be up and never lead.
-	Founders []Voter `cbor:"5,keyasint,omitempty"`
+	InitialVoters []Voter `cbor:"5,keyasint,omitempty"`
 }
 
 // Introduce is what to send to all other voters now, if anything. A nonce must not be used again after another one; answers
@@ -50,7 +50,7 @@
 	if m.node != nil {
 		m.replaceVoter(Voter{from, introduction.ID}, len(introduction.Voters) == 0)
 		if introduction.Nonce != 0 {
-			answer = &Introduction{ID: m.id, Voters: m.state.Voters, Founders: m.state.Founders, Echo: introduction.Nonce}
+			answer = &Introduction{ID: m.id, Voters: m.state.Voters, InitialVoters: m.state.InitialVoters, Echo: introduction.Nonce}
 		}
 		return answer, save, nil
 	}
@@ -60,10 +60,10 @@
 	m.receivedIDs[from] = introduction.ID
 	self := Voter{m.self, m.id}
 	switch {
-	case slices.Contains(introduction.Founders, self):
-		save, err = m.foundGroup(introduction.Founders)
+	case slices.Contains(introduction.InitialVoters, self):
+		save, err = m.bootstrapGroup(introduction.InitialVoters)
 	case slices.Contains(introduction.Voters, self):
-		save, err = m.join()
+		save, err = m.joinGroup()
 	case len(introduction.Voters) > 0: // the group has to replace our old ID first
 	case introduction.Echo != 0 && introduction.Echo == m.nonce:
 		if m.emptyPeers[from] = introduction.ID; len(m.emptyPeers) == len(m.voterNames)-1 {
@@ -72,27 +72,27 @@
 				founders = append(founders, Voter{name, id})
 			}
 			slices.SortFunc(founders, func(a, b Voter) int { return strings.Compare(string(a.Name), string(b.Name)) })
-			save, err = m.foundGroup(founders)
+			save, err = m.bootstrapGroup(founders)
 		}
 	}
 	return answer, save, err
 }
 
 // foundGroup makes the first state, the same at all founders.
-func (m *Machine) foundGroup(founders []Voter) (save Save, err error) {
-	state, conf := State{Index: 1, Voters: founders, Founders: founders}, &pb.ConfState{}
+func (m *Machine) bootstrapGroup(founders []Voter) (save Save, err error) {
+	state, conf := State{Index: 1, Voters: founders, InitialVoters: founders}, &pb.ConfState{}
 	for _, v := range founders {
 		conf.Voters = append(conf.Voters, v.ID)
 	}
-	save.Snapshot = &pb.Snapshot{Data: encoded(&state), Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	save.Snapshot = &pb.Snapshot{Data: encodeCanonical(&state), Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 	save.Hard = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
-	return save, m.start(Stored{ID: m.id, Hard: save.Hard, Snapshot: save.Snapshot})
+	return save, m.startNode(Stored{ID: m.id, Hard: save.Hard, Snapshot: save.Snapshot})
 }
 
 // join starts with an empty log; the leader sends all there is.
-func (m *Machine) join() (save Save, err error) {
+func (m *Machine) joinGroup() (save Save, err error) {
 	save.Hard = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(0)}
-	return save, m.start(Stored{ID: m.id, Hard: save.Hard})
+	return save, m.startNode(Stored{ID: m.id, Hard: save.Hard})
 }
 
 // replaceVoter proposes, at a leader, to replace a voter's old ID by that of its new, empty directory.
@@ -101,7 +101,7 @@
 	if !m.Leads() || !empty || i >= 0 && m.state.Voters[i].ID == voter.ID {
 		return
 	}
-	change := &pb.ConfChangeV2{Context: encoded(voter)}
+	change := &pb.ConfChangeV2{Context: encodeCanonical(voter)}
 	add, remove := pb.ConfChangeAddNode, pb.ConfChangeRemoveNode
 	change.Changes = append(change.Changes, &pb.ConfChangeSingle{Type: &add, NodeId: proto.Uint64(voter.ID)})
 	if i >= 0 {
--- a/internal/controlplane/fleet/consensus/snapshots.go
+++ b/internal/controlplane/fleet/consensus/snapshots.go
@@ -6,34 +6,34 @@
 )
 
 // snapshotTicks is how long a snapshot may be on its way until it counts as lost.
-const snapshotTicks = 2 * electionTicks
+const snapshotTimeoutTicks = 2 * electionTicks
 
 // resendSnapshots reports a snapshot as lost whose voter has not confirmed it in time, so that the library sends it again.
 // Until then it sends that voter nothing else, and waits for ever: it does not know that messages may get lost.
 func (m *Machine) resendSnapshots() {
 	if !m.Leads() {
-		clear(m.unconfirmed)
+		clear(m.pendingSnapshotTicks)
 		return
 	}
 	var lost []uint64
 	m.node.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
 		if progress.State != tracker.StateSnapshot {
-			delete(m.unconfirmed, id)
+			delete(m.pendingSnapshotTicks, id)
 			return
 		}
-		if m.unconfirmed[id]++; m.unconfirmed[id] >= snapshotTicks {
+		if m.pendingSnapshotTicks[id]++; m.pendingSnapshotTicks[id] >= snapshotTimeoutTicks {
 			lost = append(lost, id)
 		}
 	})
 	for _, id := range lost {
-		delete(m.unconfirmed, id)
+		delete(m.pendingSnapshotTicks, id)
 		m.node.ReportSnapshot(id, raft.SnapshotFailure)
 	}
 }
 
 // compact makes a snapshot of the state and drops the entries before it. A new voter finds itself in the snapshot.
 func (m *Machine) compact() error {
-	s, err := m.storage.CreateSnapshot(m.state.Index, m.confState, encoded(&m.state))
+	s, err := m.storage.CreateSnapshot(m.state.Index, m.confState, encodeCanonical(&m.state))
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -74,7 +74,7 @@
 	FileQuotas      int                          `cbor:"7,keyasint"`
 	Voters          []Voter                      `cbor:"8,keyasint"`
 	Applied         []AppliedCommand             `cbor:"9,keyasint"` // the last commands, oldest first
-	Founders        []Voter                      `cbor:"10,keyasint"`
+	InitialVoters   []Voter                      `cbor:"10,keyasint"`
 }
 
 // AppliedCommand is a command that was committed.
@@ -85,7 +85,7 @@
 }
 
 // maxAppliedRemembered is how many commands are recognized when they come again: hours of what operators send.
-const maxAppliedRemembered = 1024
+const maxRememberedCommands = 1024
 
 // FindApplied finds a command that was applied.
 func (s *State) FindApplied(id CommandID) (AppliedCommand, bool) {
@@ -102,19 +102,19 @@
 		return d
 	}
 	d := AppliedCommand{ID: c.ID, Index: index}
-	if err := s.change(index, c); err != nil {
+	if err := s.applyChange(index, c); err != nil {
 		d.Failure = err.Error()
 	}
 	s.Applied = append(s.Applied, d)
-	if len(s.Applied) > maxAppliedRemembered {
-		s.Applied = slices.Clone(s.Applied[len(s.Applied)-maxAppliedRemembered:])
+	if len(s.Applied) > maxRememberedCommands {
+		s.Applied = slices.Clone(s.Applied[len(s.Applied)-maxRememberedCommands:])
 	}
 	return d
 }
 
 var errEmptyCommand = errors.New("the command changes nothing that is known")
 
-func (s *State) change(index uint64, c *Command) error {
+func (s *State) applyChange(index uint64, c *Command) error {
 	switch {
 	case c.Contract != nil:
 		s.Contracts = *s.Contracts.With(residency.Version(index), c.Contract.Tenant, c.Contract.Contract)
@@ -172,7 +172,7 @@
 }
 
 // replace gives a voter another ID.
-func (s *State) replace(v Voter) {
+func (s *State) setVoterID(v Voter) {
 	s.Voters = slices.Clone(s.Voters)
 	for i := range s.Voters {
 		if s.Voters[i].Name == v.Name {
@@ -184,7 +184,7 @@
 }
 
 // encode is canonical: equal states are equal bytes at all voters.
-var encode = func() cbor.EncMode {
+var canonicalMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -192,8 +192,8 @@
 	return mode
 }()
 
-func encoded(v any) []byte {
-	b, err := encode.Marshal(v)
+func encodeCanonical(v any) []byte {
+	b, err := canonicalMode.Marshal(v)
 	if err != nil {
 		panic(err) // plain structures
 	}
--- a/internal/controlplane/fleet/doc.go
+++ b/internal/controlplane/fleet/doc.go
@@ -1,21 +1,25 @@
-// Package fleet coordinates the aggregators of one site: tenants' quotas over all of them together, contracts that keep a
-// tenant's data in some zones, and outlier reports about backends. Without the operator's file none of it exists.
+// Package fleet coordinates the aggregators of one site. It enforces the tenants' quotas over all aggregators together. It
+// enforces the contracts that keep a tenant's data in some zones. It shares outlier reports about backends. A node starts a
+// Fleet only if its operator's file configures one.
 //
-// The parts, each a package below this one that does no I/O and reads no clock:
+// Each of these packages implements one part. None of them does I/O or reads a clock:
 //
-//   - membership: which nodes there are, and which of them vote;
-//   - failuredetector: which nodes live (SWIM with Lifeguard's extensions);
-//   - consensus: the voters agree on contracts and quotas, and elect the node that grants (Raft);
-//   - quota: the granter leases tokens to the nodes, which spend them without waiting;
-//   - residency: leases of contracts, and their compilation into masks of zones;
-//   - outlier: reports about slow and failing backends, spread by gossip, and the verdicts that follow from them.
+//   - membership: the nodes of the fleet, and which of them vote.
+//   - failuredetector: the nodes that are alive (SWIM with the Lifeguard extensions).
+//   - consensus: the agreement of the voters on contracts and quotas, and the election of the granter (Raft).
+//   - quota: the leases of tokens that the granter gives to the nodes, which spend the tokens without waiting.
+//   - residency: the leases of contracts, and their compilation into masks of zones.
+//   - outlier: the reports about slow and failing backends, which spread by gossip, and the verdicts derived from them.
 //
-// sealedmessage authenticates what nodes send to each other, and udptransport carries it.
+// Package sealedmessage authenticates the messages between nodes. Package udptransport sends and receives them.
 //
-// Fleet runs all of that in one goroutine, which owns the control state. Its fields are grouped by concern: granterClient
-// (requests to the granter), leadership (the granter's side), voter, tables, outlierDetection and commandQueue. Traffic
-// reads a view through an atomic pointer (admission): it waits neither for that goroutine nor for another node.
+// Fleet.Run executes all parts in one goroutine, which owns the control state. The fields of Fleet are grouped by concern:
+// granterClient sends requests to the granter, leadership answers them if this node is the granter, voter runs this node's
+// part in the consensus, tables holds the agreed tables, outliers the reports and verdicts, and commands the pending commands.
 //
-// Times are float64 seconds, as in the encoded forms and in the operator's file: of the node's own clock, unless the name
-// says otherwise. docs/fleet-design.md has the guarantees and what they rest on.
+// Queries read an immutable view through an atomic pointer, see Admit. They never wait for the goroutine of Run or for another
+// node.
+//
+// Times are float64 seconds of the node's own clock, unless a name says otherwise. The encoded forms and the operator's file
+// use seconds too. The guarantees and their assumptions are described in docs/fleet-design.md.
 package fleet
--- a/internal/controlplane/fleet/fleet.go
+++ b/internal/controlplane/fleet/fleet.go
@@ -19,18 +19,22 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-// Shares of the settings' lease: how long a confirmed granter may act on that, and how long tokens and contracts last.
-// With both, the clocks' slack and an election of 2 s the next granter is ready within a lease of MinLease or more.
+// Shares of Settings.Lease. A new granter has to wait until the leader lease of its predecessor, and the tokens and contracts
+// granted under it, have expired. With these shares, the allowance for clock drift, and an election of 2 s, the new granter is
+// ready within one lease if the lease is MinLease or longer.
 const (
-	authorityShare = 0.15
-	tokenShare     = 0.4
-	contractShare  = 0.5
-	// MinLease is the shortest lease, in seconds, for which that holds.
+	// leaderLeaseShare is the share for which a granter may act after its leadership was confirmed.
+	leaderLeaseShare = 0.15
+	// tokenShare is the share for which granted tokens last.
+	tokenShare = 0.4
+	// contractShare is the share for which contracts stay confirmed.
+	contractShare = 0.5
+	// MinLease is the shortest lease, in seconds, that leaves enough time for a change of the granter.
 	MinLease = 8.0
 )
 
-// Fleet is one node's part in the fleet. Admit, Called, Listed, Do, Progress, Status, Explain, Release and Stop may be called
-// from any goroutine while Run runs.
+// Fleet is one node's part in the fleet. While Run runs, Admit, BackendsChanged, Do, Progress, Status, Explain, Release and Stop
+// may be called from any goroutine. Only the aggregator's goroutine may call CallEnded.
 type Fleet struct {
 	clock
 	settings         Settings
@@ -39,31 +43,31 @@
 	counters         *counters.Set
 	events           *eventqueue.Queue[event]
 
-	admission admission    // what traffic's goroutines read
-	calls     callObserver // only the aggregator's goroutine uses it
+	admission admission    // read by the goroutines that serve queries
+	calls     callObserver // used only by the aggregator's goroutine
 
-	// What follows belongs to the goroutine of Run.
+	// Only the goroutine of Run uses the fields from here to due.
 	now           float64
 	peers         []membership.Name // all other nodes
 	strictHash    uint64
-	transport     *udptransport.Transport // nil before it is open, and once it is released
-	store         *aggregatorstore.Log    // nil where nothing is stored, and while it is closed
+	transport     *udptransport.Transport // nil before it is open, and after the release
+	store         *aggregatorstore.Log    // nil while it is closed, and always without a directory
 	stored        aggregatorstore.LogContents
 	sealer        *sealedmessage.Sealer
-	detector      *failuredetector.Machine // nil before address and directory are open, and once they are released
+	detector      *failuredetector.Machine // nil before address and directory are open, and after the release
 	voter         voter
 	quotaClient   *quota.Client
 	contractLease *residency.Lease
 	tables        clusterTables
-	granters      granterClient
+	granterClient granterClient
 	leadership    leadership
 	outliers      outlierDetection
 	commands      commandQueue
-	isolated      bool   // as last logged
-	openError     string // why address or directory is not open yet, as last logged
-	// staleNotifiedAt is when a node was last notified that messages of a higher incarnation came under its name.
+	isolated      bool   // the state that was logged last
+	openError     string // the error that was logged last; "" once address and directory are open
+	// staleNotifiedAt is the time at which each node was last notified that its incarnation is stale.
 	staleNotifiedAt map[membership.Name]float64
-	// due is when each periodic task runs next.
+	// due holds the time of the next run of each periodic task.
 	due struct{ open, probe, request, gossip, verdicts, fileTables float64 }
 
 	released    chan struct{}
@@ -72,9 +76,9 @@
 	releaseOnce sync.Once
 }
 
-// New makes a node's Fleet; Run starts it. The node gets neither tokens nor minimums, and confirms no contract, until its
-// directory and its address are open: the process before this one may still hold them. The error is a ValidationError for
-// each setting that is wrong, joined.
+// New returns a node's Fleet, which Run then executes. New tries to open the directory and the address, which the previous
+// process of this node may still hold. Until both are open the node has neither tokens nor minimums, and confirms no contract.
+// The error joins one ValidationError for each invalid setting.
 func New(settings Settings, aggregatorEvents *eventqueue.Queue[aggregator.Event], logger *zap.Logger, counters *counters.Set) (*Fleet, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -94,7 +98,7 @@
 		strictHash:       settings.strictHash(),
 		quotaClient:      quota.NewClient(settings.Lease*tokenShare, len(settings.Membership.Members)),
 		contractLease:    residency.NewLease(settings.Lease*contractShare, settings.MaxDeadline),
-		granters:         granterClient{voters: settings.Membership.Voters()},
+		granterClient:    granterClient{voters: settings.Membership.Voters()},
 		leadership:       newLeadership(&settings),
 		outliers:         outlierDetection{self: settings.Self, verdictAt: map[outlier.Backend]float64{}},
 		staleNotifiedAt:  map[membership.Name]float64{},
@@ -103,14 +107,14 @@
 		stopped:          make(chan struct{}),
 	}
 	f.tables.contracts = f.initialContracts()
-	f.publish()
+	f.publishTrafficView()
 	f.open()
 	return f, nil
 }
 
-// Release gives up address and directory, and stops talking to other nodes, so that the next process of this node may start.
-// The tokens and contracts that this one has stay valid until they expire; its minimums end, as they are the next one's. It
-// returns once all that is done, or the Fleet has stopped.
+// Release closes the address and the directory, so that the next process of this node can open them. Afterwards this process
+// exchanges no messages with other nodes. Its tokens and contracts stay valid until they expire. Its minimums end at once, as the
+// next process spends them. Release returns once this is done, or once the Fleet has stopped.
 func (f *Fleet) Release() {
 	f.releaseOnce.Do(func() { f.events.Put(event{kind: releaseRequested}) })
 	select {
@@ -119,13 +123,13 @@
 	}
 }
 
-// Stop ends Run, and returns once it has ended. It may be called once.
+// Stop ends Run and waits until Run has returned. It must be called only once.
 func (f *Fleet) Stop() {
 	close(f.stopping)
 	<-f.stopped
 }
 
-// clock reads Unix seconds off the monotonic clock, so that a step of the wall clock changes no time-out.
+// clock derives Unix seconds from the monotonic clock, so that a step of the wall clock changes no timeout.
 type clock struct {
 	startedAt time.Time
 	startUnix float64
@@ -135,7 +139,7 @@
 	return clock{startedAt: now, startUnix: float64(now.UnixNano()) / 1e9}
 }
 
-// Now is the time in Unix seconds.
+// Now returns the time in Unix seconds.
 func (c *clock) Now() float64 { return c.seconds(time.Now()) }
 
 func (c *clock) seconds(t time.Time) float64 { return c.startUnix + t.Sub(c.startedAt).Seconds() }
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -24,8 +24,8 @@
 		Lines: map[string]int{LineFleet: 2, LineStrict: 9, ContractLine("x"): 11, QuotaLine("x"): 17}}
 }
 
-// What contradicts the settings is reported with the line of the file and what was expected.
-func TestSettingsAreValidated(t *testing.T) {
+// A contradiction between the operator's file and the settings has to be reported with its line in the file and the expected value.
+func TestInvalidSettingsAreReportedWithTheirLine(t *testing.T) {
 	if s := validSettings(); s.Check() != nil {
 		t.Fatal(s.Check())
 	}
@@ -61,7 +61,7 @@
 	return l.Addr().String()
 }
 
-// startAlone starts a node whose peers are not running, on addresses that were free a moment ago.
+// startAlone starts a node whose peers are not running. All addresses were free when they were chosen.
 func startAlone(t testing.TB, change func(*Settings)) *Fleet {
 	t.Helper()
 	s := validSettings()
@@ -81,23 +81,24 @@
 	return f
 }
 
-// A node that never received tables refuses strict tenants, and all tenants where the file has quotas, as it does not know
-// which have one; else it accepts all.
-func TestAdmissionOfANodeWithoutTables(t *testing.T) {
+// Before a node has received any tables, it has to refuse strict tenants. If the operator's file has quotas, it has to refuse all
+// tenants, as any of them may have a quota. Contracts of the operator's file apply at once. Otherwise it accepts all queries.
+func TestNodeWithoutTablesRefusesUnconfirmedQueries(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Settings)
 		want   string
-	}{{nil, ""}, {func(s *Settings) { s.HasQuotas = true }, refusedQuota}, {func(s *Settings) { s.Strict = []string{"*"} }, refusedUnconfirmed},
+	}{{nil, ""}, {func(s *Settings) { s.HasQuotas = true }, reasonOverQuota}, {func(s *Settings) { s.Strict = []string{"*"} }, reasonContractsUnconfirmed},
 		{func(s *Settings) {
 			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"south"}, Own: true}}
-		}, refusedElsewhere}} {
+		}, reasonOtherLocation}} {
 		if v := startAlone(t, c.change).Admit(0, 0); v.Reason != c.want {
-			t.Errorf("refused as %q, expected %q", v.Reason, c.want)
+			t.Errorf("refusal reason is %q, expected %q", v.Reason, c.want)
 		}
 	}
 }
 
-// Messages that are unreadable, of an unknown kind, or that answer no request, change nothing and end nothing.
+// Unreadable messages, messages of an unknown kind, and responses without a request must neither change the admission of queries
+// nor stop the node.
 func FuzzMessages(f *testing.F) {
 	fl := startAlone(f, nil)
 	for kind := range byte(12) {
@@ -114,12 +115,12 @@
 		}})
 		<-done
 		if v := fl.Admit(0, 0); v.Reason != "" {
-			t.Errorf("a message made this node refuse: %+v", v)
+			t.Errorf("after the message the node refused a query: %+v", v)
 		}
 	})
 }
 
-// Admission costs next to nothing, whatever the control state does.
+// BenchmarkAdmit measures the admission of queries from parallel goroutines.
 func BenchmarkAdmit(b *testing.B) {
 	f := startAlone(b, nil)
 	b.RunParallel(func(p *testing.PB) {
--- a/internal/controlplane/fleet/granterclient.go
+++ b/internal/controlplane/fleet/granterclient.go
@@ -8,25 +8,29 @@
 )
 
 const (
-	requestInterval       = 0.2  // a lease is renewed some twenty times while it lasts
-	urgentRequestInterval = 0.02 // where a query found no token
-	responseTimeout       = 0.6  // of the granter, before another voter is asked who grants
-	maxPendingRequests    = 64   // the oldest are given up
+	// requestInterval is the time, in seconds, between grant requests. A lease is renewed about twenty times before it expires.
+	requestInterval = 0.2
+	// urgentRequestInterval replaces requestInterval, in seconds, after a query found no token.
+	urgentRequestInterval = 0.02
+	// responseTimeout is the time, in seconds, without a response from the granter after which another voter is asked.
+	responseTimeout = 0.6
+	// maxPendingRequests bounds the requests that wait for a response. The oldest ones are dropped.
+	maxPendingRequests = 64
 )
 
-// pendingRequest is a grant request whose response has not come.
+// pendingRequest is a grant request without a response so far.
 type pendingRequest struct {
 	number  uint64
 	sentAt  float64
 	granter membership.Name
 }
 
-// granterClient knows to whom grant requests go and which of them wait for a response.
+// granterClient selects the node that grant requests are sent to, and tracks the requests that wait for a response.
 type granterClient struct {
 	voters       []membership.Name
-	leader       membership.Name // that requests go to
-	leaderSeenAt float64         // when its last response came, or another node named it
-	lastNumber   uint64          // of requests and of commands
+	leader       membership.Name // the node that requests are sent to
+	leaderSeenAt float64         // time of its last response, or of another node's message that named it
+	lastNumber   uint64          // last number given to a request or a command
 	pending      []pendingRequest
 }
 
@@ -35,16 +39,17 @@
 	return c.lastNumber
 }
 
-// granter is where requests go without a voter's knowledge: to the leader while it responds, else to one voter after the other.
+// granter returns the node to send a request to. It is used if no local voter knows the leader. It returns the last known leader
+// while that one responds, and otherwise each voter in turn.
 func (c *granterClient) granter(now float64) membership.Name {
 	if c.leader != "" && now-c.leaderSeenAt < responseTimeout {
 		return c.leader
 	}
-	c.leader = c.voters[int(c.lastNumber/2)%len(c.voters)] // two requests each, as one may get lost
+	c.leader = c.voters[int(c.lastNumber/2)%len(c.voters)] // two requests to each voter, as one may be lost
 	return c.leader
 }
 
-func (c *granterClient) sawLeader(now float64, leader membership.Name) {
+func (c *granterClient) setLeader(now float64, leader membership.Name) {
 	c.leader, c.leaderSeenAt = leader, now
 }
 
@@ -55,21 +60,21 @@
 	}
 }
 
-// find is the index of a pending request, negative where there is none.
+// find returns the index of a pending request, or a negative number if there is none.
 func (c *granterClient) find(number uint64, granter membership.Name) int {
 	return slices.IndexFunc(c.pending, func(r pendingRequest) bool { return r.number == number && r.granter == granter })
 }
 
-// take removes a pending request.
-func (c *granterClient) take(i int) pendingRequest {
+// removeAt removes the pending request with an index and returns it.
+func (c *granterClient) removeAt(i int) pendingRequest {
 	request := c.pending[i]
 	c.pending = slices.Delete(c.pending, i, i+1)
 	return request
 }
 
-// requestGrants asks the granter for tokens, and whether our contracts are the newest.
+// requestGrants asks the granter for tokens, and for a confirmation that this node's contracts are the newest.
 func (f *Fleet) requestGrants() {
-	number := f.granters.nextNumber()
+	number := f.granterClient.nextNumber()
 	request := &grantRequest{
 		Number:            number,
 		MembershipVersion: f.settings.Membership.Version,
@@ -81,7 +86,7 @@
 		Requests:          f.quotaClient.Requests(f.now, number),
 	}
 	granter := f.currentGranter()
-	f.granters.add(pendingRequest{number, f.now, granter})
+	f.granterClient.add(pendingRequest{number, f.now, granter})
 	fault := failpoint.Pass(failpoint.RequestGrants)
 	for range fault.Times() {
 		if granter == f.settings.Self {
@@ -92,20 +97,20 @@
 	}
 }
 
-// currentGranter is the leader as far as our voter knows, or else the node that granterClient chooses.
+// currentGranter returns the leader that the local voter knows, or otherwise the node that granterClient selects.
 func (f *Fleet) currentGranter() membership.Name {
 	if f.voter.active() {
 		if leader := f.voter.machine.Leader(); leader != "" {
 			return leader
 		}
 	}
-	return f.granters.granter(f.now)
+	return f.granterClient.granter(f.now)
 }
 
-// receiveGrantResponse takes a granter's response. Its leases count from when the request was sent, however long that took: so
-// neither a granter that paused nor a delayed message lengthens a lease.
+// receiveGrantResponse applies a granter's response to a pending request. The leases start at the time at which the request was
+// sent. So neither a pause of the granter nor a delayed message extends a lease.
 func (f *Fleet) receiveGrantResponse(from membership.Name, response *grantResponse) {
-	i := f.granters.find(response.Number, from)
+	i := f.granterClient.find(response.Number, from)
 	if i < 0 {
 		f.counters.Add("fleet_dropped", "unasked", 1)
 		return
@@ -113,16 +118,16 @@
 	if failpoint.Pass(failpoint.ReceiveGrant).Drop {
 		return
 	}
-	request := f.granters.take(i)
+	request := f.granterClient.removeAt(i)
 	if !response.Confirmed {
 		if response.Leader != "" && response.Leader != f.settings.Self {
-			f.granters.sawLeader(f.now, response.Leader)
+			f.granterClient.setLeader(f.now, response.Leader)
 		}
 		return
 	}
-	f.granters.sawLeader(f.now, from)
+	f.granterClient.setLeader(f.now, from)
 	if f.tables.newerThan(response.Versions) {
-		return // the response was delayed, or comes from a former leader
+		return // the response was delayed, or is from a former leader
 	}
 	f.applyTables(response)
 	if f.tables.versions.Contracts == response.Versions.Contracts {
--- a/internal/controlplane/fleet/leadership.go
+++ b/internal/controlplane/fleet/leadership.go
@@ -10,27 +10,28 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// readIndexInterval is how often a leader confirms that it still leads.
+// readIndexInterval is the time, in seconds, between the reads by which a leader confirms its leadership.
 const readIndexInterval = 0.2
 
-// leadership is the state of the node that grants. The leader of the voters grants, while a read index (Raft, section 6.4 of
-// Ongaro's dissertation) has confirmed its leadership for a time.
+// leadership is the state of this node as the granter. The Raft leader is the granter. It grants only until confirmedUntil: a
+// read index (section 6.4 of Ongaro's dissertation on Raft) confirms the leadership for leaderLease seconds.
 type leadership struct {
-	authority float64 // seconds that a confirmation lasts
-	granting  bool    // we began to grant in term
-	term      uint64
-	// confirmedUntil is until when no other node can lead.
+	leaderLease float64 // seconds for which a read confirms the leadership
+	granting    bool    // whether this node is the granter in term
+	term        uint64
+	// confirmedUntil is the time until which no other node can lead.
 	confirmedUntil float64
-	readAt         float64                          // when the next read is due
-	pendingReads   map[consensus.ReadNumber]float64 // when they were sent
+	nextReadAt     float64                          // time of the next read
+	pendingReads   map[consensus.ReadNumber]float64 // unconfirmed reads, with the time at which each was sent
 	lastRead       consensus.ReadNumber
 	granter        *quota.Granter
 	rollout        *residency.Rollout
-	// previousLeaderUntil is until when a former leader may still send older tables.
+	// previousLeaderUntil is the time until which a former leader may still send older tables.
 	previousLeaderUntil float64
-	minimumsAppliedBy   map[membership.Name]consensus.QuotasVersion // whose minimums each node goes by
-	// differsInStrict are the nodes whose operator's file refuses other tenants where contracts are not confirmed.
-	differsInStrict map[membership.Name]bool
+	minimumsAppliedBy   map[membership.Name]consensus.QuotasVersion // version of the quotas whose minimums each node applies
+	// strictMismatch is true for a node whose operator's file has another set of strict tenants than this node's file. Strict
+	// tenants are refused while the contracts are not confirmed.
+	strictMismatch map[membership.Name]bool
 }
 
 func newLeadership(settings *Settings) leadership {
@@ -39,29 +40,30 @@
 		names = append(names, member.Name)
 	}
 	return leadership{
-		authority:         settings.Lease * authorityShare,
+		leaderLease:       settings.Lease * leaderLeaseShare,
 		pendingReads:      map[consensus.ReadNumber]float64{},
 		granter:           quota.NewGranter(settings.Lease * tokenShare),
 		rollout:           residency.NewRollout(settings.Lease*contractShare, names),
 		minimumsAppliedBy: map[membership.Name]consensus.QuotasVersion{},
-		differsInStrict:   map[membership.Name]bool{},
+		strictMismatch:    map[membership.Name]bool{},
 	}
 }
 
-// begin starts granting in a term. What a former leader granted has to expire first, which granter and rollout see to.
+// begin makes this node the granter in a term. The granter and the rollout wait until everything that a former leader granted
+// has expired.
 func (l *leadership) begin(now float64, term uint64) {
 	l.granting, l.term, l.confirmedUntil = true, term, 0
-	l.granter.Begin(now, l.authority, term)
-	l.rollout.Begin(now, l.authority)
-	l.previousLeaderUntil = now + l.authority*quota.WaitFactor
+	l.granter.Begin(now, l.leaderLease, term)
+	l.rollout.Begin(now, l.leaderLease)
+	l.previousLeaderUntil = now + l.leaderLease*quota.WaitFactor
 	clear(l.minimumsAppliedBy)
-	clear(l.differsInStrict)
+	clear(l.strictMismatch)
 }
 
-// confirm notes that no other node could lead at a time.
+// confirm extends the leader lease: at the given time no other node could lead.
 func (l *leadership) confirm(at float64) {
-	l.granter.Confirm(at, l.authority)
-	l.confirmedUntil = max(l.confirmedUntil, at+l.authority)
+	l.granter.Confirm(at, l.leaderLease)
+	l.confirmedUntil = max(l.confirmedUntil, at+l.leaderLease)
 }
 
 // end stops granting.
@@ -71,15 +73,15 @@
 	clear(l.pendingReads)
 }
 
-// startRead numbers a read that is sent now.
+// startRead registers a read that is sent now, and returns its number.
 func (l *leadership) startRead(now float64) consensus.ReadNumber {
-	l.readAt = now + readIndexInterval
+	l.nextReadAt = now + readIndexInterval
 	l.lastRead++
 	l.pendingReads[l.lastRead] = now
 	return l.lastRead
 }
 
-// expireReads forgets the reads that were sent longer ago than a time.
+// expireReads drops the pending reads that are older than maxAge seconds.
 func (l *leadership) expireReads(now, maxAge float64) {
 	for number, sentAt := range l.pendingReads {
 		if now-sentAt > maxAge {
@@ -88,19 +90,19 @@
 	}
 }
 
-// record takes what a node says of itself in a request.
-func (l *leadership) record(now float64, from membership.Name, request *grantRequest, strictHash uint64) {
+// recordRequest stores what a node reports about itself in a grant request.
+func (l *leadership) recordRequest(now float64, from membership.Name, request *grantRequest, strictHash uint64) {
 	l.rollout.RecordApplied(now, from, request.AppliedContracts)
 	l.rollout.RecordRenewal(now, from)
 	if now >= l.previousLeaderUntil {
 		l.minimumsAppliedBy[from] = request.MinimumsVersion
 	}
-	l.differsInStrict[from] = request.StrictHash != strictHash
+	l.strictMismatch[from] = request.StrictHash != strictHash
 }
 
-// anyDiffersInStrict tells whether some node refuses other tenants than this one where contracts are not confirmed.
-func (l *leadership) anyDiffersInStrict() bool {
-	for _, differs := range l.differsInStrict {
+// anyStrictMismatch reports whether the strict tenants of some node differ from those of this one.
+func (l *leadership) anyStrictMismatch() bool {
+	for _, differs := range l.strictMismatch {
 		if differs {
 			return true
 		}
@@ -108,8 +110,9 @@
 	return false
 }
 
-// reservedMinimums sums what the nodes may spend of a tenant's quota without a grant: nodes that reported to go by the current
-// quotas have their minimum by these, all others by the largest that the tenant ever had.
+// reservedMinimums returns the sum of the minimums, the part of a tenant's quota that nodes may spend without a grant. For a node
+// that has reported the current version of the quotas, it counts the current minimum. For any other node it counts the largest
+// minimum that the tenant ever had.
 func (l *leadership) reservedMinimums(state *consensus.State, members []membership.Member, tenant quota.Tenant) (perS, burst float64) {
 	currentPerS, currentBurst := state.Quotas[tenant].NodeMinimum(len(members))
 	largest := state.LargestMinimums[tenant]
@@ -124,12 +127,13 @@
 	return perS, burst
 }
 
-// isConfirmedLeader tells whether no other node can lead, so that what we know to be agreed on is the newest.
+// isConfirmedLeader reports whether this node leads and no other node can lead now. Then its state is the newest agreed one.
 func (f *Fleet) isConfirmedLeader() bool {
-	return f.leadership.granting && f.now < f.leadership.confirmedUntil && !f.voter.steppedOut
+	return f.leadership.granting && f.now < f.leadership.confirmedUntil && !f.voter.suspended
 }
 
-// leadershipConfirmed notes that no other node could lead at a time. The first such time of a term begins our granting.
+// leadershipConfirmed records that no other node could lead at the given time. With the first confirmation in a term this node
+// becomes the granter.
 func (f *Fleet) leadershipConfirmed(at float64) {
 	if !f.voter.machine.Leads() {
 		return
@@ -158,8 +162,8 @@
 	}
 }
 
-// grantResponse responds to a node's request: with grants and newer tables where this node grants, else with the leader that it
-// knows of.
+// grantResponse builds the response to a node's request. A confirmed leader responds with grants and with the tables that differ
+// from the requester's. Any other node responds with the leader that it knows, if any.
 func (f *Fleet) grantResponse(from membership.Name, request *grantRequest) *grantResponse {
 	response := &grantResponse{Number: request.Number}
 	if !f.isConfirmedLeader() {
@@ -169,7 +173,7 @@
 		return response
 	}
 	members := &f.settings.Membership
-	if request.MembershipVersion != members.Version { // shares of another membership do not add up with ours
+	if request.MembershipVersion != members.Version { // quotas split among another membership would add up to another sum
 		f.counters.Add("fleet", "other_roster", 1)
 		f.logger.Error("fleet membership version differs",
 			zap.String("member", string(from)),
@@ -185,8 +189,8 @@
 	if request.Quotas != response.Versions.Quotas {
 		response.Quotas = state.Quotas
 	}
-	f.leadership.record(f.now, from, request, f.strictHash)
-	if f.leadership.differsInStrict[from] {
+	f.leadership.recordRequest(f.now, from, request, f.strictHash)
+	if f.leadership.strictMismatch[from] {
 		f.counters.Add("fleet", "other_strict", 1)
 	}
 	reserved := func(tenant quota.Tenant) (perS, burst float64) {
--- a/internal/controlplane/fleet/loop.go
+++ b/internal/controlplane/fleet/loop.go
@@ -13,28 +13,31 @@
 )
 
 const (
-	maxMessagesPerTurn = 256                   // or a flood would delay what is due
-	turnInterval       = 50 * time.Millisecond // where nothing comes sooner
+	// maxMessagesPerIteration bounds the messages handled in one iteration of Run, so that a flood of messages does not delay the
+	// periodic tasks.
+	maxMessagesPerIteration = 256
+	// maxLoopWait is the longest time that Run waits for a message or an event before it checks the periodic tasks.
+	maxLoopWait = 50 * time.Millisecond
 )
 
-// eventKind says what happened, and which fields of the event belong to it.
+// eventKind is the kind of an event. The comments of its values name the fields that the kind uses.
 type eventKind uint8
 
 const (
-	callsObserved      eventKind = iota // observations
-	backendsListed                      // places
-	contractsApplied                    // version
-	consensusWorkSaved                  // err
-	tablesWritten                       // err, quotas
-	commandSubmitted                    // command
-	callRequested                       // call
-	fileTablesDecided                   // err, result
+	callsObserved       eventKind = iota // observations
+	backendsChanged                      // places
+	contractsApplied                     // version
+	consensusStateSaved                  // err
+	tablesWritten                        // err, quotas
+	commandSubmitted                     // command
+	callRequested                        // call
+	fileTablesDecided                    // err, result
 	storeClosed
 	storeReopenFailed
 	releaseRequested
 )
 
-// event is what another goroutine hands to that of Run.
+// event is passed from another goroutine to that of Run.
 type event struct {
 	kind         eventKind
 	observations []outlier.Observation
@@ -47,11 +50,11 @@
 	call         func()
 }
 
-// Run owns the control state until Stop.
+// Run receives messages, handles events and runs the periodic tasks until Stop is called. Its goroutine owns the control state.
 func (f *Fleet) Run() {
 	defer close(f.stopped)
 	var events []event
-	timer := time.NewTimer(turnInterval)
+	timer := time.NewTimer(maxLoopWait)
 	for {
 		var messages chan []byte
 		if f.transport != nil {
@@ -61,7 +64,7 @@
 		case sealed := <-messages:
 			f.now = f.Now()
 			f.receive(sealed)
-			for range min(len(messages), maxMessagesPerTurn) { // what waits, so that a turn sees the newest
+			for range min(len(messages), maxMessagesPerIteration) { // drains the queued messages, so that the periodic tasks use the newest state
 				f.receive(<-messages)
 			}
 		case <-f.events.Ready():
@@ -75,8 +78,8 @@
 		for i := range events {
 			f.handleEvent(&events[i])
 		}
-		f.runDue()
-		timer.Reset(turnInterval)
+		f.runPeriodicTasks()
+		timer.Reset(maxLoopWait)
 	}
 }
 
@@ -86,13 +89,13 @@
 		if f.detector != nil {
 			f.outliers.report(f.now, e.observations)
 		}
-	case backendsListed:
+	case backendsChanged:
 		f.outliers.setBackends(f.settings.Layout, e.places)
 	case contractsApplied:
 		failpoint.Pass(failpoint.ApplyContract)
 		f.tables.appliedContracts = max(f.tables.appliedContracts, e.version)
-		f.due.request = min(f.due.request, f.now+urgentRequestInterval) // the operator waits for it
-	case consensusWorkSaved:
+		f.due.request = min(f.due.request, f.now+urgentRequestInterval) // reports it soon, as the operator waits for it
+	case consensusStateSaved:
 		f.consensusSaved(e.err)
 	case tablesWritten:
 		if e.err != nil {
@@ -122,7 +125,7 @@
 }
 
 // runDue runs the periodic tasks that are due.
-func (f *Fleet) runDue() {
+func (f *Fleet) runPeriodicTasks() {
 	if f.isReleased() {
 		return
 	}
--- a/internal/controlplane/fleet/messages.go
+++ b/internal/controlplane/fleet/messages.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
-// Kinds of messages; the numbers are on the wire.
+// Kinds of messages. The numbers are part of the encoded messages and must not change.
 const (
 	messageFailureDetector sealedmessage.Kind = 1 + iota
 	messageConsensus
@@ -24,37 +24,38 @@
 	messageStaleIncarnation
 )
 
-// grantRequest goes from each node to the granter a few times a second. It asks for tokens, and for the tables that are newer
-// than the sender's, and reports what the sender goes by.
+// grantRequest is sent by each node to the granter a few times a second. It requests tokens and the tables that changed. It also
+// reports the versions of the contracts and quotas that the sender applies.
 type grantRequest struct {
 	Number            uint64                  `cbor:"1,keyasint"`
 	MembershipVersion int                     `cbor:"2,keyasint"`
-	StrictHash        uint64                  `cbor:"3,keyasint"` // a hash of the tenants that are refused where contracts are not confirmed
-	Contracts         residency.Version       `cbor:"4,keyasint"` // version of the sender's table
-	AppliedContracts  residency.Version       `cbor:"5,keyasint"` // version that all its subqueries go by
+	StrictHash        uint64                  `cbor:"3,keyasint"` // hash of the tenants that are refused while the contracts are not confirmed
+	Contracts         residency.Version       `cbor:"4,keyasint"` // version of the sender's contracts
+	AppliedContracts  residency.Version       `cbor:"5,keyasint"` // version that all subqueries of the sender comply with
 	Quotas            consensus.QuotasVersion `cbor:"6,keyasint"`
 	Requests          []quota.Request         `cbor:"7,keyasint,omitempty"`
-	MinimumsVersion   consensus.QuotasVersion `cbor:"8,keyasint"` // whose minimums it goes by, also after a restart
+	MinimumsVersion   consensus.QuotasVersion `cbor:"8,keyasint"` // version of the quotas whose minimums the sender applies, also after a restart
 }
 
-// grantResponse answers it. Unless Confirmed the sender does not grant, and Leader says who may.
+// grantResponse answers a grantRequest. If Confirmed is false the sender is not the granter, and Leader is the node that the
+// sender believes to be it.
 type grantResponse struct {
 	Number    uint64                       `cbor:"1,keyasint"`
 	Confirmed bool                         `cbor:"2,keyasint,omitempty"`
 	Leader    membership.Name              `cbor:"3,keyasint,omitempty"`
 	Versions  tableVersions                `cbor:"4,keyasint"`
-	Table     *residency.Table             `cbor:"5,keyasint,omitempty"` // where the requester has another version
-	Quotas    map[quota.Tenant]quota.Quota `cbor:"6,keyasint,omitempty"` // likewise
+	Table     *residency.Table             `cbor:"5,keyasint,omitempty"` // set if the requester has another version
+	Quotas    map[quota.Tenant]quota.Quota `cbor:"6,keyasint,omitempty"` // set if the requester has another version
 	Grants    []quota.Grant                `cbor:"7,keyasint,omitempty"`
 }
 
-// tableVersions are the versions of the tables that a node goes by.
+// tableVersions holds the versions of the tables that a node has.
 type tableVersions struct {
 	Contracts residency.Version       `cbor:"1,keyasint"`
 	Quotas    consensus.QuotasVersion `cbor:"2,keyasint"`
 }
 
-// commandRequest forwards a command, or a question about one, to the leader.
+// commandRequest forwards a command, or a progress query, to the leader.
 type commandRequest struct {
 	Number  uint64            `cbor:"1,keyasint"`
 	Command consensus.Command `cbor:"2,keyasint"`
@@ -74,26 +75,26 @@
 	Tenant  quota.Tenant      `cbor:"2,keyasint"`
 }
 
-// staleIncarnation notifies a node that messages of a higher incarnation came under its name.
+// staleIncarnation notifies a node that another node has received messages with a higher incarnation under its name.
 type staleIncarnation struct {
 	Highest sealedmessage.Incarnation `cbor:"1,keyasint"`
 }
 
-// reportBatch are outlier reports of one or more origins.
+// reportBatch holds outlier reports from one or more nodes.
 type reportBatch struct {
-	List []outlier.Report `cbor:"1,keyasint"`
+	Reports []outlier.Report `cbor:"1,keyasint"`
 }
 
-// encode encodes a message's body, or a stored record.
+// encode encodes the body of a message, or a stored record.
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // plain structures
+		panic(err) // unreachable: every encoded type consists of plain structures
 	}
 	return b
 }
 
-// decode decodes a message's body; the decoder bounds depth and sizes by itself.
+// decode decodes the body of a message. The CBOR library limits the nesting depth and the sizes.
 func decode[T any](body []byte) (v T, err error) {
 	err = cbor.Unmarshal(body, &v)
 	return v, err
--- a/internal/controlplane/fleet/open.go
+++ b/internal/controlplane/fleet/open.go
@@ -12,15 +12,18 @@
 )
 
 const (
-	reopenInterval = 0.25 // while another process still holds our address or directory
-	// maxPeerBytesPerSecond is what one other node may send us: some hundred requests, and a table of contracts now and then.
+	// reopenInterval is the time, in seconds, between attempts to open the address and the directory while another process still
+	// holds one of them.
+	reopenInterval = 0.25
+	// maxPeerBytesPerSecond limits the bytes accepted from one other node. It allows for about a hundred requests a second, and for
+	// an occasional table of contracts.
 	maxPeerBytesPerSecond = 512 << 10
-	// outlierSeedMask keeps the gossip of outlier reports from drawing the same numbers as the failure detector.
+	// outlierSeedMask gives the gossip of outlier reports a sequence of random numbers that differs from the failure detector's.
 	outlierSeedMask = 0x5bd1e995
 )
 
-// open opens directory and address unless they are open. The process before this one releases both as it begins to stop, so
-// that an error is tried again, and logged only where it is not the last one.
+// open opens the directory and the address if they are not open yet. The previous process of this node releases both when it
+// begins to stop, so open is retried after an error. It logs an error only if it differs from the one before.
 func (f *Fleet) open() {
 	err := f.tryOpen()
 	if err == nil {
@@ -52,11 +55,11 @@
 			return err
 		}
 	}
-	return f.startMachines()
+	return f.startStateMachines()
 }
 
-// startMachines makes the state machines from what was stored.
-func (f *Fleet) startMachines() (err error) {
+// startStateMachines creates the state machines from the stored data.
+func (f *Fleet) startStateMachines() (err error) {
 	incarnation := sealedmessage.Incarnation(f.startUnix * 1e9)
 	stored := f.readTables()
 	incarnation = max(incarnation, stored.Incarnation+1)
@@ -70,22 +73,22 @@
 	if stored.Table != nil {
 		f.tables.contracts, f.tables.versions.Contracts = stored.Table, stored.Table.Version
 	}
-	// The quotas of the operator's file apply once the voters have agreed on them: a minimum may be spent only while all other
-	// nodes know that it is this node's.
-	f.tables.quotas, f.tables.versions.Quotas = stored.Quotas, stored.QuotasAt
+	// The quotas of the operator's file do not apply until the voters have agreed on them: this node may spend a minimum only if
+	// the granter reserves it.
+	f.tables.quotas, f.tables.versions.Quotas = stored.Quotas, stored.QuotasVersion
 	f.saveTables()
 	if f.settings.Membership.Find(f.settings.Self).Votes {
-		if err := f.startVoter(&f.stored); err != nil { // the node takes part all the same, but does not vote
-			f.stepOut(err)
+		if err := f.startVoter(&f.stored); err != nil { // the node still takes part in the fleet, but does not vote
+			f.suspendVoter(err)
 		}
 	}
 	f.stored = aggregatorstore.LogContents{ID: f.stored.ID}
-	f.publish()
-	f.publishZones()
+	f.publishTrafficView()
+	f.publishZoneRules()
 	return nil
 }
 
-// close closes address and directory, and rejects the commands that wait.
+// close closes the address and the directory, and rejects the pending commands.
 func (f *Fleet) close() {
 	if f.transport != nil {
 		f.transport.Close()
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -12,54 +12,57 @@
 )
 
 const (
-	reportInterval       = 1.0 // of a node's own report, and of verdicts
-	gossipInterval       = 0.25
-	maxReportsPerMessage = 2 // a datagram's worth
+	// reportInterval is the time, in seconds, between a node's own reports, and between its evaluations of all reports.
+	reportInterval = 1.0
+	// gossipInterval is the time, in seconds, between messages that spread reports.
+	gossipInterval = 0.25
+	// maxReportsPerMessage keeps a message within the size of a datagram.
+	maxReportsPerMessage = 2
 )
 
-// callEnds says what the outcome of a subquery counts as in the observations.
-var callEnds = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.Rejected: outlier.Canceled,
+// endByOutcome maps the outcome of a subquery to the way in which the observations count it.
+var endByOutcome = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.Rejected: outlier.Canceled,
 	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Canceled: outlier.Canceled,
 	policy.NotSent: outlier.Canceled}
 
-// callObserver counts this node's own subqueries.
+// callObserver collects observations about the subqueries of this node.
 type callObserver struct {
-	observer *outlier.Observer
-	sentAt   float64 // when observations were last handed on
+	observer   *outlier.Observer
+	reportedAt float64 // time of the last report
 }
 
-// record counts one subquery that ended now. Once each reportInterval due is set, with the observations to report.
+// record counts a subquery that ended now. After each reportInterval it returns the observations to report, and due is true.
 func (o *callObserver) record(now float64, backend string, outcome policy.Outcome, elapsed float64) (observations []outlier.Observation, due bool) {
 	switch outcome {
-	case policy.Rejected, policy.NotSent: // a full queue reports itself, and is no fault
+	case policy.Rejected, policy.NotSent: // a full queue is reported by the backend itself, and is no failure
 		return nil, false
 	}
-	o.observer.RecordCall(now, outlier.Backend(backend), callEnds[outcome], elapsed)
-	if now-o.sentAt < reportInterval {
+	o.observer.RecordCall(now, outlier.Backend(backend), endByOutcome[outcome], elapsed)
+	if now-o.reportedAt < reportInterval {
 		return nil, false
 	}
-	o.sentAt = now
+	o.reportedAt = now
 	return o.observer.Observations(now), true
 }
 
-// outlierDetection keeps the nodes' reports about backends, and the verdicts that follow from them.
+// outlierDetection holds the nodes' reports about backends, and the verdicts derived from them.
 type outlierDetection struct {
 	self    membership.Name
-	store   *outlier.Store  // nil before the fleet is open
-	version outlier.Version // of our last report
-	// verdictAt is when each backend that counts as an outlier was last found to be one.
+	store   *outlier.Store  // nil before the address and the directory are open
+	version outlier.Version // version of this node's last report
+	// verdictAt is the time of the last verdict about each backend that counts as an outlier.
 	verdictAt     map[outlier.Backend]float64
 	shardReplicas outlier.ShardReplicas
 }
 
-// report stores our own report, for gossip.
+// report stores a report of this node, for gossip.
 func (d *outlierDetection) report(now float64, observations []outlier.Observation) {
 	d.version++
 	report := outlier.NewReport(d.self, d.version, observations)
 	d.store.Receive(now, &report)
 }
 
-// record notes verdicts, and returns those that are new. Older ones lapse.
+// record stores the verdicts and returns those about backends that were no outliers before. It removes expired verdicts.
 func (d *outlierDetection) record(now float64, verdicts []outlier.Verdict) (fresh []outlier.Verdict) {
 	for _, verdict := range verdicts {
 		if _, known := d.verdictAt[verdict.Backend]; !known {
@@ -75,7 +78,8 @@
 	return fresh
 }
 
-// setBackends works out which backends hold which shards: the cells of a layout, each held in so many neighbouring ones.
+// setBackends computes which backends hold which shard. There is one shard for each cell of the layout. The backends in a cell
+// hold the shard of that cell and those of the preceding width-1 cells.
 func (d *outlierDetection) setBackends(layout policy.Layout, places []aggregator.Placement) {
 	cells, width := max(1, layout.Cells), max(1, layout.Width)
 	d.shardReplicas = make(outlier.ShardReplicas, cells)
@@ -88,8 +92,8 @@
 }
 
 func (f *Fleet) receiveReports(_ membership.Name, batch *reportBatch) {
-	for i := range batch.List {
-		f.outliers.store.Receive(f.now, &batch.List[i])
+	for i := range batch.Reports {
+		f.outliers.store.Receive(f.now, &batch.Reports[i])
 	}
 }
 
@@ -107,7 +111,8 @@
 	}
 }
 
-// publishVerdicts hands the aggregator the outliers that other nodes' reports make. An isolated node decides by itself.
+// publishVerdicts passes the outliers found in the nodes' reports to the aggregator. An isolated node publishes none, so that its
+// aggregator relies on its own observations.
 func (f *Fleet) publishVerdicts() {
 	var verdicts []outlier.Verdict
 	if !f.detector.Isolated() && !failpoint.Pass(failpoint.DetectOutliers).Drop {
--- a/internal/controlplane/fleet/publish.go
+++ b/internal/controlplane/fleet/publish.go
@@ -11,15 +11,17 @@
 )
 
 var (
-	// emptyBucket is that of a tenant of whom it is not known whether it has a quota, and of all tenants before the address is
-	// open: another process may spend what is due to this node.
+	// emptyBucket holds no tokens. If the operator's file has quotas, tenants without a bucket get this one in two cases: before
+	// this node has received the tables, as a tenant may have a quota, and before the address is open, as another process may
+	// spend this node's tokens.
 	emptyBucket = quota.Empty()
-	// noZones is for queued queries that this node may not serve any more.
+	// noZones is the set of zones for queued queries that this node may no longer serve.
 	noZones = policy.NewZones()
 )
 
-// publish replaces the view that traffic reads. Buckets are in it only once the address is open.
-func (f *Fleet) publish() {
+// publishTrafficView builds a new trafficView from the current tables and replaces the published one. Tenants without a quota get
+// no bucket, or emptyBucket in the cases described there.
+func (f *Fleet) publishTrafficView() {
 	view := &trafficView{
 		buckets:   map[policy.CustomerID]*quota.Bucket{},
 		strict:    map[policy.CustomerID]bool{},
@@ -27,7 +29,7 @@
 	}
 	buckets := f.quotaClient.Set(f.now, f.tables.quotas)
 	for i, tenant := range f.settings.Names.Tenants {
-		view.strict[policy.CustomerID(i)] = f.settings.strict(quota.Tenant(tenant))
+		view.strict[policy.CustomerID(i)] = f.settings.isStrict(quota.Tenant(tenant))
 		bucket := buckets[quota.Tenant(tenant)]
 		if bucket == nil && f.settings.HasQuotas && (f.detector == nil || !f.tables.received) {
 			bucket = emptyBucket
@@ -41,9 +43,9 @@
 	f.admission.view.Store(view)
 }
 
-// publishZones brings the aggregator's queued queries under the rules of the view. It is notified with a contractsApplied event
-// once all subqueries in flight go by them.
-func (f *Fleet) publishZones() {
+// publishZoneRules makes the aggregator apply the rules of the current view to its queued queries. A contractsApplied event
+// follows once all subqueries in flight comply with these rules.
+func (f *Fleet) publishZoneRules() {
 	rules := f.admission.view.Load().rules
 	zones := func(customer policy.CustomerID, index policy.IndexID) *policy.Zones {
 		rule := rules.Of(customer, index)
@@ -56,7 +58,7 @@
 	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Rules: &aggregator.Rules{Zones: zones, InForce: applied}})
 }
 
-// contractsAppliedFunc is what the aggregator's goroutine calls once it goes by the contracts of a version.
+// contractsAppliedFunc returns the function that the aggregator's goroutine calls once it applies the contracts of a version.
 func (f *Fleet) contractsAppliedFunc(v residency.Version) func() {
 	return func() { f.events.Put(event{kind: contractsApplied, version: v}) }
 }
--- a/internal/controlplane/fleet/receive.go
+++ b/internal/controlplane/fleet/receive.go
@@ -9,11 +9,11 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
-// staleNotifyInterval is how often a node is notified, in seconds, that it sends under an old incarnation.
+// staleNotifyInterval is the shortest time, in seconds, between two notifications to a node that its incarnation is stale.
 const staleNotifyInterval = 1.0
 
-// receive opens a message and hands it to the handler of its kind. What can't be opened or read is counted and dropped, which
-// its sender takes for a lost message.
+// receive authenticates a message and passes it to the handler for its kind. It counts and drops a message that cannot be
+// authenticated or decoded. To the sender such a message is lost.
 func (f *Fleet) receive(sealed []byte) {
 	if f.detector == nil {
 		return
@@ -39,8 +39,8 @@
 	}
 }
 
-// decoded makes a handler that decodes the body first.
-func decoded[T any](do func(*Fleet, membership.Name, *T)) func(*Fleet, membership.Name, []byte) error {
+// decodingHandler returns a handler that decodes the body and passes the result to do.
+func decodingHandler[T any](do func(*Fleet, membership.Name, *T)) func(*Fleet, membership.Name, []byte) error {
 	return func(f *Fleet, from membership.Name, body []byte) error {
 		v, err := decode[T](body)
 		if err == nil {
@@ -50,20 +50,20 @@
 	}
 }
 
-// handlers are the messages' by kind.
+// handlers maps the kind of a message to its handler.
 var handlers map[sealedmessage.Kind]func(*Fleet, membership.Name, []byte) error
 
 func init() {
 	handlers = map[sealedmessage.Kind]func(*Fleet, membership.Name, []byte) error{
-		messageFailureDetector:  decoded((*Fleet).receiveFailureDetector),
+		messageFailureDetector:  decodingHandler((*Fleet).receiveFailureDetector),
 		messageConsensus:        (*Fleet).receiveConsensus,
-		messageIntroduction:     decoded((*Fleet).receiveIntroduction),
-		messageGrantRequest:     decoded((*Fleet).receiveGrantRequest),
-		messageGrantResponse:    decoded((*Fleet).receiveGrantResponse),
-		messageReports:          decoded((*Fleet).receiveReports),
-		messageCommandRequest:   decoded((*Fleet).receiveCommand),
-		messageCommandResponse:  decoded((*Fleet).receiveCommandResponse),
-		messageStaleIncarnation: decoded((*Fleet).receiveStaleIncarnation),
+		messageIntroduction:     decodingHandler((*Fleet).receiveIntroduction),
+		messageGrantRequest:     decodingHandler((*Fleet).receiveGrantRequest),
+		messageGrantResponse:    decodingHandler((*Fleet).receiveGrantResponse),
+		messageReports:          decodingHandler((*Fleet).receiveReports),
+		messageCommandRequest:   decodingHandler((*Fleet).receiveCommand),
+		messageCommandResponse:  decodingHandler((*Fleet).receiveCommandResponse),
+		messageStaleIncarnation: decodingHandler((*Fleet).receiveStaleIncarnation),
 	}
 }
 
@@ -72,7 +72,8 @@
 	f.sendFailureDetector()
 }
 
-// receiveStaleIncarnation raises our incarnation: another process sent messages under this name, or the clock went back.
+// receiveStaleIncarnation raises this node's incarnation. It is stale because another process sent messages under this node's
+// name, or because the clock was set back.
 func (f *Fleet) receiveStaleIncarnation(from membership.Name, stale *staleIncarnation) {
 	f.logger.Error("fleet incarnation stale", zap.String("member", string(from)), zap.Uint64("known", uint64(stale.Highest)))
 	f.sealer.RaiseIncarnation(stale.Highest)
@@ -89,7 +90,7 @@
 	}
 }
 
-// sendFailureDetector sends the failure detector's messages, and logs the changes that it found.
+// sendFailureDetector sends the failure detector's messages, and logs the status changes that it detected.
 func (f *Fleet) sendFailureDetector() {
 	messages, changes := f.detector.TakeOutput()
 	for _, message := range messages {
--- a/internal/controlplane/fleet/settings.go
+++ b/internal/controlplane/fleet/settings.go
@@ -16,42 +16,43 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Settings are what the operator's file and the node's configuration say together. Times are seconds.
+// Settings combines the operator's file with the node's configuration. Times are in seconds.
 type Settings struct {
 	Self        membership.Name
-	Location    string // of this node, by the settings' names
+	Location    string // zone of this node, one of Names.Zones
 	Membership  membership.Set
 	Key         [sealedmessage.KeyBytes]byte
-	Directory   string // "" stores nothing; a voter needs one
+	Directory   string // directory of the store; "" for none, which is invalid for a voter
 	Lease       float64
 	MaxDeadline float64 // the longest hard deadline of a query
 	Names       residency.NameSpace
 	Layout      policy.Layout
 	Seed        uint64
 
-	HasQuotas  bool // the file has the section: until tables were received no tenant counts as one without a quota
+	HasQuotas  bool // the operator's file has a section for quotas: until the tables are received, every tenant may have a quota
 	FileTables consensus.FileTables
-	Strict     []string       // tenants refused where contracts are not confirmed; "*" for all
+	Strict     []string       // tenants that are refused while the contracts are not confirmed; "*" for all
 	Lines      map[string]int // line numbers in the operator's file, by key
 }
 
-// Keys of Lines, but for contracts and quotas, each of which has its own.
+// Keys of Settings.Lines. ContractLine and QuotaLine return the keys for a tenant's contract and quota.
 const (
 	LineFleet  = "fleet"
 	LineStrict = "strict"
 )
 
-// ContractLine is the key of the line of a tenant's contract.
+// ContractLine returns the key of Settings.Lines for a tenant's contract.
 func ContractLine(t quota.Tenant) string { return "contract " + string(t) }
 
-// QuotaLine is the key of the line of a tenant's quota.
+// QuotaLine returns the key of Settings.Lines for a tenant's quota.
 func QuotaLine(t quota.Tenant) string { return "quota " + string(t) }
 
-// Check tells where the operator's file contradicts the settings: a ValidationError for each place, with its line, joined.
+// Check reports the contradictions between the operator's file and the settings. The error joins one ValidationError for each of
+// them, with its line in the file.
 func (s *Settings) Check() error {
 	var faults []error
 	report := func(key, format string, args ...any) {
-		faults = append(faults, invalid("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
+		faults = append(faults, newValidationError("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
 	}
 	self := s.Membership.Find(s.Self)
 	switch {
@@ -87,11 +88,11 @@
 	return errors.Join(faults...)
 }
 
-func (s *Settings) strict(tenant quota.Tenant) bool {
+func (s *Settings) isStrict(tenant quota.Tenant) bool {
 	return slices.Contains(s.Strict, "*") || slices.Contains(s.Strict, string(tenant))
 }
 
-// strictHash is equal at nodes that refuse the same tenants where contracts are not confirmed.
+// strictHash returns a hash of the strict tenants. Nodes with the same strict tenants have the same hash.
 func (s *Settings) strictHash() uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(strings.Join(slices.Sorted(slices.Values(s.Strict)), "\n")))
--- a/internal/controlplane/fleet/status.go
+++ b/internal/controlplane/fleet/status.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// Status is what an operator sees of the fleet from one node. Times are in seconds.
+// Status describes the fleet as one node sees it, for operators. Times are in seconds.
 type Status struct {
 	Node                  membership.Name         `json:"mixer"`
 	Open                  bool                    `json:"open"`
@@ -20,7 +20,7 @@
 	Isolated              bool                    `json:"hears_nothing"`
 	LocalHealth           int                     `json:"doubt_in_itself"`
 	Votes                 bool                    `json:"votes"`
-	SteppedOut            bool                    `json:"mute,omitempty"`
+	VoterSuspended        bool                    `json:"mute,omitempty"`
 	Leader                membership.Name         `json:"leader,omitempty"`
 	Leads                 bool                    `json:"leads"`
 	GrantsIn              float64                 `json:"grants_in_s,omitempty"`
@@ -34,7 +34,7 @@
 	Reports               []outlier.Summary       `json:"reports"`
 }
 
-// MemberStatus is another node, as the failure detector sees it.
+// MemberStatus is the state of another node, as the failure detector sees it.
 type MemberStatus struct {
 	Node          membership.Name `json:"mixer"`
 	Status        string          `json:"status"`
@@ -47,7 +47,7 @@
 	Age     float64 `json:"s_ago"`
 }
 
-// Status is what this node knows now; an error says that the Fleet has stopped.
+// Status returns the current state of the fleet as this node sees it. It returns an error if the Fleet has stopped.
 func (f *Fleet) Status() (s Status, err error) {
 	done := make(chan struct{})
 	f.events.Put(event{kind: callRequested, call: func() { s = f.status(); close(done) }})
@@ -64,8 +64,8 @@
 		Node:                  f.settings.Self,
 		Open:                  f.detector != nil,
 		OpenError:             f.openError,
-		SteppedOut:            f.voter.steppedOut,
-		Leader:                f.granters.leader,
+		VoterSuspended:        f.voter.suspended,
+		Leader:                f.granterClient.leader,
 		Leads:                 f.isConfirmedLeader(),
 		ContractsConfirmedFor: max(0, f.contractLease.Until()-f.now),
 		Contracts:             *f.tables.contracts,
@@ -99,14 +99,14 @@
 	return status
 }
 
-// Explanation says which contract, lease and quota decide about a tenant's queries of an index at this node.
+// Explanation lists the contract, the lease and the quota that apply to a tenant's queries of an index at this node.
 type Explanation struct {
 	Accepted bool     `json:"taken"`
-	Zones    []string `json:"zones,omitempty"` // that subqueries may go to; none for all
+	Zones    []string `json:"zones,omitempty"` // zones that subqueries may be sent to; empty for all
 	Rules    []string `json:"rules"`
 }
 
-// Explain says which rules decide about a tenant's queries of an index now; an error says that the Fleet has stopped.
+// Explain returns the rules that currently apply to a tenant's queries of an index. It returns an error if the Fleet has stopped.
 func (f *Fleet) Explain(tenant quota.Tenant, index string) (e Explanation, err error) {
 	s, err := f.Status()
 	if err != nil {
@@ -117,7 +117,7 @@
 	contract, has := s.Contracts.Contracts[tenant]
 	confirmed := s.ContractsConfirmedFor > 0
 	switch {
-	case !confirmed && f.settings.strict(tenant):
+	case !confirmed && f.settings.isStrict(tenant):
 		e.Accepted = false
 		explain("lease: contracts are not sure here, and the tenant is strict: refused")
 	case !confirmed:
--- a/internal/controlplane/fleet/stored.go
+++ b/internal/controlplane/fleet/stored.go
@@ -16,24 +16,24 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/sealedmessage"
 )
 
-// tablesRecord is what a node stores of the tables that it received, so that it goes by them after a restart in which it reaches no
-// other node.
+// tablesRecord is the stored form of a node's incarnation and of the tables that it received. With them the node can apply the
+// tables after a restart even if it reaches no other node.
 type tablesRecord struct {
-	Incarnation sealedmessage.Incarnation    `cbor:"1,keyasint"`
-	Table       *residency.Table             `cbor:"2,keyasint"`
-	Quotas      map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
-	QuotasAt    consensus.QuotasVersion      `cbor:"4,keyasint"`
-	Received    bool                         `cbor:"5,keyasint"`
+	Incarnation   sealedmessage.Incarnation    `cbor:"1,keyasint"`
+	Table         *residency.Table             `cbor:"2,keyasint"`
+	Quotas        map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
+	QuotasVersion consensus.QuotasVersion      `cbor:"4,keyasint"`
+	Received      bool                         `cbor:"5,keyasint"`
 }
 
-// Names of values in the store.
+// Names of the values in the store. They are part of the stored data and must not change.
 const (
-	valueTables   = "tables"
-	valueHard     = "hard"
-	valueSnapshot = "snapshot"
+	valueTables    = "tables"
+	valueHardState = "hard"
+	valueSnapshot  = "snapshot"
 )
 
-// readTables decodes the stored tables. Unreadable ones, and those that no granter sent, apply no more.
+// readTables decodes the stored tables. It ignores tables that are unreadable or that did not come from a granter.
 func (f *Fleet) readTables() (t tablesRecord) {
 	if v := f.stored.Values[valueTables]; v != nil {
 		if err := cbor.Unmarshal(v, &t); err != nil {
@@ -48,14 +48,14 @@
 	return t
 }
 
-// saveTables stores the tables and our incarnation; a tablesWritten event follows.
+// saveTables stores the tables and this node's incarnation. A tablesWritten event follows.
 func (f *Fleet) saveTables() {
 	quotas := f.tables.versions.Quotas
 	switch {
-	case f.settings.Directory == "": // the next process starts without minimums
+	case f.settings.Directory == "": // nothing is stored, and the next process starts without minimums
 		f.tables.minimumsVersion = quotas
 		return
-	case f.store == nil: // restartVoter opens it, and saves then
+	case f.store == nil: // restartVoter opens the store and saves the tables
 		return
 	}
 	if failpoint.Pass(failpoint.SaveTables).Fail {
@@ -67,10 +67,10 @@
 		func(err error) { f.events.Put(event{kind: tablesWritten, err: err, quotas: quotas}) })
 }
 
-// decodeConsensusState decodes the voter's state from a store's contents.
+// decodeConsensusState decodes the voter's state from the contents of the store.
 func decodeConsensusState(contents *aggregatorstore.LogContents) (stored consensus.Stored, err error) {
 	stored.ID = contents.ID
-	if v := contents.Values[valueHard]; v != nil {
+	if v := contents.Values[valueHardState]; v != nil {
 		stored.Hard = &pb.HardState{}
 		if err := proto.Unmarshal(v, stored.Hard); err != nil {
 			return stored, fmt.Errorf("consensus hard state: %w", err)
@@ -92,11 +92,11 @@
 	return stored, nil
 }
 
-// encodeSave encodes a voter's save for the store.
+// encodeSave encodes a save of the voter for the store.
 func encodeSave(save *consensus.Save) (encoded aggregatorstore.LogSave, err error) {
 	encoded.Values = map[string][]byte{}
 	if save.Hard != nil {
-		if encoded.Values[valueHard], err = proto.Marshal(save.Hard); err != nil {
+		if encoded.Values[valueHardState], err = proto.Marshal(save.Hard); err != nil {
 			return encoded, err
 		}
 	}
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -23,8 +23,8 @@
 
 const (
 	storedFolder   = "testdata/stored"
-	storedDump     = "testdata/stored.json" // the log's bytes in hex
-	updateVariable = "GOLDEN_UPDATE"        // set to 1, the stored data is made anew
+	storedDump     = "testdata/stored.json" // contents of the log in storedFolder, in hex
+	updateVariable = "GOLDEN_UPDATE"        // environment variable; 1 regenerates the stored data
 	storedSelf     = membership.Name("a")
 )
 
@@ -33,21 +33,21 @@
 	storedFounders = []consensus.Voter{{Name: "a", ID: 0x11}, {Name: "b", ID: 0x22}, {Name: "c", ID: 0x33}}
 	storedQuota    = quota.Quota{PerS: 100, Burst: 50, MinimumShare: 0.25}
 	storedContract = residency.Contract{Zones: []string{"north", "south"}, Own: true, Indexes: []string{"reads"}}
-	// storedState is that of the snapshot.
+	// storedState is the state in the stored snapshot.
 	storedState = consensus.State{
 		Index:     7,
 		Contracts: residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
 		Quotas:    map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasVersion: 6,
 		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {PerS: 30, Burst: 15}},
 		FileContracts:   2, FileQuotas: 3, Voters: storedFounders,
-		Applied:  []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}},
-		Founders: storedFounders,
+		Applied:       []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}},
+		InitialVoters: storedFounders,
 	}
 	storedTables = tablesRecord{
 		Incarnation: 0xabcdef, Table: &residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
-		Quotas: map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasAt: 6, Received: true,
+		Quotas: map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasVersion: 6, Received: true,
 	}
-	// storedCommands are in the log after the snapshot, from index 8 on.
+	// storedCommands are the log entries after the snapshot, starting at index 8.
 	storedCommands = []consensus.Command{
 		{ID: "c-3", Author: "ann", Reason: "new", Contract: &consensus.ContractChange{Tenant: "beta", Contract: &residency.Contract{Zones: []string{"west"}}}},
 		{ID: "c-4", Author: "ann", Reason: "more", Quota: &consensus.QuotaChange{Tenant: "beta", Quota: &quota.Quota{PerS: 8, Burst: 4, MinimumShare: 0.5}}},
@@ -56,8 +56,8 @@
 			QuotasVersion: 4, Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, MinimumShare: 0.25}},
 		}},
 	}
-	// storedAgreed is the state after the commands that the vote record says are agreed on.
-	storedAgreed = consensus.State{
+	// stateAfterCommit is the state after the commands up to the commit index of the stored hard state.
+	stateAfterCommit = consensus.State{
 		Index: 10,
 		Contracts: residency.Table{Version: 8, Contracts: map[residency.Tenant]residency.Contract{
 			"acme": storedContract, "beta": {Zones: []string{"west"}}}},
@@ -66,34 +66,35 @@
 		FileContracts:   2, FileQuotas: 4, Voters: storedFounders,
 		Applied: []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}, {ID: "c-3", Index: 8}, {ID: "c-4", Index: 9},
 			{ID: "c-5", Index: 10, Failure: "contracts: version 2 is not above 2, which is held"}},
-		Founders: storedFounders,
+		InitialVoters: storedFounders,
 	}
 )
 
-// canonical encodes as package consensus does.
-func canonical(value any) []byte {
+// encodeCanonical encodes a value in the same way as package consensus.
+func encodeCanonical(value any) []byte {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
 	encoded, err := mode.Marshal(value)
 	if err != nil {
-		panic(err) // plain structures
+		panic(err) // unreachable: every encoded type consists of plain structures
 	}
 	return encoded
 }
 
-// storedSave is what a voter has saved: a hard state, a snapshot, three committed commands, and one that is not committed.
+// storedSave returns the save that the stored log contains: a hard state, a snapshot, three committed commands, and one that is not
+// committed.
 func storedSave() *consensus.Save {
 	save := &consensus.Save{
 		Hard: &pb.HardState{Term: proto.Uint64(4), Vote: proto.Uint64(0x22), Commit: proto.Uint64(10)},
-		Snapshot: &pb.Snapshot{Data: canonical(&storedState), Metadata: &pb.SnapshotMetadata{
+		Snapshot: &pb.Snapshot{Data: encodeCanonical(&storedState), Metadata: &pb.SnapshotMetadata{
 			ConfState: &pb.ConfState{Voters: []uint64{0x11, 0x22, 0x33}}, Index: proto.Uint64(7), Term: proto.Uint64(3)}},
 	}
 	normal := pb.EntryNormal
 	add := func(term uint64, command consensus.Command) {
 		index := 8 + uint64(len(save.Entries))
-		save.Entries = append(save.Entries, &pb.Entry{Type: &normal, Term: proto.Uint64(term), Index: proto.Uint64(index), Data: canonical(&command)})
+		save.Entries = append(save.Entries, &pb.Entry{Type: &normal, Term: proto.Uint64(term), Index: proto.Uint64(index), Data: encodeCanonical(&command)})
 	}
 	for _, command := range storedCommands {
 		add(3, command)
@@ -120,7 +121,7 @@
 	}
 }
 
-// dumpLog is a log's contents as JSON, the bytes in hex.
+// dumpLog returns the contents of a log as JSON, with the bytes in hex.
 func dumpLog(contents aggregatorstore.LogContents) string {
 	dump := map[string]map[string]string{"values": {}, "entries": {}, "of the file": {"id": strconv.FormatUint(contents.ID, 16)}}
 	for name, value := range contents.Values {
@@ -131,7 +132,7 @@
 	}
 	text, err := json.MarshalIndent(dump, "", " ")
 	if err != nil {
-		panic(err) // maps of texts can be written
+		panic(err) // unreachable: maps of strings can be encoded
 	}
 	return string(text) + "\n"
 }
@@ -146,7 +147,7 @@
 		t.Fatal(err)
 	}
 	saveNow(t, log, out)
-	saveNow(t, log, aggregatorstore.LogSave{Values: map[string][]byte{valueTables: canonical(&storedTables)}})
+	saveNow(t, log, aggregatorstore.LogSave{Values: map[string][]byte{valueTables: encodeCanonical(&storedTables)}})
 	log.Stop()
 	log, contents := openStoredLog(t, storedFolder)
 	log.Stop()
@@ -155,7 +156,7 @@
 	}
 }
 
-// applyCommitted applies the committed entries.
+// applyCommitted applies the committed entries and returns the resulting state.
 func applyCommitted(t *testing.T, machine *consensus.Machine) consensus.State {
 	t.Helper()
 	for {
@@ -168,7 +169,7 @@
 	}
 }
 
-func TestReadsStoredDataOfTheFleet(t *testing.T) {
+func TestStoredDataOfEarlierBuildIsReadable(t *testing.T) {
 	if os.Getenv(updateVariable) == "1" {
 		makeStoredLog(t)
 	}
@@ -208,14 +209,14 @@
 			machine, err := consensus.New(storedSelf, storedNames, stored)
 			So(err, ShouldBeNil)
 			So(*machine.State(), ShouldResemble, storedState)
-			So(applyCommitted(t, machine), ShouldResemble, storedAgreed)
+			So(applyCommitted(t, machine), ShouldResemble, stateAfterCommit)
 			So(machine.Term(), ShouldEqual, 4)
 		})
 		Convey("this build writes the same, so that the earlier one can read it", func() {
 			out, err := encodeSave(storedSave())
 			So(err, ShouldBeNil)
 			rewritten := aggregatorstore.LogContents{ID: contents.ID, Values: out.Values, Entries: out.Entries}
-			rewritten.Values[valueTables] = canonical(&storedTables)
+			rewritten.Values[valueTables] = encodeCanonical(&storedTables)
 			So(dumpLog(rewritten), ShouldEqual, string(golden))
 		})
 	})
--- a/internal/controlplane/fleet/tables.go
+++ b/internal/controlplane/fleet/tables.go
@@ -8,26 +8,27 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// clusterTables are what this node knows of the tables that the voters agreed on.
+// clusterTables holds this node's copy of the tables that the voters agreed on.
 type clusterTables struct {
 	contracts *residency.Table
 	quotas    map[quota.Tenant]quota.Quota
 	versions  tableVersions
-	// received says that some came from a granter, to this process or to one before it.
+	// received is true once a granter has sent tables to this process or to an earlier one.
 	received bool
-	// appliedContracts is the version that all subqueries of this node go by.
+	// appliedContracts is the version of the contracts that all subqueries of this node comply with.
 	appliedContracts residency.Version
-	// minimumsVersion is that of the quotas whose minimums this node goes by, also after a restart.
+	// minimumsVersion is the version of the quotas whose minimums this node applies, also after a restart.
 	minimumsVersion consensus.QuotasVersion
 }
 
-// newerThan tells whether one of our tables is of a later version.
+// newerThan reports whether at least one of this node's tables is newer than the given versions.
 func (t *clusterTables) newerThan(v tableVersions) bool {
 	return v.Contracts < t.versions.Contracts || v.Quotas < t.versions.Quotas
 }
 
-// apply takes the tables of a response that are newer than ours, and tells whether any changed, and whether the contracts
-// did. Before the first response the initial contracts apply, which nobody agreed on.
+// apply adopts the tables of a response whose versions differ from this node's. It reports whether any table changed, and whether
+// the contracts changed. The first response counts as a change of both. If the voters have not agreed on any contracts by the
+// first response, the initial contracts stay in use.
 func (t *clusterTables) apply(response *grantResponse, initial *residency.Table) (changed, contractsChanged bool) {
 	contracts := response.Table != nil && response.Table.Version == response.Versions.Contracts && response.Versions.Contracts != t.versions.Contracts
 	quotas := response.Versions.Quotas != t.versions.Quotas
@@ -48,20 +49,20 @@
 	return true, contracts || first
 }
 
-// initialContracts are those of the operator's file, of no version: they apply before anything was agreed on.
+// initialContracts returns the contracts of the operator's file, with version 0. They apply before the voters have agreed on any.
 func (f *Fleet) initialContracts() *residency.Table {
 	return &residency.Table{Contracts: f.settings.FileTables.Contracts}
 }
 
-// applyTables takes the tables of a granter's response, and publishes and stores what changed.
+// applyTables adopts the tables of a granter's response, and publishes and stores them if any changed.
 func (f *Fleet) applyTables(response *grantResponse) {
 	changed, contractsChanged := f.tables.apply(response, f.initialContracts())
 	if !changed {
 		return
 	}
-	f.publish()
+	f.publishTrafficView()
 	if contractsChanged {
-		f.publishZones()
+		f.publishZoneRules()
 	}
 	f.saveTables()
 }
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -14,32 +14,36 @@
 )
 
 const (
+	// introductionInterval is the time, in seconds, between the introductions that a voter sends until it belongs to a group.
 	introductionInterval = 0.25
-	nonceLifetime        = 5.0 // a message and its answer, with links of 2 s
-	voterRestartDelay    = 5.0 // for a voter whose directory took nothing
+	// nonceLifetimeSeconds is long enough for a message and its answer over links with a delay of 2 s.
+	nonceLifetimeSeconds = 5.0
+	// voterRestartDelay is the time, in seconds, after which a suspended voter restarts. A voter is suspended if, for instance, its
+	// directory accepts no writes.
+	voterRestartDelay = 5.0
 )
 
-var errInjected = errors.New("a fault that a test put here")
+var errInjected = errors.New("fault injected by a test")
 
-// voter is this node's part in the consensus.
+// voter is the state of this node's part in the consensus.
 type voter struct {
-	machine     *consensus.Machine // nil where this node does not vote
-	saving      bool               // a save is on its way to the disk
-	steppedOut  bool               // a save failed: it does not vote until it has restarted
-	nonce       uint64             // of the introductions
-	tickAt      float64
-	introduceAt float64
-	nonceAt     float64 // when the nonce is replaced
-	restartAt   float64 // once it has stepped out
+	machine            *consensus.Machine // nil if this node does not vote
+	saving             bool               // a save to the store is in flight
+	suspended          bool               // the voter failed, and does not vote until it has restarted
+	nonce              uint64             // nonce of the current introductions
+	nextTickAt         float64
+	nextIntroductionAt float64
+	nonceExpiresAt     float64 // time at which the nonce is replaced
+	restartAt          float64 // time of the next restart of a suspended voter
 }
 
-// active tells whether this node votes.
-func (v *voter) active() bool { return v.machine != nil && !v.steppedOut }
+// active reports whether this node votes now.
+func (v *voter) active() bool { return v.machine != nil && !v.suspended }
 
-// nextNonce is the nonce of introductions at a time.
+// nextNonce returns the nonce for introductions that are sent now. It draws a new nonce if the current one has expired.
 func (v *voter) nextNonce(now float64) uint64 {
-	if now >= v.nonceAt {
-		v.nonceAt, v.nonce = now+nonceLifetime, drawNonce()
+	if now >= v.nonceExpiresAt {
+		v.nonceExpiresAt, v.nonce = now+nonceLifetimeSeconds, drawNonce()
 	}
 	return v.nonce
 }
@@ -47,23 +51,24 @@
 func drawNonce() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
-	return binary.BigEndian.Uint64(b[:]) | 1 // 0 is none
+	return binary.BigEndian.Uint64(b[:]) | 1 // never 0, which means no nonce
 }
 
-// recoverPanic runs a part of the consensus library. It panics where its input is impossible, as by a voter whose directory was
-// restored from an old copy: that costs the node its vote, and not its queries.
+// recoverPanic calls a function that uses the consensus library, and suspends the voter if the library panics. The library panics
+// on impossible input, for example from a voter whose directory was restored from an old copy. Such a panic must not stop the node
+// from serving queries.
 func (f *Fleet) recoverPanic(do func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			f.stepOut(panicError{p})
+			f.suspendVoter(panicError{p})
 		}
 	}()
 	do()
 }
 
-// runVoter does what is due of the consensus.
+// runVoter restarts a suspended voter if that is due, or runs the periodic tasks of an active one.
 func (f *Fleet) runVoter() {
-	if f.voter.steppedOut && f.now >= f.voter.restartAt {
+	if f.voter.suspended && f.now >= f.voter.restartAt {
 		f.closeStoreForRestart()
 	}
 	if f.voter.active() {
@@ -73,12 +78,12 @@
 
 func (f *Fleet) tickVoter() {
 	v := &f.voter
-	if f.now >= v.tickAt {
-		v.tickAt = f.now + consensus.TickSeconds
+	if f.now >= v.nextTickAt {
+		v.nextTickAt = f.now + consensus.TickSeconds
 		v.machine.Tick()
 	}
-	if f.now >= v.introduceAt && !v.saving {
-		v.introduceAt = f.now + introductionInterval
+	if f.now >= v.nextIntroductionAt && !v.saving {
+		v.nextIntroductionAt = f.now + introductionInterval
 		if introduction, send := v.machine.Introduce(v.nextNonce(f.now)); send {
 			f.sendIntroduction(f.settings.Membership.Voters(), &introduction)
 		}
@@ -86,11 +91,11 @@
 	switch {
 	case !v.machine.Leads():
 		f.stopLeading()
-	case f.leadership.granting && v.machine.Term() != f.leadership.term: // lost and won again between two turns
+	case f.leadership.granting && v.machine.Term() != f.leadership.term: // leadership was lost and won again between two iterations of Run
 		f.stopLeading()
 		fallthrough
 	default:
-		if f.now >= f.leadership.readAt {
+		if f.now >= f.leadership.nextReadAt {
 			v.machine.Read(f.leadership.startRead(f.now))
 		}
 	}
@@ -116,12 +121,12 @@
 	var save consensus.Save
 	var err error
 	if f.recoverPanic(func() { answer, save, err = f.voter.machine.ReceiveIntroduction(from, introduction) }); err != nil {
-		f.stepOut(err)
+		f.suspendVoter(err)
 	}
-	if f.voter.steppedOut {
+	if f.voter.suspended {
 		return
 	}
-	if !save.Empty() { // the founding, or joining: saved before anything is said as a part of it
+	if !save.Empty() { // the voter bootstraps or joins a group: it must save this before it sends messages as a member
 		f.logger.Info("fleet voter joined", zap.String("member", string(from)))
 		f.save(&save)
 		return
@@ -131,7 +136,7 @@
 	}
 }
 
-// receiveConsensus hands a voter's message to the machine.
+// receiveConsensus passes a consensus message of another voter to the machine.
 func (f *Fleet) receiveConsensus(from membership.Name, body []byte) (err error) {
 	if f.voter.active() {
 		f.recoverPanic(func() { err = f.voter.machine.Step(from, body) })
@@ -139,9 +144,9 @@
 	return err
 }
 
-// saveNext hands the machine's next save to the store, or applies what needs none. One save is in flight at a time.
+// saveNext passes the machine's next save to the store. It applies an empty save at once. Only one save is in flight at a time.
 func (f *Fleet) saveNext() {
-	for !f.voter.saving && !f.voter.steppedOut {
+	for !f.voter.saving && !f.voter.suspended {
 		save, has := f.voter.machine.NextSave()
 		if !has {
 			return
@@ -160,14 +165,14 @@
 		err = errInjected
 	}
 	if err != nil {
-		f.stepOut(err)
+		f.suspendVoter(err)
 		return
 	}
 	f.voter.saving = true
-	f.store.Save(encoded, func(err error) { f.events.Put(event{kind: consensusWorkSaved, err: err}) })
+	f.store.Save(encoded, func(err error) { f.events.Put(event{kind: consensusStateSaved, err: err}) })
 }
 
-// consensusSaved goes on once a save is on disk, or failed.
+// consensusSaved handles the end of a save: it applies what was saved, or suspends the voter if the save failed.
 func (f *Fleet) consensusSaved(err error) {
 	if !f.voter.active() || !f.voter.saving {
 		return
@@ -177,17 +182,18 @@
 		err = errInjected
 	}
 	if err != nil {
-		f.stepOut(err)
+		f.suspendVoter(err)
 		return
 	}
 	f.recoverPanic(func() { f.applySaved(); f.saveNext() })
 }
 
-// applySaved sends the messages that waited for the save, and applies what was committed.
+// applySaved sends the messages that had to wait for the save, records the confirmed reads, and completes the commands that were
+// committed.
 func (f *Fleet) applySaved() {
 	result, err := f.voter.machine.Saved()
 	if err != nil {
-		f.stepOut(err)
+		f.suspendVoter(err)
 		return
 	}
 	for _, message := range result.Outgoing {
@@ -207,16 +213,18 @@
 	}
 }
 
-// stepOut ends our part in the consensus for a while: a voter that can't save its votes must not vote. What it granted expires
-// by itself. After voterRestartDelay it starts anew from what the directory holds, as a new process would.
-func (f *Fleet) stepOut(err error) {
-	f.voter.steppedOut, f.voter.restartAt = true, f.now+voterRestartDelay
+// suspendVoter stops this node's part in the consensus, because a voter that cannot save its votes must not vote. The leases that
+// it granted expire by themselves. After voterRestartDelay the voter restarts from the contents of its directory, as a new process
+// would.
+func (f *Fleet) suspendVoter(err error) {
+	f.voter.suspended, f.voter.restartAt = true, f.now+voterRestartDelay
 	f.stopLeading()
 	f.counters.Add("fleet", "mute", 1)
 	f.logger.Error("fleet voter stepped out", zap.Error(err))
 }
 
-// closeStoreForRestart closes the store; restartVoter follows. The closing may wait for a disk, which this goroutine must not.
+// closeStoreForRestart closes the store in another goroutine, as closing may wait for the disk. The storeClosed event that follows
+// calls restartVoter.
 func (f *Fleet) closeStoreForRestart() {
 	f.voter.restartAt = f.now + voterRestartDelay
 	if store := f.store; store != nil {
@@ -225,7 +233,7 @@
 	}
 }
 
-// startVoter makes the machine from what the directory holds.
+// startVoter creates the machine from the contents of the directory.
 func (f *Fleet) startVoter(contents *aggregatorstore.LogContents) error {
 	stored, err := decodeConsensusState(contents)
 	if err != nil {
@@ -235,7 +243,7 @@
 	return err
 }
 
-// restartVoter opens the store again, and votes from what it holds.
+// restartVoter opens the store again and restarts the voter from its contents.
 func (f *Fleet) restartVoter() {
 	store, contents, err := aggregatorstore.OpenLog(f.settings.Directory, 0, f.logger)
 	if err != nil {
@@ -245,10 +253,10 @@
 	}
 	f.store = store
 	if err := f.startVoter(&contents); err != nil {
-		f.stepOut(err)
+		f.suspendVoter(err)
 		return
 	}
-	f.voter.steppedOut, f.voter.saving, f.voter.nonce, f.voter.nonceAt = false, false, 0, 0
+	f.voter.suspended, f.voter.saving, f.voter.nonce, f.voter.nonceExpiresAt = false, false, 0, 0
 	clear(f.leadership.pendingReads)
 	f.logger.Info("fleet voter restarted")
 	f.saveTables()
--- a/internal/controlplane/fleet/wire_test.go
+++ b/internal/controlplane/fleet/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the encoded forms of the types that are sent, stored or shown to operators.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.CBOR,
 		goldentest.Form{Name: "result", Value: new(Result)},
 		goldentest.Form{Name: "asking", Value: new(grantRequest)},
@@ -29,12 +29,12 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged pins the constants that leave the process.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
-		goldentest.Constant{Have: refusedUnconfirmed, Want: "contract_unsure"},
-		goldentest.Constant{Have: refusedElsewhere, Want: "contract_elsewhere"},
-		goldentest.Constant{Have: refusedQuota, Want: "over_quota"},
+		goldentest.Constant{Have: reasonContractsUnconfirmed, Want: "contract_unsure"},
+		goldentest.Constant{Have: reasonOtherLocation, Want: "contract_elsewhere"},
+		goldentest.Constant{Have: reasonOverQuota, Want: "over_quota"},
 		goldentest.Constant{Have: messageFailureDetector, Want: 1},
 		goldentest.Constant{Have: messageConsensus, Want: 2},
 		goldentest.Constant{Have: messageIntroduction, Want: 3},
@@ -47,7 +47,7 @@
 		goldentest.Constant{Have: LineFleet, Want: "fleet"},
 		goldentest.Constant{Have: LineStrict, Want: "strict"},
 		goldentest.Constant{Have: valueTables, Want: "tables"},
-		goldentest.Constant{Have: valueHard, Want: "hard"},
+		goldentest.Constant{Have: valueHardState, Want: "hard"},
 		goldentest.Constant{Have: valueSnapshot, Want: "snapshot"},
 	)
 }
