--- a/internal/controlplane/fleet/admission.go
+++ b/internal/controlplane/fleet/admission.go
@@ -49,7 +49,7 @@
 	return f.admission.admit(customer, index)
 }
 
-func (a *admission) admit(customer policy.CustomerID, index policy.IndexID) (out aggregator.AdmissionDecision) {
+func (a *admission) admit(customer policy.CustomerID, index policy.IndexID) (decision aggregator.AdmissionDecision) {
 	view, now := a.view.Load(), a.Now()
 	confirmedUntil := math.Float64frombits(a.contractsConfirmedUntil.Load())
 	if now >= confirmedUntil && (view.allStrict || view.strict[customer]) {
@@ -59,8 +59,8 @@
 	if !rule.Here {
 		return aggregator.AdmissionDecision{Reason: reasonOtherLocation, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", a.location)}
 	}
-	if out.Zones = rule.Zones; rule.Zones != nil {
-		out.MaxTimeout = a.maxDeadline
+	if decision.Zones = rule.Zones; rule.Zones != nil {
+		decision.MaxTimeout = a.maxDeadline
 	}
 	if bucket := view.buckets[customer]; bucket != nil {
 		spent := bucket.Spend(now)
@@ -69,7 +69,7 @@
 			return aggregator.AdmissionDecision{Reason: reasonOverQuota, RetryAfter: min(1, bucket.Wait(now)), Text: "the tenant's quota is used up"}
 		}
 	}
-	return out
+	return decision
 }
 
 func (a *admission) setContractsConfirmedUntil(until float64) {
@@ -85,6 +85,6 @@
 }
 
 // BackendsChanged replaces the list of backends.
-func (f *Fleet) BackendsChanged(places []aggregator.Placement) {
-	f.events.Put(event{kind: backendsChanged, places: places})
+func (f *Fleet) BackendsChanged(placements []aggregator.Placement) {
+	f.events.Put(event{kind: backendsChanged, placements: placements})
 }
--- a/internal/controlplane/fleet/commands.go
+++ b/internal/controlplane/fleet/commands.go
@@ -16,10 +16,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// Result is the outcome of a command: the new version of the table that it changed, or the reason why it changed none.
+// Result is the outcome of a command: the index at which it was applied, and the reason if it was rejected.
 type Result struct {
-	Version uint64 `cbor:"1,keyasint" json:"version"`                   // of the changed table
-	Failure string `cbor:"2,keyasint,omitempty" json:"wrong,omitempty"` // why the command changed nothing
+	Version uint64 `cbor:"1,keyasint" json:"version"`                   // index of the command, which is the version of the tables that it changed
+	Failure string `cbor:"2,keyasint,omitempty" json:"wrong,omitempty"` // reason why the command was rejected, as a whole or in part; "" if it was applied
 }
 
 // Errors that operators see.
--- a/internal/controlplane/fleet/consensus/consensus.go
+++ b/internal/controlplane/fleet/consensus/consensus.go
@@ -1,11 +1,13 @@
-// Package consensus lets a few of the nodes, the voters, agree on contracts and quotas, on which directory each voter votes
-// by, and, through the election of a leader, on the node that grants. It uses go.etcd.io/raft (Ongaro and Ousterhout, "In
-// search of an understandable consensus algorithm", 2014; the sections cited below are of Ongaro's dissertation), which does
-// no I/O. This package adds the founding, the replacement of a voter that lost its directory, and the replicated state.
+// Package consensus implements the agreement among the voters, a few nodes of the fleet. The voters agree on the contracts, on
+// the quotas, and on the directory ID of each voter. They elect a leader, which is the granter.
 //
-// Whoever runs a Machine saves what NextSave returns before it calls Saved, and sends messages only afterwards.
+// The package uses go.etcd.io/raft. The algorithm is described in Ongaro and Ousterhout, "In search of an understandable consensus
+// algorithm", 2014. Sections cited below are those of Ongaro's dissertation. This package adds the bootstrap of the group, the
+// replacement of a voter that lost its directory, and the replicated state.
 //
-// A Machine is deterministic but for the election time-outs, which the library draws itself.
+// Package fleet runs one Machine for each voter. The caller of a Machine must write to disk what NextSave returns before it calls
+// Saved, and must send messages only afterwards. A Machine never does I/O itself. It is deterministic except for the election
+// timeouts, which the library draws at random.
 package consensus
 
 import (
@@ -23,38 +25,42 @@
 )
 
 const (
-	// TickSeconds is the length of a tick. A leader sends a heartbeat each tick; a voter starts an election after electionTicks
-	// to twice as many without one, 1 to 2 s.
-	TickSeconds   = 0.1
+	// TickSeconds is the length of a tick. A leader sends a heartbeat in each tick.
+	TickSeconds = 0.1
+	// electionTicks is the shortest election timeout. A voter starts an election after electionTicks to twice as many ticks without
+	// a heartbeat, that is after 1 to 2 s.
 	electionTicks = 10
-	// snapshotInterval is after how many entries the log is compacted: at 200 bytes each it takes under a megabyte in memory.
-	snapshotInterval    = 2000
-	maxMessageBytes     = 256 << 10
+	// snapshotInterval is the number of entries after which the log is compacted. At 200 bytes an entry, the log takes less than a
+	// megabyte of memory.
+	snapshotInterval = 2000
+	// maxMessageBytes limits the total size of the entries in one message.
+	maxMessageBytes = 256 << 10
+	// maxInflightMessages limits the messages with entries that one follower has not acknowledged.
 	maxInflightMessages = 32
 )
 
-// ReadNumber identifies a Read.
+// ReadNumber identifies a call of Machine.Read.
 type ReadNumber uint64
 
-// Stored is what a voter's directory contains.
+// Stored is the content of a voter's directory.
 type Stored struct {
-	ID       uint64 // drawn when the directory was new; never 0
+	ID       uint64 // ID of the directory, drawn at random when the directory was created; never 0
 	Hard     *pb.HardState
 	Snapshot *pb.Snapshot
 	Entries  []*pb.Entry
 }
 
-// hasState tells whether the directory was part of a consensus group before.
+// hasState reports whether the directory belongs to a consensus group already.
 func (s *Stored) hasState() bool { return s.Snapshot != nil || s.Hard != nil || len(s.Entries) > 0 }
 
-// Save is what has to be on disk before Saved is called. Nil fields change nothing.
+// Save is the data that has to be on disk before Machine.Saved is called. A nil field leaves the stored value unchanged.
 type Save struct {
 	Hard     *pb.HardState
 	Snapshot *pb.Snapshot // replaces all entries up to its index
 	Entries  []*pb.Entry  // replace all entries from the first one's index on
 }
 
-// Empty tells that nothing has to be saved.
+// Empty reports whether there is nothing to save.
 func (s *Save) Empty() bool { return s.Hard == nil && s.Snapshot == nil && len(s.Entries) == 0 }
 
 // Outgoing is a message to another voter.
@@ -63,34 +69,34 @@
 	Data []byte
 }
 
-// Result is what follows once a save is on disk.
+// Result holds the effects of a save that is on disk.
 type Result struct {
 	Outgoing     []Outgoing
-	Applied      []AppliedCommand // commands that were committed
-	Reads        []ReadNumber     // confirmed: this voter led when they were sent
+	Applied      []AppliedCommand // commands that were committed and applied
+	Reads        []ReadNumber     // confirmed reads: this voter led when they were sent
 	StateChanged bool
 }
 
-// Machine is one voter. One goroutine uses it.
+// Machine is the state machine of one voter. It must be used by one goroutine only.
 type Machine struct {
 	self                 membership.Name
-	voterNames           []membership.Name // of the membership
+	voterNames           []membership.Name // all voters of the membership
 	id                   uint64
-	node                 *raft.RawNode // nil before the founding
+	node                 *raft.RawNode // nil before the bootstrap
 	storage              *raft.MemoryStorage
 	state                State
 	confState            *pb.ConfState
 	ready                *raft.Ready
-	pendingSnapshot      *pb.Snapshot   // of our own, to be saved
-	pendingSnapshotTicks map[uint64]int // ticks since a snapshot was sent to a voter, while we lead
-	// receivedIDs are those that voters gave in introductions.
+	pendingSnapshot      *pb.Snapshot   // snapshot of this voter's state, to be saved
+	pendingSnapshotTicks map[uint64]int // at a leader: ticks since a snapshot was sent to each voter ID
+	// receivedIDs holds the directory IDs that other voters sent, in introductions or in consensus messages.
 	receivedIDs map[membership.Name]uint64
-	nonce       uint64
-	emptyPeers  map[membership.Name]uint64 // IDs of the voters that answered our nonce from an empty directory
+	nonce       uint64                     // nonce of this voter's introductions
+	emptyPeers  map[membership.Name]uint64 // IDs of the voters that echoed nonce and have an empty directory
 }
 
-// New makes a voter from what its directory contains. The error says why that is no voter's state; the library's panic about
-// it is one.
+// New creates the Machine of a voter from the contents of its directory. It returns an error if the contents are invalid. A panic
+// of the library about them becomes an error too.
 func New(self membership.Name, voters []membership.Name, stored Stored) (*Machine, error) {
 	if stored.ID == 0 {
 		return nil, errNoDirectoryID
@@ -103,7 +109,8 @@
 	return m, m.startNode(stored)
 }
 
-// start makes the library's node. It panics about impossible contents of a directory.
+// startNode creates the library's node. The library panics if the contents of the directory are impossible: startNode returns such
+// a panic as an error.
 func (m *Machine) startNode(stored Stored) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -141,18 +148,18 @@
 	return nil
 }
 
-// State is what this voter knows to be agreed on. It must not be modified.
+// State returns the agreed state as far as this voter knows it. The caller must not modify it.
 func (m *Machine) State() *State { return &m.state }
 
-// Founded tells whether this voter takes part in a consensus group.
+// IsBootstrapped reports whether this voter takes part in a consensus group.
 func (m *Machine) IsBootstrapped() bool { return m.node != nil }
 
-// Leads tells whether this voter believes that it leads; a Read confirms it.
+// Leads reports whether this voter believes that it is the leader. Only a Read confirms it.
 func (m *Machine) Leads() bool {
 	return m.node != nil && m.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Term is the voter's, 0 before the founding.
+// Term returns the voter's term, or 0 before the bootstrap.
 func (m *Machine) Term() uint64 {
 	if m.node == nil {
 		return 0
@@ -160,7 +167,7 @@
 	return m.node.BasicStatus().GetTerm()
 }
 
-// Leader is the voter that leads, as far as this one knows; "" for none.
+// Leader returns the leader as far as this voter knows it, or "" if it knows none.
 func (m *Machine) Leader() membership.Name {
 	if m.node == nil {
 		return ""
@@ -168,7 +175,7 @@
 	return m.voterName(m.node.BasicStatus().Lead)
 }
 
-// name is the voter with an ID, "" for none.
+// voterName returns the name of the voter with an ID, or "" if there is none.
 func (m *Machine) voterName(id uint64) membership.Name {
 	if id == m.id && id != 0 {
 		return m.self
@@ -178,15 +185,15 @@
 			return v.Name
 		}
 	}
-	for name, has := range m.receivedIDs {
-		if has == id {
+	for name, receivedID := range m.receivedIDs {
+		if receivedID == id {
 			return name
 		}
 	}
 	return ""
 }
 
-// Tick advances the time-outs by TickSeconds.
+// Tick advances the timeouts by TickSeconds.
 func (m *Machine) Tick() {
 	if m.node == nil {
 		return
@@ -195,8 +202,8 @@
 	m.resendSnapshots()
 }
 
-// Step takes a message of another voter. An error says that it is unreadable or comes under another voter's ID; it changed
-// nothing.
+// Step processes a consensus message of another voter. It returns an error if the message is unreadable or carries the ID of a
+// different voter, in which case it has no effect, or if the library rejects it.
 func (m *Machine) Step(from membership.Name, data []byte) error {
 	if m.node == nil || !slices.Contains(m.voterNames, from) {
 		return nil
@@ -205,7 +212,7 @@
 	if err := proto.Unmarshal(data, msg); err != nil {
 		return err
 	}
-	if msg.GetTo() != m.id { // for a directory that we had before
+	if msg.GetTo() != m.id { // the message is for a directory that this voter has lost
 		return nil
 	}
 	if m.voterName(msg.GetFrom()) == "" {
@@ -217,8 +224,8 @@
 	return m.node.Step(msg)
 }
 
-// Propose starts replication of a command. A Result tells once it is applied; it may get lost. The error is ErrNotLeader or
-// the library's.
+// Propose starts the replication of a command. A later Result contains the command once it is applied. The command may be lost
+// without notice. Propose returns ErrNotLeader, or an error of the library.
 func (m *Machine) Propose(c *Command) error {
 	if !m.Leads() {
 		return ErrNotLeader
@@ -226,14 +233,16 @@
 	return m.node.Propose(encodeCanonical(c))
 }
 
-// Read asks whether we still lead (a read index, section 6.4); a Result confirms it.
-func (m *Machine) Read(no ReadNumber) {
+// Read starts a read index request (section 6.4), which checks whether this voter is still the leader. A later Result contains the
+// number of the read if so.
+func (m *Machine) Read(number ReadNumber) {
 	if m.Leads() {
-		m.node.ReadIndex(encodeCanonical(no))
+		m.node.ReadIndex(encodeCanonical(number))
 	}
 }
 
-// NextSave returns what has to be saved next; false where there is nothing to do, or the save before is not Saved.
+// NextSave returns the next data to save. It returns false if there is nothing to do, or if Saved was not called yet for the
+// previous save.
 func (m *Machine) NextSave() (save Save, has bool) {
 	if m.node == nil || m.ready != nil || m.pendingSnapshot == nil && !m.node.HasReady() {
 		return save, false
@@ -253,7 +262,8 @@
 	return save, true
 }
 
-// Saved goes on once the last save is on disk. After an error the machine must not be used any more.
+// Saved must be called once the last save is on disk. It applies the committed entries and returns the effects. After an error the
+// Machine must not be used any more.
 func (m *Machine) Saved() (result Result, err error) {
 	ready := m.ready
 	if ready == nil {
@@ -307,12 +317,12 @@
 	return result, err
 }
 
-// commit applies a committed entry, and tells whether it changed the voters.
+// applyEntry applies a committed entry, and reports whether the entry changed the voters.
 func (m *Machine) applyEntry(entry *pb.Entry, result *Result) (votersChanged bool, err error) {
 	m.state.Index = entry.GetIndex()
 	switch entry.GetType() {
 	case pb.EntryNormal:
-		if len(entry.Data) == 0 { // a new leader's empty entry
+		if len(entry.Data) == 0 { // the empty entry with which a new leader starts its term
 			return false, nil
 		}
 		var command Command
--- a/internal/controlplane/fleet/consensus/errors.go
+++ b/internal/controlplane/fleet/consensus/errors.go
@@ -7,27 +7,30 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// ErrNotLeader is Propose's at a voter that does not lead.
+// ErrNotLeader is returned by Machine.Propose on a voter that is not the leader.
 var ErrNotLeader = errors.New("this mixer does not lead the council")
 
-var errNoDirectoryID = errors.New("the directory has no number")
+var errNoDirectoryID = errors.New("the directory has no ID")
 
-// directoryError is a panic of the library about what a directory contains.
+// directoryError wraps the value of a panic of the library about the contents of a directory.
 type directoryError struct{ value any }
 
-func (e directoryError) Error() string { return fmt.Sprintf("the directory: %v", e.value) }
+func (e directoryError) Error() string {
+	return fmt.Sprintf("invalid contents of the directory: %v", e.value)
+}
 
-// impostorError names a member that sends under another voter's ID.
+// voterIDMismatchError reports a voter that sent a message with the ID of another voter.
 type voterIDMismatchError struct {
 	from membership.Name
 	id   uint64
 }
 
 func (e voterIDMismatchError) Error() string {
-	return fmt.Sprintf("%s speaks as %x, which is another voter's", e.from, e.id)
+	return fmt.Sprintf("the message from %s has the sender ID %x, which belongs to another voter", e.from, e.id)
 }
 
-// staleTableError says that a table of a file is not newer than the one last applied from a file.
+// staleTableError reports that a table of an operator's file is not newer than the one last applied from a file. Its text becomes
+// part of the replicated state, so it must be the same at all voters.
 type staleTableError struct {
 	table          string
 	found, current uint64
--- a/internal/controlplane/fleet/consensus/snapshots.go
+++ b/internal/controlplane/fleet/consensus/snapshots.go
@@ -5,11 +5,12 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// snapshotTicks is how long a snapshot may be on its way until it counts as lost.
+// snapshotTimeoutTicks is the number of ticks after which an unacknowledged snapshot counts as lost.
 const snapshotTimeoutTicks = 2 * electionTicks
 
-// resendSnapshots reports a snapshot as lost whose voter has not confirmed it in time, so that the library sends it again.
-// Until then it sends that voter nothing else, and waits for ever: it does not know that messages may get lost.
+// resendSnapshots reports a snapshot to the library as lost if the receiving voter has not acknowledged it in time. The library then
+// sends it again. Without the report the library would wait forever and send that voter nothing else, as it assumes that messages
+// are not lost.
 func (m *Machine) resendSnapshots() {
 	if !m.Leads() {
 		clear(m.pendingSnapshotTicks)
@@ -31,12 +32,13 @@
 	}
 }
 
-// compact makes a snapshot of the state and drops the entries before it. A new voter finds itself in the snapshot.
+// compact creates a snapshot of the state and drops the entries before it. The snapshot contains the voters, so a voter with a new ID
+// finds its own ID there.
 func (m *Machine) compact() error {
-	s, err := m.storage.CreateSnapshot(m.state.Index, m.confState, encodeCanonical(&m.state))
+	snapshot, err := m.storage.CreateSnapshot(m.state.Index, m.confState, encodeCanonical(&m.state))
 	if err != nil {
 		return err
 	}
-	m.pendingSnapshot = s
+	m.pendingSnapshot = snapshot
 	return m.storage.Compact(m.state.Index)
 }
--- a/internal/controlplane/fleet/consensus/snapshots_test.go
+++ b/internal/controlplane/fleet/consensus/snapshots_test.go
@@ -7,20 +7,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A voter that starts empty gets all there is in one snapshot. Were that lost and not sent again, it would take no part until
-// the leader changed.
+// A voter that starts with an empty directory receives the whole state in one snapshot. If a lost snapshot were not sent again, the
+// voter could not take part until the leader changes. The test drops the first two snapshots.
 func TestLostSnapshotIsResent(t *testing.T) {
 	w := newSimulation(t, 3, 7)
-	w.eventually(400, "somebody leads", func() bool { return w.leader() != nil })
-	w.applyCommand("before")
+	w.eventually(400, "a confirmed leader exists", func() bool { return w.leader() != nil })
+	w.applyCommand("command before the loss")
 	leader := w.leader()
-	lost := 0
-	w.drops = func(f inFlight) bool {
+	dropped := 0
+	w.dropFilter = func(sent inFlightMessage) bool {
 		message := &pb.Message{}
-		if f.intro != nil || proto.Unmarshal(f.data, message) != nil || message.GetType() != pb.MsgSnap || lost >= 2 {
+		if sent.introduction != nil || proto.Unmarshal(sent.data, message) != nil || message.GetType() != pb.MsgSnap || dropped >= 2 {
 			return false
 		}
-		lost++
+		dropped++
 		return true
 	}
 	for _, name := range w.names {
@@ -29,9 +29,9 @@
 			break
 		}
 	}
-	w.eventually(200, "two snapshots are lost", func() bool { return lost == 2 })
-	w.eventually(200, "all have the same state", w.sameState)
+	w.eventually(200, "two snapshots are lost", func() bool { return dropped == 2 })
+	w.eventually(200, "all voters have the same state", w.sameState)
 	if w.leader() != leader {
-		t.Error("another leads: the case did not come about")
+		t.Error("the leader changed, so the test did not show that a snapshot is sent again")
 	}
 }
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -12,10 +12,10 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// CommandID identifies a command, so that one that is sent twice is applied once.
+// CommandID identifies a command, so that a command that is sent twice is applied only once.
 type CommandID string
 
-// Command is what the voters agree on. One of Contract, Quota and File is set.
+// Command is a change of the replicated state. Exactly one of Contract, Quota and File is set.
 type Command struct {
 	ID     CommandID `cbor:"1,keyasint"`
 	Author string    `cbor:"2,keyasint,omitempty"`
@@ -26,20 +26,20 @@
 	File     *FileTables     `cbor:"6,keyasint,omitempty"`
 }
 
-// ContractChange sets a tenant's contract, or removes it where Contract is nil.
+// ContractChange sets a tenant's contract, or removes it if Contract is nil.
 type ContractChange struct {
 	Tenant   residency.Tenant    `cbor:"1,keyasint"`
 	Contract *residency.Contract `cbor:"2,keyasint,omitempty"`
 }
 
-// QuotaChange sets a tenant's quota, or removes it where Quota is nil.
+// QuotaChange sets a tenant's quota, or removes it if Quota is nil.
 type QuotaChange struct {
 	Tenant quota.Tenant `cbor:"1,keyasint"`
 	Quota  *quota.Quota `cbor:"2,keyasint,omitempty"`
 }
 
-// FileTables are those of an operator's file. Each replaces the current table where its version is above the last one applied
-// from a file, and is ignored elsewhere: then what a command has set since stays.
+// FileTables holds the tables of an operator's file. A table replaces the current one if its version is above the version last
+// applied from a file. Otherwise it is ignored, so that later changes by commands are kept.
 type FileTables struct {
 	ContractsVersion int                                     `cbor:"1,keyasint,omitempty"`
 	Contracts        map[residency.Tenant]residency.Contract `cbor:"2,keyasint,omitempty"`
@@ -47,16 +47,16 @@
 	Quotas           map[quota.Tenant]quota.Quota            `cbor:"4,keyasint,omitempty"`
 }
 
-// QuotasVersion orders tables of quotas, as residency.Version does those of contracts.
+// QuotasVersion is the version of a table of quotas. A newer table has a higher version, as with residency.Version for contracts.
 type QuotasVersion uint64
 
-// Voter is a member that votes, with the ID of the directory that it votes by.
+// Voter is a voting member and the ID of its directory.
 type Voter struct {
 	Name membership.Name `cbor:"1,keyasint"`
 	ID   uint64          `cbor:"2,keyasint"`
 }
 
-// MinimumRate is the sum of all nodes' minimums of a quota.
+// MinimumRate is the sum of the minimums of all nodes for one quota.
 type MinimumRate struct {
 	PerS  float64 `cbor:"1,keyasint"`
 	Burst float64 `cbor:"2,keyasint"`
@@ -68,12 +68,12 @@
 	Contracts     residency.Table              `cbor:"2,keyasint"`
 	Quotas        map[quota.Tenant]quota.Quota `cbor:"3,keyasint"`
 	QuotasVersion QuotasVersion                `cbor:"4,keyasint"`
-	// LargestMinimums are the largest that each tenant ever had: a node that is partitioned may still go by them.
+	// LargestMinimums holds the largest minimums that each tenant ever had, as a partitioned node may still apply them.
 	LargestMinimums map[quota.Tenant]MinimumRate `cbor:"5,keyasint"`
-	FileContracts   int                          `cbor:"6,keyasint"` // versions last taken from a file
-	FileQuotas      int                          `cbor:"7,keyasint"`
+	FileContracts   int                          `cbor:"6,keyasint"` // version of the contracts last applied from a file
+	FileQuotas      int                          `cbor:"7,keyasint"` // version of the quotas last applied from a file
 	Voters          []Voter                      `cbor:"8,keyasint"`
-	Applied         []AppliedCommand             `cbor:"9,keyasint"` // the last commands, oldest first
+	Applied         []AppliedCommand             `cbor:"9,keyasint"` // most recent commands, oldest first
 	InitialVoters   []Voter                      `cbor:"10,keyasint"`
 }
 
@@ -81,13 +81,14 @@
 type AppliedCommand struct {
 	ID      CommandID `cbor:"1,keyasint"`
 	Index   uint64    `cbor:"2,keyasint"`
-	Failure string    `cbor:"3,keyasint,omitempty"` // why it changed nothing
+	Failure string    `cbor:"3,keyasint,omitempty"` // reason why the command was rejected, as a whole or in part; "" if it was applied
 }
 
-// maxAppliedRemembered is how many commands are recognized when they come again: hours of what operators send.
+// maxRememberedCommands is the number of applied commands that are recognized if they are sent again. It covers the commands that
+// operators send in several hours.
 const maxRememberedCommands = 1024
 
-// FindApplied finds a command that was applied.
+// FindApplied returns a remembered command by its ID, and reports whether it was found. An empty ID is never found.
 func (s *State) FindApplied(id CommandID) (AppliedCommand, bool) {
 	i := slices.IndexFunc(s.Applied, func(d AppliedCommand) bool { return d.ID == id })
 	if id == "" || i < 0 {
@@ -96,22 +97,24 @@
 	return s.Applied[i], true
 }
 
-// apply applies the command of an entry. It is deterministic: all voters come to the same state.
+// apply applies the command of an entry. It is deterministic, so that all voters reach the same state.
 func (s *State) apply(index uint64, c *Command) AppliedCommand {
-	if d, applied := s.FindApplied(c.ID); applied {
-		return d
+	if earlier, found := s.FindApplied(c.ID); found {
+		return earlier
 	}
-	d := AppliedCommand{ID: c.ID, Index: index}
+	applied := AppliedCommand{ID: c.ID, Index: index}
 	if err := s.applyChange(index, c); err != nil {
-		d.Failure = err.Error()
+		applied.Failure = err.Error()
 	}
-	s.Applied = append(s.Applied, d)
+	s.Applied = append(s.Applied, applied)
 	if len(s.Applied) > maxRememberedCommands {
 		s.Applied = slices.Clone(s.Applied[len(s.Applied)-maxRememberedCommands:])
 	}
-	return d
+	return applied
 }
 
+// errEmptyCommand is the failure of a command without a known change. Its text becomes part of the replicated state, so it must be
+// the same at all voters.
 var errEmptyCommand = errors.New("the command changes nothing that is known")
 
 func (s *State) applyChange(index uint64, c *Command) error {
@@ -134,7 +137,7 @@
 	return nil
 }
 
-// applyFile takes the tables of a file that are newer than those last applied from one.
+// applyFile applies the tables of a file that are newer than those last applied from a file.
 func (s *State) applyFile(index uint64, file *FileTables) error {
 	var err error
 	switch {
@@ -171,7 +174,7 @@
 	s.LargestMinimums[tenant] = MinimumRate{max(s.LargestMinimums[tenant].PerS, perS), max(s.LargestMinimums[tenant].Burst, burst)}
 }
 
-// replace gives a voter another ID.
+// setVoterID sets the ID of a voter, and adds the voter if it is not in the list.
 func (s *State) setVoterID(v Voter) {
 	s.Voters = slices.Clone(s.Voters)
 	for i := range s.Voters {
@@ -183,11 +186,11 @@
 	s.Voters = append(s.Voters, v)
 }
 
-// encode is canonical: equal states are equal bytes at all voters.
+// canonicalMode is the canonical CBOR encoding. Equal states have equal bytes at all voters.
 var canonicalMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // unreachable: the options are constants
 	}
 	return mode
 }()
@@ -195,7 +198,7 @@
 func encodeCanonical(v any) []byte {
 	b, err := canonicalMode.Marshal(v)
 	if err != nil {
-		panic(err) // plain structures
+		panic(err) // unreachable: every encoded type consists of plain structures
 	}
 	return b
 }
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -53,12 +53,12 @@
 
 func freeAddress(t testing.TB) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
 // startAlone starts a node whose peers are not running. All addresses were free when they were chosen.
@@ -91,8 +91,8 @@
 		{func(s *Settings) {
 			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"south"}, Own: true}}
 		}, reasonOtherLocation}} {
-		if v := startAlone(t, c.change).Admit(0, 0); v.Reason != c.want {
-			t.Errorf("refusal reason is %q, expected %q", v.Reason, c.want)
+		if decision := startAlone(t, c.change).Admit(0, 0); decision.Reason != c.want {
+			t.Errorf("refusal reason is %q, expected %q", decision.Reason, c.want)
 		}
 	}
 }
@@ -100,22 +100,22 @@
 // Unreadable messages, messages of an unknown kind, and responses without a request must neither change the admission of queries
 // nor stop the node.
 func FuzzMessages(f *testing.F) {
-	fl := startAlone(f, nil)
+	node := startAlone(f, nil)
 	for kind := range byte(12) {
 		f.Add(kind, []byte{0xa1, 1, 2})
 		f.Add(kind, []byte{})
 	}
 	f.Fuzz(func(t *testing.T, kind byte, body []byte) {
 		done := make(chan struct{})
-		fl.events.Put(event{kind: callRequested, call: func() {
+		node.events.Put(event{kind: callRequested, call: func() {
 			defer close(done)
 			if handle := handlers[sealedmessage.Kind(kind)]; handle != nil {
-				handle(fl, "b", body)
+				handle(node, "b", body)
 			}
 		}})
 		<-done
-		if v := fl.Admit(0, 0); v.Reason != "" {
-			t.Errorf("after the message the node refused a query: %+v", v)
+		if decision := node.Admit(0, 0); decision.Reason != "" {
+			t.Errorf("after the message the node refused a query: %+v", decision)
 		}
 	})
 }
--- a/internal/controlplane/fleet/granterclient.go
+++ b/internal/controlplane/fleet/granterclient.go
@@ -39,9 +39,9 @@
 	return c.lastNumber
 }
 
-// granter returns the node to send a request to. It is used if no local voter knows the leader. It returns the last known leader
-// while that one responds, and otherwise each voter in turn.
-func (c *granterClient) granter(now float64) membership.Name {
+// selectGranter returns the node to send a request to if no local voter knows the leader. It returns the last known leader while
+// that node responds, and otherwise each voter in turn.
+func (c *granterClient) selectGranter(now float64) membership.Name {
 	if c.leader != "" && now-c.leaderSeenAt < responseTimeout {
 		return c.leader
 	}
@@ -104,7 +104,7 @@
 			return leader
 		}
 	}
-	return f.granterClient.granter(f.now)
+	return f.granterClient.selectGranter(f.now)
 }
 
 // receiveGrantResponse applies a granter's response to a pending request. The leases start at the time at which the request was
--- a/internal/controlplane/fleet/leadership.go
+++ b/internal/controlplane/fleet/leadership.go
@@ -61,9 +61,9 @@
 }
 
 // confirm extends the leader lease: at the given time no other node could lead.
-func (l *leadership) confirm(at float64) {
-	l.granter.Confirm(at, l.leaderLease)
-	l.confirmedUntil = max(l.confirmedUntil, at+l.leaderLease)
+func (l *leadership) confirm(confirmedAt float64) {
+	l.granter.Confirm(confirmedAt, l.leaderLease)
+	l.confirmedUntil = max(l.confirmedUntil, confirmedAt+l.leaderLease)
 }
 
 // end stops granting.
@@ -134,7 +134,7 @@
 
 // leadershipConfirmed records that no other node could lead at the given time. With the first confirmation in a term this node
 // becomes the granter.
-func (f *Fleet) leadershipConfirmed(at float64) {
+func (f *Fleet) leadershipConfirmed(confirmedAt float64) {
 	if !f.voter.machine.Leads() {
 		return
 	}
@@ -145,7 +145,7 @@
 		f.counters.Add("fleet", "led", 1)
 		f.logger.Info("fleet leadership began", zap.Uint64("term", l.term), zap.Float64("grants_in_s", l.granter.ReadyAt()-f.now))
 	}
-	f.leadership.confirm(at)
+	f.leadership.confirm(confirmedAt)
 }
 
 func (f *Fleet) stopLeading() {
@@ -197,8 +197,8 @@
 		return f.leadership.reservedMinimums(state, members.Members, tenant)
 	}
 	for i := range request.Requests {
-		if q, has := state.Quotas[request.Requests[i].Tenant]; has {
-			if grant, may := f.leadership.granter.Grant(f.now, from, &request.Requests[i], q, reserved); may {
+		if q, found := state.Quotas[request.Requests[i].Tenant]; found {
+			if grant, granted := f.leadership.granter.Grant(f.now, from, &request.Requests[i], q, reserved); granted {
 				response.Grants = append(response.Grants, grant)
 			}
 		}
--- a/internal/controlplane/fleet/loop.go
+++ b/internal/controlplane/fleet/loop.go
@@ -41,7 +41,7 @@
 type event struct {
 	kind         eventKind
 	observations []outlier.Observation
-	places       []aggregator.Placement
+	placements   []aggregator.Placement
 	version      residency.Version
 	err          error
 	command      *pendingCommand
@@ -90,7 +90,7 @@
 			f.outliers.report(f.now, e.observations)
 		}
 	case backendsChanged:
-		f.outliers.setBackends(f.settings.Layout, e.places)
+		f.outliers.setBackends(f.settings.Layout, e.placements)
 	case contractsApplied:
 		failpoint.Pass(failpoint.ApplyContract)
 		f.tables.appliedContracts = max(f.tables.appliedContracts, e.version)
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -63,10 +63,10 @@
 }
 
 // record stores the verdicts and returns those about backends that were no outliers before. It removes expired verdicts.
-func (d *outlierDetection) record(now float64, verdicts []outlier.Verdict) (fresh []outlier.Verdict) {
+func (d *outlierDetection) record(now float64, verdicts []outlier.Verdict) (added []outlier.Verdict) {
 	for _, verdict := range verdicts {
 		if _, known := d.verdictAt[verdict.Backend]; !known {
-			fresh = append(fresh, verdict)
+			added = append(added, verdict)
 		}
 		d.verdictAt[verdict.Backend] = now
 	}
@@ -75,15 +75,15 @@
 			delete(d.verdictAt, backend)
 		}
 	}
-	return fresh
+	return added
 }
 
 // setBackends computes which backends hold which shard. There is one shard for each cell of the layout. The backends in a cell
 // hold the shard of that cell and those of the preceding width-1 cells.
-func (d *outlierDetection) setBackends(layout policy.Layout, places []aggregator.Placement) {
+func (d *outlierDetection) setBackends(layout policy.Layout, placements []aggregator.Placement) {
 	cells, width := max(1, layout.Cells), max(1, layout.Width)
 	d.shardReplicas = make(outlier.ShardReplicas, cells)
-	for _, place := range places {
+	for _, place := range placements {
 		for j := range width {
 			cell := ((int(place.Cell)-j)%cells + cells) % cells
 			d.shardReplicas[cell] = append(d.shardReplicas[cell], outlier.Backend(place.Name))
@@ -99,14 +99,14 @@
 
 func (f *Fleet) gossipReports() {
 	alive := func(name membership.Name) bool { return f.detector.Status(name) != failuredetector.Dead }
-	to, list := f.outliers.store.NextGossip(f.now, alive, maxReportsPerMessage)
-	if len(list) == 0 {
+	targets, reports := f.outliers.store.NextGossip(f.now, alive, maxReportsPerMessage)
+	if len(reports) == 0 {
 		return
 	}
 	fault := failpoint.Pass(failpoint.SendReports)
-	for _, name := range to {
+	for _, name := range targets {
 		for range fault.Times() {
-			f.send(name, messageReports, reportBatch{list})
+			f.send(name, messageReports, reportBatch{reports})
 		}
 	}
 }
@@ -128,9 +128,9 @@
 	if len(verdicts) == 0 {
 		return
 	}
-	judged := make([]aggregator.PeerObservation, 0, len(verdicts))
+	observations := make([]aggregator.PeerObservation, 0, len(verdicts))
 	for _, verdict := range verdicts {
-		judged = append(judged, aggregator.PeerObservation{Backend: string(verdict.Backend), LatencyMultiple: verdict.LatencyFactor, ValidS: outlier.VerdictSeconds})
+		observations = append(observations, aggregator.PeerObservation{Backend: string(verdict.Backend), LatencyMultiple: verdict.LatencyFactor, ValidS: outlier.VerdictSeconds})
 	}
-	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, PeerObservations: judged})
+	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, PeerObservations: observations})
 }
--- a/internal/controlplane/fleet/receive.go
+++ b/internal/controlplane/fleet/receive.go
@@ -39,12 +39,12 @@
 	}
 }
 
-// decodingHandler returns a handler that decodes the body and passes the result to do.
-func decodingHandler[T any](do func(*Fleet, membership.Name, *T)) func(*Fleet, membership.Name, []byte) error {
+// decodingHandler returns a handler that decodes the body and passes the result to handle.
+func decodingHandler[T any](handle func(*Fleet, membership.Name, *T)) func(*Fleet, membership.Name, []byte) error {
 	return func(f *Fleet, from membership.Name, body []byte) error {
 		v, err := decode[T](body)
 		if err == nil {
-			do(f, from, &v)
+			handle(f, from, &v)
 		}
 		return err
 	}
--- a/internal/controlplane/fleet/settings.go
+++ b/internal/controlplane/fleet/settings.go
@@ -50,9 +50,9 @@
 // Check reports the contradictions between the operator's file and the settings. The error joins one ValidationError for each of
 // them, with its line in the file.
 func (s *Settings) Check() error {
-	var faults []error
+	var errs []error
 	report := func(key, format string, args ...any) {
-		faults = append(faults, newValidationError("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
+		errs = append(errs, newValidationError("operator's file, line %d: %s", s.Lines[key], fmt.Sprintf(format, args...)))
 	}
 	self := s.Membership.Find(s.Self)
 	switch {
@@ -85,7 +85,7 @@
 			report(LineStrict, "contracts.strict: tenant %q is none that the settings know, expected some of %q or \"*\"", tenant, s.Names.Tenants)
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func (s *Settings) isStrict(tenant quota.Tenant) bool {
--- a/internal/controlplane/fleet/status.go
+++ b/internal/controlplane/fleet/status.go
@@ -107,42 +107,44 @@
 }
 
 // Explain returns the rules that currently apply to a tenant's queries of an index. It returns an error if the Fleet has stopped.
-func (f *Fleet) Explain(tenant quota.Tenant, index string) (e Explanation, err error) {
+func (f *Fleet) Explain(tenant quota.Tenant, index string) (explanation Explanation, err error) {
 	s, err := f.Status()
 	if err != nil {
-		return e, err
+		return explanation, err
 	}
-	e.Accepted = true
-	explain := func(format string, args ...any) { e.Rules = append(e.Rules, fmt.Sprintf(format, args...)) }
-	contract, has := s.Contracts.Contracts[tenant]
+	explanation.Accepted = true
+	addRule := func(format string, args ...any) {
+		explanation.Rules = append(explanation.Rules, fmt.Sprintf(format, args...))
+	}
+	contract, found := s.Contracts.Contracts[tenant]
 	confirmed := s.ContractsConfirmedFor > 0
 	switch {
 	case !confirmed && f.settings.isStrict(tenant):
-		e.Accepted = false
-		explain("lease: contracts are not sure here, and the tenant is strict: refused")
+		explanation.Accepted = false
+		addRule("lease: contracts are not sure here, and the tenant is strict: refused")
 	case !confirmed:
-		explain("lease: contracts are not sure here; the tenant is served by the last ones, version %d", s.Contracts.Version)
+		addRule("lease: contracts are not sure here; the tenant is served by the last ones, version %d", s.Contracts.Version)
 	default:
-		explain("lease: contracts of version %d are sure for %.1f s more", s.Contracts.Version, s.ContractsConfirmedFor)
+		addRule("lease: contracts of version %d are sure for %.1f s more", s.Contracts.Version, s.ContractsConfirmedFor)
 	}
 	switch {
-	case !has || len(contract.Indexes) > 0 && !slices.Contains(contract.Indexes, index):
-		explain("contract: none speaks of this tenant and index")
+	case !found || len(contract.Indexes) > 0 && !slices.Contains(contract.Indexes, index):
+		addRule("contract: none speaks of this tenant and index")
 	case contract.Own && !slices.Contains(contract.Zones, f.settings.Location):
-		e.Accepted = false
-		explain("contract: mixers have to stand in %q, this one is in %q: refused", contract.Zones, f.settings.Location)
+		explanation.Accepted = false
+		addRule("contract: mixers have to stand in %q, this one is in %q: refused", contract.Zones, f.settings.Location)
 	default:
-		e.Zones = contract.Zones
-		explain("contract: parts go to searchers in %q alone, whatever a pin or an override says", contract.Zones)
+		explanation.Zones = contract.Zones
+		addRule("contract: parts go to searchers in %q alone, whatever a pin or an override says", contract.Zones)
 	}
 	if tenantQuota, has := s.Quotas[string(tenant)]; has {
 		perS, burst := tenantQuota.NodeMinimum(len(f.settings.Membership.Members))
-		explain("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.PerS, tenantQuota.Burst, perS, burst)
+		addRule("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.PerS, tenantQuota.Burst, perS, burst)
 	} else {
-		explain("quota: none")
+		addRule("quota: none")
 	}
 	for _, backend := range s.Outliers {
-		explain("judgement: searcher %s counts as slow where this mixer knows little of it, by the word of others", backend.Backend)
+		addRule("judgement: searcher %s counts as slow where this mixer knows little of it, by the word of others", backend.Backend)
 	}
-	return e, nil
+	return explanation, nil
 }
--- a/internal/controlplane/fleet/tables.go
+++ b/internal/controlplane/fleet/tables.go
@@ -30,23 +30,23 @@
 // the contracts changed. The first response counts as a change of both. If the voters have not agreed on any contracts by the
 // first response, the initial contracts stay in use.
 func (t *clusterTables) apply(response *grantResponse, initial *residency.Table) (changed, contractsChanged bool) {
-	contracts := response.Table != nil && response.Table.Version == response.Versions.Contracts && response.Versions.Contracts != t.versions.Contracts
-	quotas := response.Versions.Quotas != t.versions.Quotas
-	first := !t.received
-	if !contracts && !quotas && !first {
+	newContracts := response.Table != nil && response.Table.Version == response.Versions.Contracts && response.Versions.Contracts != t.versions.Contracts
+	newQuotas := response.Versions.Quotas != t.versions.Quotas
+	firstResponse := !t.received
+	if !newContracts && !newQuotas && !firstResponse {
 		return false, false
 	}
-	if contracts || first && response.Versions.Contracts == 0 {
+	if newContracts || firstResponse && response.Versions.Contracts == 0 {
 		if t.contracts = response.Table; t.contracts == nil {
 			t.contracts = initial
 		}
 		t.versions.Contracts = response.Versions.Contracts
 	}
-	if quotas {
+	if newQuotas {
 		t.quotas, t.versions.Quotas = maps.Clone(response.Quotas), response.Versions.Quotas
 	}
 	t.received = true
-	return true, contracts || first
+	return true, newContracts || firstResponse
 }
 
 // initialContracts returns the contracts of the operator's file, with version 0. They apply before the voters have agreed on any.
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -57,13 +57,13 @@
 // recoverPanic calls a function that uses the consensus library, and suspends the voter if the library panics. The library panics
 // on impossible input, for example from a voter whose directory was restored from an old copy. Such a panic must not stop the node
 // from serving queries.
-func (f *Fleet) recoverPanic(do func()) {
+func (f *Fleet) recoverPanic(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			f.suspendVoter(panicError{p})
 		}
 	}()
-	do()
+	call()
 }
 
 // runVoter restarts a suspended voter if that is due, or runs the periodic tasks of an active one.
--- a/internal/controlplane/fleet/wire_test.go
+++ b/internal/controlplane/fleet/wire_test.go
@@ -29,7 +29,7 @@
 	)
 }
 
-// TestWireConstantsAreUnchanged pins the constants that leave the process.
+// TestWireConstantsAreUnchanged checks the constants that are sent, stored, logged or counted.
 func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: reasonContractsUnconfirmed, Want: "contract_unsure"},
