--- a/internal/controlplane/fleet/commands.go
+++ b/internal/controlplane/fleet/commands.go
@@ -18,8 +18,8 @@
 
 // Result is the outcome of a command: the index at which it was applied, and the reason if it was rejected.
 type Result struct {
-	Version uint64 `cbor:"1,keyasint" json:"version"`                   // index of the command, which is the version of the tables that it changed
-	Failure string `cbor:"2,keyasint,omitempty" json:"wrong,omitempty"` // reason why the command was rejected, as a whole or in part; "" if it was applied
+	Version uint64 `cbor:"1,keyasint" json:"version"`                   // index of the command, the new version of the tables that it changed
+	Failure string `cbor:"2,keyasint,omitempty" json:"wrong,omitempty"` // reason of a full or partial rejection; "" if the command was applied
 }
 
 // Errors that operators see.
@@ -79,25 +79,25 @@
 // all returns a copy of the queue, so that the caller may remove commands while it iterates.
 func (q *commandQueue) all() []*pendingCommand { return slices.Clone(q.pending) }
 
-// Do proposes a command and waits until it is applied or rejected, for at most 10 s (commandTimeout). Result.Failure is empty if
-// the command was applied. The error is ErrNoLeader if no leader answered in that time: the command may still be applied later. It
-// is safe to submit the command again under the same CommandID.
-func (f *Fleet) Do(c consensus.Command) (Result, error) {
-	outcome := f.doCommand(commandRequest{Command: c})
+// SubmitCommand proposes a command and waits until it is applied or rejected, for at most 10 s (commandTimeout). Result.Failure is
+// empty if the command was applied. The error is ErrNoLeader if no leader answered in that time: the command may still be applied
+// later. It is safe to submit the command again under the same CommandID.
+func (f *Fleet) SubmitCommand(c consensus.Command) (Result, error) {
+	outcome := f.submitRequest(commandRequest{Command: c})
 	return outcome.result, outcome.err
 }
 
 // Progress asks the leader how many nodes apply a version of the contracts to one tenant. Version 0 selects the current version.
-// It returns the same errors as Do.
+// It returns the same errors as SubmitCommand.
 func (f *Fleet) Progress(version residency.Version, tenant quota.Tenant) (residency.Progress, error) {
-	outcome := f.doCommand(commandRequest{Query: &progressQuery{version, tenant}})
+	outcome := f.submitRequest(commandRequest{Query: &progressQuery{version, tenant}})
 	if outcome.err != nil || outcome.progress == nil {
 		return residency.Progress{}, cmp.Or(outcome.err, ErrNoLeader)
 	}
 	return *outcome.progress, nil
 }
 
-func (f *Fleet) doCommand(request commandRequest) commandOutcome {
+func (f *Fleet) submitRequest(request commandRequest) commandOutcome {
 	c := &pendingCommand{commandRequest: request, reply: make(chan commandOutcome, 1)}
 	f.events.Put(event{kind: commandSubmitted, command: c})
 	select {
--- a/internal/controlplane/fleet/consensus/bootstrap.go
+++ b/internal/controlplane/fleet/consensus/bootstrap.go
@@ -28,7 +28,7 @@
 	Nonce  uint64  `cbor:"3,keyasint,omitempty"` // echoed in the answer, which shows that the answer is fresh
 	Echo   uint64  `cbor:"4,keyasint,omitempty"` // in an answer: the nonce of the introduction that is answered
 	// InitialVoters are the voters that the sender's group was bootstrapped with. Each of them may start from this list on its own.
-	// Otherwise a voter that bootstraps the group and fails before it contacts the others would leave a majority that runs but
+	// Otherwise a voter that bootstraps the group and fails before the others have joined it would leave a majority that runs but
 	// cannot elect a leader.
 	InitialVoters []Voter `cbor:"5,keyasint,omitempty"`
 }
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -81,7 +81,7 @@
 type AppliedCommand struct {
 	ID      CommandID `cbor:"1,keyasint"`
 	Index   uint64    `cbor:"2,keyasint"`
-	Failure string    `cbor:"3,keyasint,omitempty"` // reason why the command was rejected, as a whole or in part; "" if it was applied
+	Failure string    `cbor:"3,keyasint,omitempty"` // reason of a full or partial rejection; "" if the command was applied
 }
 
 // maxRememberedCommands is the number of applied commands that are recognized if they are sent again. It covers the commands that
--- a/internal/controlplane/fleet/fleet.go
+++ b/internal/controlplane/fleet/fleet.go
@@ -33,8 +33,8 @@
 	MinLease = 8.0
 )
 
-// Fleet is one node's part in the fleet. While Run runs, Admit, BackendsChanged, Do, Progress, Status, Explain, Release and Stop
-// may be called from any goroutine. Only the aggregator's goroutine may call CallEnded.
+// Fleet is one node's part in the fleet. While Run runs, Admit, BackendsChanged, SubmitCommand, Progress, Status, Explain, Release
+// and Stop may be called from any goroutine. Only the aggregator's goroutine may call CallEnded.
 type Fleet struct {
 	clock
 	settings         Settings
--- a/internal/controlplane/fleet/loop.go
+++ b/internal/controlplane/fleet/loop.go
@@ -25,7 +25,7 @@
 
 const (
 	callsObserved       eventKind = iota // observations
-	backendsChanged                      // places
+	backendsChanged                      // placements
 	contractsApplied                     // version
 	consensusStateSaved                  // err
 	tablesWritten                        // err, quotas
@@ -64,7 +64,7 @@
 		case sealed := <-messages:
 			f.now = f.Now()
 			f.receive(sealed)
-			for range min(len(messages), maxMessagesPerIteration) { // drains the queued messages, so that the periodic tasks use the newest state
+			for range min(len(messages), maxMessagesPerIteration) { // drains the queue, so that the periodic tasks use the newest state
 				f.receive(<-messages)
 			}
 		case <-f.events.Ready():
@@ -124,7 +124,7 @@
 	}
 }
 
-// runDue runs the periodic tasks that are due.
+// runPeriodicTasks runs the periodic tasks that are due.
 func (f *Fleet) runPeriodicTasks() {
 	if f.isReleased() {
 		return
--- a/internal/controlplane/fleet/messages.go
+++ b/internal/controlplane/fleet/messages.go
@@ -29,12 +29,12 @@
 type grantRequest struct {
 	Number            uint64                  `cbor:"1,keyasint"`
 	MembershipVersion int                     `cbor:"2,keyasint"`
-	StrictHash        uint64                  `cbor:"3,keyasint"` // hash of the tenants that are refused while the contracts are not confirmed
+	StrictHash        uint64                  `cbor:"3,keyasint"` // hash of the strict tenants of the sender
 	Contracts         residency.Version       `cbor:"4,keyasint"` // version of the sender's contracts
 	AppliedContracts  residency.Version       `cbor:"5,keyasint"` // version that all subqueries of the sender comply with
 	Quotas            consensus.QuotasVersion `cbor:"6,keyasint"`
 	Requests          []quota.Request         `cbor:"7,keyasint,omitempty"`
-	MinimumsVersion   consensus.QuotasVersion `cbor:"8,keyasint"` // version of the quotas whose minimums the sender applies, also after a restart
+	MinimumsVersion   consensus.QuotasVersion `cbor:"8,keyasint"` // version of the minimums that the sender applies, also after a restart
 }
 
 // grantResponse answers a grantRequest. If Confirmed is false the sender is not the granter, and Leader is the node that the
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -34,7 +34,7 @@
 // record counts a subquery that ended now. After each reportInterval it returns the observations to report, and due is true.
 func (o *callObserver) record(now float64, backend string, outcome policy.Outcome, elapsed float64) (observations []outlier.Observation, due bool) {
 	switch outcome {
-	case policy.Rejected, policy.NotSent: // a full queue is reported by the backend itself, and is no failure
+	case policy.Rejected, policy.NotSent: // not counted: a full queue reports itself, and is no failure
 		return nil, false
 	}
 	o.observer.RecordCall(now, outlier.Backend(backend), endByOutcome[outcome], elapsed)
--- a/internal/controlplane/fleet/publish.go
+++ b/internal/controlplane/fleet/publish.go
@@ -20,7 +20,7 @@
 )
 
 // publishTrafficView builds a new trafficView from the current tables and replaces the published one. Tenants without a quota get
-// no bucket, or emptyBucket in the cases described there.
+// no bucket, or emptyBucket in the cases that its comment describes.
 func (f *Fleet) publishTrafficView() {
 	view := &trafficView{
 		buckets:   map[policy.CustomerID]*quota.Bucket{},
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -30,7 +30,7 @@
 
 var (
 	storedNames    = []membership.Name{"a", "b", "c"}
-	storedFounders = []consensus.Voter{{Name: "a", ID: 0x11}, {Name: "b", ID: 0x22}, {Name: "c", ID: 0x33}}
+	storedVoters   = []consensus.Voter{{Name: "a", ID: 0x11}, {Name: "b", ID: 0x22}, {Name: "c", ID: 0x33}}
 	storedQuota    = quota.Quota{PerS: 100, Burst: 50, MinimumShare: 0.25}
 	storedContract = residency.Contract{Zones: []string{"north", "south"}, Own: true, Indexes: []string{"reads"}}
 	// storedState is the state in the stored snapshot.
@@ -39,9 +39,9 @@
 		Contracts: residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
 		Quotas:    map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasVersion: 6,
 		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {PerS: 30, Burst: 15}},
-		FileContracts:   2, FileQuotas: 3, Voters: storedFounders,
+		FileContracts:   2, FileQuotas: 3, Voters: storedVoters,
 		Applied:       []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}},
-		InitialVoters: storedFounders,
+		InitialVoters: storedVoters,
 	}
 	storedTables = tablesRecord{
 		Incarnation: 0xabcdef, Table: &residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
@@ -63,10 +63,10 @@
 			"acme": storedContract, "beta": {Zones: []string{"west"}}}},
 		Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, MinimumShare: 0.25}}, QuotasVersion: 10,
 		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {PerS: 50, Burst: 15}, "beta": {PerS: 4, Burst: 2}},
-		FileContracts:   2, FileQuotas: 4, Voters: storedFounders,
+		FileContracts:   2, FileQuotas: 4, Voters: storedVoters,
 		Applied: []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}, {ID: "c-3", Index: 8}, {ID: "c-4", Index: 9},
 			{ID: "c-5", Index: 10, Failure: "contracts: version 2 is not above 2, which is held"}},
-		InitialVoters: storedFounders,
+		InitialVoters: storedVoters,
 	}
 )
 
@@ -205,7 +205,7 @@
 		Convey("a voter applies the committed entries after the snapshot", func() {
 			stored, err := decodeConsensusState(&contents)
 			So(err, ShouldBeNil)
-			stored.ID = storedFounders[0].ID
+			stored.ID = storedVoters[0].ID
 			machine, err := consensus.New(storedSelf, storedNames, stored)
 			So(err, ShouldBeNil)
 			So(*machine.State(), ShouldResemble, storedState)
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -126,7 +126,7 @@
 	if f.voter.suspended {
 		return
 	}
-	if !save.Empty() { // the voter bootstraps or joins a group: it must save this before it sends messages as a member
+	if !save.Empty() { // the voter bootstraps or joins a group, and must save this first
 		f.logger.Info("fleet voter joined", zap.String("member", string(from)))
 		f.save(&save)
 		return
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -145,7 +145,7 @@
 		return
 	}
 	s.patient(w)
-	res, err := s.fleet.Do(do)
+	res, err := s.fleet.SubmitCommand(do)
 	switch {
 	case err != nil:
 		s.fleetFails(w, err)
