--- a/internal/controlplane/fleet/status.go
+++ b/internal/controlplane/fleet/status.go
@@ -12,7 +12,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// Status is what an operator sees of the fleet from one node. Times are in seconds.
+// Status describes the fleet as one node sees it, for operators. Times are in seconds.
 type Status struct {
 	Node                  membership.Name         `json:"mixer"`
 	Open                  bool                    `json:"open"`
@@ -20,7 +20,7 @@
 	Isolated              bool                    `json:"hears_nothing"`
 	LocalHealth           int                     `json:"doubt_in_itself"`
 	Votes                 bool                    `json:"votes"`
-	SteppedOut            bool                    `json:"mute,omitempty"`
+	VoterSuspended        bool                    `json:"mute,omitempty"`
 	Leader                membership.Name         `json:"leader,omitempty"`
 	Leads                 bool                    `json:"leads"`
 	GrantsIn              float64                 `json:"grants_in_s,omitempty"`
@@ -34,7 +34,7 @@
 	Reports               []outlier.Summary       `json:"reports"`
 }
 
-// MemberStatus is another node, as the failure detector sees it.
+// MemberStatus is the state of another node, as the failure detector sees it.
 type MemberStatus struct {
 	Node          membership.Name `json:"mixer"`
 	Status        string          `json:"status"`
@@ -47,7 +47,7 @@
 	Age     float64 `json:"s_ago"`
 }
 
-// Status is what this node knows now; an error says that the Fleet has stopped.
+// Status returns the current state of the fleet as this node sees it. It returns an error if the Fleet has stopped.
 func (f *Fleet) Status() (s Status, err error) {
 	done := make(chan struct{})
 	f.events.Put(event{kind: callRequested, call: func() { s = f.status(); close(done) }})
@@ -64,8 +64,8 @@
 		Node:                  f.settings.Self,
 		Open:                  f.detector != nil,
 		OpenError:             f.openError,
-		SteppedOut:            f.voter.steppedOut,
-		Leader:                f.granters.leader,
+		VoterSuspended:        f.voter.suspended,
+		Leader:                f.granterClient.leader,
 		Leads:                 f.isConfirmedLeader(),
 		ContractsConfirmedFor: max(0, f.contractLease.Until()-f.now),
 		Contracts:             *f.tables.contracts,
@@ -99,50 +99,52 @@
 	return status
 }
 
-// Explanation says which contract, lease and quota decide about a tenant's queries of an index at this node.
+// Explanation lists the contract, the lease and the quota that apply to a tenant's queries of an index at this node.
 type Explanation struct {
 	Accepted bool     `json:"taken"`
-	Zones    []string `json:"zones,omitempty"` // that subqueries may go to; none for all
+	Zones    []string `json:"zones,omitempty"` // zones that subqueries may be sent to; empty for all
 	Rules    []string `json:"rules"`
 }
 
-// Explain says which rules decide about a tenant's queries of an index now; an error says that the Fleet has stopped.
-func (f *Fleet) Explain(tenant quota.Tenant, index string) (e Explanation, err error) {
+// Explain returns the rules that currently apply to a tenant's queries of an index. It returns an error if the Fleet has stopped.
+func (f *Fleet) Explain(tenant quota.Tenant, index string) (explanation Explanation, err error) {
 	s, err := f.Status()
 	if err != nil {
-		return e, err
+		return explanation, err
 	}
-	e.Accepted = true
-	explain := func(format string, args ...any) { e.Rules = append(e.Rules, fmt.Sprintf(format, args...)) }
-	contract, has := s.Contracts.Contracts[tenant]
+	explanation.Accepted = true
+	addRule := func(format string, args ...any) {
+		explanation.Rules = append(explanation.Rules, fmt.Sprintf(format, args...))
+	}
+	contract, found := s.Contracts.Contracts[tenant]
 	confirmed := s.ContractsConfirmedFor > 0
 	switch {
-	case !confirmed && f.settings.strict(tenant):
-		e.Accepted = false
-		explain("lease: contracts are not sure here, and the tenant is strict: refused")
+	case !confirmed && f.settings.isStrict(tenant):
+		explanation.Accepted = false
+		addRule("lease: contracts are not sure here, and the tenant is strict: refused")
 	case !confirmed:
-		explain("lease: contracts are not sure here; the tenant is served by the last ones, version %d", s.Contracts.Version)
+		addRule("lease: contracts are not sure here; the tenant is served by the last ones, version %d", s.Contracts.Version)
 	default:
-		explain("lease: contracts of version %d are sure for %.1f s more", s.Contracts.Version, s.ContractsConfirmedFor)
+		addRule("lease: contracts of version %d are sure for %.1f s more", s.Contracts.Version, s.ContractsConfirmedFor)
 	}
 	switch {
-	case !has || len(contract.Indexes) > 0 && !slices.Contains(contract.Indexes, index):
-		explain("contract: none speaks of this tenant and index")
+	case !found || len(contract.Indexes) > 0 && !slices.Contains(contract.Indexes, index):
+		addRule("contract: none speaks of this tenant and index")
 	case contract.Own && !slices.Contains(contract.Zones, f.settings.Location):
-		e.Accepted = false
-		explain("contract: mixers have to stand in %q, this one is in %q: refused", contract.Zones, f.settings.Location)
+		explanation.Accepted = false
+		addRule("contract: mixers have to stand in %q, this one is in %q: refused", contract.Zones, f.settings.Location)
 	default:
-		e.Zones = contract.Zones
-		explain("contract: parts go to searchers in %q alone, whatever a pin or an override says", contract.Zones)
+		explanation.Zones = contract.Zones
+		addRule("contract: parts go to searchers in %q alone, whatever a pin or an override says", contract.Zones)
 	}
 	if tenantQuota, has := s.Quotas[string(tenant)]; has {
 		perS, burst := tenantQuota.NodeMinimum(len(f.settings.Membership.Members))
-		explain("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.PerS, tenantQuota.Burst, perS, burst)
+		addRule("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.PerS, tenantQuota.Burst, perS, burst)
 	} else {
-		explain("quota: none")
+		addRule("quota: none")
 	}
 	for _, backend := range s.Outliers {
-		explain("judgement: searcher %s counts as slow where this mixer knows little of it, by the word of others", backend.Backend)
+		addRule("judgement: searcher %s counts as slow where this mixer knows little of it, by the word of others", backend.Backend)
 	}
-	return e, nil
+	return explanation, nil
 }
