--- a/internal/dataplane/proxy/bodymemory.go
+++ b/internal/dataplane/proxy/bodymemory.go
@@ -2,17 +2,18 @@
 
 import "sync/atomic"
 
-// bodyMemory bounds the bytes of request bodies that are held at the same time.
+// bodyMemory limits the total size of the request bodies that are in memory at the same time.
 type bodyMemory struct {
-	maximum  int64
+	maximum  int64 // bytes
 	reserved atomic.Int64
 }
 
-// reserve takes memory for a body of the stated length; a negative length is unknown and counts as the most allowed.
-// It returns false when too much may wait. The caller calls release when the request has ended.
-func (b *bodyMemory) reserve(length, most int64) (release func(), ok bool) {
-	if length < 0 || length > most {
-		length = most
+// reserve reserves memory for a body of the given length in bytes. It reserves maxLength for a length that is negative,
+// which means unknown, or larger than maxLength. It returns false if the reservation would exceed the maximum.
+// Otherwise the caller must call release at the end of the request.
+func (b *bodyMemory) reserve(length, maxLength int64) (release func(), ok bool) {
+	if length < 0 || length > maxLength {
+		length = maxLength
 	}
 	if b.reserved.Add(length) > b.maximum {
 		b.reserved.Add(-length)
--- a/internal/dataplane/proxy/call.go
+++ b/internal/dataplane/proxy/call.go
@@ -13,51 +13,53 @@
 
 var errNoLeader = errors.New("no leader of the group is known")
 
-// leaderCall is one request to the leader of a replication group.
+// leaderCall describes a request to the leader of a replication group.
 type leaderCall struct {
 	kind    operation
 	group   string
-	route   transport.IdempotentRoute // as an attempt that may have been executed is followed by others
+	route   transport.IdempotentRoute // idempotent, because an attempt that may have been executed is retried
 	request any
-	allowed time.Duration // by the client and the route
+	timeout time.Duration // the shorter of the client's and the route's
 }
 
-// leaderCaller brings requests to the leaders of groups.
+// leaderCaller sends requests to the leaders of replication groups.
 type leaderCaller struct {
-	feed   *follower
+	feed   *feedFollower
 	caller transport.Caller
 	log    *zap.Logger
 	now    func() time.Time
 }
 
-// run attempts a call, as often as the retrier decides, until it is answered into reply or given up. It gives up early when
-// the context ends.
-func (c *leaderCaller) run(ctx context.Context, begun time.Time, call leaderCall, reply any) decision {
-	retrier := newRetrier(call.kind, call.allowed)
-	if first := retrier.begin(c.now().Sub(begun)); first.finished {
+// run sends a call to the leader and retries it as the retrier decides. A successful response is stored in reply.
+// Time limits count from received, the arrival of the client's request. When the context ends, run makes no more
+// attempts.
+func (c *leaderCaller) run(ctx context.Context, received time.Time, call leaderCall, reply any) decision {
+	retrier := newRetrier(call.kind, call.timeout)
+	if first := retrier.begin(c.now().Sub(received)); first.finished {
 		return first
 	}
 	for {
-		term, err := c.attempt(ctx, call, retrier.attemptTime(c.now().Sub(begun)), reply)
+		term, err := c.attempt(ctx, call, retrier.attemptTimeout(c.now().Sub(received)), reply)
 		if err != nil {
 			c.log.Debug("attempt failed", zap.String("path", call.route.Path()), zap.String("group", call.group), zap.Error(err))
 		}
-		decision := retrier.next(attemptOf(err), c.now().Sub(begun))
+		decision := retrier.next(classifyAttempt(err), c.now().Sub(received))
 		if decision.finished {
 			return decision
 		}
-		c.feed.awaitNewer(ctx, call.group, term, decision.wait)
+		c.feed.awaitNewerLeader(ctx, call.group, term, decision.wait)
 		if ctx.Err() != nil {
-			return retrier.giveUp()
+			return retrier.fail()
 		}
 	}
 }
 
-// attempt sends a call to the leader known now, and returns that leader's term.
-func (c *leaderCaller) attempt(ctx context.Context, call leaderCall, most time.Duration, reply any) (term uint64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// attempt sends a call once, to the leader in the current view. It returns the term of that leader, or 0 if no leader is
+// known.
+func (c *leaderCaller) attempt(ctx context.Context, call leaderCall, timeout time.Duration, reply any) (term uint64, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ctx, leader, end, known := c.feed.begin(ctx, call.group)
+	ctx, leader, end, known := c.feed.startAttempt(ctx, call.group)
 	if !known {
 		return 0, rpcerror.WrapNotExecuted(errNoLeader, 0)
 	}
--- a/internal/dataplane/proxy/call_test.go
+++ b/internal/dataplane/proxy/call_test.go
@@ -19,55 +19,55 @@
 )
 
 // callerFunc is a transport.Caller made of a function.
-type callerFunc func(ctx context.Context, address string) error
+type callFunc func(ctx context.Context, address string) error
 
-func (f callerFunc) Call(ctx context.Context, address string, _ transport.Route, _, _ any) error {
+func (f callFunc) Call(ctx context.Context, address string, _ transport.Route, _, _ any) error {
 	return f(ctx, address)
 }
 
-func newTestLeaderCaller(caller callerFunc) *leaderCaller {
-	f := newTestFollower()
-	lead(f, "first", 1)
+func newTestLeaderCaller(caller callFunc) *leaderCaller {
+	f := newTestFeedFollower()
+	publishLeader(f, "first", 1)
 	return &leaderCaller{feed: f, caller: caller, log: zap.NewNop(), now: time.Now}
 }
 
-func lead(f *follower, address string, term uint64) {
+func publishLeader(f *feedFollower, address string, term uint64) {
 	f.apply(update(1, configurationOf(1000), map[string]feed.Leader{testGroup: {Address: address, Term: term}}), f.now())
 }
 
-func submitCall(allowed time.Duration) leaderCall {
-	return leaderCall{kind: submission, group: testGroup, route: jobapi.SubmitCall.Route(), allowed: allowed}
+func newSubmitCall(allowed time.Duration) leaderCall {
+	return leaderCall{kind: submitOperation, group: testGroup, route: jobapi.SubmitCall.Route(), timeout: allowed}
 }
 
-func TestAttemptsInTime(t *testing.T) {
-	inBubble(t, "without a newer leader a refusal comes within a quarter of the time", func() {
-		c := newTestLeaderCaller(func(context.Context, string) error { return notRun("not the leader", 0) })
-		begun := time.Now()
-		d := c.run(context.Background(), begun, submitCall(testAllowed), nil)
+func TestAttemptsRespectTimeoutsAndNewLeaders(t *testing.T) {
+	runWithVirtualTime(t, "without a newer leader a refusal comes within a quarter of the time", func() {
+		c := newTestLeaderCaller(func(context.Context, string) error { return notExecutedError("not the leader", 0) })
+		received := time.Now()
+		d := c.run(context.Background(), received, newSubmitCall(testAllowed), nil)
 		So(d.status, ShouldEqual, http.StatusServiceUnavailable)
-		So(time.Since(begun), ShouldBeLessThanOrEqualTo, ms(2850)/4)
+		So(time.Since(received), ShouldBeLessThanOrEqualTo, ms(2850)/4)
 	})
-	inBubble(t, "a newer leader is tried at once, also while a try is pending", func() {
-		abandoned := make(chan error, 1)
+	runWithVirtualTime(t, "a newer leader is tried at once, also while a try is pending", func() {
+		attemptCause := make(chan error, 1)
 		c := newTestLeaderCaller(func(ctx context.Context, address string) error {
 			if address == "second" {
 				return nil
 			}
 			<-ctx.Done()
-			abandoned <- context.Cause(ctx)
+			attemptCause <- context.Cause(ctx)
 			return ctx.Err()
 		})
 		begun := time.Now()
 		go func() {
 			time.Sleep(ms(300))
-			lead(c.feed, "second", 2)
+			publishLeader(c.feed, "second", 2)
 		}()
-		d := c.run(context.Background(), begun, submitCall(testAllowed), nil)
+		d := c.run(context.Background(), begun, newSubmitCall(testAllowed), nil)
 		So(d.status, ShouldEqual, http.StatusOK)
 		So(time.Since(begun), ShouldEqual, ms(300))
-		So(<-abandoned, ShouldEqual, errNewerLeader)
+		So(<-attemptCause, ShouldEqual, errNewerLeader)
 	})
-	inBubble(t, "a try is given up after its time, and the request after all of it", func() {
+	runWithVirtualTime(t, "a try is given up after its time, and the request after all of it", func() {
 		var attempts []time.Duration
 		c := newTestLeaderCaller(func(ctx context.Context, _ string) error {
 			begun := time.Now()
@@ -76,21 +76,21 @@
 			return ctx.Err()
 		})
 		begun := time.Now()
-		d := c.run(context.Background(), begun, submitCall(testAllowed), nil)
+		d := c.run(context.Background(), begun, newSubmitCall(testAllowed), nil)
 		So(d.status, ShouldEqual, http.StatusGatewayTimeout)
 		So(time.Since(begun), ShouldEqual, ms(2850))
 		So(attempts, ShouldResemble, []time.Duration{ms(1500), ms(1300)})
 	})
-	inBubble(t, "no try is registered once it is over", func() {
+	runWithVirtualTime(t, "no try is registered once it is over", func() {
 		c := newTestLeaderCaller(func(context.Context, string) error { return nil })
-		c.run(context.Background(), time.Now(), submitCall(testAllowed), nil)
+		c.run(context.Background(), time.Now(), newSubmitCall(testAllowed), nil)
 		So(c.feed.attempts, ShouldBeEmpty)
 	})
 }
 
 // TestCertaintyOfCalls plays random leaders, which answer, refuse, stay silent, break off and are replaced: a request
 // is refused only if all its attempts have certainly not run.
-func TestCertaintyOfCalls(t *testing.T) {
+func TestLeaderCallerRefusesOnlyUnexecutedCalls(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		random := random.PCG(7)
 		for round := range 2000 {
@@ -99,7 +99,7 @@
 			c = newTestLeaderCaller(func(ctx context.Context, _ string) error {
 				if random.Unit() < 0.2 {
 					term++
-					lead(c.feed, "next", term)
+					publishLeader(c.feed, "next", term)
 				}
 				lastErr = randomFailure(ctx, &random)
 				anyUnclear = anyUnclear || (lastErr != nil && rpcerror.ExecutionOf(lastErr) != rpcerror.NotExecuted)
@@ -107,10 +107,10 @@
 			})
 			allowed := time.Duration(random.Unit() * float64(testAllowed))
 			begun := time.Now()
-			d := c.run(context.Background(), begun, submitCall(allowed), nil)
-			refusedNow := d.status == http.StatusTooManyRequests || d.status == http.StatusServiceUnavailable
+			d := c.run(context.Background(), begun, newSubmitCall(allowed), nil)
+			refused := d.status == http.StatusTooManyRequests || d.status == http.StatusServiceUnavailable
 			switch {
-			case refusedNow && anyUnclear:
+			case refused && anyUnclear:
 				t.Fatalf("round %d: %d after an unclear try", round, d.status)
 			case d.status == http.StatusOK && lastErr != nil:
 				t.Fatalf("round %d: success after %v", round, lastErr)
@@ -126,9 +126,9 @@
 	case draw < 0.1:
 		return nil
 	case draw < 0.5:
-		return notRun("not the leader", 0)
+		return notExecutedError("not the leader", 0)
 	case draw < 0.6:
-		return notRun("full", time.Duration(random.Exp()*float64(time.Second)))
+		return notExecutedError("full", time.Duration(random.Exp()*float64(time.Second)))
 	case draw < 0.8:
 		return rpcerror.WrapMayHaveExecuted(errors.New("broken off"))
 	default:
--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -2,54 +2,58 @@
 
 import "time"
 
-// Times of a drain.
+// Time limits of a drain.
 const (
-	drainSpan    = 3 * time.Second        // new requests are served that long at most
-	drainReserve = 2 * time.Second        // of the grace period, not used for new requests
-	emptySpan    = time.Second            // without a connection for so long, the drain ends
-	answerSpan   = 500 * time.Millisecond // for the answers to requests that are given up
-	killReserve  = 500 * time.Millisecond // of the grace period, not used at all
+	maxDrainAcceptTime     = 3 * time.Second        // maximum time during which new requests are still served
+	drainCompletionReserve = 2 * time.Second        // part of the grace period in which no new requests are served
+	drainIdleTime          = time.Second            // accepting stops once no connection was open for this long
+	canceledAnswerTime     = 500 * time.Millisecond // time to send the answers of canceled requests
+	killMargin             = 500 * time.Millisecond // unused end of the grace period, before the process is killed
 )
 
-// drain serves on after the request to stop: until no connection has been open for a while or the span for new requests
-// is over. Then it stops accepting, and ends once the requests under way are answered; those that take too long are
-// given up, so that they still get an answer. A connection counts as busy until its answer was handed to the operating system, which
-// sends it also after the process has ended.
-func drain(tracker *connectionTracker, stopAccepting, giveUpRequests func(), gracePeriod time.Duration, now func() time.Time) {
-	begun := now()
-	span := min(drainSpan, gracePeriod-drainReserve)
-	waitUntil(tracker, begun.Add(span), func(o occupancy) (done bool, again time.Time) {
+// drain shuts the proxy down within the grace period.
+//
+// First, requests are served as before, until no connection has been open for drainIdleTime or the time for new requests
+// is over. Then drain stops accepting connections, closes idle ones and waits for the requests in progress. Requests that
+// take too long are canceled, so that their clients still get an answer.
+//
+// A connection counts as busy until its answer has been passed to the operating system, which sends it even if the
+// process has exited.
+func drain(tracker *connectionTracker, stopAccepting, cancelRequests func(), gracePeriod time.Duration, now func() time.Time) {
+	started := now()
+	acceptTime := min(maxDrainAcceptTime, gracePeriod-drainCompletionReserve)
+	waitUntil(tracker, started.Add(acceptTime), func(o occupancy) (done bool, recheckAt time.Time) {
 		if o.open > 0 {
 			return false, time.Time{}
 		}
-		emptyFrom := o.emptyFrom
-		if emptyFrom.Before(begun) {
-			emptyFrom = begun
+		emptyFrom := o.emptySince
+		if emptyFrom.Before(started) {
+			emptyFrom = started
 		}
-		end := emptyFrom.Add(emptySpan)
-		return !now().Before(end), end
+		idleEnd := emptyFrom.Add(drainIdleTime)
+		return !now().Before(idleEnd), idleEnd
 	}, now)
 	stopAccepting()
 	tracker.closeIdle()
 	noneBusy := func(o occupancy) (bool, time.Time) { return o.busy == 0, time.Time{} }
-	waitUntil(tracker, begun.Add(gracePeriod-killReserve-answerSpan), noneBusy, now)
-	giveUpRequests()
-	waitUntil(tracker, begun.Add(gracePeriod-killReserve), noneBusy, now)
+	waitUntil(tracker, started.Add(gracePeriod-killMargin-canceledAnswerTime), noneBusy, now)
+	cancelRequests()
+	waitUntil(tracker, started.Add(gracePeriod-killMargin), noneBusy, now)
 }
 
-// waitUntil waits for a condition on the connections, but not beyond a time. The condition may name a time at which
-// it is to be evaluated again though no connection has changed.
-func waitUntil(tracker *connectionTracker, latest time.Time, condition func(occupancy) (bool, time.Time), now func() time.Time) {
+// waitUntil waits for a condition on the connections, at most until the deadline. The condition is evaluated after each
+// change of a connection. It may also return a time at which it is evaluated again without such a change.
+func waitUntil(tracker *connectionTracker, deadline time.Time, condition func(occupancy) (bool, time.Time), now func() time.Time) {
 	for {
 		occupancy := tracker.occupancy()
-		done, again := condition(occupancy)
-		if done || !now().Before(latest) {
+		done, recheckAt := condition(occupancy)
+		if done || !now().Before(deadline) {
 			return
 		}
-		if again.IsZero() || again.After(latest) {
-			again = latest
+		if recheckAt.IsZero() || recheckAt.After(deadline) {
+			recheckAt = deadline
 		}
-		timer := time.NewTimer(again.Sub(now()))
+		timer := time.NewTimer(recheckAt.Sub(now()))
 		select {
 		case <-occupancy.changed:
 		case <-timer.C:
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -104,12 +104,12 @@
 		answer.Changed, answer.Snapshot = true, &c.snapshot
 		return nil
 	}
-	timer.Sleep(ctx, watchWait)
+	timer.Sleep(ctx, pollWait)
 	return ctx.Err()
 }
 
 // drained is a proxy in a bubble of synctest.
-type drained struct {
+type drainTest struct {
 	proxy            *Proxy
 	front, readiness *memoryListener
 	stop             func()
@@ -119,13 +119,13 @@
 
 const testGrace = 6 * time.Second
 
-func startDrained(leader func(ctx context.Context) error) *drained {
+func startDrainTest(leader func(ctx context.Context) error) *drainTest {
 	caller := &memoryCaller{snapshot: snapshotOf(configurationOf(60_000), "leader", 1), leader: leader}
-	return startWith(caller)
+	return startDrainTestWith(caller)
 }
 
-func startWith(caller transport.Caller) *drained {
-	d := &drained{
+func startDrainTestWith(caller transport.Caller) *drainTest {
+	d := &drainTest{
 		proxy: New(Config{
 			Caller:         caller,
 			BuildRouter:    buildTestRouter,
@@ -154,7 +154,7 @@
 	return d
 }
 
-func (d *drained) readinessStatus() int {
+func (d *drainTest) readinessStatus() int {
 	client := d.readiness.dial()
 	defer client.Close()
 	client.write("GET " + ReadinessPath + " HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -164,30 +164,30 @@
 }
 
 // inBubble runs a test with a clock of its own, which goes on when all its goroutines wait.
-func inBubble(t *testing.T, name string, test func()) {
+func runWithVirtualTime(t *testing.T, name string, test func()) {
 	t.Run(name, func(t *testing.T) {
 		virtualtime.Test(t, func(t *testing.T) { Convey(name, t, test) })
 	})
 }
 
-func takes(d time.Duration) func(context.Context) error {
+func answerAfter(d time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		timer.Sleep(ctx, d)
 		return ctx.Err()
 	}
 }
 
-func TestDrain(t *testing.T) {
-	inBubble(t, "without connections it ends after a second, and is not ready at once", func() {
-		d := startDrained(takes(0))
+func TestDrainEndsWithinItsTimeLimits(t *testing.T) {
+	runWithVirtualTime(t, "without connections it ends after a second, and is not ready at once", func() {
+		d := startDrainTest(answerAfter(0))
 		So(d.readinessStatus(), ShouldEqual, http.StatusOK)
 		d.stop()
 		So(d.readinessStatus(), ShouldEqual, http.StatusServiceUnavailable)
 		<-d.ended
-		So(d.endedAfter, ShouldEqual, emptySpan)
+		So(d.endedAfter, ShouldEqual, drainIdleTime)
 	})
-	inBubble(t, "an idle connection is served on, and closed by its next answer", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "an idle connection is served on, and closed by its next answer", func() {
+		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		defer client.Close()
 		status, closes, err := client.send()
@@ -201,10 +201,10 @@
 		So(status, ShouldEqual, http.StatusOK)
 		So(closes, ShouldBeTrue)
 		<-d.ended
-		So(d.endedAfter, ShouldEqual, 1500*time.Millisecond+emptySpan)
+		So(d.endedAfter, ShouldEqual, 1500*time.Millisecond+drainIdleTime)
 	})
-	inBubble(t, "new connections are served while it drains, and none afterwards", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "new connections are served while it drains, and none afterwards", func() {
+		d := startDrainTest(answerAfter(0))
 		d.stop()
 		time.Sleep(900 * time.Millisecond)
 		client := d.front.dial()
@@ -216,33 +216,33 @@
 		<-d.ended
 		So(d.front.dial(), ShouldBeNil)
 	})
-	inBubble(t, "an idle connection does not hold it for longer than the span", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "an idle connection does not hold it for longer than the span", func() {
+		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		defer client.Close()
 		_, _, err := client.send()
 		So(err, ShouldBeNil)
 		d.stop()
 		<-d.ended
-		So(d.endedAfter, ShouldEqual, drainSpan)
+		So(d.endedAfter, ShouldEqual, maxDrainAcceptTime)
 		_, _, err = client.read()
 		So(err, ShouldNotBeNil)
 	})
-	inBubble(t, "a request under way gets its answer before it ends", func() {
-		d := startDrained(takes(time.Second))
+	runWithVirtualTime(t, "a request under way gets its answer before it ends", func() {
+		d := startDrainTest(answerAfter(time.Second))
 		client := d.front.dial()
 		defer client.Close()
 		d.stop()
-		time.Sleep(drainSpan - 100*time.Millisecond)
+		time.Sleep(maxDrainAcceptTime - 100*time.Millisecond)
 		status, closes, err := client.send()
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusOK)
 		So(closes, ShouldBeTrue)
 		<-d.ended
-		So(d.endedAfter, ShouldEqual, drainSpan+900*time.Millisecond)
+		So(d.endedAfter, ShouldEqual, maxDrainAcceptTime+900*time.Millisecond)
 	})
-	inBubble(t, "a request that takes too long gets an answer within the grace period", func() {
-		d := startDrained(takes(time.Hour))
+	runWithVirtualTime(t, "a request that takes too long gets an answer within the grace period", func() {
+		d := startDrainTest(answerAfter(time.Hour))
 		client := d.front.dial()
 		defer client.Close()
 		client.write(postText)
@@ -253,21 +253,21 @@
 		So(status, ShouldEqual, http.StatusGatewayTimeout)
 		So(closes, ShouldBeTrue)
 		<-d.ended
-		So(d.endedAfter, ShouldEqual, testGrace-killReserve-answerSpan)
+		So(d.endedAfter, ShouldEqual, testGrace-killMargin-canceledAnswerTime)
 	})
-	inBubble(t, "a request that is not read whole does not hold it beyond the grace period", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "a request that is not read whole does not hold it beyond the grace period", func() {
+		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		client.write(postText[:len(postText)-1])
 		synctest.Wait()
 		d.stop()
 		<-d.ended
-		So(d.endedAfter, ShouldEqual, testGrace-killReserve)
+		So(d.endedAfter, ShouldEqual, testGrace-killMargin)
 		client.Close()
 		time.Sleep(time.Second)
 	})
-	inBubble(t, "a short grace period leaves no time for new requests", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "a short grace period leaves no time for new requests", func() {
+		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		defer client.Close()
 		d.proxy.SetGracePeriod(time.Second)
@@ -277,9 +277,9 @@
 	})
 }
 
-func TestConnectionLimit(t *testing.T) {
-	inBubble(t, "a connection beyond the limit is closed, until others have ended", func() {
-		d := startDrained(takes(0))
+func TestConnectionBeyondLimitIsClosed(t *testing.T) {
+	runWithVirtualTime(t, "a connection beyond the limit is closed, until others have ended", func() {
+		d := startDrainTest(answerAfter(0))
 		var clients []*memoryClient
 		for range 10 {
 			clients = append(clients, d.front.dial())
--- a/internal/dataplane/proxy/feed_test.go
+++ b/internal/dataplane/proxy/feed_test.go
@@ -26,23 +26,23 @@
 	return f.do(request).status
 }
 
-func TestBeforeTheFirstConfiguration(t *testing.T) {
+func TestRequestsAreRefusedBeforeFirstConfiguration(t *testing.T) {
 	Convey("Without a configuration requests are refused and the proxy is not ready", t, func() {
-		leader := newLeader(t).accepting()
+		leader := newFakeLeader(t).acceptSubmissions()
 		f := newFixture(t, feed.Snapshot{})
 		reply := f.post()
 		So(reply.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(reply.retryAfter, ShouldEqual, "1")
 		So(f.readinessStatus(), ShouldEqual, http.StatusServiceUnavailable)
 		f.agent.change(func(s *feed.Snapshot) { *s = snapshotOf(configurationOf(3000), leader.address(), 1) })
-		f.await(func(v *view) bool { return v.version == 1 })
+		f.awaitView(func(v *view) bool { return v.version == 1 })
 		So(f.readinessStatus(), ShouldEqual, http.StatusOK)
 		So(f.post().status, ShouldEqual, http.StatusOK)
 	})
 }
 
-func newTestFollower() *follower {
-	return newFollower("", nil, buildTestRouter, zap.NewNop())
+func newTestFeedFollower() *feedFollower {
+	return newFeedFollower("", nil, buildTestRouter, zap.NewNop())
 }
 
 func update(version uint64, c testConfiguration, leaders map[string]feed.Leader) feed.WatchReply {
@@ -50,56 +50,56 @@
 	return feed.WatchReply{Current: true, Changed: true, Snapshot: snapshot}
 }
 
-func TestNothingGoesBack(t *testing.T) {
+func TestOlderUpdatesDoNotReplaceNewerState(t *testing.T) {
 	first, second := configurationOf(1000), configurationOf(2000)
 	leaders := func(term uint64) map[string]feed.Leader {
 		return map[string]feed.Leader{testGroup: {Address: fmt.Sprint("mixer-", term), Term: term}}
 	}
 	Convey("An older configuration or leader is not taken", t, func() {
-		f := newTestFollower()
+		f := newTestFeedFollower()
 		So(f.apply(update(5, second, leaders(3)), f.now()), ShouldBeTrue)
 		So(f.apply(update(4, first, leaders(2)), f.now()), ShouldBeFalse)
-		So(f.newest().router, ShouldResemble, second)
-		So(f.newest().leaders[testGroup].Address, ShouldEqual, "mixer-3")
+		So(f.currentView().router, ShouldResemble, second)
+		So(f.currentView().leaders[testGroup].Address, ShouldEqual, "mixer-3")
 		So(f.digest(), ShouldResemble, feed.Digest{ConfigurationVersion: 5, LeaderTerms: map[string]uint64{testGroup: 3}})
 	})
 	Convey("What an agent that has just started lacks stays", t, func() {
-		f := newTestFollower()
+		f := newTestFeedFollower()
 		f.apply(update(5, second, leaders(3)), f.now())
 		f.apply(feed.WatchReply{Changed: true, Snapshot: &feed.Snapshot{}}, f.now())
-		So(f.newest().version, ShouldEqual, 5)
-		So(f.newest().leaders, ShouldHaveLength, 1)
+		So(f.currentView().version, ShouldEqual, 5)
+		So(f.currentView().leaders, ShouldHaveLength, 1)
 	})
 	Convey("A group that is gone from a current feed is gone", t, func() {
-		f := newTestFollower()
+		f := newTestFeedFollower()
 		f.apply(update(5, second, leaders(3)), f.now())
 		f.apply(update(5, second, nil), f.now())
-		So(f.newest().leaders, ShouldBeEmpty)
+		So(f.currentView().leaders, ShouldBeEmpty)
 	})
 	Convey("A configuration that cannot be read changes nothing, and the next one is taken", t, func() {
-		f := newTestFollower()
+		f := newTestFeedFollower()
 		f.apply(update(5, first, nil), f.now())
 		broken := feed.WatchReply{Current: true, Changed: true, Snapshot: &feed.Snapshot{ConfigurationVersion: 6, Configuration: []byte("{")}}
 		So(f.apply(broken, f.now()), ShouldBeFalse)
-		So(f.newest().version, ShouldEqual, 5)
+		So(f.currentView().version, ShouldEqual, 5)
 		So(f.apply(update(7, second, nil), f.now()), ShouldBeTrue)
-		So(f.newest().router, ShouldResemble, second)
+		So(f.currentView().router, ShouldResemble, second)
 	})
 }
 
 // standingStill is a transport.Caller whose process stands still between the answer's arrival and its reading.
-type standingStill feed.WatchReply
+type pausedCaller feed.WatchReply
 
 // Call implements transport.Caller.
-func (s standingStill) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
+func (s pausedCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
 	<-time.After(20 * time.Second) // virtual; the context's end does not come between the answer and its reader
 	*reply.(*feed.WatchReply) = feed.WatchReply(s)
 	return nil
 }
 
-func TestMembersLeftOutOfAnUpdateStay(t *testing.T) {
+func TestUpdateWithoutMembersKeepsKnownMembers(t *testing.T) {
 	Convey("News without members leave those that are known as they are", t, func() {
-		f := newTestFollower()
+		f := newTestFeedFollower()
 		complete := update(5, configurationOf(1000), nil)
 		complete.Snapshot.Core = []string{"core:1"}
 		f.apply(complete, f.now())
@@ -111,14 +111,14 @@
 	})
 }
 
-func TestStaleness(t *testing.T) {
+func TestStaleFeedGivesNoDefiniteAnswers(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		Convey("A feed that is not heard of is not current any more", t, func() {
-			f := newTestFollower()
+			f := newTestFeedFollower()
 			So(f.ready(), ShouldBeFalse)
 			f.apply(update(5, configurationOf(1000), nil), f.now())
 			So(f.ready(), ShouldBeTrue)
-			time.Sleep(feedStaleness - time.Millisecond)
+			time.Sleep(maxFeedAge - time.Millisecond)
 			So(f.ready(), ShouldBeTrue)
 			time.Sleep(time.Millisecond)
 			So(f.ready(), ShouldBeFalse)
@@ -129,11 +129,11 @@
 			So(f.ready(), ShouldBeFalse)
 		})
 		Convey("An answer that was read after this process had stood still is as old as its question", t, func() {
-			f := newTestFollower()
-			f.caller = standingStill(update(5, configurationOf(1000), nil))
+			f := newTestFeedFollower()
+			f.caller = pausedCaller(update(5, configurationOf(1000), nil))
 			_, err := f.poll(context.Background())
 			So(err, ShouldBeNil)
-			So(f.newest().version, ShouldEqual, 5)
+			So(f.currentView().version, ShouldEqual, 5)
 			So(f.ready(), ShouldBeFalse)
 			So(f.stale(), ShouldBeTrue)
 		})
@@ -143,19 +143,19 @@
 		So(f.send(http.MethodGet, "/elsewhere/", "").status, ShouldEqual, http.StatusNotFound)
 		f.agent.setCurrent(false)
 		f.agent.change(func(s *feed.Snapshot) { s.ConfigurationVersion = 2 })
-		f.await(func(v *view) bool { return v.version == 2 })
+		f.awaitView(func(v *view) bool { return v.version == 2 })
 		So(f.send(http.MethodGet, "/elsewhere/", "").status, ShouldEqual, http.StatusServiceUnavailable)
 		So(f.readinessStatus(), ShouldEqual, http.StatusServiceUnavailable)
 	})
 	Convey("Nor is a job said to be gone that none of its groups knows", t, func() {
-		leader := newLeader(t).knowing(false, "")
+		leader := newFakeLeader(t).answerJobQueries(false, "")
 		f := newFixture(t, snapshotOf(configurationOf(1000), leader.address(), 1))
 		for _, method := range []string{http.MethodGet, http.MethodDelete} {
 			So(f.send(method, testPrefix+testID, "").status, ShouldEqual, http.StatusGone)
 		}
 		f.agent.setCurrent(false)
 		f.agent.change(func(s *feed.Snapshot) { s.ConfigurationVersion = 2 })
-		f.await(func(v *view) bool { return v.version == 2 })
+		f.awaitView(func(v *view) bool { return v.version == 2 })
 		for _, method := range []string{http.MethodGet, http.MethodDelete} {
 			reply := f.send(method, testPrefix+testID, "")
 			So(reply.status, ShouldEqual, http.StatusServiceUnavailable)
@@ -164,9 +164,9 @@
 	})
 }
 
-func TestLimitsChange(t *testing.T) {
+func TestNewLimitsApplyToNewConnectionsAndBodies(t *testing.T) {
 	Convey("New limits hold for new connections, and for bodies at once", t, func() {
-		leader := newLeader(t).accepting()
+		leader := newFakeLeader(t).acceptSubmissions()
 		f := newFixture(t, snapshotOf(configurationOf(3000), leader.address(), 1))
 		large := `{"specification":"` + strings.Repeat("x", 4000) + `","stages":[{"count":1}]}`
 		So(f.send(http.MethodPost, testPrefix+testID, large).status, ShouldEqual, http.StatusOK)
@@ -174,7 +174,7 @@
 		limited := configurationOf(3000)
 		limited.Bounds = testLimits{HeaderBytes: 100, BodyBytes: 1000, IdleMS: 5000}
 		f.agent.change(func(s *feed.Snapshot) { s.ConfigurationVersion, s.Configuration = 2, limited.raw() })
-		f.await(func(v *view) bool { return v.version == 2 })
+		f.awaitView(func(v *view) bool { return v.version == 2 })
 		So(f.send(http.MethodPost, testPrefix+testID, large).status, ShouldEqual, http.StatusRequestEntityTooLarge)
 
 		f.client.CloseIdleConnections()
@@ -184,7 +184,7 @@
 	})
 }
 
-func TestFinalStates(t *testing.T) {
+func TestRememberedStatesAndCountsAreBounded(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		Convey("Only final states are remembered, for a time and up to a number", t, func() {
 			f := newFinalStates(time.Now)
@@ -195,14 +195,14 @@
 			state, found := f.get("a")
 			So(found, ShouldBeTrue)
 			So(state, ShouldEqual, job.Completed)
-			time.Sleep(finalStateAge)
+			time.Sleep(maxFinalStateAge)
 			_, found = f.get("a")
 			So(found, ShouldBeFalse)
-			for i := range 5 * finalStateCount {
+			for i := range 5 * maxFinalStates {
 				f.add(job.ID(fmt.Sprint(i)), job.Failed)
 			}
-			So(len(f.newer)+len(f.older), ShouldBeLessThanOrEqualTo, finalStateCount)
-			_, found = f.get(job.ID(fmt.Sprint(5*finalStateCount - 1)))
+			So(len(f.newer)+len(f.older), ShouldBeLessThanOrEqualTo, maxFinalStates)
+			_, found = f.get(job.ID(fmt.Sprint(5*maxFinalStates - 1)))
 			So(found, ShouldBeTrue)
 		})
 	})
@@ -210,15 +210,15 @@
 		begin := time.Now()
 		now := begin
 		p := newPendingCounts(func() time.Time { return now })
-		for i := range 3 * pendingMaxRoutes {
+		for i := range 3 * maxPendingRoutes {
 			p.put(fmt.Sprint(i), i, begin)
 		}
-		So(len(p.counts), ShouldBeLessThanOrEqualTo, pendingMaxRoutes)
-		last := fmt.Sprint(3*pendingMaxRoutes - 1)
-		now = begin.Add(pendingAge)
+		So(len(p.counts), ShouldBeLessThanOrEqualTo, maxPendingRoutes)
+		last := fmt.Sprint(3*maxPendingRoutes - 1)
+		now = begin.Add(maxPendingCountAge)
 		count, found := p.get(last)
 		So(found, ShouldBeTrue)
-		So(count, ShouldEqual, 3*pendingMaxRoutes-1)
+		So(count, ShouldEqual, 3*maxPendingRoutes-1)
 		now = now.Add(1)
 		_, found = p.get(last)
 		So(found, ShouldBeFalse)
--- a/internal/dataplane/proxy/finalstates.go
+++ b/internal/dataplane/proxy/finalstates.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	finalStateAge   = 2 * time.Minute
-	finalStateCount = 8192 // at most
+	maxFinalStateAge = 2 * time.Minute // nominal; an entry may be returned until it is 1.5 times as old
+	maxFinalStates   = 8192            // number of jobs
 )
 
-// finalStates remembers jobs that have ended. It has two generations: the older one is dropped when the newer one is
-// full or has half the greatest age, so that memory and age are bounded.
+// finalStates caches the final states of jobs. It has two generations: the older one is dropped when the newer one is
+// full or has reached half the maximum age. This bounds both the memory and the age of entries.
 type finalStates struct {
-	mutex   sync.Mutex
-	now     func() time.Time
-	begun   time.Time // of the newer generation
-	newer   map[job.ID]job.State
-	older   map[job.ID]job.State
-	maximum int // of one generation
+	mutex            sync.Mutex
+	now              func() time.Time
+	newerSince       time.Time // creation of the newer generation
+	newer            map[job.ID]job.State
+	older            map[job.ID]job.State
+	maxPerGeneration int // number of jobs in a generation
 }
 
 func newFinalStates(now func() time.Time) *finalStates {
-	return &finalStates{now: now, begun: now(), newer: make(map[job.ID]job.State), maximum: finalStateCount / 2}
+	return &finalStates{now: now, newerSince: now(), newer: make(map[job.ID]job.State), maxPerGeneration: maxFinalStates / 2}
 }
 
-// add remembers a state if it is final.
+// add caches a job's state if it is final.
 func (f *finalStates) add(id job.ID, state job.State) {
 	if !state.Final() {
 		return
@@ -35,13 +35,13 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.expire()
-	if len(f.newer) >= f.maximum {
+	if len(f.newer) >= f.maxPerGeneration {
 		f.rotate()
 	}
 	f.newer[id] = state
 }
 
-// get returns the final state of a job, if it is remembered.
+// get returns the final state of a job, if it is cached.
 func (f *finalStates) get(id job.ID) (job.State, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -53,18 +53,19 @@
 	return state, found
 }
 
-// expire drops what is too old.
+// expire drops generations that have reached their maximum age. The mutex must be held.
 func (f *finalStates) expire() {
-	age := f.now().Sub(f.begun)
-	if age >= finalStateAge/2 {
+	age := f.now().Sub(f.newerSince)
+	if age >= maxFinalStateAge/2 {
 		f.rotate()
 	}
-	if age >= finalStateAge {
+	if age >= maxFinalStateAge {
 		f.older = nil
 	}
 }
 
+// rotate drops the older generation and begins a new one. The mutex must be held.
 func (f *finalStates) rotate() {
 	f.older, f.newer = f.newer, make(map[job.ID]job.State)
-	f.begun = f.now()
+	f.newerSince = f.now()
 }
--- a/internal/dataplane/proxy/fixture_test.go
+++ b/internal/dataplane/proxy/fixture_test.go
@@ -20,14 +20,14 @@
 type fixture struct {
 	t         *testing.T
 	proxy     *Proxy
-	agent     *standInAgent
+	agent     *fakeAgent
 	url       string
 	readiness string
 	client    *http.Client
 }
 
 func newFixture(t *testing.T, snapshot feed.Snapshot) *fixture {
-	agent := newAgent(t, snapshot)
+	agent := newFakeAgent(t, snapshot)
 	caller := transport.NewClient()
 	proxy := New(Config{
 		AgentAddress:   agent.server.Listener.Addr().String(),
@@ -60,7 +60,7 @@
 		caller.Close()
 	})
 	if snapshot.ConfigurationVersion > 0 {
-		f.await(func(v *view) bool { return v.version >= snapshot.ConfigurationVersion })
+		f.awaitView(func(v *view) bool { return v.version >= snapshot.ConfigurationVersion })
 	}
 	return f
 }
@@ -74,26 +74,26 @@
 }
 
 // await waits until the proxy's view of the feed satisfies a condition.
-func (f *fixture) await(condition func(*view) bool) {
+func (f *fixture) awaitView(condition func(*view) bool) {
 	f.t.Helper()
-	late := time.After(time.Minute)
+	timeout := time.After(time.Minute)
 	for {
-		view := f.proxy.feed.newest()
+		view := f.proxy.feed.currentView()
 		if condition(view) {
 			return
 		}
 		select {
 		case <-view.changed:
-		case <-late:
+		case <-timeout:
 			f.t.Fatal("the proxy's view does not become what it should")
 		}
 	}
 }
 
 // lead names another leader in the feed, and waits until the proxy has the leader's epoch.
-func (f *fixture) lead(leader string, term uint64) {
+func (f *fixture) publishLeader(leader string, term uint64) {
 	f.agent.change(func(s *feed.Snapshot) { s.Leaders[testGroup] = feed.Leader{Address: leader, Term: term} })
-	f.await(func(v *view) bool { return v.leaders[testGroup].Term >= term })
+	f.awaitView(func(v *view) bool { return v.leaders[testGroup].Term >= term })
 }
 
 // clientReply is what a client gets.
@@ -130,7 +130,7 @@
 func (f *fixture) post() clientReply { return f.send(http.MethodPost, testPrefix+testID, testJob) }
 
 // background sends a request and delivers its reply.
-func (f *fixture) background(method, path, body string) <-chan clientReply {
+func (f *fixture) sendAsync(method, path, body string) <-chan clientReply {
 	replies := make(chan clientReply, 1)
 	go func() { replies <- f.send(method, path, body) }()
 	return replies
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	watchWait     = time.Second            // an agent without updates answers after that
-	watchSlack    = time.Second            // more time for its answer
-	feedStaleness = 4 * time.Second        // without an answer the feed is not current any more
-	firstRetry    = 100 * time.Millisecond // after a failed call of the agent; doubles
-	longestRetry  = 800 * time.Millisecond
-	idleAnswer    = 200 * time.Millisecond // pause after an answer that claims updates but has none
+	pollWait        = time.Second            // an agent without updates answers a poll after this time
+	pollMargin      = time.Second            // additional time for the answer to a poll
+	maxFeedAge      = 4 * time.Second        // the feed is stale if the latest answered poll was sent this long ago
+	minRetryDelay   = 100 * time.Millisecond // delay after the first failed poll; doubles up to maxRetryDelay
+	maxRetryDelay   = 800 * time.Millisecond
+	noProgressDelay = 200 * time.Millisecond // delay after an answer that claims updates but contains none
 )
 
-// errNewerLeader is the cause of ending an attempt at a leader that has been replaced.
+// errNewerLeader is the cancellation cause of an attempt whose leader has been replaced.
 var errNewerLeader = errors.New("the group has a newer leader")
 
-// view is one state of the feed as the proxy uses it. It does not change.
+// view is an immutable state of the feed, as the proxy uses it.
 type view struct {
-	version uint64 // of the configuration; 0 before the first
-	router  Router // nil before the first configuration
-	leaders map[string]feed.Leader
-	members uint64 // checksum of the nodes' addresses, which the proxy itself does not use
-	changed chan struct{}
+	version         uint64 // of the configuration; 0 before the first
+	router          Router // nil before the first configuration
+	leaders         map[string]feed.Leader
+	membersChecksum uint64        // checksum of the nodes' addresses; the proxy uses it only to poll the agent
+	changed         chan struct{} // closed when a newer view replaces this one
 }
 
-// groupsBut lists all groups but one: those of the services in force, and those that have a leader.
-func (v *view) groupsBut(own string) []string {
+// groupsExcept returns all known groups except one, in any order: the groups of the configured services and the groups
+// that have a leader.
+func (v *view) groupsExcept(own string) []string {
 	groups := make(map[string]struct{}, len(v.leaders))
 	for group := range v.leaders {
 		groups[group] = struct{}{}
@@ -52,136 +53,140 @@
 	return slices.Collect(maps.Keys(groups))
 }
 
-// follower keeps the newest view by following the agent on the same machine.
-type follower struct {
-	agent    string // address
-	caller   transport.Caller
-	build    BuildRouter
-	log      *zap.Logger
-	now      func() time.Time
-	onLimits func(Limits)
+// feedFollower keeps the view up to date by polling the agent on the same machine.
+type feedFollower struct {
+	agent       string // address, host:port
+	caller      transport.Caller
+	buildRouter BuildRouter
+	log         *zap.Logger
+	now         func() time.Time
+	onLimits    func(Limits)
 
-	unreadable uint64 // the newest version of the configuration that could not be read
+	unreadableVersion uint64 // latest version of the configuration that could not be parsed; 0 if none
 
 	mutex    sync.Mutex
 	view     *view
-	current  bool                        // by the agent's newest answer
-	received time.Time                   // the agent was asked then for the newest answer: this process may have been paused since
-	attempts map[*leaderAttempt]struct{} // under way
+	current  bool                        // whether the agent's latest answer says that the feed is current
+	polledAt time.Time                   // when the latest answered poll was sent; the answer's arrival would not count a pause of this process
+	attempts map[*leaderAttempt]struct{} // in progress
 }
 
-// leaderAttempt is one attempt at the leader of a group, to be ended when a newer leader is known.
+// leaderAttempt is a call to the leader of a group. It is canceled when a newer leader becomes known.
 type leaderAttempt struct {
 	group  string
 	leader feed.Leader
 	cancel context.CancelCauseFunc
 }
 
-func newFollower(agent string, caller transport.Caller, build BuildRouter, log *zap.Logger) *follower {
-	return &follower{
-		agent:    agent,
-		caller:   caller,
-		build:    build,
-		log:      log,
-		now:      time.Now,
-		onLimits: func(Limits) {},
-		view:     &view{changed: make(chan struct{})},
-		attempts: make(map[*leaderAttempt]struct{}),
+func newFeedFollower(agent string, caller transport.Caller, build BuildRouter, log *zap.Logger) *feedFollower {
+	return &feedFollower{
+		agent:       agent,
+		caller:      caller,
+		buildRouter: build,
+		log:         log,
+		now:         time.Now,
+		onLimits:    func(Limits) {},
+		view:        &view{changed: make(chan struct{})},
+		attempts:    make(map[*leaderAttempt]struct{}),
 	}
 }
 
-// run follows the agent until the context ends.
-func (f *follower) run(ctx context.Context) {
-	retry := firstRetry
+// run polls the agent until the context ends.
+func (f *feedFollower) run(ctx context.Context) {
+	retry := minRetryDelay
 	for ctx.Err() == nil {
 		progress, err := f.poll(ctx)
 		switch {
 		case err != nil:
 			f.log.Debug("feed not read", zap.Error(err))
 			timer.Sleep(ctx, retry)
-			retry = min(2*retry, longestRetry)
+			retry = min(2*retry, maxRetryDelay)
 		case !progress:
-			timer.Sleep(ctx, idleAnswer)
+			timer.Sleep(ctx, noProgressDelay)
 		default:
-			retry = firstRetry
+			retry = minRetryDelay
 		}
 	}
 }
 
-// poll asks the agent once. Progress is false when it claimed updates that the proxy has already.
-func (f *follower) poll(ctx context.Context) (progress bool, err error) {
-	began := f.now()
-	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
+// poll asks the agent once for updates. Progress is false if the agent claimed updates but sent nothing new.
+func (f *feedFollower) poll(ctx context.Context) (progress bool, err error) {
+	polledAt := f.now()
+	ctx, cancel := context.WithTimeout(ctx, pollWait+pollMargin)
 	defer cancel()
-	watch := feed.WatchRequest{Known: f.digest(), WaitMS: watchWait.Milliseconds(), Current: !f.stale()}
-	reply, err := feed.LocalCall.Call(ctx, f.caller, f.agent, watch)
+	request := feed.WatchRequest{Known: f.digest(), WaitMS: pollWait.Milliseconds(), Current: !f.stale()}
+	reply, err := feed.LocalCall.Call(ctx, f.caller, f.agent, request)
 	if err != nil {
 		return false, fmt.Errorf("ask the agent: %w", err)
 	}
-	return f.apply(reply, began), nil
+	return f.apply(reply, polledAt), nil
 }
 
-func (f *follower) digest() feed.Digest {
-	view := f.newest()
+// digest returns what the proxy knows of the feed. The agent answers with what differs from it.
+func (f *feedFollower) digest() feed.Digest {
+	view := f.currentView()
 	leaderTerms := make(map[string]uint64, len(view.leaders))
 	for group, leader := range view.leaders {
 		leaderTerms[group] = leader.Term
 	}
-	return feed.Digest{ConfigurationVersion: view.version, LeaderTerms: leaderTerms, MembersSum: view.members}
+	return feed.Digest{ConfigurationVersion: view.version, LeaderTerms: leaderTerms, MembersSum: view.membersChecksum}
 }
 
-// newest is the newest view.
-func (f *follower) newest() *view {
+// currentView returns the latest view.
+func (f *feedFollower) currentView() *view {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.view
 }
 
-// ready tells whether there is a configuration and the feed is current.
-func (f *follower) ready() bool {
+// ready reports whether there is a configuration and the feed is current.
+func (f *feedFollower) ready() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.view.router != nil && f.isCurrent()
 }
 
-// isCurrent is called with the mutex held.
-func (f *follower) isCurrent() bool { return f.current && f.now().Sub(f.received) < feedStaleness }
+// isCurrent reports whether the feed is current. The mutex must be held.
+func (f *feedFollower) isCurrent() bool { return f.current && f.now().Sub(f.polledAt) < maxFeedAge }
 
-// stale tells whether the feed may lack updates.
-func (f *follower) stale() bool {
+// stale reports whether updates may be missing from the view.
+func (f *feedFollower) stale() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return !f.isCurrent()
 }
 
-// begin starts an attempt at the leader of a group. The context ends with errNewerLeader once a newer leader is known.
-// The caller calls end when the attempt is over. Without a leader known, ok is false.
-func (f *follower) begin(ctx context.Context, group string) (bounded context.Context, leader feed.Leader, end func(), ok bool) {
+// startAttempt registers an attempt to call the leader of a group. The returned context is canceled with the cause
+// errNewerLeader when a newer leader becomes known. The caller must call end after the attempt. If no leader is known,
+// ok is false.
+func (f *feedFollower) startAttempt(ctx context.Context, group string) (attemptCtx context.Context, leader feed.Leader, end func(), ok bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	leader, ok = f.view.leaders[group]
 	if !ok {
 		return ctx, leader, func() {}, false
 	}
-	bounded, cancel := context.WithCancelCause(ctx)
+	attemptCtx, cancel := context.WithCancelCause(ctx)
 	attempt := &leaderAttempt{group: group, leader: leader, cancel: cancel}
 	f.attempts[attempt] = struct{}{}
-	return bounded, leader, func() { f.end(attempt) }, true
+	return attemptCtx, leader, func() { f.endAttempt(attempt) }, true
 }
 
-func (f *follower) end(attempt *leaderAttempt) {
+// endAttempt removes an attempt and releases its context.
+func (f *feedFollower) endAttempt(attempt *leaderAttempt) {
 	f.mutex.Lock()
 	delete(f.attempts, attempt)
 	f.mutex.Unlock()
 	attempt.cancel(nil)
 }
 
-// awaitNewer waits until the group's leader is of a later term than epoch, at most the given time.
-func (f *follower) awaitNewer(ctx context.Context, group string, term uint64, most time.Duration) {
-	timer := time.NewTimer(most)
+// awaitNewerLeader waits until the group's leader has a later term than the given one. It returns after maxWait, or when
+// the context ends, at the latest.
+func (f *feedFollower) awaitNewerLeader(ctx context.Context, group string, term uint64, maxWait time.Duration) {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
-		view := f.newest()
+		view := f.currentView()
 		if view.leaders[group].Term > term {
 			return
 		}
--- a/internal/dataplane/proxy/handler.go
+++ b/internal/dataplane/proxy/handler.go
@@ -13,50 +13,51 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// deadlineHeader says how many milliseconds the client still waits.
+// deadlineHeader is the request header that contains the number of milliseconds for which the client still waits.
 const deadlineHeader = "Deadline-Remaining"
 
-// handler is the clients' API.
+// handler serves the clients' HTTP API.
 type handler struct {
-	feed     *follower
-	jobs     *jobService
-	working  context.Context // ends when requests under way are to be given up
-	now      func() time.Time
-	bodies   bodyMemory
-	lastCall atomic.Bool     // answers end their connections
-	requests *RequestMetrics // nil to count none
+	feed             *feedFollower
+	jobs             *jobService
+	requestsCtx      context.Context // canceled at the end of a drain, to end the requests in progress
+	now              func() time.Time
+	bodies           bodyMemory
+	closeConnections atomic.Bool     // whether to close each connection after its answer; set during a drain
+	requests         *RequestMetrics // nil if requests are not counted
 }
 
-type stateAnswer struct {
+type stateResponse struct {
 	State job.State `json:"state"`
 }
 
-type pendingAnswer struct {
+type pendingResponse struct {
 	Pending int `json:"pending"`
 }
 
-type errorAnswer struct {
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
-type emptyAnswer struct{}
+type emptyResponse struct{}
 
 // ServeHTTP implements http.Handler.
-func (h *handler) ServeHTTP(plain http.ResponseWriter, r *http.Request) {
-	begun := h.now()
-	w := closingWriter{plain, &h.lastCall, h.counter(r, begun)}
-	router := h.feed.newest().router
+func (h *handler) ServeHTTP(response http.ResponseWriter, r *http.Request) {
+	received := h.now()
+	w := closingWriter{response, &h.closeConnections, h.statusObserver(r, received)}
+	router := h.feed.currentView().router
 	if router == nil {
-		answerUnavailable(w, "no configuration yet")
+		writeUnavailable(w, "no configuration yet")
 		return
 	}
 	route, rest, found := router.Match(r.Host, r.URL.Path)
 	if !found {
-		h.answerNoRoute(w)
+		h.writeNoRoute(w)
 		return
 	}
-	request := jobRequest{begun: begun, allowed: allowed(r, route), queue: route.Queue, id: job.ID(rest)}
-	// A request goes on when its client has gone: the leader may have begun it already. So r.Context() is not used.
+	request := jobRequest{received: received, timeout: answerTimeout(r, route), queue: route.Queue, id: job.ID(rest)}
+	// A request continues after its client has disconnected, because the leader may already execute it. Therefore
+	// r.Context() is not used.
 	if rest == "" {
 		h.serveQueue(w, r, request)
 		return
@@ -64,53 +65,55 @@
 	h.serveJob(w, r, request, router)
 }
 
-// closingWriter ends the connection with an answer that is written while the flag is set.
+// closingWriter is a ResponseWriter that closes the connection after an answer that is written while the flag
+// closeConnections is set.
 type closingWriter struct {
 	http.ResponseWriter
-	closes   *atomic.Bool
-	answered func(status int) // nil to count nothing
+	closeConnections *atomic.Bool
+	onStatus         func(status int) // called with the status of the answer; may be nil
 }
 
 // WriteHeader implements http.ResponseWriter.
 func (w closingWriter) WriteHeader(status int) {
-	if w.closes.Load() {
+	if w.closeConnections.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	w.ResponseWriter.WriteHeader(status)
-	if w.answered != nil {
-		w.answered(status)
+	if w.onStatus != nil {
+		w.onStatus(status)
 	}
 }
 
-// counter counts the answer of a request; nil where none are counted.
-func (h *handler) counter(r *http.Request, begun time.Time) func(status int) {
+// statusObserver returns a function that counts a request under the status of its answer. It returns nil if requests are
+// not counted.
+func (h *handler) statusObserver(r *http.Request, received time.Time) func(status int) {
 	if h.requests == nil {
 		return nil
 	}
-	return func(status int) { h.requests.observe(r.Method, status, h.now().Sub(begun)) }
+	return func(status int) { h.requests.observe(r.Method, status, h.now().Sub(received)) }
 }
 
-// answerNoRoute says that there is no such queue, if the proxy can be sure.
-func (h *handler) answerNoRoute(w http.ResponseWriter) {
+// writeNoRoute answers 404 if the feed is current. A stale feed may lack the route, so the answer then is 503.
+func (h *handler) writeNoRoute(w http.ResponseWriter) {
 	if h.feed.stale() {
-		answerUnavailable(w, "no such queue in a configuration that may be old")
+		writeUnavailable(w, "no such queue in a configuration that may be old")
 		return
 	}
-	answerError(w, http.StatusNotFound, "no such queue")
+	writeError(w, http.StatusNotFound, "no such queue")
 }
 
 func (h *handler) serveQueue(w http.ResponseWriter, r *http.Request, request jobRequest) {
 	if r.Method != http.MethodGet {
 		w.Header().Set("Allow", http.MethodGet)
-		answerError(w, http.StatusMethodNotAllowed, "a queue is only read")
+		writeError(w, http.StatusMethodNotAllowed, "a queue is only read")
 		return
 	}
-	count, known := h.jobs.count(h.working, request)
+	count, known := h.jobs.count(h.requestsCtx, request)
 	if !known {
-		answerUnavailable(w, "no scheduler can be reached")
+		writeUnavailable(w, "no scheduler can be reached")
 		return
 	}
-	answer(w, http.StatusOK, pendingAnswer{count})
+	writeJSON(w, http.StatusOK, pendingResponse{count})
 }
 
 func (h *handler) serveJob(w http.ResponseWriter, r *http.Request, request jobRequest, router Router) {
@@ -123,62 +126,63 @@
 		h.cancel(w, request)
 	default:
 		w.Header().Set("Allow", "GET, POST, DELETE")
-		answerError(w, http.StatusMethodNotAllowed, "jobs are posted, read or deleted")
+		writeError(w, http.StatusMethodNotAllowed, "jobs are posted, read or deleted")
 	}
 }
 
-func (h *handler) submit(w http.ResponseWriter, r *http.Request, request jobRequest, most int64) {
+func (h *handler) submit(w http.ResponseWriter, r *http.Request, request jobRequest, maxBytes int64) {
 	if !request.id.Valid() {
-		answerError(w, http.StatusBadRequest, "the job's ID must be 16 hexadecimal digits")
+		writeError(w, http.StatusBadRequest, "the job's ID must be 16 hexadecimal digits")
 		return
 	}
-	release, ok := h.bodies.reserve(r.ContentLength, most)
+	release, ok := h.bodies.reserve(r.ContentLength, maxBytes)
 	if !ok {
-		answerUnavailable(w, "too many requests under way")
+		writeUnavailable(w, "too many requests under way")
 		return
 	}
 	defer release()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err != nil {
-		answerUnreadable(w, err)
+		writeBodyError(w, err)
 		return
 	}
 	specification, err := job.ParseSpecification(body)
 	if err != nil {
-		answerError(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	answerOutcome(w, h.jobs.submit(h.working, request, specification), emptyAnswer{})
+	writeOutcome(w, h.jobs.submit(h.requestsCtx, request, specification), emptyResponse{})
 }
 
-func answerUnreadable(w http.ResponseWriter, err error) {
+func writeBodyError(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		answerError(w, http.StatusRequestEntityTooLarge, "the body is larger than "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes")
+		writeError(w, http.StatusRequestEntityTooLarge, "the body is larger than "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes")
 		return
 	}
-	answerError(w, http.StatusBadRequest, "the body could not be read")
+	writeError(w, http.StatusBadRequest, "the body could not be read")
 }
 
 func (h *handler) status(w http.ResponseWriter, request jobRequest) {
 	if !request.id.Valid() {
-		answerError(w, http.StatusGone, "no such job")
+		writeError(w, http.StatusGone, "no such job")
 		return
 	}
-	result := h.jobs.status(h.working, request)
-	answerOutcome(w, result, stateAnswer{result.state})
+	result := h.jobs.status(h.requestsCtx, request)
+	writeOutcome(w, result, stateResponse{result.state})
 }
 
 func (h *handler) cancel(w http.ResponseWriter, request jobRequest) {
 	if !request.id.Valid() {
-		answerError(w, http.StatusGone, "no such job")
+		writeError(w, http.StatusGone, "no such job")
 		return
 	}
-	answerOutcome(w, h.jobs.cancel(h.working, request), emptyAnswer{})
+	writeOutcome(w, h.jobs.cancel(h.requestsCtx, request), emptyResponse{})
 }
 
-// allowed is the time that the client and the route leave for an answer.
-func allowed(r *http.Request, route Route) time.Duration {
+// answerTimeout returns the time allowed for a request: the route's timeout, or the client's remaining time if that is
+// shorter.
+func answerTimeout(r *http.Request, route Route) time.Duration {
 	remaining, err := strconv.ParseFloat(r.Header.Get(deadlineHeader), 64)
 	if err != nil || !(remaining >= 0) || remaining >= float64(route.Timeout/time.Millisecond) {
 		return route.Timeout
@@ -186,14 +190,14 @@
 	return time.Duration(remaining * float64(time.Millisecond))
 }
 
-// answerOutcome answers with the content if the outcome is a success.
-func answerOutcome(w http.ResponseWriter, result outcome, content any) {
+// writeOutcome writes the content if the outcome is a success, and otherwise an error.
+func writeOutcome(w http.ResponseWriter, result outcome, content any) {
 	if result.status == http.StatusOK {
-		answer(w, http.StatusOK, content)
+		writeJSON(w, http.StatusOK, content)
 		return
 	}
 	setRetryAfter(w, result.retryAfter)
-	answerError(w, result.status, errorText(result.status))
+	writeError(w, result.status, errorText(result.status))
 }
 
 func errorText(status int) string {
@@ -209,12 +213,12 @@
 	}
 }
 
-func answerUnavailable(w http.ResponseWriter, text string) {
-	setRetryAfter(w, earlyRetryAfter)
-	answerError(w, http.StatusServiceUnavailable, text)
+func writeUnavailable(w http.ResponseWriter, text string) {
+	setRetryAfter(w, unavailableRetryAfter)
+	writeError(w, http.StatusServiceUnavailable, text)
 }
 
-// setRetryAfter states a time, if there is one, in whole seconds and at least one.
+// setRetryAfter sets the Retry-After header for a positive delay, rounded up to whole seconds.
 func setRetryAfter(w http.ResponseWriter, delay time.Duration) {
 	if delay <= 0 {
 		return
@@ -223,13 +227,13 @@
 	w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 }
 
-func answerError(w http.ResponseWriter, status int, text string) {
-	answer(w, status, errorAnswer{text})
+func writeError(w http.ResponseWriter, status int, text string) {
+	writeJSON(w, status, errorResponse{text})
 }
 
-func answer(w http.ResponseWriter, status int, content any) {
+func writeJSON(w http.ResponseWriter, status int, content any) {
 	body, err := json.Marshal(content)
-	if err != nil { // the types of answers can all be written
+	if err != nil { // does not happen: all response types can be encoded
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
--- a/internal/dataplane/proxy/merge.go
+++ b/internal/dataplane/proxy/merge.go
@@ -9,45 +9,47 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// apply takes in an answer of the agent, who was asked at a time. It returns false when the answer claimed updates but had none.
-func (f *follower) apply(reply feed.WatchReply, asked time.Time) (progress bool) {
-	old := f.newest() // only this goroutine replaces it
+// apply updates the view from the agent's answer to a poll that was sent at polledAt. It returns false if the answer
+// claimed updates but contained none.
+func (f *feedFollower) apply(reply feed.WatchReply, polledAt time.Time) (progress bool) {
+	old := f.currentView() // only this goroutine replaces the view
 	next := *old
 	if reply.Changed && reply.Snapshot != nil {
 		next = f.merge(old, reply.Snapshot, reply.Current)
 	}
-	changed := next.version != old.version || next.members != old.members || !maps.Equal(next.leaders, old.leaders)
+	changed := next.version != old.version || next.membersChecksum != old.membersChecksum || !maps.Equal(next.leaders, old.leaders)
 	if next.version != old.version {
 		f.log.Info("configuration in force", zap.Uint64("version", next.version))
 		f.onLimits(next.router.Limits().withDefaults())
 	}
-	f.publish(&next, changed, reply.Current, asked)
+	f.publish(&next, changed, reply.Current, polledAt)
 	return changed || !reply.Changed
 }
 
-// merge returns the old view with what is newer in a snapshot. No part of it goes back.
-func (f *follower) merge(old *view, snapshot *feed.Snapshot, current bool) view {
+// merge returns the old view, updated with the newer parts of a snapshot. It never replaces a part by an older one.
+func (f *feedFollower) merge(old *view, snapshot *feed.Snapshot, current bool) view {
 	next := *old
 	if snapshot.ConfigurationVersion > old.version && len(snapshot.Configuration) > 0 {
-		if router := f.read(snapshot); router != nil {
+		if router := f.parseConfiguration(snapshot); router != nil {
 			next.version, next.router = snapshot.ConfigurationVersion, router
 		}
 	}
 	next.leaders = mergeLeaders(old.leaders, snapshot.Leaders, current)
-	if sum := snapshot.Digest().MembersSum; sum != 0 { // left out where they are known
-		next.members = sum
+	if sum := snapshot.Digest().MembersSum; sum != 0 { // 0 if the snapshot has no members, because the proxy knows them
+		next.membersChecksum = sum
 	}
 	return next
 }
 
-// read builds the router of a snapshot's configuration. It returns nil for one that cannot be read, and logs that once.
-func (f *follower) read(snapshot *feed.Snapshot) Router {
-	if snapshot.ConfigurationVersion == f.unreadable {
+// parseConfiguration builds the router from a snapshot's configuration. It returns nil if the configuration cannot be
+// parsed, and logs that once per version.
+func (f *feedFollower) parseConfiguration(snapshot *feed.Snapshot) Router {
+	if snapshot.ConfigurationVersion == f.unreadableVersion {
 		return nil
 	}
-	router, err := f.build(snapshot.Configuration)
+	router, err := f.buildRouter(snapshot.Configuration)
 	if err != nil {
-		f.unreadable = snapshot.ConfigurationVersion
+		f.unreadableVersion = snapshot.ConfigurationVersion
 		f.log.Error("configuration not readable; the previous one stays in force",
 			zap.Uint64("version", snapshot.ConfigurationVersion), zap.Error(err))
 		return nil
@@ -55,7 +57,8 @@
 	return router
 }
 
-// mergeLeaders keeps the newest leader of each group. A group that is gone from a current snapshot exists no more.
+// mergeLeaders returns the leader with the latest term for each group. A group that is missing from a current snapshot no
+// longer exists and is left out.
 func mergeLeaders(old, update map[string]feed.Leader, current bool) map[string]feed.Leader {
 	merged := maps.Clone(update)
 	if merged == nil {
@@ -73,12 +76,13 @@
 	return merged
 }
 
-// publish makes a view the newest one, wakes who waits for it, and ends attempts at leaders that it replaces.
-func (f *follower) publish(next *view, changed, current bool, asked time.Time) {
+// publish records the result of a poll. If the view has changed, it replaces the current view, wakes the goroutines that
+// wait for a change, and cancels the attempts to call leaders that have been replaced.
+func (f *feedFollower) publish(next *view, changed, current bool, polledAt time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.current = current
-	f.received = asked
+	f.polledAt = polledAt
 	if !changed {
 		return
 	}
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -16,7 +16,7 @@
 	seconds  *prometheus.HistogramVec
 }
 
-// NewRequestMetrics makes counters that begin at 0.
+// NewRequestMetrics returns metrics with all counters at 0.
 func NewRequestMetrics() *RequestMetrics {
 	return &RequestMetrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -29,18 +29,19 @@
 	}
 }
 
-// observe counts one request. It does nothing without metrics.
-func (m *RequestMetrics) observe(method string, status int, took time.Duration) {
+// observe counts one request. A nil RequestMetrics counts nothing.
+func (m *RequestMetrics) observe(method string, status int, duration time.Duration) {
 	if m == nil {
 		return
 	}
-	method = knownMethod(method)
+	method = methodLabel(method)
 	m.requests.WithLabelValues(method, strconv.Itoa(status)).Inc()
-	m.seconds.WithLabelValues(method).Observe(took.Seconds())
+	m.seconds.WithLabelValues(method).Observe(duration.Seconds())
 }
 
-// knownMethod bounds the values of a label that clients choose.
-func knownMethod(method string) string {
+// methodLabel returns the label value for a request's method. It limits the number of values, because clients choose the
+// method.
+func methodLabel(method string) string {
 	switch method {
 	case http.MethodGet, http.MethodPost, http.MethodDelete:
 		return method
@@ -48,15 +49,15 @@
 	return "other"
 }
 
-// Metrics are what the proxy reports.
+// Metrics returns the collectors of the proxy's metrics.
 func (p *Proxy) Metrics() []prometheus.Collector {
-	own := []prometheus.Collector{
+	collectors := []prometheus.Collector{
 		metrics.BoolGauge("puffinlink_ready", "Whether the proxy asks for new connections.", p.Ready),
 		metrics.Gauge("puffinlink_connections", "Clients' open connections.", func() float64 { return float64(p.tracker.occupancy().open) }),
 		metrics.Gauge("puffinlink_busy_connections", "Clients' connections with a request under way.", func() float64 { return float64(p.tracker.occupancy().busy) }),
 	}
 	if p.config.Requests != nil {
-		own = append(own, p.config.Requests.requests, p.config.Requests.seconds)
+		collectors = append(collectors, p.config.Requests.requests, p.config.Requests.seconds)
 	}
-	return own
+	return collectors
 }
--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -29,10 +29,10 @@
 	return counts
 }
 
-func TestRequestMetrics(t *testing.T) {
+func TestAnswersAreCountedByMethodAndStatus(t *testing.T) {
 	Convey("Answers are counted by method and status", t, func() {
 		requests := NewRequestMetrics()
-		h := &handler{now: time.Now, requests: requests, feed: newFollower("", nil, nil, nil)}
+		h := &handler{now: time.Now, requests: requests, feed: newFeedFollower("", nil, nil, nil)}
 		for _, method := range []string{http.MethodPost, http.MethodPost, "ODD"} {
 			h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(method, "/x", nil))
 		}
@@ -42,8 +42,8 @@
 		})
 	})
 	Convey("Without metrics nothing is counted", t, func() {
-		h := &handler{now: time.Now, feed: newFollower("", nil, nil, nil)}
+		h := &handler{now: time.Now, feed: newFeedFollower("", nil, nil, nil)}
 		h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/x", nil))
-		So(h.counter(nil, time.Now()), ShouldBeNil)
+		So(h.statusObserver(nil, time.Now()), ShouldBeNil)
 	})
 }
--- a/internal/dataplane/proxy/pendingcounts.go
+++ b/internal/dataplane/proxy/pendingcounts.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	pendingAttemptLimit = 300 * time.Millisecond // for a leader to answer with the number of pending jobs
-	pendingMaxRoutes    = 4096                   // numbers that are remembered
-	pendingAge          = 10 * time.Second       // up to which a number is answered without a leader: several elections
+	pendingAttemptTimeout = 300 * time.Millisecond // timeout of a call for the number of pending jobs
+	maxPendingRoutes      = 4096                   // number of routes whose counts are cached
+	maxPendingCountAge    = 10 * time.Second       // a cached count is used up to this age; it covers several elections
 )
 
-// pendingCounts remembers the last known number of pending jobs of routes for a while.
+// pendingCounts caches the latest known number of pending jobs of each route.
 type pendingCounts struct {
 	now    func() time.Time
 	mutex  sync.Mutex
 	counts map[string]pendingCount
 }
 
-// pendingCount is a number and when its leader was asked for it.
+// pendingCount is a number of pending jobs, with the time at which it was requested.
 type pendingCount struct {
-	count int
-	asked time.Time
+	count       int
+	requestedAt time.Time
 }
 
 func newPendingCounts(now func() time.Time) *pendingCounts {
 	return &pendingCounts{now: now, counts: make(map[string]pendingCount)}
 }
 
-// put remembers a number that was asked for at a time. When there are too many routes, some are forgotten.
-func (p *pendingCounts) put(route string, count int, asked time.Time) {
+// put caches a number that was requested at requestedAt. If the cache is full, all entries are dropped first.
+func (p *pendingCounts) put(route string, count int, requestedAt time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.counts) >= pendingMaxRoutes {
+	if len(p.counts) >= maxPendingRoutes {
 		clear(p.counts)
 	}
-	p.counts[route] = pendingCount{count, asked}
+	p.counts[route] = pendingCount{count, requestedAt}
 }
 
-// get returns the number known last, unless it is too old.
+// get returns the cached number of a route. Found is false if there is none or if it is too old.
 func (p *pendingCounts) get(route string) (count int, found bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known, found := p.counts[route]
-	return known.count, found && p.now().Sub(known.asked) <= pendingAge
+	return known.count, found && p.now().Sub(known.requestedAt) <= maxPendingCountAge
 }
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -2,11 +2,11 @@
 
 import "net/http"
 
-// ReadinessPath is where the platform asks whether the proxy takes new connections.
+// ReadinessPath is the path of the platform's readiness check.
 const ReadinessPath = "/-/readiness"
 
-// newReadiness answers 200 while ready, and 503 otherwise.
-func newReadiness(ready func() bool) http.Handler {
+// newReadinessHandler returns a handler that answers 200 if the proxy is ready and 503 otherwise.
+func newReadinessHandler(ready func() bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
--- a/internal/dataplane/proxy/reset_test.go
+++ b/internal/dataplane/proxy/reset_test.go
@@ -21,32 +21,32 @@
 )
 
 // handedIn counts at a leader how often each job was handed in.
-type handedIn struct {
-	mutex sync.Mutex
-	times map[job.ID]int
+type submissionCounter struct {
+	mutex       sync.Mutex
+	submissions map[job.ID]int
 }
 
-func (h *handedIn) submit(_ context.Context, s jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
+func (h *submissionCounter) submit(_ context.Context, s jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.times[s.ID]++
+	h.submissions[s.ID]++
 	return jobapi.SubmitReply{}, nil
 }
 
-func (h *handedIn) count(number int) int {
+func (h *submissionCounter) count(number int) int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.times[numbered(number)]
+	return h.submissions[jobIDOf(number)]
 }
 
-func numbered(number int) job.ID { return job.ID(fmt.Sprintf("%016x", number)) }
+func jobIDOf(number int) job.ID { return job.ID(fmt.Sprintf("%016x", number)) }
 
 // TestClientsThatAreReset resets a client's connection at each byte of a job and of its answer.
-func TestClientsThatAreReset(t *testing.T) {
+func TestResetClientConnectionSubmitsAtMostOnce(t *testing.T) {
 	Convey("Given clients whose connections break", t, func() {
-		handed := &handedIn{times: map[job.ID]int{}}
-		leader := newLeader(t)
-		leader.submit = handed.submit
+		counter := &submissionCounter{submissions: map[job.ID]int{}}
+		leader := newFakeLeader(t)
+		leader.submit = counter.submit
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		relay := resettest.New(t, strings.TrimPrefix(f.url, "http://"))
 		number := 0
@@ -55,7 +55,7 @@
 			client := &http.Transport{}
 			defer client.CloseIdleConnections()
 			relay.ResetAt(closed, after)
-			request, err := http.NewRequest(http.MethodPost, "http://"+relay.Address()+testPrefix+string(numbered(number)), strings.NewReader(testJob))
+			request, err := http.NewRequest(http.MethodPost, "http://"+relay.Address()+testPrefix+string(jobIDOf(number)), strings.NewReader(testJob))
 			So(err, ShouldBeNil)
 			answer, err := client.RoundTrip(request)
 			if err != nil {
@@ -72,16 +72,16 @@
 			for after := range lengths[resettest.Requests] {
 				So(send(resettest.Requests, after), ShouldNotBeNil)
 			}
-			closedInCall := number
+			lastPartialRequest := number
 			for after := range lengths[resettest.Responses] {
 				So(send(resettest.Responses, after), ShouldNotBeNil)
-				if handed.count(number) != 1 {
+				if counter.count(number) != 1 {
 					wrong++
 				}
 			}
 			So(send(resettest.Requests, resettest.NoReset), ShouldBeNil)
-			for closed := 2; closed <= closedInCall; closed++ {
-				if handed.count(closed) != 0 {
+			for closed := 2; closed <= lastPartialRequest; closed++ {
+				if counter.count(closed) != 0 {
 					wrong++
 				}
 			}
@@ -91,30 +91,30 @@
 }
 
 // TestAnswersReachTheirClients asks for many jobs at once, while many clients give up, and the leader's answers too.
-func TestAnswersReachTheirClients(t *testing.T) {
+func TestConcurrentClientsReceiveTheirOwnAnswers(t *testing.T) {
 	Convey("Each answer is about the job that was asked for", t, func() {
 		const clients, requestsEach = 12, 40
-		leader := newLeader(t)
+		leader := newFakeLeader(t)
 		var late atomic.Int64
 		leader.status = func(ctx context.Context, s jobapi.StatusRequest) (jobapi.StatusReply, error) {
 			if late.Add(1)%16 == 0 { // beyond the time of an attempt
-				return jobapi.StatusReply{}, leader.timeout(ctx)
+				return jobapi.StatusReply{}, leader.waitForCancel(ctx)
 			}
 			return jobapi.StatusReply{Known: true, State: jobState(string(s.ID))}, nil
 		}
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		var wrong, right atomic.Int64
-		var asking sync.WaitGroup
+		var clientGroup sync.WaitGroup
 		for client := range clients {
 			random := rand.New(rand.NewPCG(uint64(client), 0))
-			asking.Go(func() {
+			clientGroup.Go(func() {
 				for request := range requestsEach {
-					id := string(numbered(client*requestsEach + request))
+					id := string(jobIDOf(client*requestsEach + request))
 					ctx, cancel := context.WithCancel(context.Background())
 					if random.IntN(3) == 0 {
 						time.AfterFunc(time.Duration(random.IntN(900))*time.Microsecond, cancel)
 					}
-					text, err := f.request(ctx, testPrefix+id)
+					text, err := f.get(ctx, testPrefix+id)
 					switch {
 					case err != nil:
 					case strings.Contains(text, id):
@@ -126,14 +126,14 @@
 				}
 			})
 		}
-		asking.Wait()
+		clientGroup.Wait()
 		So(wrong.Load(), ShouldEqual, 0)
 		So(right.Load(), ShouldBeGreaterThan, clients*requestsEach/2)
 	})
 }
 
 // request reads a path; a client that gives up gets an error.
-func (f *fixture) request(ctx context.Context, path string) (string, error) {
+func (f *fixture) get(ctx context.Context, path string) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+path, nil)
 	if err != nil {
 		return "", err
@@ -148,16 +148,16 @@
 }
 
 // TestAnotherMachineAtALeadersAddress gives the leader's address to a process of another machine, which does not lead.
-func TestAnotherMachineAtALeadersAddress(t *testing.T) {
+func TestNodeReusingLeaderAddressDoesNotExecuteCalls(t *testing.T) {
 	Convey("A call that meant the leader runs nowhere else, and reaches the next leader", t, func() {
-		leader, next := newLeader(t).accepting(), newLeader(t).accepting()
+		leader, next := newFakeLeader(t).acceptSubmissions(), newFakeLeader(t).acceptSubmissions()
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		So(f.post().status, ShouldEqual, http.StatusOK)
 		answers := leader.replace("another")
-		replies := f.background(http.MethodPost, testPrefix+string(numbered(7)), testJob)
+		replies := f.sendAsync(http.MethodPost, testPrefix+string(jobIDOf(7)), testJob)
 		So(<-answers, ShouldEqual, http.StatusMisdirectedRequest)
 		f.agent.change(func(s *feed.Snapshot) { s.Leaders[testGroup] = feed.Leader{Address: next.address(), Term: 2} })
 		So((<-replies).status, ShouldEqual, http.StatusOK)
-		So(next.called(), ShouldEqual, 1)
+		So(next.callCount(), ShouldEqual, 1)
 	})
 }
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -7,147 +7,149 @@
 	"puffinlink.example/puffinlink/internal/rpcerror"
 )
 
-// This file decides what follows an attempt at a leader. It does no I/O and reads no clock.
+// This file decides whether a call to a leader is retried. It does no I/O and reads no clock.
 
-// operation is the kind of a client's request, which sets its times.
+// operation is the kind of a client's request. The time limits depend on it.
 type operation uint8
 
 const (
-	submission operation = iota
-	cancellation
-	reading
+	submitOperation operation = iota
+	cancelOperation
+	statusOperation
 )
 
-// Times of the decisions.
+// Time limits and delays.
 const (
-	answerReserve       = 150 * time.Millisecond  // kept of the client's time for the way of the answer
-	submitAttemptLimit  = 1500 * time.Millisecond // of one attempt of a submission or a cancellation
-	readingAttemptLimit = 900 * time.Millisecond  // of one attempt of a reading
-	leaderPatience      = 400 * time.Millisecond  // one wait for a newer leader
-	minAttemptTime      = 50 * time.Millisecond   // an attempt that would have less time is not begun
-	minBackoff          = 50 * time.Millisecond   // before the attempt after the first unclear one; doubles up to leaderPatience
-	earlyRetryAfter     = time.Second             // the hint of a refusal for want of a leader
+	responseReserve       = 150 * time.Millisecond  // part of the client's time that is left for sending the answer
+	maxSubmitAttemptTime  = 1500 * time.Millisecond // timeout of one attempt to submit or cancel a job
+	maxStatusAttemptTime  = 900 * time.Millisecond  // timeout of one attempt to read a job's state
+	maxLeaderWait         = 400 * time.Millisecond  // longest single wait for a newer leader
+	minAttemptTime        = 50 * time.Millisecond   // no attempt is started with less time left
+	minBackoff            = 50 * time.Millisecond   // delay after the first attempt that may have been executed; doubles up to maxLeaderWait
+	unavailableRetryAfter = time.Second             // Retry-After of an answer with status 503
 )
 
-// result is how one attempt ended.
-type result uint8
+// resultKind is the way an attempt ended.
+type resultKind uint8
 
 const (
-	answered    result = iota
-	notExecuted        // it was not executed, and the callee named no time for a retry: no leader, or not the leader
-	overloaded         // it was not executed, and the callee named a time for a retry
-	unclear            // it may have been executed
+	answered        resultKind = iota
+	notExecuted                // not executed, and no retry delay was given: there is no leader, or the callee is not the leader
+	overloaded                 // not executed, and the callee gave a retry delay
+	mayHaveExecuted            // the callee may have executed it
 )
 
-// attempt is one attempt's result.
-type attempt struct {
-	result result
-	delay  time.Duration // asked for by a callee that is overloaded
+// attemptResult is the result of an attempt.
+type attemptResult struct {
+	kind       resultKind
+	retryAfter time.Duration // retry delay that an overloaded callee gave
 }
 
-// attemptOf classifies the error of an attempt.
-func attemptOf(err error) attempt {
+// classifyAttempt returns the result of an attempt that ended with the given error.
+func classifyAttempt(err error) attemptResult {
 	switch {
 	case err == nil:
-		return attempt{result: answered}
+		return attemptResult{kind: answered}
 	case rpcerror.ExecutionOf(err) != rpcerror.NotExecuted:
-		return attempt{result: unclear}
+		return attemptResult{kind: mayHaveExecuted}
 	case rpcerror.RetryAfter(err) > 0:
-		return attempt{result: overloaded, delay: rpcerror.RetryAfter(err)}
+		return attemptResult{kind: overloaded, retryAfter: rpcerror.RetryAfter(err)}
 	default:
-		return attempt{result: notExecuted}
+		return attemptResult{kind: notExecuted}
 	}
 }
 
-// decision is what to do after an attempt: to finish with an answer, or to make another attempt after a wait.
+// decision says how to continue after an attempt: finish with an answer, or make another attempt after a wait.
 type decision struct {
 	finished   bool
 	status     int           // of the answer
 	retryAfter time.Duration // of the answer, for statuses 429 and 503
-	wait       time.Duration // before the next attempt; a leader newer than that of the last attempt ends it
+	wait       time.Duration // before the next attempt; a newer leader than that of the last attempt ends the wait
 }
 
-// retrier decides on the attempts of one request. Times are counted from the request's arrival. Its answer is 429 or 503
-// only when no attempt can have been executed.
+// retrier decides on the attempts of one request. Times count from the arrival of the request. The answer is 429 or 503
+// only if no attempt can have been executed.
 type retrier struct {
-	limit           time.Duration // by when the answer is due
-	patience        time.Duration // by when a request that has not run is refused
-	attemptLimit    time.Duration
+	timeout         time.Duration // after this time the request is answered without another attempt
+	refusalTimeout  time.Duration // after this time a request that was not executed is refused
+	maxAttemptTime  time.Duration
 	mayHaveExecuted bool
-	unclearNext     time.Duration // pause before the attempt after the next unclear one
+	nextBackoff     time.Duration // delay after the next attempt that may have been executed
 }
 
-// newRetrier begins a request for which the client and the route allow so much time.
-func newRetrier(kind operation, allowed time.Duration) retrier {
-	limit := max(allowed-answerReserve, allowed/2)
-	r := retrier{limit: limit, patience: limit / 2, attemptLimit: submitAttemptLimit, unclearNext: minBackoff}
+// newRetrier returns the retrier of a request. The timeout is the shorter of the client's and the route's.
+func newRetrier(kind operation, timeout time.Duration) retrier {
+	retryTimeout := max(timeout-responseReserve, timeout/2)
+	r := retrier{timeout: retryTimeout, refusalTimeout: retryTimeout / 2, maxAttemptTime: maxSubmitAttemptTime, nextBackoff: minBackoff}
 	switch kind {
-	case submission:
-		r.patience = limit / 4
-	case reading:
-		r.attemptLimit = readingAttemptLimit
+	case submitOperation:
+		r.refusalTimeout = retryTimeout / 4
+	case statusOperation:
+		r.maxAttemptTime = maxStatusAttemptTime
 	}
 	return r
 }
 
-// attemptTime is the time limit of an attempt that begins now.
-func (r *retrier) attemptTime(elapsed time.Duration) time.Duration {
-	return min(r.attemptLimit, r.limit-elapsed)
+// attemptTimeout returns the timeout of an attempt that starts now.
+func (r *retrier) attemptTimeout(elapsed time.Duration) time.Duration {
+	return min(r.maxAttemptTime, r.timeout-elapsed)
 }
 
-// begin decides on the first attempt: without enough time left it is not made.
+// begin decides whether the first attempt is made. It is not made if too little time is left.
 func (r *retrier) begin(elapsed time.Duration) decision {
-	if r.limit-elapsed < minAttemptTime {
-		return r.giveUp()
+	if r.timeout-elapsed < minAttemptTime {
+		return r.fail()
 	}
 	return decision{}
 }
 
-// next decides what follows an attempt that ended now.
-func (r *retrier) next(last attempt, elapsed time.Duration) decision {
-	if last.result == answered {
+// next decides how to continue after an attempt that ended now.
+func (r *retrier) next(last attemptResult, elapsed time.Duration) decision {
+	if last.kind == answered {
 		return decision{finished: true, status: http.StatusOK}
 	}
-	if last.result == unclear {
+	if last.kind == mayHaveExecuted {
 		r.mayHaveExecuted = true
 	}
 	if r.mayHaveExecuted {
-		return r.afterUnclear(last, elapsed)
+		return r.afterPossibleExecution(last, elapsed)
 	}
-	if last.result == overloaded {
-		return refusal(http.StatusTooManyRequests, last.delay)
+	if last.kind == overloaded {
+		return refusal(http.StatusTooManyRequests, last.retryAfter)
 	}
-	remaining := r.patience - elapsed
+	remaining := r.refusalTimeout - elapsed
 	if remaining < minAttemptTime {
-		return r.giveUp()
+		return r.fail()
 	}
-	return decision{wait: min(leaderPatience, remaining)}
+	return decision{wait: min(maxLeaderWait, remaining)}
 }
 
-// giveUp is the answer when there will be no more attempts.
-func (r *retrier) giveUp() decision {
+// fail returns the answer to a request that has had no success and is not attempted again.
+func (r *retrier) fail() decision {
 	if r.mayHaveExecuted {
 		return decision{finished: true, status: http.StatusGatewayTimeout}
 	}
-	return refusal(http.StatusServiceUnavailable, earlyRetryAfter)
+	return refusal(http.StatusServiceUnavailable, unavailableRetryAfter)
 }
 
-// afterUnclear repeats the request while there is time, as the same ID stays one job.
-func (r *retrier) afterUnclear(last attempt, elapsed time.Duration) decision {
-	wait := leaderPatience
-	switch last.result {
-	case unclear:
-		wait = r.unclearNext
-		r.unclearNext = min(2*r.unclearNext, leaderPatience)
+// afterPossibleExecution decides how to continue once any attempt may have been executed. It retries while there is
+// time. That is safe because submissions with the same ID create only one job.
+func (r *retrier) afterPossibleExecution(last attemptResult, elapsed time.Duration) decision {
+	wait := maxLeaderWait
+	switch last.kind {
+	case mayHaveExecuted:
+		wait = r.nextBackoff
+		r.nextBackoff = min(2*r.nextBackoff, maxLeaderWait)
 	case overloaded:
-		wait = max(last.delay, minBackoff)
+		wait = max(last.retryAfter, minBackoff)
 	}
-	if r.limit-elapsed-wait < minAttemptTime {
-		return r.giveUp()
+	if r.timeout-elapsed-wait < minAttemptTime {
+		return r.fail()
 	}
 	return decision{wait: wait}
 }
 
+// refusal returns a final answer with status 429 or 503.
 func refusal(status int, retryAfter time.Duration) decision {
 	return decision{finished: true, status: status, retryAfter: retryAfter}
 }
--- a/internal/dataplane/proxy/route.go
+++ b/internal/dataplane/proxy/route.go
@@ -6,35 +6,35 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobapi"
 )
 
-// Route is what the proxy needs of a route of the configuration.
+// Route is a route of the configuration, reduced to the parts that the proxy uses.
 type Route struct {
 	Queue   jobapi.Queue
 	Timeout time.Duration
 }
 
-// Limits are what the configuration allows clients. A field that is 0 stands for the default.
+// Limits are the configured limits for clients. The zero value of a field selects its default.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
-	HeaderTimeout time.Duration // from a request's first byte until its headers are read
-	IdleTimeout   time.Duration // between two requests on a connection
+	HeaderTimeout time.Duration // maximum time from a request's first byte until its headers are read
+	IdleTimeout   time.Duration // maximum time between two requests on a connection
 }
 
-// Router is one version of the configuration, ready for use.
+// Router is a parsed version of the configuration.
 type Router interface {
-	// Match finds the route of a request by its Host header and the longest prefix of its path; rest is the path behind
-	// the prefix.
+	// Match returns the route of a request by its Host header and the longest matching prefix of its path. Rest is the
+	// part of the path after the prefix.
 	Match(host, path string) (route Route, rest string, ok bool)
-	// Services are the names of all services.
+	// Services returns the names of all services.
 	Services() []string
-	// Limits are the limits of this version.
+	// Limits returns the limits for clients.
 	Limits() Limits
 }
 
-// BuildRouter reads a configuration as the operator sent it.
+// BuildRouter parses a configuration in the form in which the operator sent it.
 type BuildRouter func(raw []byte) (Router, error)
 
-// Defaults of the limits, in force before the first configuration.
+// Defaults of the limits. They also apply before the first configuration is known.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 256 << 10
@@ -42,6 +42,7 @@
 	defaultIdleTimeout   = 30 * time.Second
 )
 
+// withDefaults returns the limits with each unset field replaced by its default.
 func (l Limits) withDefaults() Limits {
 	if l.HeaderBytes <= 0 {
 		l.HeaderBytes = defaultHeaderBytes
--- a/internal/dataplane/proxy/server.go
+++ b/internal/dataplane/proxy/server.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	requestTimeout = 30 * time.Second // to read a request with its body
-	acceptBackoff  = 50 * time.Millisecond
+	requestReadTimeout = 30 * time.Second      // maximum time to read a request with its body
+	acceptBackoff      = 50 * time.Millisecond // delay after a failed accept; file descriptors may be free afterwards
 )
 
-// frontServer accepts clients' connections and serves each under the limits that were in force when it was accepted.
-type frontServer struct {
+// clientServer accepts clients' connections. It serves each one under the limits that applied when it was accepted.
+type clientServer struct {
 	handler  http.Handler
 	tracker  *connectionTracker
 	listener net.Listener
@@ -25,45 +25,45 @@
 
 	mutex   sync.Mutex
 	limits  Limits
-	handoff *handoffListener // of the server for new connections
+	handoff *handoffListener // listener of the HTTP server for new connections
 	closed  bool
 }
 
-func newFrontServer(listener net.Listener, handler http.Handler, tracker *connectionTracker, log *zap.Logger) *frontServer {
-	server := &frontServer{handler: handler, tracker: tracker, listener: listener, log: log}
+func newClientServer(listener net.Listener, handler http.Handler, tracker *connectionTracker, log *zap.Logger) *clientServer {
+	server := &clientServer{handler: handler, tracker: tracker, listener: listener, log: log}
 	server.setLimits(Limits{}.withDefaults())
 	return server
 }
 
-// setLimits puts limits in force for new connections. net/http reads a server's limits while it serves, so other limits
-// need another server; connections that are open stay with theirs.
-func (s *frontServer) setLimits(limits Limits) {
+// setLimits sets the limits for new connections. An http.Server reads its limits while it serves, so they cannot be
+// changed: new limits need a new http.Server. Open connections stay with the previous one.
+func (s *clientServer) setLimits(limits Limits) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed || (s.handoff != nil && limits == s.limits) {
 		return
 	}
-	before := s.handoff
+	previous := s.handoff
 	s.limits = limits
 	s.handoff = newHandoffListener(s.listener.Addr())
 	server := &http.Server{
 		Handler:           s.handler,
 		ReadHeaderTimeout: limits.HeaderTimeout,
-		ReadTimeout:       requestTimeout,
+		ReadTimeout:       requestReadTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    limits.HeaderBytes,
 		ConnState:         s.tracker.observe,
 		ErrorLog:          zap.NewStdLog(s.log.WithOptions(zap.IncreaseLevel(zap.WarnLevel))),
 	}
 	handoff := s.handoff
-	go func() { _ = server.Serve(handoff) }() // until the listener is closed, here or by close
-	if before != nil {
-		before.cancel()
+	go func() { _ = server.Serve(handoff) }() // returns when setLimits or close closes the handoff listener
+	if previous != nil {
+		previous.cancel()
 	}
 }
 
-// accept takes connections until the listener is closed.
-func (s *frontServer) accept() {
+// accept accepts connections until the listener is closed. It closes connections beyond the maximum at once.
+func (s *clientServer) accept() {
 	for {
 		connection, err := s.listener.Accept()
 		switch {
@@ -71,7 +71,7 @@
 			return
 		case err != nil:
 			s.log.Warn("accept failed", zap.Error(err))
-			time.Sleep(acceptBackoff) // descriptors may be free then
+			time.Sleep(acceptBackoff)
 		case s.tracker.full():
 			connection.Close()
 		default:
@@ -80,13 +80,13 @@
 	}
 }
 
-// serve hands a connection to the server for new connections.
-func (s *frontServer) serve(connection net.Conn) {
+// serve passes a connection to the HTTP server for new connections. It closes the connection if there is none any more.
+func (s *clientServer) serve(connection net.Conn) {
 	for {
 		s.mutex.Lock()
 		handoff := s.handoff
 		s.mutex.Unlock()
-		if handoff.give(connection) {
+		if handoff.handOff(connection) {
 			return
 		}
 		s.mutex.Lock()
@@ -99,8 +99,8 @@
 	}
 }
 
-// close ends accepting. Connections that are open stay.
-func (s *frontServer) close() {
+// close stops accepting connections. Open connections are not closed.
+func (s *clientServer) close() {
 	s.listener.Close()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,11 +108,11 @@
 	s.handoff.cancel()
 }
 
-// handoffListener is a net.Listener of connections that were accepted elsewhere.
+// handoffListener is a net.Listener for connections that another listener has accepted.
 type handoffListener struct {
 	address     net.Addr
 	connections chan net.Conn
-	ctx         context.Context // ends with the listener
+	ctx         context.Context // canceled when the listener is closed
 	cancel      context.CancelFunc
 }
 
@@ -121,8 +121,8 @@
 	return &handoffListener{address: address, connections: make(chan net.Conn), ctx: ctx, cancel: cancel}
 }
 
-// give hands a connection to the accepting server; it returns false when the listener is closed.
-func (l *handoffListener) give(connection net.Conn) bool {
+// handOff passes a connection to the caller of Accept. It returns false if the listener is closed.
+func (l *handoffListener) handOff(connection net.Conn) bool {
 	select {
 	case l.connections <- connection:
 		return true
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -77,34 +77,34 @@
 }
 
 // standInLeader answers as a test says. A method that is nil refuses, as a node that does not lead does.
-type standInLeader struct {
-	server *httptest.Server
-	ended  context.Context // ends with the test, for answers that stay out
-	mutex  sync.Mutex
-	submit func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error)
-	status func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error)
-	cancel func(context.Context, jobapi.CancelRequest) (jobapi.CancelReply, error)
-	count  func(context.Context, jobapi.PendingRequest) (jobapi.PendingReply, error)
-	calls  int
-	breaks int // so many calls are read and then broken off
+type fakeLeader struct {
+	server     *httptest.Server
+	testCtx    context.Context // ends with the test, for answers that stay out
+	mutex      sync.Mutex
+	submit     func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error)
+	status     func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error)
+	cancel     func(context.Context, jobapi.CancelRequest) (jobapi.CancelReply, error)
+	count      func(context.Context, jobapi.PendingRequest) (jobapi.PendingReply, error)
+	calls      int
+	abortsLeft int // so many calls are read and then broken off
 
-	stranger atomic.Pointer[http.HandlerFunc] // serves the address instead
+	replacement atomic.Pointer[http.HandlerFunc] // serves the address instead
 }
 
-func newLeader(t *testing.T) *standInLeader {
+func newFakeLeader(t *testing.T) *fakeLeader {
 	ctx, end := context.WithCancel(context.Background())
-	leader := &standInLeader{ended: ctx}
+	leader := &fakeLeader{testCtx: ctx}
 	mux := transport.NewMux()
 	serve(leader, mux, jobapi.SubmitCall, &leader.submit)
 	serve(leader, mux, jobapi.StatusCall, &leader.status)
 	serve(leader, mux, jobapi.CancelCall, &leader.cancel)
 	serve(leader, mux, jobapi.PendingCall, &leader.count)
 	leader.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if leader.breakOff() {
+		if leader.countAndCheckAbort() {
 			io.Copy(io.Discard, r.Body)
 			panic(http.ErrAbortHandler)
 		}
-		if stranger := leader.stranger.Load(); stranger != nil {
+		if stranger := leader.replacement.Load(); stranger != nil {
 			stranger.ServeHTTP(w, r)
 			return
 		}
@@ -115,13 +115,13 @@
 	return leader
 }
 
-func serve[Request, Reply any](l *standInLeader, mux *transport.Mux, endpoint transport.Endpoint[Request, Reply], method *func(context.Context, Request) (Reply, error)) {
+func serve[Request, Reply any](l *fakeLeader, mux *transport.Mux, endpoint transport.Endpoint[Request, Reply], method *func(context.Context, Request) (Reply, error)) {
 	transport.Handle(mux, endpoint, func(ctx context.Context, request Request) (reply Reply, err error) {
 		l.mutex.Lock()
 		answer := *method
 		l.mutex.Unlock()
 		if answer == nil {
-			return reply, notRun("not the leader", 0)
+			return reply, notExecutedError("not the leader", 0)
 		}
 		return answer(ctx, request)
 	})
@@ -129,11 +129,11 @@
 
 // replace gives the leader's address to a process of another machine, which leads nothing. The statuses of its answers
 // are delivered.
-func (l *standInLeader) replace(node string) (answers <-chan int) {
+func (l *fakeLeader) replace(node string) (answers <-chan int) {
 	statuses := make(chan int, 1000)
 	mux := transport.NewMuxFor(transport.NewIdentity("", node))
 	transport.Handle(mux, jobapi.SubmitCall, func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
-		return jobapi.SubmitReply{}, notRun("not the leader", 0)
+		return jobapi.SubmitReply{}, notExecutedError("not the leader", 0)
 	})
 	stranger := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
@@ -143,44 +143,44 @@
 		w.Write(recorder.Body.Bytes())
 		statuses <- recorder.Code
 	})
-	l.stranger.Store(&stranger)
+	l.replacement.Store(&stranger)
 	return statuses
 }
 
 // breakOff counts a call, and tells whether it is to be broken off.
-func (l *standInLeader) breakOff() bool {
+func (l *fakeLeader) countAndCheckAbort() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.calls++
-	l.breaks--
-	return l.breaks >= 0
+	l.abortsLeft--
+	return l.abortsLeft >= 0
 }
 
-func (l *standInLeader) called() int {
+func (l *fakeLeader) callCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.calls
 }
 
 // timeout does not answer until the caller has gone or the test ends.
-func (l *standInLeader) timeout(ctx context.Context) error {
+func (l *fakeLeader) waitForCancel(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-l.ended.Done():
+	case <-l.testCtx.Done():
 	}
 	return errors.New("given up")
 }
 
-func (l *standInLeader) address() string { return l.server.Listener.Addr().String() }
+func (l *fakeLeader) address() string { return l.server.Listener.Addr().String() }
 
-func (l *standInLeader) accepting() *standInLeader {
+func (l *fakeLeader) acceptSubmissions() *fakeLeader {
 	l.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 		return jobapi.SubmitReply{}, nil
 	}
 	return l
 }
 
-func (l *standInLeader) knowing(known bool, state string) *standInLeader {
+func (l *fakeLeader) answerJobQueries(known bool, state string) *fakeLeader {
 	l.status = func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error) {
 		return jobapi.StatusReply{Known: known, State: jobState(state)}, nil
 	}
@@ -191,7 +191,7 @@
 }
 
 // standInAgent feeds a proxy.
-type standInAgent struct {
+type fakeAgent struct {
 	server   *httptest.Server
 	mutex    sync.Mutex
 	snapshot feed.Snapshot
@@ -199,8 +199,8 @@
 	changed  chan struct{}
 }
 
-func newAgent(t *testing.T, snapshot feed.Snapshot) *standInAgent {
-	agent := &standInAgent{snapshot: snapshot, current: true, changed: make(chan struct{})}
+func newFakeAgent(t *testing.T, snapshot feed.Snapshot) *fakeAgent {
+	agent := &fakeAgent{snapshot: snapshot, current: true, changed: make(chan struct{})}
 	mux := transport.NewMux()
 	transport.Handle(mux, feed.LocalCall, agent.watch)
 	agent.server = httptest.NewServer(mux)
@@ -209,7 +209,7 @@
 }
 
 // watch answers once something is new to the proxy, or the test has changed something.
-func (a *standInAgent) watch(ctx context.Context, watch feed.WatchRequest) (feed.WatchReply, error) {
+func (a *fakeAgent) watch(ctx context.Context, watch feed.WatchRequest) (feed.WatchReply, error) {
 	reply, changed := a.reply(watch.Known)
 	if reply.Changed {
 		return reply, nil
@@ -225,7 +225,7 @@
 	return reply, nil
 }
 
-func (a *standInAgent) reply(known feed.Digest) (feed.WatchReply, <-chan struct{}) {
+func (a *fakeAgent) reply(known feed.Digest) (feed.WatchReply, <-chan struct{}) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	reply := feed.WatchReply{Current: a.current, Changed: known.ConfigurationVersion != a.snapshot.ConfigurationVersion}
@@ -240,7 +240,7 @@
 	return reply, a.changed
 }
 
-func (a *standInAgent) change(change func(*feed.Snapshot)) {
+func (a *fakeAgent) change(change func(*feed.Snapshot)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	leaders := make(map[string]feed.Leader)
@@ -253,7 +253,7 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *standInAgent) setCurrent(current bool) {
+func (a *fakeAgent) setCurrent(current bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.current = current
