--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -14,13 +14,13 @@
 	backend  policy.BackendID
 	index    policy.IndexID
 	customer policy.CustomerID
-	seat     *capture.BackendCalls // nil where nothing is captured
+	backendCalls     *capture.BackendCalls // nil where nothing is captured
 	alone    bool                  // nothing else of ours was there when it went
 }
 
 type callKey struct {
 	subquery policy.SubqueryID
-	no       policy.CallNo
+	number       policy.CallNo
 }
 
 // execute executes an action of the policy.
@@ -29,9 +29,9 @@
 	case policy.Send:
 		a.send(action, now)
 	case policy.Cancel:
-		if c, out := a.inFlight[callKey{action.Subquery, action.Call}]; out {
-			a.sendBatch(c.backend)
-			a.backends.Cancel(c.backend, action.Subquery, action.Call)
+		if call, inFlight := a.inFlight[callKey{action.Subquery, action.Call}]; inFlight {
+			a.sendBatch(call.backend)
+			a.backends.Cancel(call.backend, action.Subquery, action.Call)
 		}
 	case policy.Answer:
 		a.finishQuery(action.Query, "satisfied", Reply{End: Satisfied, Complete: action.Complete}, now)
@@ -66,38 +66,38 @@
 		a.log.Warn("send of an unknown subquery", zap.Uint64("part", uint64(action.Subquery)))
 		return
 	}
-	q, sub := ref.query, &ref.query.Subqueries[ref.no]
-	stop := q.Arrived.Add(time.Duration(q.Timeout * float64(time.Second)))
-	if at := a.wallTime(action.StopAt); action.StopAt > 0 && at.Before(stop) {
-		stop = at
+	query, subquery := ref.query, &ref.query.Subqueries[ref.position]
+	stopAt := query.Arrived.Add(time.Duration(query.Timeout * float64(time.Second)))
+	if at := a.wallTime(action.StopAt); action.StopAt > 0 && at.Before(stopAt) {
+		stopAt = at
 	}
-	begin := stop
-	if at := a.wallTime(action.StartBy); action.StartBy > 0 && at.Before(begin) {
-		begin = at
+	startBy := stopAt
+	if at := a.wallTime(action.StartBy); action.StartBy > 0 && at.Before(startBy) {
+		startBy = at
 	}
-	key := callKey{action.Subquery, sub.attempts}
-	sub.attempts++
-	call := inFlightCall{backend: action.Backend, index: q.Index, customer: q.Customer}
+	key := callKey{action.Subquery, subquery.attempts}
+	subquery.attempts++
+	call := inFlightCall{backend: action.Backend, index: query.Index, customer: query.Customer}
 	if a.recorder != nil {
-		call.seat, call.alone = a.recorder.CallSent(a.policyTime(now), action.Backend)
+		call.backendCalls, call.alone = a.recorder.CallSent(a.policyTime(now), action.Backend)
 	}
 	a.inFlight[key] = call
 	a.counters.Add("calls", "sent", 1)
-	trip := a.batches[action.Backend]
-	trip = append(trip, Call{key.subquery, key.no, q, sub.Shard, now, stop, begin})
-	if len(trip) == 1 {
+	batch := a.batches[action.Backend]
+	batch = append(batch, Call{key.subquery, key.number, query, subquery.Shard, now, stopAt, startBy})
+	if len(batch) == 1 {
 		a.batchOrder = append(a.batchOrder, action.Backend)
 	}
-	a.batches[action.Backend] = trip
-	if len(trip) >= max(1, a.settings.Layout.SubqueriesPerCall) {
+	a.batches[action.Backend] = batch
+	if len(batch) >= max(1, a.settings.Layout.SubqueriesPerCall) {
 		a.sendBatch(action.Backend)
 	}
 }
 
 // sendBatch sends the batch for a backend, if there is one.
-func (a *Aggregator) sendBatch(to policy.BackendID) {
-	if trip := a.batches[to]; len(trip) > 0 {
-		delete(a.batches, to)
-		a.backends.Send(to, trip)
+func (a *Aggregator) sendBatch(backend policy.BackendID) {
+	if batch := a.batches[backend]; len(batch) > 0 {
+		delete(a.batches, backend)
+		a.backends.Send(backend, batch)
 	}
 }
--- a/internal/dataplane/aggregator/admission.go
+++ b/internal/dataplane/aggregator/admission.go
@@ -66,13 +66,13 @@
 }
 
 // SetAdmission puts an admission before the policy. It must be called before the first list.
-func (a *Aggregator) SetAdmission(g Admission) {
-	a.admission = admissionState{admission: g, placements: map[policy.BackendID]placement{}, coveredCells: map[*policy.Zones][]bool{}}
+func (a *Aggregator) SetAdmission(admission Admission) {
+	a.admissionState = admissionState{admission: admission, placements: map[policy.BackendID]placement{}, coveredCells: map[*policy.Zones][]bool{}}
 }
 
 // admit requests the admission of a query, and answers one that is refused.
 func (a *Aggregator) admit(q *Query, now time.Time) (zones *policy.Zones, admitted bool) {
-	decision := a.admission.admission.Admit(q.Customer, q.Index)
+	decision := a.admissionState.admission.Admit(q.Customer, q.Index)
 	if decision.Reason != "" {
 		a.counters.Add("lookups", decision.Reason, 1)
 		q.Done <- Reply{End: Nacked, RetryAfter: min(decision.RetryAfter, a.settings.Limits.MaxRetryAfter), Text: decision.Text}
@@ -89,22 +89,22 @@
 
 // logUncovered logs the shards of a query of which no replica is inside its zones: the policy abandons their subqueries at
 // once.
-func (a *Aggregator) logUncovered(q *Query, zones *policy.Zones, now time.Time) {
-	covered, width := a.admission.coveredCells[zones], max(1, a.settings.Layout.Width)
+func (a *Aggregator) logUncovered(query *Query, zones *policy.Zones, now time.Time) {
+	covered, replicas := a.admissionState.coveredCells[zones], max(1, a.settings.Layout.Width)
 	if covered == nil {
 		covered = make([]bool, max(1, a.settings.Layout.Cells))
-		for _, placement := range a.admission.placements {
-			for j := range width {
+		for _, placement := range a.admissionState.placements {
+			for j := range replicas {
 				if cell := (int(placement.cell) - j) % len(covered); !placement.removed && !placement.relocated && zones.Allows(placement.location) {
 					covered[(cell+len(covered))%len(covered)] = true
 				}
 			}
 		}
-		a.admission.coveredCells[zones] = covered
+		a.admissionState.coveredCells[zones] = covered
 	}
 	var shards []int
-	for i := range q.Subqueries {
-		if shard := int(q.Subqueries[i].Shard); !covered[shard%len(covered)] {
+	for i := range query.Subqueries {
+		if shard := int(query.Subqueries[i].Shard); !covered[shard%len(covered)] {
 			shards = append(shards, shard)
 		}
 	}
@@ -112,11 +112,11 @@
 		return
 	}
 	a.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
-	if now.Sub(a.admission.loggedAt) >= time.Second { // one in a second tells enough
-		a.admission.loggedAt = now
+	if now.Sub(a.admissionState.loggedAt) >= time.Second { // one in a second tells enough
+		a.admissionState.loggedAt = now
 		a.log.Warn("shards without a replica in the zones of the contract",
-			zap.String("lookup", q.ID),
-			zap.Int("customer", int(q.Customer)),
+			zap.String("lookup", query.ID),
+			zap.Int("customer", int(query.Customer)),
 			zap.Ints("shards", shards),
 			zap.String("reason", "no_holder_by_contract"))
 	}
@@ -124,28 +124,28 @@
 
 // updatePlacements records a list's placements, and gives them to the admission.
 func (a *Aggregator) updatePlacements(e *Event) {
-	g := &a.admission
-	clear(g.coveredCells)
+	state := &a.admissionState
+	clear(state.coveredCells)
 	if e.List != policy.ListPatch {
-		for id, p := range g.placements {
+		for id, p := range state.placements {
 			p.removed = true
-			g.placements[id] = p
+			state.placements[id] = p
 		}
 	}
-	for i, r := range e.Entries {
-		p, seen := g.placements[r.Backend]
-		p = placement{e.Names[i].Backend, r.Location, r.Cell, r.Phase == policy.Removed, p.relocated || seen && !p.removed && p.location != r.Location}
-		g.placements[r.Backend] = p
+	for i, entry := range e.Entries {
+		p, seen := state.placements[entry.Backend]
+		p = placement{e.Names[i].Backend, entry.Location, entry.Cell, entry.Phase == policy.Removed, p.relocated || seen && !p.removed && p.location != entry.Location}
+		state.placements[entry.Backend] = p
 	}
 	var list []Placement
-	for id, p := range g.placements {
+	for id, p := range state.placements {
 		if !p.removed {
 			list = append(list, Placement{p.name, p.cell})
 		} else if !a.hasCallsTo(id) {
-			delete(g.placements, id)
+			delete(state.placements, id)
 		}
 	}
-	g.admission.BackendsChanged(list)
+	state.admission.BackendsChanged(list)
 }
 
 // hasCallsTo tells whether calls to a backend are in flight.
@@ -159,13 +159,13 @@
 }
 
 // applyAgreed adds agreed rules and peers' observations to the policy's event.
-func (a *Aggregator) applyAgreed(e *Event, now time.Time) {
+func (a *Aggregator) applyOverrides(e *Event, now time.Time) {
 	if e.Override == nil {
 		e.Override = &policy.Overrides{}
 	}
 	if e.Rules != nil {
-		a.admission.rules = e.Rules
-		clear(a.admission.coveredCells)
+		a.admissionState.rules = e.Rules
+		clear(a.admissionState.coveredCells)
 		for id, q := range a.queries {
 			zones := e.Rules.Zones(q.Customer, q.Index)
 			e.Override.Zones = append(e.Override.Zones, policy.ZonesOverride{Query: id, Zones: zones})
@@ -174,8 +174,8 @@
 	if len(e.PeerObservations) == 0 {
 		return
 	}
-	ids := make(map[string]policy.BackendID, len(a.admission.placements))
-	for id, p := range a.admission.placements {
+	ids := make(map[string]policy.BackendID, len(a.admissionState.placements))
+	for id, p := range a.admissionState.placements {
 		if !p.removed {
 			ids[p.name] = id
 		}
@@ -188,13 +188,13 @@
 }
 
 // confirmRules reports that rules are in force once no call is in flight to a location that they exclude.
-func (a *Aggregator) confirmRules() {
+func (a *Aggregator) reportRulesInForce() {
 	for _, c := range a.inFlight {
-		zones := a.admission.rules.Zones(c.customer, c.index)
-		if p := a.admission.placements[c.backend]; zones != nil && (p.relocated || !zones.Allows(p.location)) {
+		zones := a.admissionState.rules.Zones(c.customer, c.index)
+		if p := a.admissionState.placements[c.backend]; zones != nil && (p.relocated || !zones.Allows(p.location)) {
 			return
 		}
 	}
-	a.admission.rules.InForce()
-	a.admission.rules = nil
+	a.admissionState.rules.InForce()
+	a.admissionState.rules = nil
 }
--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -31,16 +31,16 @@
 	startUnix  float64   // the same in Unix seconds
 	lastStep   time.Time // last step
 	timers     timers
-	due        map[policy.TimerID]time.Time // when timers of this step were due
+	dueTimes        map[policy.TimerID]time.Time // when timers of this step were due
 	lastID     uint64
 	queries    map[policy.QueryID]*Query
 	byClientID map[string]*Query // pending, by the client's id
 	subqueries map[policy.SubqueryID]subqueryRef
 	inFlight   map[callKey]inFlightCall
-	admission  admissionState
+	admissionState  admissionState
 	recorder   *capture.Recorder // nil where nothing is captured
 	onInterval func(capture.Interval)
-	waiting    []Event
+	pending    []Event
 	events     []policy.Event
 	actions    []policy.Action
 	batches    map[policy.BackendID][]Call // calls of this step that share one
@@ -50,14 +50,14 @@
 }
 
 // New makes the actor; Run starts it.
-func New(set settings.Settings, log *zap.Logger, count *counters.Set) *Aggregator {
+func New(conf settings.Settings, log *zap.Logger, counterSet *counters.Set) *Aggregator {
 	now := time.Now()
-	a := &Aggregator{Inbox: eventqueue.New[Event](), settings: set, log: log, counters: count, start: now,
-		startUnix: float64(now.UnixNano()) / 1e9, due: map[policy.TimerID]time.Time{},
+	a := &Aggregator{Inbox: eventqueue.New[Event](), settings: conf, log: log, counters: counterSet, start: now,
+		startUnix: float64(now.UnixNano()) / 1e9, dueTimes: map[policy.TimerID]time.Time{},
 		queries: map[policy.QueryID]*Query{}, byClientID: map[string]*Query{}, subqueries: map[policy.SubqueryID]subqueryRef{},
 		inFlight: map[callKey]inFlightCall{}, batches: map[policy.BackendID][]Call{},
 		stopping: make(chan struct{}), stopped: make(chan struct{})}
-	a.policy = policy.New(set.Settings, a.startUnix)
+	a.policy = policy.New(conf.Settings, a.startUnix)
 	return a
 }
 
@@ -76,9 +76,9 @@
 }
 
 // Run is the actor's goroutine, until Stop.
-func (a *Aggregator) Run(backends Backends, register Discovery) {
+func (a *Aggregator) Run(backends Backends, discovery Discovery) {
 	defer close(a.stopped)
-	a.backends, a.discovery = backends, register
+	a.backends, a.discovery = backends, discovery
 	wake := time.NewTimer(time.Hour)
 	for {
 		a.step(time.Now())
@@ -112,16 +112,16 @@
 
 // step gives the policy all waiting events, and executes the actions that it returns.
 func (a *Aggregator) step(now time.Time) {
-	a.waiting = a.Inbox.Take(a.waiting)
+	a.pending = a.Inbox.Take(a.pending)
 	a.events = a.events[:0]
-	for i := range a.waiting {
-		a.handleEvent(&a.waiting[i], now)
+	for i := range a.pending {
+		a.handleEvent(&a.pending[i], now)
 	}
-	clear(a.due)
+	clear(a.dueTimes)
 	for len(a.timers) > 0 && !a.timers[0].due.After(now) {
 		t := a.timers[0]
 		heap.Pop(&a.timers)
-		a.due[t.id] = t.due
+		a.dueTimes[t.id] = t.due
 		a.events = append(a.events, policy.Event{Kind: policy.TimerDue, Timer: t.id})
 	}
 	if len(a.events) == 0 {
@@ -132,12 +132,12 @@
 	for i := range a.actions {
 		a.execute(&a.actions[i], now)
 	}
-	for _, to := range a.batchOrder {
-		a.sendBatch(to)
+	for _, backend := range a.batchOrder {
+		a.sendBatch(backend)
 	}
 	a.batchOrder = a.batchOrder[:0]
-	if a.admission.rules != nil {
-		a.confirmRules()
+	if a.admissionState.rules != nil {
+		a.reportRulesInForce()
 	}
 	if a.recorder != nil && a.recorder.Due(a.policyTime(now)) {
 		a.onInterval(a.recorder.EndInterval(a.policyTime(now)))
@@ -158,21 +158,21 @@
 		}
 		e.Query = e.ClientQuery.id
 		a.removeQuery(e.ClientQuery)
-		a.recordEnd(e.ClientQuery, capture.Disconnected, now)
+		a.recordQueryEnd(e.ClientQuery, capture.Disconnected, now)
 		a.counters.Add("lookups", "gone", 1)
 	case policy.CallEnded:
 		key := callKey{e.Subquery, e.Call}
 		call, inFlight := a.inFlight[key]
 		delete(a.inFlight, key)
 		if inFlight && a.recorder != nil {
-			a.recorder.CallEnded(a.policyTime(now), call.seat,
+			a.recorder.CallEnded(a.policyTime(now), call.backendCalls,
 				capture.CallEnd{Index: call.index, Outcome: e.Outcome, Elapsed: e.Elapsed, Alone: call.alone, Load: e.Load})
 		}
-		if inFlight && a.admission.admission != nil {
-			a.admission.admission.CallEnded(now, a.admission.placements[call.backend].name, e.Outcome, e.Elapsed)
+		if inFlight && a.admissionState.admission != nil {
+			a.admissionState.admission.CallEnded(now, a.admissionState.placements[call.backend].name, e.Outcome, e.Elapsed)
 		}
 		if ref, open := a.subqueries[e.Subquery]; open && e.Outcome == policy.Answered {
-			if sub := &ref.query.Subqueries[ref.no]; !sub.Answered {
+			if sub := &ref.query.Subqueries[ref.position]; !sub.Answered {
 				sub.Answered, sub.Value = true, e.Value
 			}
 		}
@@ -197,12 +197,12 @@
 			}
 			a.backends.Retain(listed)
 		}
-		if a.admission.admission != nil {
+		if a.admissionState.admission != nil {
 			a.updatePlacements(e)
 		}
 	case policy.OverridesChanged:
 		if e.Rules != nil || len(e.PeerObservations) > 0 {
-			a.applyAgreed(e, now)
+			a.applyOverrides(e, now)
 		}
 	}
 	a.events = append(a.events, e.Event)
--- a/internal/dataplane/aggregator/aggregator_test.go
+++ b/internal/dataplane/aggregator/aggregator_test.go
@@ -18,14 +18,14 @@
 	*Aggregator
 	now    time.Time
 	sent   []sentCall
-	trips  []int // calls that went at once
-	back   []policy.SubqueryID
+	batchSizes  []int // calls that went at once
+	canceled   []policy.SubqueryID
 	probes []policy.BackendID
-	subs   int
+	subscribeCalls   int
 }
 
 type sentCall struct {
-	to policy.BackendID
+	backend policy.BackendID
 	Call
 }
 
@@ -33,39 +33,39 @@
 func (r *fixture) Retain(map[policy.BackendID]bool)  {}
 func (r *fixture) Probe(at policy.BackendID, _ bool) { r.probes = append(r.probes, at) }
 func (r *fixture) CloseIdle(policy.BackendID)        {}
-func (r *fixture) Subscribe(bool)                    { r.subs++ }
+func (r *fixture) Subscribe(bool)                    { r.subscribeCalls++ }
 func (r *fixture) RequestFullList()                  {}
-func (r *fixture) Send(to policy.BackendID, cs []Call) {
-	r.trips = append(r.trips, len(cs))
-	for _, c := range cs {
-		r.sent = append(r.sent, sentCall{to, c})
+func (r *fixture) Send(backend policy.BackendID, calls []Call) {
+	r.batchSizes = append(r.batchSizes, len(calls))
+	for _, c := range calls {
+		r.sent = append(r.sent, sentCall{backend, c})
 	}
 }
 func (r *fixture) Cancel(_ policy.BackendID, subquery policy.SubqueryID, _ policy.CallNo) {
-	r.back = append(r.back, subquery)
+	r.canceled = append(r.canceled, subquery)
 }
 
 func newFixture(change func(*settings.Settings)) *fixture {
-	set := settings.Settings{Settings: policy.Settings{Seed: 5, Aggregators: 2, StepInterval: 0.005,
+	conf := settings.Settings{Settings: policy.Settings{Seed: 5, Aggregators: 2, StepInterval: 0.005,
 		Indexes: []policy.IndexSettings{{Soft: 1, Hard: 4, Value: 1, LateValue: 0.1}, {Soft: 1, Hard: 4, Value: 3, Effect: policy.AtMostOnce}},
 		Layout:  policy.Layout{Cells: 4, Width: 2, SubqueriesPerCall: 1},
 		Limits:  policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 1},
 		Rules:   policy.Rules{SlowStartShare: 0.2, SlowStartS: 8, DrainGrace: 0.25, OverloadMultiple: 2, OverloadWindowS: 1}}}
 	if change != nil {
-		change(&set)
+		change(&conf)
 	}
-	r := &fixture{Aggregator: New(set, zap.NewNop(), counters.New())}
+	r := &fixture{Aggregator: New(conf, zap.NewNop(), counters.New())}
 	r.backends, r.discovery, r.now = r, r, r.start
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListStale}, Addresses: make([]string, 8)}
 	for i := range 8 {
 		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 1), Cell: policy.CellID(i % 4)})
 	}
-	r.put(list)
+	r.process(list)
 	return r
 }
 
 // put lets events come and the actor step a moment later.
-func (r *fixture) put(events ...Event) {
+func (r *fixture) process(events ...Event) {
 	for _, e := range events {
 		r.Inbox.Put(e)
 	}
@@ -81,12 +81,12 @@
 	return Event{Event: policy.Event{Kind: policy.QueryReceived}, ClientQuery: q}
 }
 
-func (c sentCall) ends(how policy.Outcome, value string) Event {
-	return Event{Value: []byte(value), Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.No, Backend: c.to,
-		Outcome: how, Elapsed: 0.1}}
+func (c sentCall) ended(outcome policy.Outcome, value string) Event {
+	return Event{Value: []byte(value), Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.Number, Backend: c.backend,
+		Outcome: outcome, Elapsed: 0.1}}
 }
 
-func (q *Query) reply(t *testing.T) Reply {
+func (q *Query) requireReply(t *testing.T) Reply {
 	t.Helper()
 	select {
 	case reply := <-q.Done:
@@ -97,29 +97,29 @@
 	}
 }
 
-func TestQueryFromEndToEnd(t *testing.T) {
+func TestQueryIsAnsweredAfterAllSubqueries(t *testing.T) {
 	r := newFixture(nil)
 	e := r.query("aa", 0, 2)
 	q := e.ClientQuery
 	q.Arrived = r.now.Add(-time.Second / 4) // it waited for its turn
-	r.put(e)
+	r.process(e)
 	if len(r.sent) != 2 {
 		t.Fatalf("sent %+v", r.sent)
 	}
 	for _, c := range r.sent {
-		if c.Query != q || c.Stop.Sub(q.Arrived) > 2*time.Second || c.Stop.Sub(q.Arrived) < 1999*time.Millisecond {
-			t.Fatalf("stops %v after the arrival", c.Stop.Sub(q.Arrived))
+		if c.Query != q || c.StopAt.Sub(q.Arrived) > 2*time.Second || c.StopAt.Sub(q.Arrived) < 1999*time.Millisecond {
+			t.Fatalf("stops %v after the arrival", c.StopAt.Sub(q.Arrived))
 		}
 	}
-	r.put(r.sent[1].ends(policy.Answered, "one"), r.sent[1].ends(policy.Answered, "again"))
-	r.put(r.sent[0].ends(policy.Answered, "zero"))
-	if reply := q.reply(t); reply.End != Satisfied || !reply.Complete {
+	r.process(r.sent[1].ended(policy.Answered, "one"), r.sent[1].ended(policy.Answered, "again"))
+	r.process(r.sent[0].ended(policy.Answered, "zero"))
+	if reply := q.requireReply(t); reply.End != Satisfied || !reply.Complete {
 		t.Fatalf("got %+v", reply)
 	}
 	if got := string(q.Subqueries[0].Value) + string(q.Subqueries[1].Value); got != "zeroone" && got != "onezero" {
 		t.Fatalf("values %q", got)
 	}
-	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: q}) // it left as the answer was on its way
+	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: q}) // it left as the answer was on its way
 	r.checkCounters(t, map[string]int64{"taken": 1, "satisfied": 1, "gone": 0, "held": 0})
 }
 
@@ -140,22 +140,22 @@
 	}
 }
 
-func TestRejectsBeyondMaxPendingAndDuplicates(t *testing.T) {
+func TestQueriesBeyondMaxPendingAndDuplicatesAreRejected(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Limits.MaxPending = 4 })
-	first, twin, second, third := r.query("aa", 0, 2), r.query("aa", 0, 2), r.query("bb", 0, 1), r.query("cc", 0, 1)
-	r.put(first, twin, second, third)
-	if reply := twin.ClientQuery.reply(t); reply.End != Duplicate {
+	first, duplicate, second, third := r.query("aa", 0, 2), r.query("aa", 0, 2), r.query("bb", 0, 1), r.query("cc", 0, 1)
+	r.process(first, duplicate, second, third)
+	if reply := duplicate.ClientQuery.requireReply(t); reply.End != Duplicate {
 		t.Fatalf("got %+v", reply)
 	}
-	if reply := third.ClientQuery.reply(t); reply.End != QueueFull {
+	if reply := third.ClientQuery.requireReply(t); reply.End != QueueFull {
 		t.Fatalf("got %+v", reply)
 	}
-	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: first.ClientQuery})
-	if len(r.back) != 2 {
-		t.Fatalf("withdrawn %v", r.back)
+	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: first.ClientQuery})
+	if len(r.canceled) != 2 {
+		t.Fatalf("withdrawn %v", r.canceled)
 	}
 	last := r.query("aa", 0, 1)
-	r.put(last)
+	r.process(last)
 	if len(r.sent) != 4 {
 		t.Fatalf("sent %d", len(r.sent))
 	}
@@ -168,10 +168,10 @@
 	})
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}, Addresses: []string{""}}
 	list.Entries = []policy.Entry{{Backend: 1}}
-	r.put(list)
-	r.put(r.query("aa", 0, 5))
-	if fmt.Sprint(r.trips) != "[2 2 1]" {
-		t.Fatalf("calls of %v parts", r.trips)
+	r.process(list)
+	r.process(r.query("aa", 0, 5))
+	if fmt.Sprint(r.batchSizes) != "[2 2 1]" {
+		t.Fatalf("calls of %v parts", r.batchSizes)
 	}
 }
 
@@ -235,7 +235,7 @@
 }
 
 // FuzzRules plays queries through the actor and checks what clients and backends see of the rules.
-func FuzzRules(f *testing.F) {
+func FuzzQueriesKeepTheRules(f *testing.F) {
 	for seed := range uint64(12) {
 		f.Add(seed)
 	}
@@ -246,7 +246,7 @@
 			s.Limits.Hedge = rng.IntN(2) == 0
 		})
 		open := map[*Query]bool{}
-		never := map[policy.SubqueryID]bool{} // once-only subqueries all of whose calls surely never ran
+		neverExecuted := map[policy.SubqueryID]bool{} // once-only subqueries all of whose calls surely never ran
 		seen, pending := 0, []sentCall(nil)
 		for i := range 1500 {
 			var events []Event
@@ -261,35 +261,35 @@
 					delete(open, q)
 				}
 			}
-			var rest []sentCall
+			var remaining []sentCall
 			for _, c := range pending {
-				if rng.IntN(30) > 0 && r.now.Before(c.Stop) {
-					rest = append(rest, c)
+				if rng.IntN(30) > 0 && r.now.Before(c.StopAt) {
+					remaining = append(remaining, c)
 					continue
 				}
-				how := []policy.Outcome{policy.Answered, policy.Answered, policy.Answered, policy.Errored, policy.Rejected,
+				outcome := []policy.Outcome{policy.Answered, policy.Answered, policy.Answered, policy.Errored, policy.Rejected,
 					policy.NotConnected, policy.Broken}[rng.IntN(7)]
-				if !r.now.Before(c.Stop) {
-					how = policy.TimedOut
+				if !r.now.Before(c.StopAt) {
+					outcome = policy.TimedOut
 				}
-				never[c.Subquery] = never[c.Subquery] && (how == policy.Rejected || how == policy.NotConnected)
-				events = append(events, c.ends(how, c.Query.ID))
+				neverExecuted[c.Subquery] = neverExecuted[c.Subquery] && (outcome == policy.Rejected || outcome == policy.NotConnected)
+				events = append(events, c.ended(outcome, c.Query.ID))
 			}
-			pending = rest
+			pending = remaining
 			for _, at := range r.probes {
 				events = append(events, Event{Event: policy.Event{Kind: policy.ProbeEnded, Backend: at, Outcome: policy.Answered, Elapsed: 0.01}})
 			}
 			r.probes = nil
-			r.put(events...)
+			r.process(events...)
 			for ; seen < len(r.sent); seen++ {
 				c := r.sent[seen]
-				if ran, again := never[c.Subquery]; c.Query.Index == 1 && again && !ran {
+				if notExecuted, sentBefore := neverExecuted[c.Subquery]; c.Query.Index == 1 && sentBefore && !notExecuted {
 					t.Fatalf("a once-only part of %s was sent again", c.Query.ID)
 				}
 				if !r.isOpen(c.Query) && !open[c.Query] {
 					t.Fatalf("a part of %s was sent after its end", c.Query.ID)
 				}
-				never[c.Subquery] = true
+				neverExecuted[c.Subquery] = true
 				pending = append(pending, c)
 			}
 			for q := range open {
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -16,17 +16,17 @@
 	r := newFixture(nil)
 	var got []capture.Interval
 	r.Capture(capture.New("n1", recorderNames, 0.1), func(i capture.Interval) { got = append(got, i) })
-	r.put(Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Backend: 1}}}, Addresses: []string{"x:1"}, Names: []Name{{"s-1", "north"}}})
+	r.process(Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Backend: 1}}}, Addresses: []string{"x:1"}, Names: []Name{{"s-1", "north"}}})
 	one, two := r.query("aa", 0, 2), r.query("bb", 1, 1)
-	r.put(one, two)
+	r.process(one, two)
 	for _, c := range r.sent {
-		r.put(c.ends(policy.Answered, "v"))
+		r.process(c.ended(policy.Answered, "v"))
 	}
 	gone := r.query("cc", 0, 1)
-	r.put(gone)
-	r.put(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: gone.ClientQuery})
+	r.process(gone)
+	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: gone.ClientQuery})
 	for range 30 {
-		r.put(Event{Event: policy.Event{Kind: policy.TimerDue, Timer: 99}})
+		r.process(Event{Event: policy.Event{Kind: policy.TimerDue, Timer: 99}})
 	}
 	if len(got) == 0 {
 		t.Fatal("no interval")
@@ -56,15 +56,15 @@
 			n++
 			e := r.query(fmt.Sprint(n), 0, 4)
 			r.sent = r.sent[:0]
-			began := time.Now()
-			r.put(e)
+			started := time.Now()
+			r.process(e)
 			sent := r.sent
 			var ends []Event
 			for _, c := range sent {
-				ends = append(ends, c.ends(policy.Answered, "v"))
+				ends = append(ends, c.ended(policy.Answered, "v"))
 			}
-			r.put(ends...)
-			took[i] += time.Since(began)
+			r.process(ends...)
+			took[i] += time.Since(started)
 			select {
 			case <-e.ClientQuery.Done:
 			default:
--- a/internal/dataplane/aggregator/interface.go
+++ b/internal/dataplane/aggregator/interface.go
@@ -24,22 +24,22 @@
 // Call is a subquery's call to a backend.
 type Call struct {
 	Subquery policy.SubqueryID
-	No       policy.CallNo
+	Number       policy.CallNo
 	Query    *Query // of which only what never changes may be read
 	Shard    policy.ShardID
 	Sent     time.Time
-	Stop     time.Time // when to stop waiting
-	Begin    time.Time // when its write must have started; after that it must not be written
+	StopAt     time.Time // when to stop waiting
+	StartBy    time.Time // when its write must have started; after that it must not be written
 }
 
 // Backends sends calls and probes to backends. None of its methods may block.
 type Backends interface {
 	Update(entry policy.Entry, address string)
 	Retain(keep map[policy.BackendID]bool)
-	Send(to policy.BackendID, calls []Call)
-	Cancel(at policy.BackendID, subquery policy.SubqueryID, no policy.CallNo)
-	Probe(at policy.BackendID, apart bool)
-	CloseIdle(at policy.BackendID)
+	Send(backend policy.BackendID, calls []Call)
+	Cancel(backend policy.BackendID, subquery policy.SubqueryID, number policy.CallNo)
+	Probe(backend policy.BackendID, separateConnection bool)
+	CloseIdle(backend policy.BackendID)
 }
 
 // Discovery requests the list of backends. None of its methods may block.
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -12,7 +12,7 @@
 // subqueryRef is where the policy's id of a subquery leads.
 type subqueryRef struct {
 	query *Query
-	no    int
+	position    int
 }
 
 // addQuery passes a query and its subqueries to the policy, unless the limit of pending queries is reached.
@@ -20,7 +20,7 @@
 	switch {
 	case a.settings.Limits.MaxPending > 0 && len(a.queries)+len(a.subqueries) >= a.settings.Limits.MaxPending:
 		a.counters.Add("lookups", "full", 1)
-		a.recordEnd(q, capture.Full, now)
+		a.recordQueryEnd(q, capture.Full, now)
 		q.Done <- Reply{End: QueueFull}
 		return
 	case a.byClientID[q.ID] != nil: // their calls would have the same names
@@ -29,7 +29,7 @@
 		return
 	}
 	var zones *policy.Zones
-	if a.admission.admission != nil {
+	if a.admissionState.admission != nil {
 		var admitted bool
 		if zones, admitted = a.admit(q, now); !admitted {
 			return
@@ -52,9 +52,9 @@
 	}
 	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
 	for i := range q.Subqueries {
-		sub := &q.Subqueries[i]
+		subquery := &q.Subqueries[i]
 		a.lastID++
-		event.Subquery, event.Shard, event.Weight, event.Hint, event.Key, event.HasKey = policy.SubqueryID(a.lastID), sub.Shard, sub.Weight, sub.Hint, sub.Key, sub.HasKey
+		event.Subquery, event.Shard, event.Weight, event.Hint, event.Key, event.HasKey = policy.SubqueryID(a.lastID), subquery.Shard, subquery.Weight, subquery.Hint, subquery.Key, subquery.HasKey
 		a.subqueries[event.Subquery] = subqueryRef{q, i}
 		a.events = append(a.events, event)
 	}
@@ -70,7 +70,7 @@
 }
 
 // recordEnd records a query's end, where there is a recorder.
-func (a *Aggregator) recordEnd(q *Query, end capture.End, now time.Time) {
+func (a *Aggregator) recordQueryEnd(q *Query, end capture.End, now time.Time) {
 	if a.recorder != nil {
 		a.recorder.QueryEnded(a.policyTime(now), q.Index, q.Customer, end, now.Sub(q.Arrived).Seconds())
 	}
@@ -100,6 +100,6 @@
 	}
 	a.removeQuery(q)
 	a.counters.Add("lookups", reason, 1)
-	a.recordEnd(q, captureEnds[reply.End], now)
+	a.recordQueryEnd(q, captureEnds[reply.End], now)
 	q.Done <- reply
 }
--- a/internal/dataplane/aggregator/query.go
+++ b/internal/dataplane/aggregator/query.go
@@ -16,7 +16,7 @@
 	Resent     bool
 	Arrived    time.Time
 	Timeout    float64 // how long from then the client waits
-	Query      []byte  // what each subquery carries
+	Payload      []byte  // what each subquery carries
 	Subqueries []Subquery
 	Done       chan Reply // holds one
 
--- a/internal/dataplane/aggregator/timers.go
+++ b/internal/dataplane/aggregator/timers.go
@@ -33,10 +33,10 @@
 // setTimer sets a timer. A periodic one counts from when it was due, not from when its step came, or the lateness of steps
 // would add up.
 func (a *Aggregator) setTimer(action *policy.Action, now time.Time) {
-	from := now
+	base := now
 	wait := time.Duration(math.Ceil(action.Wait * float64(time.Second)))
-	if due, repeated := a.due[action.Timer]; repeated && due.Add(wait).After(now) {
-		from = due
+	if due, repeated := a.dueTimes[action.Timer]; repeated && due.Add(wait).After(now) {
+		base = due
 	}
-	heap.Push(&a.timers, timer{from.Add(wait), action.Timer})
+	heap.Push(&a.timers, timer{base.Add(wait), action.Timer})
 }
--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -195,7 +195,7 @@
 		return true
 	}
 	for _, c := range a.calls {
-		if !c.canceled && due(c.Stop) {
+		if !c.canceled && due(c.StopAt) {
 			a.abandonCall(c, policy.TimedOut)
 		}
 	}
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -63,10 +63,10 @@
 // send sends subqueries of a query in one call; each subquery's shard is its place.
 func (r *fixture) send(id, query string, wait time.Duration, subqueries int) (calls []aggregator.Call) {
 	now := time.Now()
-	lk := &aggregator.Query{ID: id, Query: []byte(query)}
+	lk := &aggregator.Query{ID: id, Payload: []byte(query)}
 	for i := range subqueries {
 		r.next++
-		calls = append(calls, aggregator.Call{Subquery: r.next, Query: lk, Shard: policy.ShardID(i), Sent: now, Stop: now.Add(wait), Begin: now.Add(wait)})
+		calls = append(calls, aggregator.Call{Subquery: r.next, Query: lk, Shard: policy.ShardID(i), Sent: now, StopAt: now.Add(wait), StartBy: now.Add(wait)})
 	}
 	r.hub.Send(1, slices.Clone(calls))
 	return calls
@@ -454,11 +454,11 @@
 	p.expect('S', "bb.0")
 	p.expect('C', "aa.0")
 	r.ended(slow[0].Subquery, policy.TimedOut)
-	r.hub.Cancel(1, kept[0].Subquery, kept[0].No)
+	r.hub.Cancel(1, kept[0].Subquery, kept[0].Number)
 	r.ended(kept[0].Subquery, policy.Canceled)
 	p.expect('C', "bb.0")
 	// Sent again, it goes on another connection: there no answer to the first can be taken for its own.
-	kept[0].No++
+	kept[0].Number++
 	r.hub.Send(1, kept)
 	other := r.accept(r.peer)
 	other.expect('S', "bb.0")
--- a/internal/dataplane/backends/call.go
+++ b/internal/dataplane/backends/call.go
@@ -29,7 +29,7 @@
 // startWrite tells its connection's writer whether its write may begin, however long it waited for that: it may not once it was
 // taken back, its backend wants nothing new, nobody waits for it, or a repeat of it would no longer be known as one.
 func (c *call) startWrite(now time.Time) bool {
-	if now.After(c.Begin) {
+	if now.After(c.StartBy) {
 		c.writeState.CompareAndSwap(writeWaiting, writeRevoked)
 	}
 	return c.writeState.CompareAndSwap(writeWaiting, writeStarted)
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -12,7 +12,7 @@
 // cancelCall cancels a call for the policy.
 func (a *actor) cancelCall(subquery policy.SubqueryID, no policy.CallNo) {
 	for _, c := range a.calls {
-		if c.Subquery == subquery && c.No == no {
+		if c.Subquery == subquery && c.Number == no {
 			a.abandonCall(c, policy.Canceled)
 			return
 		}
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -107,10 +107,10 @@
 		b = append(append(b, c.name...), ' ')
 		b = strconv.AppendInt(b, int64(c.Shard), 10)
 		b = append(b, " d="...)
-		b = strconv.AppendInt(b, max(0, c.Stop.Sub(now).Milliseconds()), 10)
+		b = strconv.AppendInt(b, max(0, c.StopAt.Sub(now).Milliseconds()), 10)
 		b = append(b, ' ')
-		b = strconv.AppendInt(b, int64(len(c.Query.Query)), 10)
-		b = append(append(b, '\n'), c.Query.Query...)
+		b = strconv.AppendInt(b, int64(len(c.Query.Payload)), 10)
+		b = append(append(b, '\n'), c.Query.Payload...)
 	}
 	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-4))
 	return b
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -106,7 +106,7 @@
 // notifyEnd reports a call's end to the policy's actor.
 func (h *Hub) notifyEnd(c *aggregator.Call, backend policy.BackendID, outcome policy.Outcome, endedAt time.Time, with answer) {
 	h.counters.Add("calls", outcomeNames[outcome], 1)
-	h.events.Put(aggregator.Event{Value: with.value, Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.No,
+	h.events.Put(aggregator.Event{Value: with.value, Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.Number,
 		Backend: backend, Outcome: outcome, Elapsed: max(0, endedAt.Sub(c.Sent).Seconds()), Load: with.load}})
 }
 
--- a/internal/dataplane/backends/races_test.go
+++ b/internal/dataplane/backends/races_test.go
@@ -106,7 +106,7 @@
 	calls := r.send("bb", "q", time.Minute, 1)
 	r.next++
 	late := calls[0]
-	late.Subquery, late.Shard, late.Begin = r.next, 7, time.Now()
+	late.Subquery, late.Shard, late.StartBy = r.next, 7, time.Now()
 	kept := r.send("cc", "q", time.Minute, 1)
 	r.hub.Send(1, append(kept[:0:0], late))
 	io.CopyN(io.Discard, p.in, 4+int64(1+len("large.0 0 d=60000 16777216\n")+16<<20)-1) // but for what its length may vary by
--- a/internal/dataplane/clients/protocol.go
+++ b/internal/dataplane/clients/protocol.go
@@ -116,7 +116,7 @@
 		return malformed("the body is not as expected: %v", err)
 	}
 	var err error
-	if q.Query, err = decodeString(in.Query); err != nil {
+	if q.Payload, err = decodeString(in.Query); err != nil {
 		return err
 	}
 	if len(in.Targets.list) == 0 {
--- a/internal/dataplane/clients/server_test.go
+++ b/internal/dataplane/clients/server_test.go
@@ -164,7 +164,7 @@
 		if q.Arrived.Before(before) || q.Arrived.After(time.Now()) {
 			t.Fatalf("arrived %v after it was sent", q.Arrived.Sub(before))
 		}
-		if q.ID != "ab12" || q.Index != 0 || q.Timeout != 0.48 || q.Key != 0x7f3a9c21e0b4d655 || string(q.Query) != "c41" ||
+		if q.ID != "ab12" || q.Index != 0 || q.Timeout != 0.48 || q.Key != 0x7f3a9c21e0b4d655 || string(q.Payload) != "c41" ||
 			len(q.Subqueries) != 2 || q.Subqueries[0].Hint != 0.009 || q.Subqueries[0].Key != 255 || q.Subqueries[1].Shard != 5 {
 			t.Fatalf("got %+v", q)
 		}
@@ -397,8 +397,8 @@
 		first, second := r.dial(), r.dial()
 		io.WriteString(first, request("/reads", goodHead, large))
 		held := r.event(policy.QueryReceived)
-		if len(held.Query) != 2*smallBody+1 {
-			t.Fatalf("the query has %d bytes", len(held.Query))
+		if len(held.Payload) != 2*smallBody+1 {
+			t.Fatalf("the query has %d bytes", len(held.Payload))
 		}
 		io.WriteString(second, request("/reads", goodHead, large))
 		second.expect(503)
@@ -544,8 +544,8 @@
 			return
 		}
 		var in struct{ Query string }
-		if err := json.Unmarshal(text, &in); err != nil || !utf8.Valid(text) || in.Query != string(q.Query) {
-			t.Fatalf("%q: query is %q, %v; read as %q", text, in.Query, err, q.Query)
+		if err := json.Unmarshal(text, &in); err != nil || !utf8.Valid(text) || in.Query != string(q.Payload) {
+			t.Fatalf("%q: query is %q, %v; read as %q", text, in.Query, err, q.Payload)
 		}
 		if len(q.Subqueries) > 8 {
 			t.Fatalf("%q: %d parts", text, len(q.Subqueries))
@@ -555,7 +555,7 @@
 			if p.Shard < 0 || p.Shard > 7 || !(p.Weight >= 0 && p.Weight <= 1) || !(p.Hint >= 0) {
 				t.Fatalf("%q: part %+v", text, p)
 			}
-			p.Answered, p.Value = i%2 == 0, q.Query
+			p.Answered, p.Value = i%2 == 0, q.Payload
 		}
 		var out struct {
 			Whole   bool
@@ -568,8 +568,8 @@
 		if err := json.Unmarshal(answer, &out); err != nil || !out.Whole || len(out.Results) != (len(q.Subqueries)+1)/2 {
 			t.Fatalf("answer %q: %v", answer, err)
 		}
-		if out.Results[0].Value != string(q.Query) {
-			t.Fatalf("value %q became %q", q.Query, out.Results[0].Value)
+		if out.Results[0].Value != string(q.Payload) {
+			t.Fatalf("value %q became %q", q.Payload, out.Results[0].Value)
 		}
 	})
 }
--- a/internal/dataplane/proxy/call_test.go
+++ b/internal/dataplane/proxy/call_test.go
@@ -40,14 +40,14 @@
 }
 
 func TestAttemptsRespectTimeoutsAndNewLeaders(t *testing.T) {
-	runWithVirtualTime(t, "without a newer leader a refusal comes within a quarter of the time", func() {
+	runWithVirtualTime(t, "without a newer leader the request is refused within a quarter of its time", func() {
 		c := newTestLeaderCaller(func(context.Context, string) error { return notExecutedError("not the leader", 0) })
 		received := time.Now()
 		d := c.run(context.Background(), received, newSubmitCall(testAllowed), nil)
 		So(d.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(time.Since(received), ShouldBeLessThanOrEqualTo, ms(2850)/4)
 	})
-	runWithVirtualTime(t, "a newer leader is tried at once, also while a try is pending", func() {
+	runWithVirtualTime(t, "a newer leader is called at once, even while an attempt is in progress", func() {
 		attemptCause := make(chan error, 1)
 		c := newTestLeaderCaller(func(ctx context.Context, address string) error {
 			if address == "second" {
@@ -57,39 +57,39 @@
 			attemptCause <- context.Cause(ctx)
 			return ctx.Err()
 		})
-		begun := time.Now()
+		received := time.Now()
 		go func() {
 			time.Sleep(ms(300))
 			publishLeader(c.feed, "second", 2)
 		}()
-		d := c.run(context.Background(), begun, newSubmitCall(testAllowed), nil)
+		d := c.run(context.Background(), received, newSubmitCall(testAllowed), nil)
 		So(d.status, ShouldEqual, http.StatusOK)
-		So(time.Since(begun), ShouldEqual, ms(300))
+		So(time.Since(received), ShouldEqual, ms(300))
 		So(<-attemptCause, ShouldEqual, errNewerLeader)
 	})
-	runWithVirtualTime(t, "a try is given up after its time, and the request after all of it", func() {
+	runWithVirtualTime(t, "an attempt is canceled at its timeout, and the request fails at its own", func() {
 		var attempts []time.Duration
 		c := newTestLeaderCaller(func(ctx context.Context, _ string) error {
-			begun := time.Now()
+			started := time.Now()
 			<-ctx.Done()
-			attempts = append(attempts, time.Since(begun))
+			attempts = append(attempts, time.Since(started))
 			return ctx.Err()
 		})
-		begun := time.Now()
-		d := c.run(context.Background(), begun, newSubmitCall(testAllowed), nil)
+		received := time.Now()
+		d := c.run(context.Background(), received, newSubmitCall(testAllowed), nil)
 		So(d.status, ShouldEqual, http.StatusGatewayTimeout)
-		So(time.Since(begun), ShouldEqual, ms(2850))
+		So(time.Since(received), ShouldEqual, ms(2850))
 		So(attempts, ShouldResemble, []time.Duration{ms(1500), ms(1300)})
 	})
-	runWithVirtualTime(t, "no try is registered once it is over", func() {
+	runWithVirtualTime(t, "a finished attempt is no longer registered", func() {
 		c := newTestLeaderCaller(func(context.Context, string) error { return nil })
 		c.run(context.Background(), time.Now(), newSubmitCall(testAllowed), nil)
 		So(c.feed.attempts, ShouldBeEmpty)
 	})
 }
 
-// TestCertaintyOfCalls plays random leaders, which answer, refuse, stay silent, break off and are replaced: a request
-// is refused only if all its attempts have certainly not run.
+// TestLeaderCallerRefusesOnlyUnexecutedCalls calls random leaders, which answer, refuse, do not answer, break the
+// connection or are replaced. A request must be refused only if none of its attempts can have been executed.
 func TestLeaderCallerRefusesOnlyUnexecutedCalls(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		random := random.PCG(7)
@@ -105,22 +105,23 @@
 				anyUnclear = anyUnclear || (lastErr != nil && rpcerror.ExecutionOf(lastErr) != rpcerror.NotExecuted)
 				return lastErr
 			})
-			allowed := time.Duration(random.Unit() * float64(testAllowed))
-			begun := time.Now()
-			d := c.run(context.Background(), begun, newSubmitCall(allowed), nil)
+			timeout := time.Duration(random.Unit() * float64(testAllowed))
+			received := time.Now()
+			d := c.run(context.Background(), received, newSubmitCall(timeout), nil)
 			refused := d.status == http.StatusTooManyRequests || d.status == http.StatusServiceUnavailable
 			switch {
 			case refused && anyUnclear:
-				t.Fatalf("round %d: %d after an unclear try", round, d.status)
+				t.Fatalf("round %d: status %d although an attempt may have been executed", round, d.status)
 			case d.status == http.StatusOK && lastErr != nil:
-				t.Fatalf("round %d: success after %v", round, lastErr)
-			case time.Since(begun) > allowed:
-				t.Fatalf("round %d: answered after %v of %v", round, time.Since(begun), allowed)
+				t.Fatalf("round %d: status 200 although the last attempt failed: %v", round, lastErr)
+			case time.Since(received) > timeout:
+				t.Fatalf("round %d: answered after %v, timeout %v", round, time.Since(received), timeout)
 			}
 		}
 	})
 }
 
+// randomFailure returns the result of a random attempt: nil, an error, or the context's error after its end.
 func randomFailure(ctx context.Context, random *random.PCG) error {
 	switch draw := random.Unit(); {
 	case draw < 0.1:
@@ -130,7 +131,7 @@
 	case draw < 0.6:
 		return notExecutedError("full", time.Duration(random.Exp()*float64(time.Second)))
 	case draw < 0.8:
-		return rpcerror.WrapMayHaveExecuted(errors.New("broken off"))
+		return rpcerror.WrapMayHaveExecuted(errors.New("connection broken"))
 	default:
 		<-ctx.Done()
 		return ctx.Err()
--- a/internal/dataplane/proxy/client_test.go
+++ b/internal/dataplane/proxy/client_test.go
@@ -23,7 +23,7 @@
 func jobState(text string) job.State { return job.State(text) }
 
 func TestSubmissionStatusFollowsLeaderOutcome(t *testing.T) {
-	Convey("A job that the leader took is accepted, as the client wrote it", t, func() {
+	Convey("A job that the leader accepts is answered with 200 and forwarded unchanged", t, func() {
 		leader := newFakeLeader(t)
 		got := make(chan jobapi.SubmitRequest, 1)
 		leader.submit = func(_ context.Context, s jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
@@ -38,7 +38,7 @@
 		So(submit.Queue.Service, ShouldEqual, testService)
 		So(submit.Specification.Stages[0].Processors, ShouldEqual, 500)
 	})
-	Convey("An overload is passed on as 429, in whole seconds", t, func() {
+	Convey("An overload is answered with 429 and Retry-After in whole seconds", t, func() {
 		leader := newFakeLeader(t)
 		leader.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 			return jobapi.SubmitReply{}, notExecutedError("full", 1200*time.Millisecond)
@@ -49,21 +49,21 @@
 		So(reply.retryAfter, ShouldEqual, "2")
 		So(leader.callCount(), ShouldEqual, 1)
 	})
-	Convey("A refusal by one that does not lead waits for the newer leader", t, func() {
+	Convey("After a refusal by a node that is not the leader, the newer leader is called", t, func() {
 		old, next := newFakeLeader(t), newFakeLeader(t).acceptSubmissions()
 		f := newFixture(t, snapshotOf(configurationOf(60_000), old.address(), 1))
-		asked := make(chan struct{}, 100)
+		called := make(chan struct{}, 100)
 		old.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
-			asked <- struct{}{}
+			called <- struct{}{}
 			return jobapi.SubmitReply{}, notExecutedError("not the leader", 0)
 		}
 		replies := f.sendAsync(http.MethodPost, testPrefix+testID, testJob)
-		<-asked
+		<-called
 		f.publishLeader(next.address(), 2)
 		So((<-replies).status, ShouldEqual, http.StatusOK)
 		So(next.callCount(), ShouldEqual, 1)
 	})
-	Convey("Without a newer leader it is refused early", t, func() {
+	Convey("Without a newer leader the job is refused", t, func() {
 		leader := newFakeLeader(t)
 		f := newFixture(t, snapshotOf(configurationOf(1000), leader.address(), 1))
 		reply := f.post()
@@ -71,31 +71,31 @@
 		So(reply.retryAfter, ShouldEqual, "1")
 		So(leader.callCount(), ShouldBeGreaterThanOrEqualTo, 1)
 	})
-	Convey("Without any leader it is refused as well", t, func() {
+	Convey("Without any leader the job is refused", t, func() {
 		snapshot := snapshotOf(configurationOf(1000), "", 1)
 		snapshot.Leaders = nil
 		So(newFixture(t, snapshot).post().status, ShouldEqual, http.StatusServiceUnavailable)
 	})
-	Convey("A leader at a dead port did not run it", t, func() {
+	Convey("A call to a closed port counts as not executed", t, func() {
 		listener := listenLoopback(t)
 		listener.Close()
 		f := newFixture(t, snapshotOf(configurationOf(1000), listener.Addr().String(), 1))
 		So(f.post().status, ShouldEqual, http.StatusServiceUnavailable)
 	})
-	Convey("A call that is broken off is repeated", t, func() {
+	Convey("A call whose connection breaks is retried", t, func() {
 		leader := newFakeLeader(t).acceptSubmissions()
 		leader.abortsLeft = 2
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		So(f.post().status, ShouldEqual, http.StatusOK)
 		So(leader.callCount(), ShouldEqual, 3)
 	})
-	Convey("Calls that are always broken off end with 504", t, func() {
+	Convey("A request whose calls all break is answered with 504", t, func() {
 		leader := newFakeLeader(t)
 		leader.abortsLeft = 1000
 		f := newFixture(t, snapshotOf(configurationOf(600), leader.address(), 1))
 		So(f.post().status, ShouldEqual, http.StatusGatewayTimeout)
 	})
-	Convey("A refusal after a call that was broken off ends with 504", t, func() {
+	Convey("A refusal after a broken call is answered with 504", t, func() {
 		leader := newFakeLeader(t)
 		leader.abortsLeft = 1
 		f := newFixture(t, snapshotOf(configurationOf(600), leader.address(), 1))
@@ -103,7 +103,7 @@
 		So(reply.status, ShouldEqual, http.StatusGatewayTimeout)
 		So(reply.retryAfter, ShouldBeEmpty)
 	})
-	Convey("A leader that stays silent ends with 504", t, func() {
+	Convey("A request to a leader that does not answer is answered with 504", t, func() {
 		leader := newFakeLeader(t)
 		leader.submit = func(ctx context.Context, _ jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 			return jobapi.SubmitReply{}, leader.waitForCancel(ctx)
@@ -111,11 +111,11 @@
 		f := newFixture(t, snapshotOf(configurationOf(500), leader.address(), 1))
 		So(f.post().status, ShouldEqual, http.StatusGatewayTimeout)
 	})
-	Convey("A try at a silent leader is given up for a newer one, and counts as unclear", t, func() {
+	Convey("An attempt at a leader that does not answer is canceled for a newer leader, and may have been executed", t, func() {
 		old, next := newFakeLeader(t), newFakeLeader(t)
-		asked, closed := make(chan struct{}), make(chan struct{})
+		called, closed := make(chan struct{}), make(chan struct{})
 		old.submit = func(ctx context.Context, _ jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
-			close(asked)
+			close(called)
 			defer close(closed)
 			return jobapi.SubmitReply{}, old.waitForCancel(ctx)
 		}
@@ -124,13 +124,13 @@
 		}
 		f := newFixture(t, snapshotOf(configurationOf(60_000), old.address(), 1))
 		replies := f.sendAsync(http.MethodPost, testPrefix+testID, testJob)
-		<-asked
+		<-called
 		f.publishLeader(next.address(), 2)
 		So((<-replies).status, ShouldEqual, http.StatusGatewayTimeout)
 		<-closed
 		So(next.callCount(), ShouldEqual, 1)
 	})
-	Convey("The client's time limits the tries", t, func() {
+	Convey("The client's deadline limits the attempts", t, func() {
 		leader := newFakeLeader(t)
 		leader.abortsLeft = 1000
 		f := newFixture(t, snapshotOf(configurationOf(3_600_000), leader.address(), 1))
@@ -141,12 +141,12 @@
 		request.Header.Set(deadlineHeader, "0")
 		So(f.do(request).status, ShouldEqual, http.StatusServiceUnavailable)
 	})
-	Convey("A request goes on when its client has gone", t, func() {
+	Convey("A request continues after its client has disconnected", t, func() {
 		leader := newFakeLeader(t)
-		asked, goOn, finished := make(chan struct{}), make(chan struct{}), make(chan error, 1)
+		called, proceed, finished := make(chan struct{}), make(chan struct{}), make(chan error, 1)
 		leader.submit = func(ctx context.Context, _ jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
-			close(asked)
-			<-goOn
+			close(called)
+			<-proceed
 			finished <- ctx.Err()
 			return jobapi.SubmitReply{}, nil
 		}
@@ -161,17 +161,17 @@
 			}
 			remaining <- err
 		}()
-		<-asked
+		<-called
 		leave()
 		So(<-remaining, ShouldNotBeNil)
-		close(goOn)
+		close(proceed)
 		So(<-finished, ShouldBeNil)
 	})
 }
 
 func TestReadsAndCancellationsSearchAllGroups(t *testing.T) {
 	other := feed.GroupOf("risk")
-	Convey("A state is read from the leader; a final one is remembered", t, func() {
+	Convey("A state is read from the leader, and a final state is cached", t, func() {
 		leader := newFakeLeader(t).answerJobQueries(true, "running")
 		f := newFixture(t, snapshotOf(configurationOf(3000), leader.address(), 1))
 		for range 2 {
@@ -186,7 +186,7 @@
 		}
 		So(leader.callCount(), ShouldEqual, 3)
 	})
-	Convey("A job may belong to another group", t, func() {
+	Convey("A job of another group is found", t, func() {
 		own, second := newFakeLeader(t).answerJobQueries(false, ""), newFakeLeader(t).answerJobQueries(true, "queued")
 		snapshot := snapshotOf(configurationOf(3000), own.address(), 1)
 		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Term: 4}
@@ -194,7 +194,7 @@
 		So(f.send(http.MethodGet, testPrefix+testID, "").text, ShouldEqual, `{"state":"queued"}`)
 		So(f.send(http.MethodDelete, testPrefix+testID, "").status, ShouldEqual, http.StatusOK)
 	})
-	Convey("A job is gone only if all groups say so", t, func() {
+	Convey("A job is reported as gone only if no group knows it", t, func() {
 		own, second := newFakeLeader(t).answerJobQueries(false, ""), newFakeLeader(t)
 		snapshot := snapshotOf(configurationOf(600), own.address(), 1)
 		snapshot.Leaders[other] = feed.Leader{Address: second.address(), Term: 4}
@@ -211,14 +211,14 @@
 		So(f.send(http.MethodGet, testPrefix+testID, "").status, ShouldEqual, http.StatusGone)
 		So(f.send(http.MethodDelete, testPrefix+testID, "").status, ShouldEqual, http.StatusGone)
 	})
-	Convey("A job is not gone while another service's leader is not known", t, func() {
+	Convey("A job is not reported as gone while another service's leader is unknown", t, func() {
 		configuration := configurationOf(400)
 		configuration.Others = []string{"without-leader"}
 		f := newFixture(t, snapshotOf(configuration, newFakeLeader(t).answerJobQueries(false, "").address(), 1))
 		So(f.send(http.MethodGet, testPrefix+testID, "").status, ShouldEqual, http.StatusServiceUnavailable)
 		So(f.send(http.MethodDelete, testPrefix+testID, "").status, ShouldEqual, http.StatusServiceUnavailable)
 	})
-	Convey("A reading and a cancellation that are broken off are repeated", t, func() {
+	Convey("A status request and a cancellation whose calls break are retried", t, func() {
 		leader := newFakeLeader(t).answerJobQueries(true, "running")
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		for _, method := range []string{http.MethodGet, http.MethodDelete} {
@@ -229,16 +229,16 @@
 		}
 		So(leader.callCount(), ShouldEqual, 4)
 	})
-	Convey("A cancellation that may have run is not refused", t, func() {
+	Convey("A cancellation that may have been executed is not refused", t, func() {
 		leader := newFakeLeader(t)
 		leader.abortsLeft = 1
 		f := newFixture(t, snapshotOf(configurationOf(600), leader.address(), 1))
 		So(f.send(http.MethodDelete, testPrefix+testID, "").status, ShouldEqual, http.StatusGatewayTimeout)
 	})
-	Convey("The number of pending jobs comes from the leader, or is the one known a short time ago", t, func() {
+	Convey("The number of pending jobs comes from the leader, or from the cache if the leader does not answer", t, func() {
 		leader := newFakeLeader(t)
 		f := newFixture(t, snapshotOf(configurationOf(3000), leader.address(), 1))
-		So(f.send(http.MethodGet, testPrefix, "").status, ShouldEqual, http.StatusServiceUnavailable) // 0 would be made up
+		So(f.send(http.MethodGet, testPrefix, "").status, ShouldEqual, http.StatusServiceUnavailable) // the number is unknown: 0 would be wrong
 		leader.mutex.Lock()
 		leader.count = func(_ context.Context, p jobapi.PendingRequest) (jobapi.PendingReply, error) {
 			if p.Route != "r-1" || p.Group != testGroup {
@@ -262,7 +262,7 @@
 	configuration := configurationOf(3000)
 	configuration.Bounds.BodyBytes = 500
 	f := newFixture(t, snapshotOf(configuration, leader.address(), 1))
-	Convey("What cannot be taken is answered by itself", t, func() {
+	Convey("An invalid request is answered without a call to the leader", t, func() {
 		So(f.send(http.MethodPost, testPrefix+"short", testJob).status, ShouldEqual, http.StatusBadRequest)
 		So(f.send(http.MethodPost, testPrefix+testID, "{").status, ShouldEqual, http.StatusBadRequest)
 		So(f.send(http.MethodPost, testPrefix+testID, `{"stages":[]}`).status, ShouldEqual, http.StatusBadRequest)
@@ -275,7 +275,7 @@
 		So(f.send(http.MethodDelete, testPrefix, "").status, ShouldEqual, http.StatusMethodNotAllowed)
 		So(leader.callCount(), ShouldEqual, 0)
 	})
-	Convey("Without memory for its body a request is refused before it is read", t, func() {
+	Convey("A request is refused unread if there is no memory for its body", t, func() {
 		release, ok := f.proxy.handler.bodies.reserve(1<<20, 1<<20)
 		So(ok, ShouldBeTrue)
 		reply := f.post()
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -21,7 +21,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// memoryListener is a net.Listener of connections in memory.
+// memoryListener is a net.Listener for in-memory connections.
 type memoryListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -48,7 +48,7 @@
 
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// dial returns nil when the listener is closed.
+// dial opens a connection to the listener. It returns nil if the listener is closed.
 func (l *memoryListener) dial() *memoryClient {
 	ours, theirs := net.Pipe()
 	select {
@@ -59,7 +59,7 @@
 	}
 }
 
-// memoryClient is a client's connection.
+// memoryClient is the client's end of an in-memory connection.
 type memoryClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -88,7 +88,8 @@
 
 var postText = fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", testPrefix, testID, len(testJob), testJob)
 
-// memoryCaller is a transport.Caller in memory: the agent's feed, and one leader's answers.
+// memoryCaller is a transport.Caller that answers polls as the agent, with a fixed snapshot, and passes all other calls
+// to the leader function.
 type memoryCaller struct {
 	snapshot feed.Snapshot
 	leader   func(ctx context.Context) error
@@ -108,13 +109,13 @@
 	return ctx.Err()
 }
 
-// drained is a proxy in a bubble of synctest.
+// drainTest is a proxy that runs in virtual time with in-memory connections.
 type drainTest struct {
 	proxy            *Proxy
 	front, readiness *memoryListener
 	stop             func()
-	ended            chan struct{}
-	endedAfter       time.Duration // from the order to stop
+	served           chan struct{}
+	serveTime        time.Duration // from the call of stop until Serve returned
 }
 
 const testGrace = 6 * time.Second
@@ -136,7 +137,7 @@
 		}),
 		front:     newMemoryListener(),
 		readiness: newMemoryListener(),
-		ended:     make(chan struct{}),
+		served:    make(chan struct{}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var stopped time.Time
@@ -146,9 +147,9 @@
 		synctest.Wait()
 	}
 	go func() {
-		defer close(d.ended)
+		defer close(d.served)
 		d.proxy.Serve(ctx, d.front, d.readiness)
-		d.endedAfter = time.Since(stopped)
+		d.serveTime = time.Since(stopped)
 	}()
 	synctest.Wait()
 	return d
@@ -163,13 +164,14 @@
 	return status
 }
 
-// inBubble runs a test with a clock of its own, which goes on when all its goroutines wait.
+// runWithVirtualTime runs a subtest with virtual time, which advances when all goroutines of the subtest wait.
 func runWithVirtualTime(t *testing.T, name string, test func()) {
 	t.Run(name, func(t *testing.T) {
 		virtualtime.Test(t, func(t *testing.T) { Convey(name, t, test) })
 	})
 }
 
+// answerAfter returns a leader function that answers after the given time.
 func answerAfter(d time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		timer.Sleep(ctx, d)
@@ -178,15 +180,15 @@
 }
 
 func TestDrainEndsWithinItsTimeLimits(t *testing.T) {
-	runWithVirtualTime(t, "without connections it ends after a second, and is not ready at once", func() {
+	runWithVirtualTime(t, "without connections the proxy ends after the idle time, and is not ready at once", func() {
 		d := startDrainTest(answerAfter(0))
 		So(d.readinessStatus(), ShouldEqual, http.StatusOK)
 		d.stop()
 		So(d.readinessStatus(), ShouldEqual, http.StatusServiceUnavailable)
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, drainIdleTime)
+		<-d.served
+		So(d.serveTime, ShouldEqual, drainIdleTime)
 	})
-	runWithVirtualTime(t, "an idle connection is served on, and closed by its next answer", func() {
+	runWithVirtualTime(t, "an idle connection is still served, and closed after its next answer", func() {
 		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		defer client.Close()
@@ -200,10 +202,10 @@
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusOK)
 		So(closes, ShouldBeTrue)
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, 1500*time.Millisecond+drainIdleTime)
+		<-d.served
+		So(d.serveTime, ShouldEqual, 1500*time.Millisecond+drainIdleTime)
 	})
-	runWithVirtualTime(t, "new connections are served while it drains, and none afterwards", func() {
+	runWithVirtualTime(t, "new connections are accepted during the drain and not afterwards", func() {
 		d := startDrainTest(answerAfter(0))
 		d.stop()
 		time.Sleep(900 * time.Millisecond)
@@ -213,22 +215,22 @@
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusOK)
 		So(closes, ShouldBeTrue)
-		<-d.ended
+		<-d.served
 		So(d.front.dial(), ShouldBeNil)
 	})
-	runWithVirtualTime(t, "an idle connection does not hold it for longer than the span", func() {
+	runWithVirtualTime(t, "an idle connection does not extend the time for new requests", func() {
 		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		defer client.Close()
 		_, _, err := client.send()
 		So(err, ShouldBeNil)
 		d.stop()
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, maxDrainAcceptTime)
+		<-d.served
+		So(d.serveTime, ShouldEqual, maxDrainAcceptTime)
 		_, _, err = client.read()
 		So(err, ShouldNotBeNil)
 	})
-	runWithVirtualTime(t, "a request under way gets its answer before it ends", func() {
+	runWithVirtualTime(t, "a request in progress is answered before the proxy ends", func() {
 		d := startDrainTest(answerAfter(time.Second))
 		client := d.front.dial()
 		defer client.Close()
@@ -238,10 +240,10 @@
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusOK)
 		So(closes, ShouldBeTrue)
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, maxDrainAcceptTime+900*time.Millisecond)
+		<-d.served
+		So(d.serveTime, ShouldEqual, maxDrainAcceptTime+900*time.Millisecond)
 	})
-	runWithVirtualTime(t, "a request that takes too long gets an answer within the grace period", func() {
+	runWithVirtualTime(t, "a request that takes too long is answered within the grace period", func() {
 		d := startDrainTest(answerAfter(time.Hour))
 		client := d.front.dial()
 		defer client.Close()
@@ -252,17 +254,17 @@
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusGatewayTimeout)
 		So(closes, ShouldBeTrue)
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, testGrace-killMargin-canceledAnswerTime)
+		<-d.served
+		So(d.serveTime, ShouldEqual, testGrace-killMargin-canceledAnswerTime)
 	})
-	runWithVirtualTime(t, "a request that is not read whole does not hold it beyond the grace period", func() {
+	runWithVirtualTime(t, "an incomplete request does not delay the end beyond the grace period", func() {
 		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		client.write(postText[:len(postText)-1])
 		synctest.Wait()
 		d.stop()
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, testGrace-killMargin)
+		<-d.served
+		So(d.serveTime, ShouldEqual, testGrace-killMargin)
 		client.Close()
 		time.Sleep(time.Second)
 	})
@@ -272,13 +274,13 @@
 		defer client.Close()
 		d.proxy.SetGracePeriod(time.Second)
 		d.stop()
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, 0)
+		<-d.served
+		So(d.serveTime, ShouldEqual, 0)
 	})
 }
 
 func TestConnectionBeyondLimitIsClosed(t *testing.T) {
-	runWithVirtualTime(t, "a connection beyond the limit is closed, until others have ended", func() {
+	runWithVirtualTime(t, "a connection beyond the limit is closed, and accepted again after another has ended", func() {
 		d := startDrainTest(answerAfter(0))
 		var clients []*memoryClient
 		for range 10 {
@@ -299,6 +301,6 @@
 			client.Close()
 		}
 		d.stop()
-		<-d.ended
+		<-d.served
 	})
 }
--- a/internal/dataplane/proxy/feed_test.go
+++ b/internal/dataplane/proxy/feed_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestRequestsAreRefusedBeforeFirstConfiguration(t *testing.T) {
-	Convey("Without a configuration requests are refused and the proxy is not ready", t, func() {
+	Convey("Before the first configuration, requests are refused and the proxy is not ready", t, func() {
 		leader := newFakeLeader(t).acceptSubmissions()
 		f := newFixture(t, feed.Snapshot{})
 		reply := f.post()
@@ -45,6 +45,7 @@
 	return newFeedFollower("", nil, buildTestRouter, zap.NewNop())
 }
 
+// update returns an agent's answer with a configuration and leaders from a current feed.
 func update(version uint64, c testConfiguration, leaders map[string]feed.Leader) feed.WatchReply {
 	snapshot := &feed.Snapshot{ConfigurationVersion: version, Configuration: c.raw(), Leaders: leaders}
 	return feed.WatchReply{Current: true, Changed: true, Snapshot: snapshot}
@@ -55,7 +56,7 @@
 	leaders := func(term uint64) map[string]feed.Leader {
 		return map[string]feed.Leader{testGroup: {Address: fmt.Sprint("mixer-", term), Term: term}}
 	}
-	Convey("An older configuration or leader is not taken", t, func() {
+	Convey("An older configuration or leader is ignored", t, func() {
 		f := newTestFeedFollower()
 		So(f.apply(update(5, second, leaders(3)), f.now()), ShouldBeTrue)
 		So(f.apply(update(4, first, leaders(2)), f.now()), ShouldBeFalse)
@@ -63,20 +64,20 @@
 		So(f.currentView().leaders[testGroup].Address, ShouldEqual, "mixer-3")
 		So(f.digest(), ShouldResemble, feed.Digest{ConfigurationVersion: 5, LeaderTerms: map[string]uint64{testGroup: 3}})
 	})
-	Convey("What an agent that has just started lacks stays", t, func() {
+	Convey("An empty snapshot from an agent that has just started removes nothing", t, func() {
 		f := newTestFeedFollower()
 		f.apply(update(5, second, leaders(3)), f.now())
 		f.apply(feed.WatchReply{Changed: true, Snapshot: &feed.Snapshot{}}, f.now())
 		So(f.currentView().version, ShouldEqual, 5)
 		So(f.currentView().leaders, ShouldHaveLength, 1)
 	})
-	Convey("A group that is gone from a current feed is gone", t, func() {
+	Convey("A group that is missing from a current feed is removed", t, func() {
 		f := newTestFeedFollower()
 		f.apply(update(5, second, leaders(3)), f.now())
 		f.apply(update(5, second, nil), f.now())
 		So(f.currentView().leaders, ShouldBeEmpty)
 	})
-	Convey("A configuration that cannot be read changes nothing, and the next one is taken", t, func() {
+	Convey("An invalid configuration changes nothing, and the next valid one is applied", t, func() {
 		f := newTestFeedFollower()
 		f.apply(update(5, first, nil), f.now())
 		broken := feed.WatchReply{Current: true, Changed: true, Snapshot: &feed.Snapshot{ConfigurationVersion: 6, Configuration: []byte("{")}}
@@ -87,18 +88,19 @@
 	})
 }
 
-// standingStill is a transport.Caller whose process stands still between the answer's arrival and its reading.
+// pausedCaller is a transport.Caller that behaves as if the process were paused between the arrival of the answer and its
+// processing.
 type pausedCaller feed.WatchReply
 
 // Call implements transport.Caller.
 func (s pausedCaller) Call(_ context.Context, _ string, _ transport.Route, _, reply any) error {
-	<-time.After(20 * time.Second) // virtual; the context's end does not come between the answer and its reader
+	<-time.After(20 * time.Second) // virtual time; the call ignores the context's deadline because the answer has already arrived
 	*reply.(*feed.WatchReply) = feed.WatchReply(s)
 	return nil
 }
 
 func TestUpdateWithoutMembersKeepsKnownMembers(t *testing.T) {
-	Convey("News without members leave those that are known as they are", t, func() {
+	Convey("An update without members keeps the checksum of the known ones", t, func() {
 		f := newTestFeedFollower()
 		complete := update(5, configurationOf(1000), nil)
 		complete.Snapshot.Core = []string{"core:1"}
@@ -113,7 +115,7 @@
 
 func TestStaleFeedGivesNoDefiniteAnswers(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("A feed that is not heard of is not current any more", t, func() {
+		Convey("A feed without answers becomes stale", t, func() {
 			f := newTestFeedFollower()
 			So(f.ready(), ShouldBeFalse)
 			f.apply(update(5, configurationOf(1000), nil), f.now())
@@ -128,7 +130,7 @@
 			f.apply(feed.WatchReply{Current: false}, f.now())
 			So(f.ready(), ShouldBeFalse)
 		})
-		Convey("An answer that was read after this process had stood still is as old as its question", t, func() {
+		Convey("The age of an answer counts from its poll, even if the process was paused before it processed the answer", t, func() {
 			f := newTestFeedFollower()
 			f.caller = pausedCaller(update(5, configurationOf(1000), nil))
 			_, err := f.poll(context.Background())
@@ -138,7 +140,7 @@
 			So(f.stale(), ShouldBeTrue)
 		})
 	})
-	Convey("A queue that a stale feed lacks is not said to be missing", t, func() {
+	Convey("A queue that is missing from a stale feed is answered with 503, not 404", t, func() {
 		f := newFixture(t, snapshotOf(configurationOf(1000), "127.0.0.1:1", 1))
 		So(f.send(http.MethodGet, "/elsewhere/", "").status, ShouldEqual, http.StatusNotFound)
 		f.agent.setCurrent(false)
@@ -147,7 +149,7 @@
 		So(f.send(http.MethodGet, "/elsewhere/", "").status, ShouldEqual, http.StatusServiceUnavailable)
 		So(f.readinessStatus(), ShouldEqual, http.StatusServiceUnavailable)
 	})
-	Convey("Nor is a job said to be gone that none of its groups knows", t, func() {
+	Convey("A job that no group knows is answered with 503, not 410, if the feed is stale", t, func() {
 		leader := newFakeLeader(t).answerJobQueries(false, "")
 		f := newFixture(t, snapshotOf(configurationOf(1000), leader.address(), 1))
 		for _, method := range []string{http.MethodGet, http.MethodDelete} {
@@ -165,7 +167,7 @@
 }
 
 func TestNewLimitsApplyToNewConnectionsAndBodies(t *testing.T) {
-	Convey("New limits hold for new connections, and for bodies at once", t, func() {
+	Convey("New limits apply to new connections, and to bodies at once", t, func() {
 		leader := newFakeLeader(t).acceptSubmissions()
 		f := newFixture(t, snapshotOf(configurationOf(3000), leader.address(), 1))
 		large := `{"specification":"` + strings.Repeat("x", 4000) + `","stages":[{"count":1}]}`
@@ -186,7 +188,7 @@
 
 func TestRememberedStatesAndCountsAreBounded(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("Only final states are remembered, for a time and up to a number", t, func() {
+		Convey("Only final states are cached, up to a maximum age and number", t, func() {
 			f := newFinalStates(time.Now)
 			f.add("a", job.Running)
 			_, found := f.get("a")
@@ -206,7 +208,7 @@
 			So(found, ShouldBeTrue)
 		})
 	})
-	Convey("Numbers of pending jobs are remembered for a time and up to a number of routes", t, func() {
+	Convey("Numbers of pending jobs are cached up to a maximum age and number of routes", t, func() {
 		begin := time.Now()
 		now := begin
 		p := newPendingCounts(func() time.Time { return now })
--- a/internal/dataplane/proxy/fixture_test.go
+++ b/internal/dataplane/proxy/fixture_test.go
@@ -16,7 +16,7 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// fixture is a proxy that serves on the loopback.
+// fixture is a proxy that serves on loopback addresses, with a fake agent and an HTTP client.
 type fixture struct {
 	t         *testing.T
 	proxy     *Proxy
@@ -73,7 +73,7 @@
 	return listener
 }
 
-// await waits until the proxy's view of the feed satisfies a condition.
+// awaitView waits until the proxy's view of the feed satisfies a condition.
 func (f *fixture) awaitView(condition func(*view) bool) {
 	f.t.Helper()
 	timeout := time.After(time.Minute)
@@ -85,18 +85,18 @@
 		select {
 		case <-view.changed:
 		case <-timeout:
-			f.t.Fatal("the proxy's view does not become what it should")
+			f.t.Fatal("the proxy's view does not satisfy the condition after a minute")
 		}
 	}
 }
 
-// lead names another leader in the feed, and waits until the proxy has the leader's epoch.
+// publishLeader changes the leader in the agent's feed and waits until the proxy knows the leader's term.
 func (f *fixture) publishLeader(leader string, term uint64) {
 	f.agent.change(func(s *feed.Snapshot) { s.Leaders[testGroup] = feed.Leader{Address: leader, Term: term} })
 	f.awaitView(func(v *view) bool { return v.leaders[testGroup].Term >= term })
 }
 
-// clientReply is what a client gets.
+// clientReply is the proxy's answer to a client.
 type clientReply struct {
 	status     int
 	retryAfter string
@@ -129,7 +129,7 @@
 
 func (f *fixture) post() clientReply { return f.send(http.MethodPost, testPrefix+testID, testJob) }
 
-// background sends a request and delivers its reply.
+// sendAsync sends a request in a goroutine and returns a channel that receives its reply.
 func (f *fixture) sendAsync(method, path, body string) <-chan clientReply {
 	replies := make(chan clientReply, 1)
 	go func() { replies <- f.send(method, path, body) }()
--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// sampleCounts are the values of counters and the numbers of observations, by metric and label values.
+// sampleCounts returns the values of counters and the numbers of observations, by metric and label values.
 func sampleCounts(collectors ...prometheus.Collector) map[string]float64 {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors...)
@@ -41,7 +41,7 @@
 			"puffinlink_request_seconds POST": 2, "puffinlink_request_seconds other": 1,
 		})
 	})
-	Convey("Without metrics nothing is counted", t, func() {
+	Convey("Without metrics a request is served and nothing is counted", t, func() {
 		h := &handler{now: time.Now, feed: newFeedFollower("", nil, nil, nil)}
 		h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/x", nil))
 		So(h.statusObserver(nil, time.Now()), ShouldBeNil)
--- a/internal/dataplane/proxy/reset_test.go
+++ b/internal/dataplane/proxy/reset_test.go
@@ -20,7 +20,7 @@
 	"puffinlink.example/puffinlink/internal/transport/resettest"
 )
 
-// handedIn counts at a leader how often each job was handed in.
+// submissionCounter counts at a leader how often each job was submitted.
 type submissionCounter struct {
 	mutex       sync.Mutex
 	submissions map[job.ID]int
@@ -39,11 +39,13 @@
 	return h.submissions[jobIDOf(number)]
 }
 
+// jobIDOf returns the job ID for a number.
 func jobIDOf(number int) job.ID { return job.ID(fmt.Sprintf("%016x", number)) }
 
-// TestClientsThatAreReset resets a client's connection at each byte of a job and of its answer.
+// TestResetClientConnectionSubmitsAtMostOnce resets a client's connection after each byte of a submission and of its
+// answer. An incomplete submission must not reach the leader, and a lost answer must not lead to a second submission.
 func TestResetClientConnectionSubmitsAtMostOnce(t *testing.T) {
-	Convey("Given clients whose connections break", t, func() {
+	Convey("When a client's connection is reset", t, func() {
 		counter := &submissionCounter{submissions: map[job.ID]int{}}
 		leader := newFakeLeader(t)
 		leader.submit = counter.submit
@@ -67,7 +69,7 @@
 		}
 		So(send(resettest.Requests, resettest.NoReset), ShouldBeNil)
 		lengths := [2]int{relay.ForwardedBytes(resettest.Requests), relay.ForwardedBytes(resettest.Responses)}
-		Convey("a job that did not arrive whole is not handed in; one whose answer is lost is, once", func() {
+		Convey("an incomplete job is not submitted, and a job whose answer is lost is submitted once", func() {
 			wrong := 0
 			for after := range lengths[resettest.Requests] {
 				So(send(resettest.Requests, after), ShouldNotBeNil)
@@ -90,14 +92,15 @@
 	})
 }
 
-// TestAnswersReachTheirClients asks for many jobs at once, while many clients give up, and the leader's answers too.
+// TestConcurrentClientsReceiveTheirOwnAnswers reads many jobs concurrently, while some clients cancel their requests and
+// some of the leader's answers time out. No client must receive the answer to another request.
 func TestConcurrentClientsReceiveTheirOwnAnswers(t *testing.T) {
 	Convey("Each answer is about the job that was asked for", t, func() {
 		const clients, requestsEach = 12, 40
 		leader := newFakeLeader(t)
 		var late atomic.Int64
 		leader.status = func(ctx context.Context, s jobapi.StatusRequest) (jobapi.StatusReply, error) {
-			if late.Add(1)%16 == 0 { // beyond the time of an attempt
+			if late.Add(1)%16 == 0 { // no answer before the attempt's timeout
 				return jobapi.StatusReply{}, leader.waitForCancel(ctx)
 			}
 			return jobapi.StatusReply{Known: true, State: jobState(string(s.ID))}, nil
@@ -132,7 +135,7 @@
 	})
 }
 
-// request reads a path; a client that gives up gets an error.
+// get reads a path. It returns an error if the client cancels the request.
 func (f *fixture) get(ctx context.Context, path string) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+path, nil)
 	if err != nil {
@@ -147,9 +150,10 @@
 	return string(text), err
 }
 
-// TestAnotherMachineAtALeadersAddress gives the leader's address to a process of another machine, which does not lead.
+// TestNodeReusingLeaderAddressDoesNotExecuteCalls replaces the leader by a process of another machine, which is not the
+// leader, at the same address.
 func TestNodeReusingLeaderAddressDoesNotExecuteCalls(t *testing.T) {
-	Convey("A call that meant the leader runs nowhere else, and reaches the next leader", t, func() {
+	Convey("A call for the leader is not executed by the other machine, and reaches the next leader", t, func() {
 		leader, next := newFakeLeader(t).acceptSubmissions(), newFakeLeader(t).acceptSubmissions()
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		So(f.post().status, ShouldEqual, http.StatusOK)
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -16,13 +16,14 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// step is one attempt of a test's sequence and what has to follow it.
+// step is the result of an attempt in a test's sequence and the decision that must follow it.
 type step struct {
 	elapsed time.Duration
 	result  attemptResult
 	want    decision
 }
 
+// attemptAgainAfter returns the decision to make another attempt after a wait.
 func attemptAgainAfter(wait time.Duration) decision { return decision{wait: wait} }
 
 func TestRetryDecisions(t *testing.T) {
@@ -35,25 +36,25 @@
 		allowed time.Duration
 		steps   []step
 	}{
-		{"an answer ends a request", submitOperation, testAllowed, []step{
+		{"a successful attempt finishes the request", submitOperation, testAllowed, []step{
 			{ms(5), attemptResult{kind: answered}, ok},
 		}},
-		{"an overload is passed on at once", submitOperation, testAllowed, []step{
+		{"an overload is answered at once", submitOperation, testAllowed, []step{
 			{ms(5), attemptResult{overloaded, ms(1200)}, refusal(http.StatusTooManyRequests, ms(1200))},
 		}},
-		{"a refusal waits for a newer leader, and ends in a quarter of the time", submitOperation, testAllowed, []step{
+		{"a submission that was not executed waits for a newer leader, for up to a quarter of the time", submitOperation, testAllowed, []step{
 			{ms(5), attemptResult{kind: notExecuted}, attemptAgainAfter(ms(400))},
 			{ms(410), attemptResult{kind: notExecuted}, attemptAgainAfter(ms(2850)/4 - ms(410))},
 			{ms(715), attemptResult{kind: notExecuted}, unavailable},
 		}},
-		{"a reading waits longer for a newer leader", statusOperation, testAllowed, []step{
+		{"a status request waits longer for a newer leader", statusOperation, testAllowed, []step{
 			{ms(800), attemptResult{kind: notExecuted}, attemptAgainAfter(ms(400))},
 			{ms(1400), attemptResult{kind: notExecuted}, unavailable},
 		}},
-		{"a late refusal is passed on at once", submitOperation, testAllowed, []step{
+		{"a submission that was not executed is refused at once after its waiting time", submitOperation, testAllowed, []step{
 			{ms(900), attemptResult{kind: notExecuted}, unavailable},
 		}},
-		{"an unclear try is repeated after pauses that grow, until the time is over", submitOperation, testAllowed, []step{
+		{"an attempt that may have been executed is retried with increasing delays until the timeout", submitOperation, testAllowed, []step{
 			{ms(5), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(50))},
 			{ms(60), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(100))},
 			{ms(170), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(200))},
@@ -61,26 +62,26 @@
 			{ms(800), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(400))},
 			{ms(2500), attemptResult{kind: mayHaveExecuted}, gatewayTimeout},
 		}},
-		{"a refusal after an unclear try is no refusal", submitOperation, testAllowed, []step{
+		{"a request is not refused if an earlier attempt may have been executed", submitOperation, testAllowed, []step{
 			{ms(5), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(50))},
 			{ms(60), attemptResult{kind: notExecuted}, attemptAgainAfter(ms(400))},
 			{ms(470), attemptResult{kind: notExecuted}, attemptAgainAfter(ms(400))},
 			{ms(2810), attemptResult{kind: notExecuted}, gatewayTimeout},
 		}},
-		{"an overload after an unclear try is no refusal", submitOperation, testAllowed, []step{
+		{"an overload is retried if an earlier attempt may have been executed", submitOperation, testAllowed, []step{
 			{ms(5), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(50))},
 			{ms(60), attemptResult{overloaded, ms(1000)}, attemptAgainAfter(ms(1000))},
 			{ms(1070), attemptResult{kind: answered}, ok},
 		}},
-		{"an overload for longer than the time left ends at once", submitOperation, testAllowed, []step{
+		{"a retry delay beyond the time left finishes the request at once", submitOperation, testAllowed, []step{
 			{ms(5), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(50))},
 			{ms(60), attemptResult{overloaded, ms(5000)}, gatewayTimeout},
 		}},
-		{"a cancellation that may have run is not refused either", cancelOperation, testAllowed, []step{
+		{"a cancellation that may have been executed is not refused", cancelOperation, testAllowed, []step{
 			{ms(5), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(50))},
 			{ms(2840), attemptResult{kind: notExecuted}, gatewayTimeout},
 		}},
-		{"a reading is repeated after an unclear try", statusOperation, testAllowed, []step{
+		{"a status request that may have been executed is retried", statusOperation, testAllowed, []step{
 			{ms(900), attemptResult{kind: mayHaveExecuted}, attemptAgainAfter(ms(50))},
 			{ms(1000), attemptResult{kind: answered}, ok},
 		}},
@@ -96,17 +97,17 @@
 }
 
 func TestAttemptTimeoutIsBoundedByOperationAndRemainingTime(t *testing.T) {
-	Convey("A try takes the time of its kind at most, and what is left", t, func() {
+	Convey("An attempt's timeout is the limit of its operation, or the time left if that is shorter", t, func() {
 		submit, read := newRetrier(submitOperation, testAllowed), newRetrier(statusOperation, testAllowed)
 		So(submit.attemptTimeout(0), ShouldEqual, ms(1500))
 		So(read.attemptTimeout(0), ShouldEqual, ms(900))
 		So(submit.attemptTimeout(ms(2000)), ShouldEqual, ms(850))
 	})
-	Convey("A short time keeps half of it for tries", t, func() {
+	Convey("With a short timeout, half of it is left for attempts", t, func() {
 		r := newRetrier(submitOperation, ms(200))
 		So(r.timeout, ShouldEqual, ms(100))
 	})
-	Convey("Without time for a try none is made", t, func() {
+	Convey("No attempt is made with too little time left", t, func() {
 		r := newRetrier(submitOperation, 0)
 		So(r.begin(0), ShouldResemble, refusal(http.StatusServiceUnavailable, time.Second))
 		r = newRetrier(submitOperation, testAllowed)
@@ -116,7 +117,7 @@
 }
 
 func TestAttemptResultFollowsErrorExecutionState(t *testing.T) {
-	Convey("The result of an attempt follows from what its error says of the execution", t, func() {
+	Convey("The error of an attempt determines whether it may have been executed", t, func() {
 		cause := errors.New("x")
 		So(classifyAttempt(nil).kind, ShouldEqual, answered)
 		So(classifyAttempt(cause).kind, ShouldEqual, mayHaveExecuted)
@@ -126,7 +127,7 @@
 	})
 }
 
-// randomAttempt draws an attempt's result.
+// randomAttemptResult returns a random result of an attempt.
 func randomAttemptResult(random *random.PCG) attemptResult {
 	switch draw := random.Unit(); {
 	case draw < 0.05:
@@ -140,43 +141,43 @@
 	}
 }
 
-// TestCertainty plays random sequences of attempts: a request is refused only if none of its attempts was unclear, succeeds
-// only by an answer, and ends in time.
+// TestRetrierRefusesOnlyUnexecutedRequests makes random sequences of attempts. A request must be refused only if none of
+// its attempts may have been executed, must succeed only after a successful attempt, and must end in time.
 func TestRetrierRefusesOnlyUnexecutedRequests(t *testing.T) {
 	random := random.PCG(20261202)
 	for range 20_000 {
 		kind := operation(random.Unit() * 3)
-		allowed := time.Duration(random.Unit() * float64(4*time.Second))
-		r := newRetrier(kind, allowed)
+		timeout := time.Duration(random.Unit() * float64(4*time.Second))
+		r := newRetrier(kind, timeout)
 		elapsed, anyUnclear := time.Duration(0), false
 		last := attemptResult{kind: notExecuted}
 		d := r.begin(elapsed)
 		for attempts := 0; !d.finished; attempts++ {
 			if attempts > 100 {
-				t.Fatalf("kind %d, allowed %v: it does not end", kind, allowed)
+				t.Fatalf("operation %d, timeout %v: not finished after 100 attempts", kind, timeout)
 			}
-			most := r.attemptTimeout(elapsed)
-			if most <= 0 {
-				t.Fatalf("kind %d, allowed %v: a try of %v is begun", kind, allowed, most)
+			attemptTimeout := r.attemptTimeout(elapsed)
+			if attemptTimeout <= 0 {
+				t.Fatalf("operation %d, timeout %v: an attempt with timeout %v is started", kind, timeout, attemptTimeout)
 			}
-			elapsed += time.Duration(random.Unit() * float64(most))
+			elapsed += time.Duration(random.Unit() * float64(attemptTimeout))
 			last = randomAttemptResult(&random)
 			anyUnclear = anyUnclear || last.kind == mayHaveExecuted
 			d = r.next(last, elapsed)
-			elapsed += time.Duration(random.Unit() * float64(d.wait)) // a newer leader may end the wait
+			elapsed += time.Duration(random.Unit() * float64(d.wait)) // a newer leader may end the wait early
 		}
 		refused := d.status == http.StatusTooManyRequests || d.status == http.StatusServiceUnavailable
 		switch {
 		case refused && anyUnclear:
-			t.Fatalf("kind %d, allowed %v: %d after an unclear try", kind, allowed, d.status)
+			t.Fatalf("operation %d, timeout %v: status %d although an attempt may have been executed", kind, timeout, d.status)
 		case refused && d.retryAfter <= 0:
-			t.Fatalf("kind %d, allowed %v: %d without a time to come back", kind, allowed, d.status)
+			t.Fatalf("operation %d, timeout %v: status %d without a retry delay", kind, timeout, d.status)
 		case (d.status == http.StatusOK) != (last.kind == answered):
-			t.Fatalf("kind %d, allowed %v: %d after %+v", kind, allowed, d.status, last)
+			t.Fatalf("operation %d, timeout %v: status %d after %+v", kind, timeout, d.status, last)
 		case d.status == http.StatusGatewayTimeout && !anyUnclear:
-			t.Fatalf("kind %d, allowed %v: 504 though nothing ran", kind, allowed)
+			t.Fatalf("operation %d, timeout %v: status 504 although no attempt can have been executed", kind, timeout)
 		case elapsed > r.timeout:
-			t.Fatalf("kind %d, allowed %v: ended after %v", kind, allowed, elapsed)
+			t.Fatalf("operation %d, timeout %v: finished after %v", kind, timeout, elapsed)
 		}
 	}
 }
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -28,7 +28,7 @@
 
 var testGroup = feed.GroupOf(testService)
 
-// testConfiguration is the form of configurations in these tests: one route of any host.
+// testConfiguration is the format of configurations in these tests. It has one route, which matches any host.
 type testConfiguration struct {
 	Prefix    string
 	Service   string
@@ -76,19 +76,20 @@
 	return testConfiguration{Prefix: testPrefix, Service: testService, TimeoutMS: timeoutMS}
 }
 
-// standInLeader answers as a test says. A method that is nil refuses, as a node that does not lead does.
+// fakeLeader answers calls with functions that a test sets. A call whose function is nil is refused, as by a node that is
+// not the leader.
 type fakeLeader struct {
 	server     *httptest.Server
-	testCtx    context.Context // ends with the test, for answers that stay out
+	testCtx    context.Context // canceled at the end of the test, to end calls that are not answered
 	mutex      sync.Mutex
 	submit     func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error)
 	status     func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error)
 	cancel     func(context.Context, jobapi.CancelRequest) (jobapi.CancelReply, error)
 	count      func(context.Context, jobapi.PendingRequest) (jobapi.PendingReply, error)
 	calls      int
-	abortsLeft int // so many calls are read and then broken off
+	abortsLeft int // number of further calls whose connection is closed after the request was read
 
-	replacement atomic.Pointer[http.HandlerFunc] // serves the address instead
+	replacement atomic.Pointer[http.HandlerFunc] // if set, serves the leader's address instead
 }
 
 func newFakeLeader(t *testing.T) *fakeLeader {
@@ -104,8 +105,8 @@
 			io.Copy(io.Discard, r.Body)
 			panic(http.ErrAbortHandler)
 		}
-		if stranger := leader.replacement.Load(); stranger != nil {
-			stranger.ServeHTTP(w, r)
+		if replacement := leader.replacement.Load(); replacement != nil {
+			replacement.ServeHTTP(w, r)
 			return
 		}
 		mux.ServeHTTP(w, r)
@@ -115,6 +116,7 @@
 	return leader
 }
 
+// serve registers an endpoint that calls the method that is set at the time of the call.
 func serve[Request, Reply any](l *fakeLeader, mux *transport.Mux, endpoint transport.Endpoint[Request, Reply], method *func(context.Context, Request) (Reply, error)) {
 	transport.Handle(mux, endpoint, func(ctx context.Context, request Request) (reply Reply, err error) {
 		l.mutex.Lock()
@@ -127,15 +129,15 @@
 	})
 }
 
-// replace gives the leader's address to a process of another machine, which leads nothing. The statuses of its answers
-// are delivered.
+// replace serves the leader's address with a process of another machine, which is not the leader. It returns a channel
+// that receives the statuses of that process's answers.
 func (l *fakeLeader) replace(node string) (answers <-chan int) {
 	statuses := make(chan int, 1000)
 	mux := transport.NewMuxFor(transport.NewIdentity("", node))
 	transport.Handle(mux, jobapi.SubmitCall, func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 		return jobapi.SubmitReply{}, notExecutedError("not the leader", 0)
 	})
-	stranger := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	replacement := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
 		mux.ServeHTTP(recorder, r)
 		maps.Copy(w.Header(), recorder.Header())
@@ -143,11 +145,11 @@
 		w.Write(recorder.Body.Bytes())
 		statuses <- recorder.Code
 	})
-	l.replacement.Store(&stranger)
+	l.replacement.Store(&replacement)
 	return statuses
 }
 
-// breakOff counts a call, and tells whether it is to be broken off.
+// countAndCheckAbort counts a call and reports whether its connection must be closed without an answer.
 func (l *fakeLeader) countAndCheckAbort() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -162,17 +164,18 @@
 	return l.calls
 }
 
-// timeout does not answer until the caller has gone or the test ends.
+// waitForCancel blocks until the caller cancels the call or the test ends. It returns an error.
 func (l *fakeLeader) waitForCancel(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-l.testCtx.Done():
 	}
-	return errors.New("given up")
+	return errors.New("canceled")
 }
 
 func (l *fakeLeader) address() string { return l.server.Listener.Addr().String() }
 
+// acceptSubmissions makes the leader accept all submissions.
 func (l *fakeLeader) acceptSubmissions() *fakeLeader {
 	l.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 		return jobapi.SubmitReply{}, nil
@@ -180,6 +183,7 @@
 	return l
 }
 
+// answerJobQueries makes the leader answer status requests and cancellations.
 func (l *fakeLeader) answerJobQueries(known bool, state string) *fakeLeader {
 	l.status = func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error) {
 		return jobapi.StatusReply{Known: known, State: jobState(state)}, nil
@@ -190,7 +194,7 @@
 	return l
 }
 
-// standInAgent feeds a proxy.
+// fakeAgent serves a feed to a proxy.
 type fakeAgent struct {
 	server   *httptest.Server
 	mutex    sync.Mutex
@@ -208,7 +212,8 @@
 	return agent
 }
 
-// watch answers once something is new to the proxy, or the test has changed something.
+// watch answers a poll once the snapshot differs from what the proxy knows, the test changes the agent, or the poll's
+// wait is over.
 func (a *fakeAgent) watch(ctx context.Context, watch feed.WatchRequest) (feed.WatchReply, error) {
 	reply, changed := a.reply(watch.Known)
 	if reply.Changed {
@@ -240,6 +245,7 @@
 	return reply, a.changed
 }
 
+// change changes the snapshot and wakes waiting polls.
 func (a *fakeAgent) change(change func(*feed.Snapshot)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -261,6 +267,7 @@
 	a.changed = make(chan struct{})
 }
 
+// snapshotOf returns a snapshot with version 1 of the configuration and one leader, for the test group.
 func snapshotOf(c testConfiguration, leader string, term uint64) feed.Snapshot {
 	return feed.Snapshot{
 		ConfigurationVersion: 1,
--- a/internal/dataplane/proxy/wire_test.go
+++ b/internal/dataplane/proxy/wire_test.go
@@ -6,7 +6,7 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
+// TestEncodedFormsMatchGoldenFiles compares the encoded forms of the types that are sent to clients with the golden file.
 func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
 		goldentest.Form{Name: "state answer", Value: new(stateResponse)},
@@ -15,7 +15,7 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
+// TestWireConstantsAreUnchanged checks the constants that are part of the HTTP interface.
 func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: deadlineHeader, Want: "Deadline-Remaining"},
