--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -9,21 +9,22 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// inFlightCall is a call in flight.
+// inFlightCall describes a call that has been sent and has not ended.
 type inFlightCall struct {
-	backend  policy.BackendID
-	index    policy.IndexID
-	customer policy.CustomerID
-	backendCalls     *capture.BackendCalls // nil where nothing is captured
-	alone    bool                  // nothing else of ours was there when it went
+	backend      policy.BackendID
+	index        policy.IndexID
+	customer     policy.CustomerID
+	backendCalls *capture.BackendCalls // the recorder's counters of the backend; nil without a recorder
+	alone        bool                  // no other call of this aggregator was in flight to the backend when it was sent
 }
 
+// callKey identifies a call.
 type callKey struct {
 	subquery policy.SubqueryID
-	number       policy.CallNo
+	number   policy.CallNo
 }
 
-// execute executes an action of the policy.
+// execute executes one of the policy's actions.
 func (a *Aggregator) execute(action *policy.Action, now time.Time) {
 	switch action.Kind {
 	case policy.Send:
@@ -59,7 +60,8 @@
 	}
 }
 
-// send adds a call to the batch for its backend; subqueries that one step sends there share calls, up to the layout's number.
+// send adds a call to the batch for its backend. Subqueries that one step sends to the same backend share a batch, up to
+// the layout's SubqueriesPerCall. A full batch is sent at once.
 func (a *Aggregator) send(action *policy.Action, now time.Time) {
 	ref, open := a.subqueries[action.Subquery]
 	if !open {
--- a/internal/dataplane/aggregator/admission.go
+++ b/internal/dataplane/aggregator/admission.go
@@ -8,69 +8,72 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// AdmissionDecision says whether a query is admitted, and with which restrictions.
+// AdmissionDecision states whether a query is admitted and with which restrictions.
 type AdmissionDecision struct {
-	Reason     string  // code of a rejection, "" if admitted
-	Text       string  // the same as a sentence
-	RetryAfter float64 // seconds after which the client may retry, 0 for no advice
-	Zones      *policy.Zones
-	MaxTimeout float64 // most seconds that it may take, 0 for its own time-out
+	Reason     string        // code of the rejection; "" if admitted
+	Text       string        // the rejection as a sentence
+	RetryAfter float64       // seconds after which the client may retry; 0 for no advice
+	Zones      *policy.Zones // locations that may serve the query; nil for all
+	MaxTimeout float64       // maximum seconds from the admission to the answer; 0 to use only the query's own timeout
 }
 
-// Admission decides which queries are admitted and which locations may serve them, by what aggregators agree on (quotas and
-// contracts). None of its methods may block; all are called by the policy's actor.
+// Admission decides which queries are admitted and which locations may serve them. It applies quotas and contracts that
+// the aggregators have agreed on. The aggregator's goroutine calls all methods. None of them may block.
 type Admission interface {
+	// Admit decides on a query.
 	Admit(customer policy.CustomerID, index policy.IndexID) AdmissionDecision
 	// CallEnded reports the end of a call to a backend, elapsed seconds after it was sent.
 	CallEnded(at time.Time, backend string, how policy.Outcome, elapsed float64)
-	// BackendsChanged reports the backends that the list names.
+	// BackendsChanged reports the backends that are in the list now.
 	BackendsChanged([]Placement)
 }
 
-// Placement is a backend's cell, as the list has it.
+// Placement is the cell of a backend according to the list of backends.
 type Placement struct {
 	Name string
 	Cell policy.CellID
 }
 
-// Rules apply to all queries from now on, those in progress included. InForce is called once all calls in flight comply.
+// Rules are agreed rules that apply to all queries from now on, including those in progress. Zones returns the locations
+// that may serve a query; nil means all. InForce is called once all calls in flight comply with the rules.
 type Rules struct {
 	Zones   func(policy.CustomerID, policy.IndexID) *policy.Zones
 	InForce func()
 }
 
-// PeerObservation is what peers observed of a backend: a multiple of the usual latency, which is valid for ValidS seconds and
-// counts while there are few observations of our own.
+// PeerObservation is the latency of a backend that peers observed, as a multiple of the usual latency. It is valid for
+// ValidS seconds and is used while this aggregator has few observations of its own.
 type PeerObservation struct {
 	Backend         string
 	LatencyMultiple float64
 	ValidS          float64
 }
 
-// placement is what the actor remembers of a backend for the admission.
+// placement is a backend's entry in the list, in the form that the admission needs.
 type placement struct {
 	name      string
 	location  policy.LocationID
 	cell      policy.CellID
 	removed   bool
-	relocated bool // another location was named under its number: it may stand anywhere
+	relocated bool // the list has changed the location of this backend ID, so the real location is unknown
 }
 
-// admissionState is the actor's state for the admission.
+// admissionState is the aggregator's state for the admission.
 type admissionState struct {
 	admission    Admission
 	placements   map[policy.BackendID]placement
-	rules        *Rules // not in force yet
-	coveredCells map[*policy.Zones][]bool
-	loggedAt     time.Time
+	rules        *Rules                   // the latest rules until they are in force; nil otherwise
+	coveredCells map[*policy.Zones][]bool // by zones: the cells whose shards have a replica inside them
+	loggedAt     time.Time                // time of the latest warning about uncovered shards
 }
 
-// SetAdmission puts an admission before the policy. It must be called before the first list.
+// SetAdmission sets the admission, which decides on each query before the policy. It must be called before the first list
+// of backends arrives.
 func (a *Aggregator) SetAdmission(admission Admission) {
 	a.admissionState = admissionState{admission: admission, placements: map[policy.BackendID]placement{}, coveredCells: map[*policy.Zones][]bool{}}
 }
 
-// admit requests the admission of a query, and answers one that is refused.
+// admit asks the admission for a decision on a query. It answers a query that is refused.
 func (a *Aggregator) admit(q *Query, now time.Time) (zones *policy.Zones, admitted bool) {
 	decision := a.admissionState.admission.Admit(q.Customer, q.Index)
 	if decision.Reason != "" {
@@ -87,8 +90,8 @@
 	return decision.Zones, true
 }
 
-// logUncovered logs the shards of a query of which no replica is inside its zones: the policy abandons their subqueries at
-// once.
+// logUncovered logs and counts the shards of a query that have no replica inside its zones. The policy abandons the
+// subqueries of these shards at once.
 func (a *Aggregator) logUncovered(query *Query, zones *policy.Zones, now time.Time) {
 	covered, replicas := a.admissionState.coveredCells[zones], max(1, a.settings.Layout.Width)
 	if covered == nil {
@@ -112,7 +115,7 @@
 		return
 	}
 	a.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
-	if now.Sub(a.admissionState.loggedAt) >= time.Second { // one in a second tells enough
+	if now.Sub(a.admissionState.loggedAt) >= time.Second { // at most one line per second
 		a.admissionState.loggedAt = now
 		a.log.Warn("shards without a replica in the zones of the contract",
 			zap.String("lookup", query.ID),
@@ -122,7 +125,8 @@
 	}
 }
 
-// updatePlacements records a list's placements, and gives them to the admission.
+// updatePlacements records the placements of a list and reports them to the admission. A removed backend is kept until no
+// call to it is in flight.
 func (a *Aggregator) updatePlacements(e *Event) {
 	state := &a.admissionState
 	clear(state.coveredCells)
@@ -148,7 +152,7 @@
 	state.admission.BackendsChanged(list)
 }
 
-// hasCallsTo tells whether calls to a backend are in flight.
+// hasCallsTo reports whether calls to a backend are in flight.
 func (a *Aggregator) hasCallsTo(id policy.BackendID) bool {
 	for _, c := range a.inFlight {
 		if c.backend == id {
@@ -158,7 +162,7 @@
 	return false
 }
 
-// applyAgreed adds agreed rules and peers' observations to the policy's event.
+// applyOverrides adds the zones of new rules and the peers' observations to the policy's event.
 func (a *Aggregator) applyOverrides(e *Event, now time.Time) {
 	if e.Override == nil {
 		e.Override = &policy.Overrides{}
@@ -187,7 +191,8 @@
 	}
 }
 
-// confirmRules reports that rules are in force once no call is in flight to a location that they exclude.
+// reportRulesInForce reports that the latest rules are in force, unless a call is in flight to a location that they
+// exclude.
 func (a *Aggregator) reportRulesInForce() {
 	for _, c := range a.inFlight {
 		zones := a.admissionState.rules.Zones(c.customer, c.index)
--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -1,6 +1,10 @@
-// Package aggregator is the actor around the decisions of package policy: it alone calls Step. It owns the clock, the timers
-// and the map of ids, turns events of clients, backends and the list into events of the policy, executes its actions, and
-// decides nothing.
+// Package aggregator runs the decision module, package policy, in a goroutine of its own. It converts events from clients,
+// backends and discovery into the policy's events, passes them to the policy's Step, and executes the actions that Step
+// returns.
+//
+// The aggregator owns the clock, the timers and the mapping between IDs of the policy and queries. Only its goroutine
+// calls Step. The aggregator itself only rejects duplicate queries, queries beyond the limit of pending ones and queries
+// that the admission refuses. All other decisions are the policy's.
 package aggregator
 
 import (
@@ -16,7 +20,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Aggregator is the actor. Its fields but Inbox belong to the goroutine of Run.
+// Aggregator runs the policy. All fields except Inbox belong to the goroutine of Run.
 type Aggregator struct {
 	Inbox *eventqueue.Queue[Event]
 
@@ -27,29 +31,29 @@
 	discovery Discovery
 	policy    *policy.Aggregator
 
-	start      time.Time // with its monotonic reading
-	startUnix  float64   // the same in Unix seconds
-	lastStep   time.Time // last step
-	timers     timers
-	dueTimes        map[policy.TimerID]time.Time // when timers of this step were due
-	lastID     uint64
-	queries    map[policy.QueryID]*Query
-	byClientID map[string]*Query // pending, by the client's id
-	subqueries map[policy.SubqueryID]subqueryRef
-	inFlight   map[callKey]inFlightCall
-	admissionState  admissionState
-	recorder   *capture.Recorder // nil where nothing is captured
-	onInterval func(capture.Interval)
-	pending    []Event
-	events     []policy.Event
-	actions    []policy.Action
-	batches    map[policy.BackendID][]Call // calls of this step that share one
-	batchOrder []policy.BackendID
-	stopping   chan struct{}
-	stopped    chan struct{}
+	start          time.Time // with monotonic clock reading
+	startUnix      float64   // start in Unix seconds
+	lastStep       time.Time // time of the latest step
+	timers         timers
+	dueTimes       map[policy.TimerID]time.Time // due times of the timers that fired in this step
+	lastID         uint64
+	queries        map[policy.QueryID]*Query
+	byClientID     map[string]*Query // pending queries by the client's ID
+	subqueries     map[policy.SubqueryID]subqueryRef
+	inFlight       map[callKey]inFlightCall
+	admissionState admissionState
+	recorder       *capture.Recorder // nil if the load is not captured
+	onInterval     func(capture.Interval)
+	pending        []Event
+	events         []policy.Event
+	actions        []policy.Action
+	batches        map[policy.BackendID][]Call // calls of this step that are not sent yet
+	batchOrder     []policy.BackendID          // backends in the order of their first call in this step
+	stopping       chan struct{}
+	stopped        chan struct{}
 }
 
-// New makes the actor; Run starts it.
+// New returns an aggregator. Run starts it.
 func New(conf settings.Settings, log *zap.Logger, counterSet *counters.Set) *Aggregator {
 	now := time.Now()
 	a := &Aggregator{Inbox: eventqueue.New[Event](), settings: conf, log: log, counters: counterSet, start: now,
@@ -61,28 +65,30 @@
 	return a
 }
 
-// policyTime is a time on the policy's clock, in seconds: Unix time at the start and monotonic time since, so that it can be
-// compared with the starts of backends and never jumps.
+// policyTime converts a time to the policy's clock, in seconds. That clock starts with the Unix time at the start of the
+// aggregator and follows the monotonic clock from there. So it never jumps, and its readings can be compared with the
+// start times of backends.
 func (a *Aggregator) policyTime(t time.Time) float64 { return a.startUnix + t.Sub(a.start).Seconds() }
 
-// wallTime is the time of a reading of the policy's clock.
+// wallTime converts a reading of the policy's clock to a time.
 func (a *Aggregator) wallTime(seconds float64) time.Time {
 	return a.start.Add(time.Duration((seconds - a.startUnix) * float64(time.Second)))
 }
 
-// Capture lets a recorder count the load; each of its intervals goes to done, which may not block. It comes before Run.
+// Capture makes a recorder count the load. Each completed interval is passed to done, which must not block. Capture must be
+// called before Run.
 func (a *Aggregator) Capture(recorder *capture.Recorder, done func(capture.Interval)) {
 	a.recorder, a.onInterval = recorder, done
 }
 
-// Run is the actor's goroutine, until Stop.
+// Run processes events until Stop is called.
 func (a *Aggregator) Run(backends Backends, discovery Discovery) {
 	defer close(a.stopped)
 	a.backends, a.discovery = backends, discovery
 	wake := time.NewTimer(time.Hour)
 	for {
 		a.step(time.Now())
-		// Steps come no closer than the settings say, as on the bench.
+		// Keep the minimum interval between steps, as in the benchmarks of the policy.
 		next := a.lastStep.Add(time.Duration(a.settings.StepInterval * float64(time.Second)))
 		wake.Reset(time.Until(next))
 		select {
@@ -104,13 +110,13 @@
 	}
 }
 
-// Stop ends the actor; queries that are pending then get no answer.
+// Stop ends Run and waits until it has returned. Pending queries get no answer.
 func (a *Aggregator) Stop() {
 	close(a.stopping)
 	<-a.stopped
 }
 
-// step gives the policy all waiting events, and executes the actions that it returns.
+// step passes all waiting events and due timers to the policy and executes the actions that it returns.
 func (a *Aggregator) step(now time.Time) {
 	a.pending = a.Inbox.Take(a.pending)
 	a.events = a.events[:0]
@@ -146,7 +152,7 @@
 	clear(a.actions)
 }
 
-// handleEvent turns an actor's event into those of the policy, in the order of arrival.
+// handleEvent converts an event to events of the policy and appends them in the order of arrival.
 func (a *Aggregator) handleEvent(e *Event, now time.Time) {
 	switch e.Kind {
 	case policy.QueryReceived:
@@ -154,7 +160,7 @@
 		return
 	case policy.ClientDisconnected:
 		if !a.isOpen(e.ClientQuery) {
-			return // answered while it left
+			return // the query was answered or rejected before the disconnect was processed
 		}
 		e.Query = e.ClientQuery.id
 		a.removeQuery(e.ClientQuery)
--- a/internal/dataplane/aggregator/aggregator_test.go
+++ b/internal/dataplane/aggregator/aggregator_test.go
@@ -13,17 +13,18 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// fixture is a module's actor that the test steps itself, and both of its peers.
+// fixture is an aggregator that the test steps itself. It also acts as the aggregator's Backends and Discovery.
 type fixture struct {
 	*Aggregator
-	now    time.Time
-	sent   []sentCall
-	batchSizes  []int // calls that went at once
-	canceled   []policy.SubqueryID
-	probes []policy.BackendID
-	subscribeCalls   int
+	now            time.Time
+	sent           []sentCall
+	batchSizes     []int // number of calls in each batch
+	canceled       []policy.SubqueryID
+	probes         []policy.BackendID
+	subscribeCalls int
 }
 
+// sentCall is a call with the backend that it was sent to.
 type sentCall struct {
 	backend policy.BackendID
 	Call
@@ -64,7 +65,7 @@
 	return r
 }
 
-// put lets events come and the actor step a moment later.
+// process queues events and executes a step 5 ms later.
 func (r *fixture) process(events ...Event) {
 	for _, e := range events {
 		r.Inbox.Put(e)
@@ -73,7 +74,8 @@
 	r.step(r.now)
 }
 
-func (r *fixture) query(id string, index policy.IndexID, subqueries int) Event {
+// queryEvent returns the event of a new query.
+func (r *fixture) queryEvent(id string, index policy.IndexID, subqueries int) Event {
 	q := &Query{ID: id, Index: index, Arrived: r.now, Timeout: 2, Done: make(chan Reply, 1)}
 	for i := range subqueries {
 		q.Subqueries = append(q.Subqueries, Subquery{Shard: policy.ShardID(i), Weight: 1 / float64(subqueries)})
@@ -81,34 +83,36 @@
 	return Event{Event: policy.Event{Kind: policy.QueryReceived}, ClientQuery: q}
 }
 
+// ended returns the event of the call's end.
 func (c sentCall) ended(outcome policy.Outcome, value string) Event {
 	return Event{Value: []byte(value), Event: policy.Event{Kind: policy.CallEnded, Subquery: c.Subquery, Call: c.Number, Backend: c.backend,
 		Outcome: outcome, Elapsed: 0.1}}
 }
 
+// requireReply returns the query's reply. It fails the test if there is none.
 func (q *Query) requireReply(t *testing.T) Reply {
 	t.Helper()
 	select {
 	case reply := <-q.Done:
 		return reply
 	default:
-		t.Fatalf("lookup %s has no answer", q.ID)
+		t.Fatalf("query %s has no reply", q.ID)
 		return Reply{}
 	}
 }
 
 func TestQueryIsAnsweredAfterAllSubqueries(t *testing.T) {
 	r := newFixture(nil)
-	e := r.query("aa", 0, 2)
+	e := r.queryEvent("aa", 0, 2)
 	q := e.ClientQuery
-	q.Arrived = r.now.Add(-time.Second / 4) // it waited for its turn
+	q.Arrived = r.now.Add(-time.Second / 4) // the query waited before this step
 	r.process(e)
 	if len(r.sent) != 2 {
 		t.Fatalf("sent %+v", r.sent)
 	}
 	for _, c := range r.sent {
 		if c.Query != q || c.StopAt.Sub(q.Arrived) > 2*time.Second || c.StopAt.Sub(q.Arrived) < 1999*time.Millisecond {
-			t.Fatalf("stops %v after the arrival", c.StopAt.Sub(q.Arrived))
+			t.Fatalf("the call ends %v after the query's arrival, want 2s", c.StopAt.Sub(q.Arrived))
 		}
 	}
 	r.process(r.sent[1].ended(policy.Answered, "one"), r.sent[1].ended(policy.Answered, "again"))
@@ -119,30 +123,30 @@
 	if got := string(q.Subqueries[0].Value) + string(q.Subqueries[1].Value); got != "zeroone" && got != "onezero" {
 		t.Fatalf("values %q", got)
 	}
-	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: q}) // it left as the answer was on its way
+	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: q}) // the client disconnects while the answer is being sent
 	r.checkCounters(t, map[string]int64{"taken": 1, "satisfied": 1, "gone": 0, "held": 0})
 }
 
-// checkCounters checks counters, and that they add up.
+// checkCounters compares counters with the expected values and checks that they are consistent.
 func (r *fixture) checkCounters(t *testing.T, want map[string]int64) {
 	t.Helper()
 	get := func(reason string) int64 { return r.counters.Get("lookups", reason) }
 	for reason, n := range want {
 		if get(reason) != n {
-			t.Fatalf("%s is %d, expected %d", reason, get(reason), n)
+			t.Fatalf("counter %s is %d, want %d", reason, get(reason), n)
 		}
 	}
 	if got := get("satisfied") + get("nacked") + get("aborted") + get("gone") + get("held"); got != get("taken") {
-		t.Fatalf("taken %d, the rest %d", get("taken"), got)
+		t.Fatalf("counter taken is %d, the sum of its outcomes %d", get("taken"), got)
 	}
 	if int(get("held")) != len(r.queries) || len(r.queries) != len(r.byClientID) {
-		t.Fatalf("held %d, booked %d and %d", get("held"), len(r.queries), len(r.byClientID))
+		t.Fatalf("counter held is %d, pending queries %d by ID and %d by client ID", get("held"), len(r.queries), len(r.byClientID))
 	}
 }
 
 func TestQueriesBeyondMaxPendingAndDuplicatesAreRejected(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Limits.MaxPending = 4 })
-	first, duplicate, second, third := r.query("aa", 0, 2), r.query("aa", 0, 2), r.query("bb", 0, 1), r.query("cc", 0, 1)
+	first, duplicate, second, third := r.queryEvent("aa", 0, 2), r.queryEvent("aa", 0, 2), r.queryEvent("bb", 0, 1), r.queryEvent("cc", 0, 1)
 	r.process(first, duplicate, second, third)
 	if reply := duplicate.ClientQuery.requireReply(t); reply.End != Duplicate {
 		t.Fatalf("got %+v", reply)
@@ -152,12 +156,12 @@
 	}
 	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: first.ClientQuery})
 	if len(r.canceled) != 2 {
-		t.Fatalf("withdrawn %v", r.canceled)
+		t.Fatalf("canceled %v, want 2 calls", r.canceled)
 	}
-	last := r.query("aa", 0, 1)
+	last := r.queryEvent("aa", 0, 1)
 	r.process(last)
 	if len(r.sent) != 4 {
-		t.Fatalf("sent %d", len(r.sent))
+		t.Fatalf("sent %d calls, want 4", len(r.sent))
 	}
 	r.checkCounters(t, map[string]int64{"taken": 3, "gone": 1, "held": 2, "full": 1, "twice": 1})
 }
@@ -169,13 +173,14 @@
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}, Addresses: []string{""}}
 	list.Entries = []policy.Entry{{Backend: 1}}
 	r.process(list)
-	r.process(r.query("aa", 0, 5))
+	r.process(r.queryEvent("aa", 0, 5))
 	if fmt.Sprint(r.batchSizes) != "[2 2 1]" {
-		t.Fatalf("calls of %v parts", r.batchSizes)
+		t.Fatalf("batches of %v calls, want [2 2 1]", r.batchSizes)
 	}
 }
 
-// A timer set again in its own step keeps its beat, however late steps come; one that is far too late starts anew.
+// A periodic timer that is set again in the step in which it fired must not drift because of late steps. If a step is late
+// by more than the period, the timer starts again from that step.
 func TestTimersDoNotDrift(t *testing.T) {
 	r := newFixture(nil)
 	begin := r.timers[0].due
@@ -183,13 +188,13 @@
 		r.now = r.timers[0].due.Add(time.Duration(i%3) * time.Millisecond)
 		r.step(r.now)
 		if got, want := r.timers[0].due.Sub(begin), time.Duration(i)*20*time.Millisecond; got != want {
-			t.Fatalf("beat %d comes at %v, expected %v", i, got, want)
+			t.Fatalf("timer %d is due after %v, want %v", i, got, want)
 		}
 	}
 	r.now = r.timers[0].due.Add(time.Second)
 	r.step(r.now)
 	if got := r.timers[0].due.Sub(r.now); len(r.timers) != 1 || got != 20*time.Millisecond {
-		t.Fatalf("%d timers, the next in %v", len(r.timers), got)
+		t.Fatalf("%d timers, the next due in %v, want 1 timer in 20ms", len(r.timers), got)
 	}
 }
 
@@ -197,10 +202,10 @@
 	r := newFixture(nil)
 	at := time.Now()
 	if s := r.policyTime(at); s < float64(at.UnixNano())/1e9-1 || s > float64(at.UnixNano())/1e9+1 {
-		t.Fatalf("%v is %f", at, s)
+		t.Fatalf("policy time of %v is %f, want Unix seconds", at, s)
 	}
 	if off := r.wallTime(r.policyTime(at)).Sub(at); off > time.Microsecond || off < -time.Microsecond {
-		t.Fatalf("off by %v", off)
+		t.Fatalf("converted time is off by %v", off)
 	}
 }
 
@@ -209,7 +214,7 @@
 	go r.Run(r, r)
 	begin := time.Now()
 	for i := range 40 {
-		e := r.query(fmt.Sprint(i), 0, 1)
+		e := r.queryEvent(fmt.Sprint(i), 0, 1)
 		e.ClientQuery.Arrived = time.Now()
 		r.Inbox.Put(e)
 		time.Sleep(time.Millisecond)
@@ -219,12 +224,12 @@
 	r.Stop()
 	r.checkCounters(t, map[string]int64{"taken": 40})
 	last, steps := time.Time{}, 0
-	for _, c := range r.sent { // calls of one step were sent at one time
+	for _, c := range r.sent { // calls of one step have the same time
 		if c.Sent.Equal(last) {
 			continue
 		}
 		if gap := c.Sent.Sub(last); gap < 5*time.Millisecond {
-			t.Fatalf("two steps %v apart", gap)
+			t.Fatalf("two steps are %v apart, want at least 5ms", gap)
 		}
 		last = c.Sent
 		steps++
@@ -234,7 +239,9 @@
 	}
 }
 
-// FuzzRules plays queries through the actor and checks what clients and backends see of the rules.
+// FuzzQueriesKeepTheRules sends random queries, call results and disconnects through the aggregator. It checks that each
+// query gets one reply in time, that no subquery is sent after its query has ended, and that a subquery of an
+// at-most-once index is sent again only if none of its ended calls can have been executed.
 func FuzzQueriesKeepTheRules(f *testing.F) {
 	for seed := range uint64(12) {
 		f.Add(seed)
@@ -246,12 +253,12 @@
 			s.Limits.Hedge = rng.IntN(2) == 0
 		})
 		open := map[*Query]bool{}
-		neverExecuted := map[policy.SubqueryID]bool{} // once-only subqueries all of whose calls surely never ran
+		neverExecuted := map[policy.SubqueryID]bool{} // by sent subquery: whether none of its ended calls can have been executed
 		seen, pending := 0, []sentCall(nil)
 		for i := range 1500 {
 			var events []Event
 			if rng.IntN(8) == 0 && i < 900 {
-				e := r.query(fmt.Sprint(i), policy.IndexID(rng.IntN(2)), 1+rng.IntN(4))
+				e := r.queryEvent(fmt.Sprint(i), policy.IndexID(rng.IntN(2)), 1+rng.IntN(4))
 				events = append(events, e)
 				open[e.ClientQuery] = true
 			}
@@ -284,10 +291,10 @@
 			for ; seen < len(r.sent); seen++ {
 				c := r.sent[seen]
 				if notExecuted, sentBefore := neverExecuted[c.Subquery]; c.Query.Index == 1 && sentBefore && !notExecuted {
-					t.Fatalf("a once-only part of %s was sent again", c.Query.ID)
+					t.Fatalf("an at-most-once subquery of %s was sent again although an earlier call may have been executed", c.Query.ID)
 				}
 				if !r.isOpen(c.Query) && !open[c.Query] {
-					t.Fatalf("a part of %s was sent after its end", c.Query.ID)
+					t.Fatalf("a subquery of %s was sent after the end of the query", c.Query.ID)
 				}
 				neverExecuted[c.Subquery] = true
 				pending = append(pending, c)
@@ -298,19 +305,19 @@
 					delete(open, q)
 					for _, p := range q.Subqueries {
 						if reply.End == Satisfied && (!reply.Complete || !p.Answered || string(p.Value) != q.ID) {
-							t.Fatalf("lookup %s: %+v with part %+v", q.ID, reply, p)
+							t.Fatalf("query %s: reply %+v with subquery %+v", q.ID, reply, p)
 						}
 					}
 				default:
 					if r.now.Sub(q.Arrived).Seconds() > q.Timeout {
-						t.Fatalf("lookup %s has no answer in time", q.ID)
+						t.Fatalf("query %s has no reply within its timeout", q.ID)
 					}
 				}
 			}
 			r.checkCounters(t, nil)
 		}
 		if len(open) > 0 || len(r.queries) != 0 || len(r.subqueries) > 0 || len(r.inFlight) != len(pending) {
-			t.Fatalf("%d lookups open, %d held, %d parts, %d calls booked of %d", len(open), len(r.queries), len(r.subqueries), len(r.inFlight), len(pending))
+			t.Fatalf("%d queries without reply, %d pending queries, %d subqueries, %d calls in flight, want %d", len(open), len(r.queries), len(r.subqueries), len(r.inFlight), len(pending))
 		}
 	})
 }
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -11,41 +11,41 @@
 
 var recorderNames = capture.Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
 
-// What the actor tells a recorder is what came and what became of it.
+// The recorder must count all queries, calls and backends, and how they ended.
 func TestRecorderCapturesTheLoad(t *testing.T) {
 	r := newFixture(nil)
 	var got []capture.Interval
 	r.Capture(capture.New("n1", recorderNames, 0.1), func(i capture.Interval) { got = append(got, i) })
 	r.process(Event{Event: policy.Event{Kind: policy.ListChanged, Entries: []policy.Entry{{Backend: 1}}}, Addresses: []string{"x:1"}, Names: []Name{{"s-1", "north"}}})
-	one, two := r.query("aa", 0, 2), r.query("bb", 1, 1)
+	one, two := r.queryEvent("aa", 0, 2), r.queryEvent("bb", 1, 1)
 	r.process(one, two)
 	for _, c := range r.sent {
 		r.process(c.ended(policy.Answered, "v"))
 	}
-	gone := r.query("cc", 0, 1)
+	gone := r.queryEvent("cc", 0, 1)
 	r.process(gone)
 	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: gone.ClientQuery})
 	for range 30 {
 		r.process(Event{Event: policy.Event{Kind: policy.TimerDue, Timer: 99}})
 	}
 	if len(got) == 0 {
-		t.Fatal("no interval")
+		t.Fatal("no interval was completed")
 	}
 	sum := capture.Capture{Intervals: got}.Sum()
 	if l := sum.Loads; len(l) != 2 || l[1].Queries != 2 || l[1].Parts != 3 || l[1].Ends.Satisfied != 1 || l[1].Ends.Disconnected != 1 || l[0].Ends.Satisfied != 1 {
-		t.Fatalf("got %+v", l)
+		t.Fatalf("loads are %+v", l)
 	}
 	calls, alone := int64(0), int64(0)
 	for _, s := range sum.Backends {
 		calls, alone = calls+s.Calls, alone+s.Alone.Count()
 	}
 	if calls != 3 || alone == 0 || sum.InFlight.Most != 2 {
-		t.Fatalf("%d calls, %d alone, held %+v", calls, alone, sum.InFlight)
+		t.Fatalf("%d calls, %d without others in flight to the backend, in flight %+v", calls, alone, sum.InFlight)
 	}
 }
 
-// BenchmarkCapture tells, by turns in one run, what the actor's work for a query of four subqueries costs with a recorder against
-// without. It is the actor's work alone: sockets, heads and bodies, several times as much, are not in it.
+// BenchmarkCapture compares the aggregator's work for a query of four subqueries with and without a recorder, alternating
+// between the two. It excludes connections, headers and bodies, which take several times as long.
 func BenchmarkCapture(b *testing.B) {
 	with, without := newFixture(nil), newFixture(nil)
 	with.Capture(capture.New("n1", recorderNames, 10), func(capture.Interval) {})
@@ -54,7 +54,7 @@
 	for b.Loop() {
 		for i, r := range []*fixture{with, without} {
 			n++
-			e := r.query(fmt.Sprint(n), 0, 4)
+			e := r.queryEvent(fmt.Sprint(n), 0, 4)
 			r.sent = r.sent[:0]
 			started := time.Now()
 			r.process(e)
@@ -68,7 +68,7 @@
 			select {
 			case <-e.ClientQuery.Done:
 			default:
-				b.Fatal("no answer")
+				b.Fatal("no reply")
 			}
 		}
 	}
--- a/internal/dataplane/aggregator/interface.go
+++ b/internal/dataplane/aggregator/interface.go
@@ -6,44 +6,52 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Event is an event for the aggregator: one of the policy's events with what it has no field for. A query comes as one
-// event, which brings its subqueries.
+// Event is an event for the aggregator. It extends the policy's event by data that the policy does not need. A query and
+// its subqueries arrive as one event.
 type Event struct {
 	policy.Event
-	ClientQuery      *Query            // LookupTaken, and ClientGone
-	Value            []byte            // CallEnded
-	Addresses        []string          // ListChanged: one for each entry
-	Names            []Name            // the same
-	Rules            *Rules            // OverridesChanged: what a gate goes by from here on
-	PeerObservations []PeerObservation // the same: what it makes of backends
+	ClientQuery      *Query            // for QueryReceived and ClientDisconnected
+	Value            []byte            // for CallEnded: the backend's answer
+	Addresses        []string          // for ListChanged: the address of each entry
+	Names            []Name            // for ListChanged: the names of each entry
+	Rules            *Rules            // for OverridesChanged: new rules of the admission; nil if unchanged
+	PeerObservations []PeerObservation // for OverridesChanged: peers' observations of backends
 }
 
-// Name has the list's names of a backend and of its location, for which the policy has numbers.
+// Name contains the names of a backend and its location in the list. The policy uses numeric IDs instead.
 type Name struct{ Backend, Location string }
 
-// Call is a subquery's call to a backend.
+// Call is an attempt of a subquery at a backend.
 type Call struct {
 	Subquery policy.SubqueryID
-	Number       policy.CallNo
-	Query    *Query // of which only what never changes may be read
+	Number   policy.CallNo
+	Query    *Query // only fields that never change may be read
 	Shard    policy.ShardID
 	Sent     time.Time
-	StopAt     time.Time // when to stop waiting
-	StartBy    time.Time // when its write must have started; after that it must not be written
+	StopAt   time.Time // end of the wait for an answer
+	StartBy  time.Time // latest time to start writing the call; later it must not be written
 }
 
 // Backends sends calls and probes to backends. None of its methods may block.
 type Backends interface {
+	// Update adds a backend or changes its entry and address.
 	Update(entry policy.Entry, address string)
+	// Retain removes all backends that are not in keep.
 	Retain(keep map[policy.BackendID]bool)
+	// Send sends calls to a backend as one batch.
 	Send(backend policy.BackendID, calls []Call)
+	// Cancel cancels a call.
 	Cancel(backend policy.BackendID, subquery policy.SubqueryID, number policy.CallNo)
+	// Probe sends a probe to a backend, on a separate connection if so requested.
 	Probe(backend policy.BackendID, separateConnection bool)
+	// CloseIdle closes idle connections to a backend.
 	CloseIdle(backend policy.BackendID)
 }
 
 // Discovery requests the list of backends. None of its methods may block.
 type Discovery interface {
+	// Subscribe turns the subscription to changes of the list on or off.
 	Subscribe(on bool)
+	// RequestFullList requests the complete list.
 	RequestFullList()
 }
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -9,10 +9,10 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// subqueryRef is where the policy's id of a subquery leads.
+// subqueryRef refers to a subquery by its query and its position in Query.Subqueries.
 type subqueryRef struct {
-	query *Query
-	position    int
+	query    *Query
+	position int
 }
 
 // addQuery passes a query and its subqueries to the policy, unless the limit of pending queries is reached.
@@ -23,7 +23,7 @@
 		a.recordQueryEnd(q, capture.Full, now)
 		q.Done <- Reply{End: QueueFull}
 		return
-	case a.byClientID[q.ID] != nil: // their calls would have the same names
+	case a.byClientID[q.ID] != nil: // calls are named after the query's ID, so two pending queries with one ID could not be told apart
 		a.counters.Add("lookups", "twice", 1)
 		q.Done <- Reply{End: Duplicate}
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-// shards yields the shard of each subquery.
+// shards iterates over the shards of the subqueries.
 func (q *Query) shards(yield func(policy.ShardID) bool) {
 	for i := range q.Subqueries {
 		if !yield(q.Subqueries[i].Shard) {
@@ -69,19 +69,21 @@
 	}
 }
 
-// recordEnd records a query's end, where there is a recorder.
+// recordQueryEnd reports a query's end to the recorder, if there is one.
 func (a *Aggregator) recordQueryEnd(q *Query, end capture.End, now time.Time) {
 	if a.recorder != nil {
 		a.recorder.QueryEnded(a.policyTime(now), q.Index, q.Customer, end, now.Sub(q.Arrived).Seconds())
 	}
 }
 
+// captureEnds maps the policy's ways to end a query to those of the capture.
 var captureEnds = [...]capture.End{Satisfied: capture.Answered, Nacked: capture.Nacked, Aborted: capture.Aborted}
 
-// isOpen tells whether a query was received and has no final answer yet.
+// isOpen reports whether a query is pending: it was passed to the policy and has neither a final reply nor a disconnected
+// client.
 func (a *Aggregator) isOpen(q *Query) bool { return a.queries[q.id] == q }
 
-// removeQuery removes a query that has its final answer, or no client any more.
+// removeQuery removes a query that has its final reply or whose client has disconnected.
 func (a *Aggregator) removeQuery(q *Query) {
 	a.counters.Add("lookups", "held", -1)
 	delete(a.queries, q.id)
@@ -91,7 +93,7 @@
 	}
 }
 
-// finishQuery gives a query its final reply.
+// finishQuery removes a query and sends its final reply.
 func (a *Aggregator) finishQuery(id policy.QueryID, reason string, reply Reply, now time.Time) {
 	q := a.queries[id]
 	if q == nil {
--- a/internal/dataplane/aggregator/races_test.go
+++ b/internal/dataplane/aggregator/races_test.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// orders yields each order of n things.
+// permutations calls yield with each permutation of the numbers 0 to n-1.
 func permutations(n int, yield func([]int)) {
 	order := make([]int, n)
 	for i := range order {
@@ -30,17 +30,18 @@
 	permute(0)
 }
 
-// The ends of both calls, the client's disconnect and the hard deadline come in one and the same step, in each order, however the calls end and
-// whatever the index allows: there is one final answer, or the client has gone, and nothing of the query goes out after that or stays.
+// The ends of both calls of a query, the client's disconnect and the hard deadline are processed in one step, in each
+// order, for each outcome of the calls and both indexes. There must be either one reply or a counted disconnect. After
+// that, no call of the query may be sent and none of its state may remain.
 func TestSimultaneousEndsGiveOneFinalAnswer(t *testing.T) {
 	outcomes := []policy.Outcome{policy.Answered, policy.Errored, policy.Rejected, policy.TimedOut, policy.NotConnected, policy.Broken, policy.Canceled, policy.NotSent}
 	for index := range policy.IndexID(2) {
 		for _, first := range outcomes {
 			for _, second := range outcomes {
-				for _, late := range []time.Duration{0, 3 * time.Second} { // past the wait: its timers come behind
+				for _, late := range []time.Duration{0, 3 * time.Second} { // with 3 s the query's timeout has passed, and timers follow the events
 					permutations(3, func(order []int) {
 						r := newFixture(nil)
-						e := r.query("aa", index, 2)
+						e := r.queryEvent("aa", index, 2)
 						r.process(e)
 						if len(r.sent) != 2 {
 							t.Fatalf("sent %+v", r.sent)
@@ -52,7 +53,7 @@
 						description := fmt.Sprintf("index %d, outcomes %d and %d, order %v, %s late", index, first, second, order, late)
 						sent := len(r.sent)
 						for i := range 40 {
-							for _, c := range r.sent[2:] { // a subquery that went again before its client was known to have left
+							for _, c := range r.sent[2:] { // calls of subqueries that were sent again before the disconnect was processed
 								if _, inFlight := r.inFlight[callKey{c.Subquery, c.Number}]; inFlight {
 									r.process(c.ended(policy.Canceled, ""))
 								}
@@ -61,16 +62,16 @@
 							r.process(Event{Event: policy.Event{Kind: policy.CallEnded, Subquery: 1 << 40, Call: policy.CallNo(i)}})
 						}
 						if len(r.sent) != sent {
-							t.Fatalf("%s: %d calls after its end", description, len(r.sent)-sent)
+							t.Fatalf("%s: %d calls were sent after the end of the query", description, len(r.sent)-sent)
 						}
 						answers := len(e.ClientQuery.Done)
 						gone := int(r.counters.Get("lookups", "gone"))
 						if answers+gone != 1 {
-							t.Fatalf("%s: %d answers, gone %d", description, answers, gone)
+							t.Fatalf("%s: %d replies, counter gone %d, want a sum of 1", description, answers, gone)
 						}
 						r.checkCounters(t, map[string]int64{"taken": 1, "held": 0})
 						if len(r.queries)+len(r.byClientID)+len(r.subqueries)+len(r.inFlight) != 0 {
-							t.Fatalf("%s: left are %v %v %v %v", description, r.queries, r.byClientID, r.subqueries, r.inFlight)
+							t.Fatalf("%s: remaining queries %v, client IDs %v, subqueries %v, calls %v", description, r.queries, r.byClientID, r.subqueries, r.inFlight)
 						}
 					})
 				}
@@ -79,15 +80,16 @@
 	}
 }
 
-// A client that left while its query waited in the queue, or for a backend to have room: nothing of it is sent, neither then nor later.
+// If a client disconnects while its query waits in the inbox or for capacity of a backend, no call of the query may be
+// sent, then or later.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Rules.SlowStartShare = 0.2 })
-	e := r.query("aa", 0, 4)
+	e := r.queryEvent("aa", 0, 4)
 	r.process(e, Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: e.ClientQuery})
 	if len(r.sent) != 0 {
 		t.Fatalf("sent %+v", r.sent)
 	}
-	// All backends start anew and are cold: of many queries some wait until they may take more.
+	// All backends have just started, so slow start limits their calls: of many queries, some have to wait.
 	list := Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}, Addresses: make([]string, 8)}
 	for i := range 8 {
 		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 20), Cell: policy.CellID(i % 4), StartedAt: r.policyTime(r.now)})
@@ -95,7 +97,7 @@
 	r.process(list)
 	var queries []Event
 	for i := range 300 {
-		queries = append(queries, r.query(fmt.Sprint("c", i), 0, 4))
+		queries = append(queries, r.queryEvent(fmt.Sprint("c", i), 0, 4))
 	}
 	r.process(queries...)
 	started := map[*Query]bool{}
@@ -111,16 +113,16 @@
 		}
 	}
 	if waiting == 0 {
-		t.Fatalf("none of %d lookups waits", len(queries))
+		t.Fatalf("none of %d queries waits for capacity", len(queries))
 	}
 	r.process(disconnects...)
 	sent := len(r.sent)
-	for i := 0; i < len(r.sent); i++ { // all that is out ends, so that there is room
+	for i := 0; i < len(r.sent); i++ { // end all sent calls to free capacity
 		r.process(r.sent[i].ended(policy.Answered, "v"))
 	}
 	for _, c := range r.sent[sent:] {
 		if !started[c.Query] {
-			t.Fatalf("lookup %s went out after its client had left", c.Query.ID)
+			t.Fatalf("query %s was sent after its client had disconnected", c.Query.ID)
 		}
 	}
 }
--- a/internal/dataplane/asynclog/logger.go
+++ b/internal/dataplane/asynclog/logger.go
@@ -1,5 +1,6 @@
-// Package asynclog is the log of an aggregator: one JSON object a line, with level, time (milliseconds since 1970) and message.
-// A slow reader of the log never delays the aggregator: lines that find no room are dropped and counted.
+// Package asynclog writes the log of an aggregator. Each line is a JSON object with level, time (milliseconds since the Unix
+// epoch) and message. A slow reader of the log never delays the aggregator: a line is dropped and reported if the buffer
+// is full.
 package asynclog
 
 import (
@@ -9,12 +10,12 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New makes a log that writes lines of every level to out, which several goroutines may use at once.
+// New returns a logger that writes lines of every level to out. Out must be safe for concurrent use.
 func New(out zapcore.WriteSyncer) *zap.Logger {
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(configuration()), out, zapcore.DebugLevel))
 }
 
-// configuration names the fields that each line has.
+// configuration returns the encoding of a line and of its standard fields.
 func configuration() zapcore.EncoderConfig {
 	return zapcore.EncoderConfig{
 		LevelKey:       "level",
@@ -27,7 +28,7 @@
 	}
 }
 
-// encodeMilliseconds writes a time as whole milliseconds since 1970.
+// encodeMilliseconds encodes a time as whole milliseconds since the Unix epoch.
 func encodeMilliseconds(at time.Time, line zapcore.PrimitiveArrayEncoder) {
 	line.AppendInt64(at.UnixMilli())
 }
--- a/internal/dataplane/asynclog/logger_test.go
+++ b/internal/dataplane/asynclog/logger_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// line is what readers of an aggregator's log rely on.
+// line is the format of a log line that readers of an aggregator's log rely on.
 type line struct {
 	Level      string  `json:"level"`
 	Time       int64   `json:"time"`
@@ -29,12 +29,12 @@
 }
 
 func TestLogLines(t *testing.T) {
-	Convey("A log of a mixer", t, func() {
+	Convey("The log of an aggregator", t, func() {
 		var out bytes.Buffer
 		log := New(zapcore.AddSync(&out)).With(zap.String("mixer", "n1"))
 		before := time.Now().UnixMilli()
 
-		Convey("has one JSON object a line, whatever the text", func() {
+		Convey("has one JSON object per line, also for text with line breaks and invalid UTF-8", func() {
 			log.Info("connection ended", zap.String("text", "two\nlines \"quoted\" \xff"), zap.Float64("lived_s", 0.25))
 			log.Warn("http")
 			log.Debug("module")
@@ -71,7 +71,7 @@
 	})
 }
 
-// BenchmarkLogLine writes the line that an aggregator writes most often, when a client's connection ends.
+// BenchmarkLogLine writes the most frequent line of an aggregator: the end of a client's connection.
 func BenchmarkLogLine(b *testing.B) {
 	out := NewWriter(io.Discard, 1024, func() {})
 	defer out.Close()
--- a/internal/dataplane/asynclog/writer.go
+++ b/internal/dataplane/asynclog/writer.go
@@ -5,34 +5,36 @@
 	"sync"
 )
 
-// maxPooledBuffer is the capacity, in bytes, up to which the buffer of a line is used again: one long line must not stay for good.
+// maxPooledBuffer is the maximum capacity, in bytes, of a buffer that is reused. The memory of a longer line is released.
 const maxPooledBuffer = 64 << 10
 
-// Writer writes lines to another writer from a goroutine of its own. Its Write never waits: a line that finds no room is dropped.
+// Writer writes lines to another writer from a goroutine of its own. Write never blocks: a line is dropped if the buffer is
+// full.
 type Writer struct {
 	out     io.Writer
-	lines   chan *[]byte // nil after the last
+	lines   chan *[]byte // buffered lines; nil marks the end
 	buffers sync.Pool
 	dropped func()
-	ended   chan struct{}
+	done    chan struct{} // closed when run has returned
 }
 
-// NewWriter makes a writer to out that lets so many lines wait, and calls dropped for each one that it drops, from any goroutine.
-func NewWriter(out io.Writer, waiting int, dropped func()) *Writer {
+// NewWriter returns a writer to out that buffers up to maxLines lines. It calls dropped for each line that it drops, from
+// the goroutine that called Write.
+func NewWriter(out io.Writer, maxLines int, dropped func()) *Writer {
 	w := &Writer{
 		out:     out,
-		lines:   make(chan *[]byte, waiting),
+		lines:   make(chan *[]byte, maxLines),
 		buffers: sync.Pool{New: func() any { return new([]byte) }},
 		dropped: dropped,
-		ended:   make(chan struct{}),
+		done:    make(chan struct{}),
 	}
 	go w.run()
 	return w
 }
 
-// Write takes a copy of a line, or drops the line; it has no error.
+// Write buffers a copy of a line, or drops the line if the buffer is full. It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
-	buffer := w.buffers.Get().(*[]byte) //nolint:forcetypeassert // the pool makes and takes nothing else
+	buffer := w.buffers.Get().(*[]byte) //nolint:forcetypeassert // the pool contains only this type
 	*buffer = append((*buffer)[:0], line...)
 	select {
 	case w.lines <- buffer:
@@ -43,29 +45,30 @@
 	return len(line), nil
 }
 
-// Sync does nothing: lines go out as soon as whoever reads them lets them, and Close waits for the last.
+// Sync does nothing. Lines are written without delay, and Close waits for the last one.
 func (*Writer) Sync() error { return nil }
 
-// Close returns once all lines that wait are written. It is called once; lines that come later are not written.
+// Close writes all buffered lines and stops the writer. It must be called only once. Later lines are not written.
 func (w *Writer) Close() {
 	w.lines <- nil
-	<-w.ended
+	<-w.done
 }
 
-// run writes lines until the end that Close puts behind them.
+// run writes lines until it reads the end mark of Close.
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.done)
 	for buffer := <-w.lines; buffer != nil; buffer = <-w.lines {
 		w.write(buffer)
 	}
 }
 
-// write writes a line. An error has nowhere to go: it is the log that fails.
+// write writes a line. It ignores errors: the log itself has failed, so they cannot be logged.
 func (w *Writer) write(buffer *[]byte) {
 	_, _ = w.out.Write(*buffer)
 	w.recycle(buffer)
 }
 
+// recycle returns a buffer to the pool unless it is too large.
 func (w *Writer) recycle(buffer *[]byte) {
 	if cap(*buffer) <= maxPooledBuffer {
 		w.buffers.Put(buffer)
--- a/internal/dataplane/asynclog/writer_test.go
+++ b/internal/dataplane/asynclog/writer_test.go
@@ -11,23 +11,23 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// patience bounds the wait for what happens at once unless it is lost.
-const patience = 10 * time.Second
+// waitTimeout limits the wait for an event that normally follows at once.
+const waitTimeout = 10 * time.Second
 
-// slowReader is a standard output whose reader takes a line only when it is told to.
-type slowReader struct {
-	begun   chan struct{} // one for each line that is being written
-	proceed chan struct{} // closed once all lines may go
+// blockedOutput is an output that blocks each write until the channel proceed is closed.
+type blockedOutput struct {
+	started chan struct{} // receives a value at the start of each write
+	proceed chan struct{} // closed to let all writes proceed
 	mu      sync.Mutex
 	text    strings.Builder
 }
 
-func newSlowReader() *slowReader {
-	return &slowReader{begun: make(chan struct{}, 100), proceed: make(chan struct{})}
+func newBlockedOutput() *blockedOutput {
+	return &blockedOutput{started: make(chan struct{}, 100), proceed: make(chan struct{})}
 }
 
-func (r *slowReader) Write(line []byte) (int, error) {
-	r.begun <- struct{}{}
+func (r *blockedOutput) Write(line []byte) (int, error) {
+	r.started <- struct{}{}
 	<-r.proceed
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,47 +35,47 @@
 }
 
 func TestWriter(t *testing.T) {
-	Convey("A writer of 3 waiting lines whose reader stands still", t, func() {
-		reader := newSlowReader()
+	Convey("A writer with a buffer of 3 lines and a blocked output", t, func() {
+		output := newBlockedOutput()
 		var dropped atomic.Int64
-		writer := NewWriter(reader, 3, func() { dropped.Add(1) })
+		writer := NewWriter(output, 3, func() { dropped.Add(1) })
 		writer.Write([]byte("0\n"))
 		select {
-		case <-reader.begun:
-		case <-time.After(patience):
+		case <-output.started:
+		case <-time.After(waitTimeout):
 			t.Fatal("the first line was not written")
 		}
 
-		Convey("takes 3 more, drops the rest and counts them, and writes what it took before it closes", func() {
+		Convey("buffers 3 more lines, drops and counts the rest, and writes the buffered lines before it closes", func() {
 			buffer := make([]byte, 0, 10)
 			for i := 1; i <= 8; i++ {
-				buffer = fmt.Appendf(buffer[:0], "%d\n", i) // the caller uses its buffer again
+				buffer = fmt.Appendf(buffer[:0], "%d\n", i) // the caller reuses its buffer
 				n, err := writer.Write(buffer)
 				So(n, ShouldEqual, len(buffer))
 				So(err, ShouldBeNil)
 			}
 			So(dropped.Load(), ShouldEqual, 5)
-			close(reader.proceed)
+			close(output.proceed)
 			writer.Close()
-			So(reader.text.String(), ShouldEqual, "0\n1\n2\n3\n")
+			So(output.text.String(), ShouldEqual, "0\n1\n2\n3\n")
 		})
-		Convey("lets lines come after its end, which are dropped once there is no room", func() {
-			close(reader.proceed)
+		Convey("accepts lines after Close, and drops them once the buffer is full", func() {
+			close(output.proceed)
 			writer.Close()
 			for range 5 {
 				writer.Write([]byte("late\n"))
 			}
 			So(dropped.Load(), ShouldEqual, 2)
-			So(reader.text.String(), ShouldEqual, "0\n")
+			So(output.text.String(), ShouldEqual, "0\n")
 		})
 	})
-	Convey("Lines of many goroutines stay whole, and each is written or counted", t, func() {
+	Convey("Lines of many goroutines are not mixed, and each is written or counted as dropped", t, func() {
 		const goroutines, each = 8, 200
-		reader := newSlowReader()
-		reader.begun = make(chan struct{}, goroutines*each)
-		close(reader.proceed)
+		output := newBlockedOutput()
+		output.started = make(chan struct{}, goroutines*each)
+		close(output.proceed)
 		var dropped atomic.Int64
-		writer := NewWriter(reader, 16, func() { dropped.Add(1) })
+		writer := NewWriter(output, 16, func() { dropped.Add(1) })
 		var all sync.WaitGroup
 		for g := range goroutines {
 			all.Go(func() {
@@ -87,7 +87,7 @@
 		}
 		all.Wait()
 		writer.Close()
-		lines := strings.Split(strings.TrimSuffix(reader.text.String(), "\n"), "\n")
+		lines := strings.Split(strings.TrimSuffix(output.text.String(), "\n"), "\n")
 		So(int64(len(lines))+dropped.Load(), ShouldEqual, goroutines*each)
 		for _, text := range lines {
 			So(text, ShouldEqual, strings.Repeat(text[:1], 50))
