--- a/internal/dataplane/aggregator/admission.go
+++ b/internal/dataplane/aggregator/admission.go
@@ -23,7 +23,7 @@
 	// Admit decides on a query.
 	Admit(customer policy.CustomerID, index policy.IndexID) AdmissionDecision
 	// CallEnded reports the end of a call to a backend, elapsed seconds after it was sent.
-	CallEnded(at time.Time, backend string, how policy.Outcome, elapsed float64)
+	CallEnded(at time.Time, backend string, outcome policy.Outcome, elapsed float64)
 	// BackendsChanged reports the backends that are in the list now.
 	BackendsChanged([]Placement)
 }
--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -2,9 +2,11 @@
 // backends and discovery into the policy's events, passes them to the policy's Step, and executes the actions that Step
 // returns.
 //
-// The aggregator owns the clock, the timers and the mapping between IDs of the policy and queries. Only its goroutine
-// calls Step. The aggregator itself only rejects duplicate queries, queries beyond the limit of pending ones and queries
-// that the admission refuses. All other decisions are the policy's.
+// Other goroutines put events into the Inbox. The aggregator owns the clock, the timers and the mapping between IDs of the
+// policy and queries. Only the goroutine of Run calls Step.
+//
+// The aggregator itself rejects duplicate queries, queries beyond the limit of pending ones and queries that the admission
+// refuses. It makes no other decision: those are the policy's.
 package aggregator
 
 import (
@@ -44,7 +46,7 @@
 	admissionState admissionState
 	recorder       *capture.Recorder // nil if the load is not captured
 	onInterval     func(capture.Interval)
-	pending        []Event
+	pendingEvents  []Event
 	events         []policy.Event
 	actions        []policy.Action
 	batches        map[policy.BackendID][]Call // calls of this step that are not sent yet
@@ -118,10 +120,10 @@
 
 // step passes all waiting events and due timers to the policy and executes the actions that it returns.
 func (a *Aggregator) step(now time.Time) {
-	a.pending = a.Inbox.Take(a.pending)
+	a.pendingEvents = a.Inbox.Take(a.pendingEvents)
 	a.events = a.events[:0]
-	for i := range a.pending {
-		a.handleEvent(&a.pending[i], now)
+	for i := range a.pendingEvents {
+		a.handleEvent(&a.pendingEvents[i], now)
 	}
 	clear(a.dueTimes)
 	for len(a.timers) > 0 && !a.timers[0].due.After(now) {
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -15,7 +15,8 @@
 	position int
 }
 
-// addQuery passes a query and its subqueries to the policy, unless the limit of pending queries is reached.
+// addQuery passes a query and its subqueries to the policy. It rejects the query if the limit of pending queries is
+// reached, if a query with the same ID is pending, or if the admission refuses it.
 func (a *Aggregator) addQuery(q *Query, now time.Time) {
 	switch {
 	case a.settings.Limits.MaxPending > 0 && len(a.queries)+len(a.subqueries) >= a.settings.Limits.MaxPending:
@@ -76,7 +77,7 @@
 	}
 }
 
-// captureEnds maps the policy's ways to end a query to those of the capture.
+// captureEnds maps the ends of queries that the policy has ended to those of the capture.
 var captureEnds = [...]capture.End{Satisfied: capture.Answered, Nacked: capture.Nacked, Aborted: capture.Aborted}
 
 // isOpen reports whether a query is pending: it was passed to the policy and has neither a final reply nor a disconnected
--- a/internal/dataplane/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -67,7 +67,7 @@
 	mutex    sync.Mutex
 	view     *view
 	current  bool                        // whether the agent's latest answer says that the feed is current
-	polledAt time.Time                   // when the latest answered poll was sent; the answer's arrival would not count a pause of this process
+	polledAt time.Time                   // when the latest answered poll was sent; the process may have been paused before it handled the answer
 	attempts map[*leaderAttempt]struct{} // in progress
 }
 
@@ -93,18 +93,18 @@
 
 // run polls the agent until the context ends.
 func (f *feedFollower) run(ctx context.Context) {
-	retry := minRetryDelay
+	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
 		progress, err := f.poll(ctx)
 		switch {
 		case err != nil:
 			f.log.Debug("feed not read", zap.Error(err))
-			timer.Sleep(ctx, retry)
-			retry = min(2*retry, maxRetryDelay)
+			timer.Sleep(ctx, retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		case !progress:
 			timer.Sleep(ctx, noProgressDelay)
 		default:
-			retry = minRetryDelay
+			retryDelay = minRetryDelay
 		}
 	}
 }
--- a/internal/dataplane/proxy/handler.go
+++ b/internal/dataplane/proxy/handler.go
@@ -130,18 +130,18 @@
 	}
 }
 
-func (h *handler) submit(w http.ResponseWriter, r *http.Request, request jobRequest, maxBytes int64) {
+func (h *handler) submit(w http.ResponseWriter, r *http.Request, request jobRequest, maxBodyBytes int64) {
 	if !request.id.Valid() {
 		writeError(w, http.StatusBadRequest, "the job's ID must be 16 hexadecimal digits")
 		return
 	}
-	release, ok := h.bodies.reserve(r.ContentLength, maxBytes)
+	release, ok := h.bodies.reserve(r.ContentLength, maxBodyBytes)
 	if !ok {
 		writeUnavailable(w, "too many requests under way")
 		return
 	}
 	defer release()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		writeBodyError(w, err)
 		return
