--- a/internal/dataplane/aggregator/aggregator_test.go
+++ b/internal/dataplane/aggregator/aggregator_test.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// A periodic timer that is set again in the step in which it fired must not drift because of late steps. If a step is late
-// by more than the period, the timer starts again from that step.
+// TestTimersDoNotDrift sets a periodic timer again in the step in which it fired. Late steps must not make it drift. If a
+// step is late by more than the period, the timer must start again from that step.
 func TestTimersDoNotDrift(t *testing.T) {
 	r := newFixture(nil)
 	begin := r.timers[0].due
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -11,7 +11,7 @@
 
 var recorderNames = capture.Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
 
-// The recorder must count all queries, calls and backends, and how they ended.
+// TestRecorderCapturesTheLoad checks that the recorder counts queries by index and end, and calls by backend.
 func TestRecorderCapturesTheLoad(t *testing.T) {
 	r := newFixture(nil)
 	var got []capture.Interval
--- a/internal/dataplane/aggregator/races_test.go
+++ b/internal/dataplane/aggregator/races_test.go
@@ -30,9 +30,9 @@
 	permute(0)
 }
 
-// The ends of both calls of a query, the client's disconnect and the hard deadline are processed in one step, in each
-// order, for each outcome of the calls and both indexes. There must be either one reply or a counted disconnect. After
-// that, no call of the query may be sent and none of its state may remain.
+// TestSimultaneousEndsGiveOneFinalAnswer processes the ends of both calls of a query, the client's disconnect and the hard
+// deadline in one step, in each order, for each outcome of the calls and both indexes. There must be either one reply or
+// one counted disconnect. After that, no call of the query may be sent and none of its state may remain.
 func TestSimultaneousEndsGiveOneFinalAnswer(t *testing.T) {
 	outcomes := []policy.Outcome{policy.Answered, policy.Errored, policy.Rejected, policy.TimedOut, policy.NotConnected, policy.Broken, policy.Canceled, policy.NotSent}
 	for index := range policy.IndexID(2) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// If a client disconnects while its query waits in the inbox or for capacity of a backend, no call of the query may be
-// sent, then or later.
+// TestNothingIsSentForADisconnectedClient disconnects clients whose queries wait in the inbox or for capacity of a backend.
+// No call of such a query may be sent, then or later.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	r := newFixture(func(s *settings.Settings) { s.Rules.SlowStartShare = 0.2 })
 	e := r.queryEvent("aa", 0, 4)
--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -13,8 +13,8 @@
 
 // drain shuts the proxy down within the grace period.
 //
-// First, requests are served as before, until no connection has been open for drainIdleTime or the time for new requests
-// is over. Then drain stops accepting connections, closes idle ones and waits for the requests in progress. Requests that
+// First, new connections and requests are still served, until no connection has been open for drainIdleTime or the time
+// for new requests is over. Then drain stops accepting connections, closes idle ones and waits for the requests in progress. Requests that
 // take too long are canceled, so that their clients still get an answer.
 //
 // A connection counts as busy until its answer has been passed to the operating system, which sends it even if the
--- a/internal/dataplane/proxy/reset_test.go
+++ b/internal/dataplane/proxy/reset_test.go
@@ -52,11 +52,11 @@
 		f := newFixture(t, snapshotOf(configurationOf(60_000), leader.address(), 1))
 		relay := resettest.New(t, strings.TrimPrefix(f.url, "http://"))
 		number := 0
-		send := func(closed resettest.Direction, after int) error {
+		send := func(direction resettest.Direction, after int) error {
 			number++
 			client := &http.Transport{}
 			defer client.CloseIdleConnections()
-			relay.ResetAt(closed, after)
+			relay.ResetAt(direction, after)
 			request, err := http.NewRequest(http.MethodPost, "http://"+relay.Address()+testPrefix+string(jobIDOf(number)), strings.NewReader(testJob))
 			So(err, ShouldBeNil)
 			answer, err := client.RoundTrip(request)
@@ -82,8 +82,8 @@
 				}
 			}
 			So(send(resettest.Requests, resettest.NoReset), ShouldBeNil)
-			for closed := 2; closed <= lastPartialRequest; closed++ {
-				if counter.count(closed) != 0 {
+			for partial := 2; partial <= lastPartialRequest; partial++ {
+				if counter.count(partial) != 0 {
 					wrong++
 				}
 			}
@@ -98,9 +98,9 @@
 	Convey("Each answer is about the job that was asked for", t, func() {
 		const clients, requestsEach = 12, 40
 		leader := newFakeLeader(t)
-		var late atomic.Int64
+		var statusCalls atomic.Int64
 		leader.status = func(ctx context.Context, s jobapi.StatusRequest) (jobapi.StatusReply, error) {
-			if late.Add(1)%16 == 0 { // no answer before the attempt's timeout
+			if statusCalls.Add(1)%16 == 0 { // no answer before the attempt's timeout
 				return jobapi.StatusReply{}, leader.waitForCancel(ctx)
 			}
 			return jobapi.StatusReply{Known: true, State: jobState(string(s.ID))}, nil
