--- a/internal/dataplane/asynclog/logger.go
+++ b/internal/dataplane/asynclog/logger.go
@@ -1,5 +1,5 @@
-// Package asynclog writes the log of an aggregator. Each line is a JSON object with level, time (milliseconds since the Unix
-// epoch) and message. A slow reader of the log never delays the aggregator: a line is dropped and reported if the buffer
+// Package asynclog writes the log of an aggregator. Each line is a JSON object with level, time (milliseconds since 1970
+// UTC) and message. A slow reader of the log never delays the aggregator: a line is dropped and reported if the buffer
 // is full.
 package asynclog
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// encodeMilliseconds encodes a time as whole milliseconds since the Unix epoch.
+// encodeMilliseconds encodes a time as whole milliseconds since 1970 UTC.
 func encodeMilliseconds(at time.Time, line zapcore.PrimitiveArrayEncoder) {
 	line.AppendInt64(at.UnixMilli())
 }
--- a/internal/dataplane/proxy/route.go
+++ b/internal/dataplane/proxy/route.go
@@ -12,7 +12,7 @@
 	Timeout time.Duration
 }
 
-// Limits are the configured limits for clients. The zero value of a field selects its default.
+// Limits are the configured limits for clients. A field with the value 0 selects its default.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
