--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -9,27 +9,28 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// subqueryRef is where the policy's id of a subquery leads.
+// subqueryRef refers to a subquery by its query and its position in Query.Subqueries.
 type subqueryRef struct {
-	query *Query
-	no    int
+	query    *Query
+	position int
 }
 
-// addQuery passes a query and its subqueries to the policy, unless the limit of pending queries is reached.
+// addQuery passes a query and its subqueries to the policy. It rejects the query if the limit of pending queries is
+// reached, if a query with the same ID is pending, or if the admission refuses it.
 func (a *Aggregator) addQuery(q *Query, now time.Time) {
 	switch {
 	case a.settings.Limits.MaxPending > 0 && len(a.queries)+len(a.subqueries) >= a.settings.Limits.MaxPending:
 		a.counters.Add("lookups", "full", 1)
-		a.recordEnd(q, capture.Full, now)
+		a.recordQueryEnd(q, capture.Full, now)
 		q.Done <- Reply{End: QueueFull}
 		return
-	case a.byClientID[q.ID] != nil: // their calls would have the same names
+	case a.byClientID[q.ID] != nil: // calls are named after the query's ID, so two pending queries with one ID could not be told apart
 		a.counters.Add("lookups", "twice", 1)
 		q.Done <- Reply{End: Duplicate}
 		return
 	}
 	var zones *policy.Zones
-	if a.admission.admission != nil {
+	if a.admissionState.admission != nil {
 		var admitted bool
 		if zones, admitted = a.admit(q, now); !admitted {
 			return
@@ -52,15 +53,15 @@
 	}
 	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
 	for i := range q.Subqueries {
-		sub := &q.Subqueries[i]
+		subquery := &q.Subqueries[i]
 		a.lastID++
-		event.Subquery, event.Shard, event.Weight, event.Hint, event.Key, event.HasKey = policy.SubqueryID(a.lastID), sub.Shard, sub.Weight, sub.Hint, sub.Key, sub.HasKey
+		event.Subquery, event.Shard, event.Weight, event.Hint, event.Key, event.HasKey = policy.SubqueryID(a.lastID), subquery.Shard, subquery.Weight, subquery.Hint, subquery.Key, subquery.HasKey
 		a.subqueries[event.Subquery] = subqueryRef{q, i}
 		a.events = append(a.events, event)
 	}
 }
 
-// shards yields the shard of each subquery.
+// shards iterates over the shards of the subqueries.
 func (q *Query) shards(yield func(policy.ShardID) bool) {
 	for i := range q.Subqueries {
 		if !yield(q.Subqueries[i].Shard) {
@@ -69,19 +70,21 @@
 	}
 }
 
-// recordEnd records a query's end, where there is a recorder.
-func (a *Aggregator) recordEnd(q *Query, end capture.End, now time.Time) {
+// recordQueryEnd reports a query's end to the recorder, if there is one.
+func (a *Aggregator) recordQueryEnd(q *Query, end capture.End, now time.Time) {
 	if a.recorder != nil {
 		a.recorder.QueryEnded(a.policyTime(now), q.Index, q.Customer, end, now.Sub(q.Arrived).Seconds())
 	}
 }
 
+// captureEnds maps the ends of queries that the policy has ended to those of the capture.
 var captureEnds = [...]capture.End{Satisfied: capture.Answered, Nacked: capture.Nacked, Aborted: capture.Aborted}
 
-// isOpen tells whether a query was received and has no final answer yet.
+// isOpen reports whether a query is pending: it was passed to the policy and has neither a final reply nor a disconnected
+// client.
 func (a *Aggregator) isOpen(q *Query) bool { return a.queries[q.id] == q }
 
-// removeQuery removes a query that has its final answer, or no client any more.
+// removeQuery removes a query that has its final reply or whose client has disconnected.
 func (a *Aggregator) removeQuery(q *Query) {
 	a.counters.Add("lookups", "held", -1)
 	delete(a.queries, q.id)
@@ -91,7 +94,7 @@
 	}
 }
 
-// finishQuery gives a query its final reply.
+// finishQuery removes a query and sends its final reply.
 func (a *Aggregator) finishQuery(id policy.QueryID, reason string, reply Reply, now time.Time) {
 	q := a.queries[id]
 	if q == nil {
@@ -100,6 +103,6 @@
 	}
 	a.removeQuery(q)
 	a.counters.Add("lookups", reason, 1)
-	a.recordEnd(q, captureEnds[reply.End], now)
+	a.recordQueryEnd(q, captureEnds[reply.End], now)
 	q.Done <- reply
 }
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -65,10 +65,10 @@
 // send sends the subqueries of a query in one call. The shard of a subquery is its index.
 func (r *fixture) send(id, query string, wait time.Duration, subqueries int) (calls []aggregator.Call) {
 	now := time.Now()
-	q := &aggregator.Query{ID: id, Query: []byte(query)}
+	q := &aggregator.Query{ID: id, Payload: []byte(query)}
 	for i := range subqueries {
 		r.lastSubquery++
-		calls = append(calls, aggregator.Call{Subquery: r.lastSubquery, Query: q, Shard: policy.ShardID(i), Sent: now, Stop: now.Add(wait), Begin: now.Add(wait)})
+		calls = append(calls, aggregator.Call{Subquery: r.lastSubquery, Query: q, Shard: policy.ShardID(i), Sent: now, StopAt: now.Add(wait), StartBy: now.Add(wait)})
 	}
 	r.hub.Send(1, slices.Clone(calls))
 	return calls
@@ -462,11 +462,11 @@
 	p.expect('S', "bb.0")
 	p.expect('C', "aa.0")
 	r.expectEnd(slow[0].Subquery, policy.TimedOut)
-	r.hub.Cancel(1, kept[0].Subquery, kept[0].No)
+	r.hub.Cancel(1, kept[0].Subquery, kept[0].Number)
 	r.expectEnd(kept[0].Subquery, policy.Canceled)
 	p.expect('C', "bb.0")
 	// The retry uses another connection, where no answer to the first attempt can be taken for its own.
-	kept[0].No++
+	kept[0].Number++
 	r.hub.Send(1, kept)
 	other := r.accept(r.listener)
 	other.expect('S', "bb.0")
--- a/internal/dataplane/backends/call.go
+++ b/internal/dataplane/backends/call.go
@@ -31,7 +31,7 @@
 // not start once the actor has revoked it, because the call was canceled, timed out or its backend is draining. It may not
 // start after Begin either: the backend might then no longer recognize a retry as a duplicate.
 func (c *call) startWrite(now time.Time) bool {
-	if now.After(c.Begin) {
+	if now.After(c.StartBy) {
 		c.writeState.CompareAndSwap(writePending, writeRevoked)
 	}
 	return c.writeState.CompareAndSwap(writePending, writeStarted)
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -12,7 +12,7 @@
 // cancelCall cancels a call at the request of the policy.
 func (a *actor) cancelCall(subquery policy.SubqueryID, callNo policy.CallNo) {
 	for _, c := range a.calls {
-		if c.Subquery == subquery && c.No == callNo {
+		if c.Subquery == subquery && c.Number == callNo {
 			a.abandonCall(c, policy.Canceled)
 			return
 		}
--- a/internal/dataplane/backends/races_test.go
+++ b/internal/dataplane/backends/races_test.go
@@ -106,7 +106,7 @@
 	calls := r.send("bb", "q", time.Minute, 1)
 	r.lastSubquery++
 	late := calls[0]
-	late.Subquery, late.Shard, late.Begin = r.lastSubquery, 7, time.Now()
+	late.Subquery, late.Shard, late.StartBy = r.lastSubquery, 7, time.Now()
 	kept := r.send("cc", "q", time.Minute, 1)
 	r.hub.Send(1, append(kept[:0:0], late))
 	io.CopyN(io.Discard, p.in, 4+int64(1+len("large.0 0 d=60000 16777216\n")+16<<20)-1) // one byte less, because the length of the remaining time varies
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -21,7 +21,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// memoryListener is a net.Listener of connections in memory.
+// memoryListener is a net.Listener for in-memory connections.
 type memoryListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -48,7 +48,7 @@
 
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// dial returns nil when the listener is closed.
+// dial opens a connection to the listener. It returns nil if the listener is closed.
 func (l *memoryListener) dial() *memoryClient {
 	ours, theirs := net.Pipe()
 	select {
@@ -59,7 +59,7 @@
 	}
 }
 
-// memoryClient is a client's connection.
+// memoryClient is the client's end of an in-memory connection.
 type memoryClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -88,7 +88,8 @@
 
 var postText = fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", testPrefix, testID, len(testJob), testJob)
 
-// memoryCaller is a transport.Caller in memory: the agent's feed, and one leader's answers.
+// memoryCaller is a transport.Caller that answers polls as the agent, with a fixed snapshot, and passes all other calls
+// to the leader function.
 type memoryCaller struct {
 	snapshot feed.Snapshot
 	leader   func(ctx context.Context) error
@@ -104,28 +105,28 @@
 		answer.Changed, answer.Snapshot = true, &c.snapshot
 		return nil
 	}
-	timer.Sleep(ctx, watchWait)
+	timer.Sleep(ctx, pollWait)
 	return ctx.Err()
 }
 
-// drained is a proxy in a bubble of synctest.
-type drained struct {
+// drainTest is a proxy that runs in virtual time with in-memory connections.
+type drainTest struct {
 	proxy            *Proxy
 	front, readiness *memoryListener
 	stop             func()
-	ended            chan struct{}
-	endedAfter       time.Duration // from the order to stop
+	served           chan struct{}
+	serveTime        time.Duration // from the call of stop until Serve returned
 }
 
 const testGrace = 6 * time.Second
 
-func startDrained(leader func(ctx context.Context) error) *drained {
+func startDrainTest(leader func(ctx context.Context) error) *drainTest {
 	caller := &memoryCaller{snapshot: snapshotOf(configurationOf(60_000), "leader", 1), leader: leader}
-	return startWith(caller)
+	return startDrainTestWith(caller)
 }
 
-func startWith(caller transport.Caller) *drained {
-	d := &drained{
+func startDrainTestWith(caller transport.Caller) *drainTest {
+	d := &drainTest{
 		proxy: New(Config{
 			Caller:         caller,
 			BuildRouter:    buildTestRouter,
@@ -136,7 +137,7 @@
 		}),
 		front:     newMemoryListener(),
 		readiness: newMemoryListener(),
-		ended:     make(chan struct{}),
+		served:    make(chan struct{}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var stopped time.Time
@@ -146,15 +147,15 @@
 		synctest.Wait()
 	}
 	go func() {
-		defer close(d.ended)
+		defer close(d.served)
 		d.proxy.Serve(ctx, d.front, d.readiness)
-		d.endedAfter = time.Since(stopped)
+		d.serveTime = time.Since(stopped)
 	}()
 	synctest.Wait()
 	return d
 }
 
-func (d *drained) readinessStatus() int {
+func (d *drainTest) readinessStatus() int {
 	client := d.readiness.dial()
 	defer client.Close()
 	client.write("GET " + ReadinessPath + " HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -163,31 +164,32 @@
 	return status
 }
 
-// inBubble runs a test with a clock of its own, which goes on when all its goroutines wait.
-func inBubble(t *testing.T, name string, test func()) {
+// runWithVirtualTime runs a subtest with virtual time, which advances when all goroutines of the subtest wait.
+func runWithVirtualTime(t *testing.T, name string, test func()) {
 	t.Run(name, func(t *testing.T) {
 		virtualtime.Test(t, func(t *testing.T) { Convey(name, t, test) })
 	})
 }
 
-func takes(d time.Duration) func(context.Context) error {
+// answerAfter returns a leader function that answers after the given time.
+func answerAfter(d time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		timer.Sleep(ctx, d)
 		return ctx.Err()
 	}
 }
 
-func TestDrain(t *testing.T) {
-	inBubble(t, "without connections it ends after a second, and is not ready at once", func() {
-		d := startDrained(takes(0))
+func TestDrainEndsWithinItsTimeLimits(t *testing.T) {
+	runWithVirtualTime(t, "without connections the proxy ends after the idle time, and is not ready at once", func() {
+		d := startDrainTest(answerAfter(0))
 		So(d.readinessStatus(), ShouldEqual, http.StatusOK)
 		d.stop()
 		So(d.readinessStatus(), ShouldEqual, http.StatusServiceUnavailable)
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, emptySpan)
+		<-d.served
+		So(d.serveTime, ShouldEqual, drainIdleTime)
 	})
-	inBubble(t, "an idle connection is served on, and closed by its next answer", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "an idle connection is still served, and closed after its next answer", func() {
+		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		defer client.Close()
 		status, closes, err := client.send()
@@ -200,11 +202,11 @@
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusOK)
 		So(closes, ShouldBeTrue)
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, 1500*time.Millisecond+emptySpan)
+		<-d.served
+		So(d.serveTime, ShouldEqual, 1500*time.Millisecond+drainIdleTime)
 	})
-	inBubble(t, "new connections are served while it drains, and none afterwards", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "new connections are accepted during the drain and not afterwards", func() {
+		d := startDrainTest(answerAfter(0))
 		d.stop()
 		time.Sleep(900 * time.Millisecond)
 		client := d.front.dial()
@@ -213,36 +215,36 @@
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusOK)
 		So(closes, ShouldBeTrue)
-		<-d.ended
+		<-d.served
 		So(d.front.dial(), ShouldBeNil)
 	})
-	inBubble(t, "an idle connection does not hold it for longer than the span", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "an idle connection does not extend the time for new requests", func() {
+		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		defer client.Close()
 		_, _, err := client.send()
 		So(err, ShouldBeNil)
 		d.stop()
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, drainSpan)
+		<-d.served
+		So(d.serveTime, ShouldEqual, maxDrainAcceptTime)
 		_, _, err = client.read()
 		So(err, ShouldNotBeNil)
 	})
-	inBubble(t, "a request under way gets its answer before it ends", func() {
-		d := startDrained(takes(time.Second))
+	runWithVirtualTime(t, "a request in progress is answered before the proxy ends", func() {
+		d := startDrainTest(answerAfter(time.Second))
 		client := d.front.dial()
 		defer client.Close()
 		d.stop()
-		time.Sleep(drainSpan - 100*time.Millisecond)
+		time.Sleep(maxDrainAcceptTime - 100*time.Millisecond)
 		status, closes, err := client.send()
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusOK)
 		So(closes, ShouldBeTrue)
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, drainSpan+900*time.Millisecond)
+		<-d.served
+		So(d.serveTime, ShouldEqual, maxDrainAcceptTime+900*time.Millisecond)
 	})
-	inBubble(t, "a request that takes too long gets an answer within the grace period", func() {
-		d := startDrained(takes(time.Hour))
+	runWithVirtualTime(t, "a request that takes too long is answered within the grace period", func() {
+		d := startDrainTest(answerAfter(time.Hour))
 		client := d.front.dial()
 		defer client.Close()
 		client.write(postText)
@@ -252,34 +254,34 @@
 		So(err, ShouldBeNil)
 		So(status, ShouldEqual, http.StatusGatewayTimeout)
 		So(closes, ShouldBeTrue)
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, testGrace-killReserve-answerSpan)
+		<-d.served
+		So(d.serveTime, ShouldEqual, testGrace-killMargin-canceledAnswerTime)
 	})
-	inBubble(t, "a request that is not read whole does not hold it beyond the grace period", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "an incomplete request does not delay the end beyond the grace period", func() {
+		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		client.write(postText[:len(postText)-1])
 		synctest.Wait()
 		d.stop()
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, testGrace-killReserve)
+		<-d.served
+		So(d.serveTime, ShouldEqual, testGrace-killMargin)
 		client.Close()
 		time.Sleep(time.Second)
 	})
-	inBubble(t, "a short grace period leaves no time for new requests", func() {
-		d := startDrained(takes(0))
+	runWithVirtualTime(t, "a short grace period leaves no time for new requests", func() {
+		d := startDrainTest(answerAfter(0))
 		client := d.front.dial()
 		defer client.Close()
 		d.proxy.SetGracePeriod(time.Second)
 		d.stop()
-		<-d.ended
-		So(d.endedAfter, ShouldEqual, 0)
+		<-d.served
+		So(d.serveTime, ShouldEqual, 0)
 	})
 }
 
-func TestConnectionLimit(t *testing.T) {
-	inBubble(t, "a connection beyond the limit is closed, until others have ended", func() {
-		d := startDrained(takes(0))
+func TestConnectionBeyondLimitIsClosed(t *testing.T) {
+	runWithVirtualTime(t, "a connection beyond the limit is closed, and accepted again after another has ended", func() {
+		d := startDrainTest(answerAfter(0))
 		var clients []*memoryClient
 		for range 10 {
 			clients = append(clients, d.front.dial())
@@ -299,6 +301,6 @@
 			client.Close()
 		}
 		d.stop()
-		<-d.ended
+		<-d.served
 	})
 }
--- a/internal/dataplane/proxy/fixture_test.go
+++ b/internal/dataplane/proxy/fixture_test.go
@@ -16,18 +16,18 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// fixture is a proxy that serves on the loopback.
+// fixture is a proxy that serves on loopback addresses, with a fake agent and an HTTP client.
 type fixture struct {
 	t         *testing.T
 	proxy     *Proxy
-	agent     *standInAgent
+	agent     *fakeAgent
 	url       string
 	readiness string
 	client    *http.Client
 }
 
 func newFixture(t *testing.T, snapshot feed.Snapshot) *fixture {
-	agent := newAgent(t, snapshot)
+	agent := newFakeAgent(t, snapshot)
 	caller := transport.NewClient()
 	proxy := New(Config{
 		AgentAddress:   agent.server.Listener.Addr().String(),
@@ -60,7 +60,7 @@
 		caller.Close()
 	})
 	if snapshot.ConfigurationVersion > 0 {
-		f.await(func(v *view) bool { return v.version >= snapshot.ConfigurationVersion })
+		f.awaitView(func(v *view) bool { return v.version >= snapshot.ConfigurationVersion })
 	}
 	return f
 }
@@ -73,30 +73,30 @@
 	return listener
 }
 
-// await waits until the proxy's view of the feed satisfies a condition.
-func (f *fixture) await(condition func(*view) bool) {
+// awaitView waits until the proxy's view of the feed satisfies a condition.
+func (f *fixture) awaitView(condition func(*view) bool) {
 	f.t.Helper()
-	late := time.After(time.Minute)
+	timeout := time.After(time.Minute)
 	for {
-		view := f.proxy.feed.newest()
+		view := f.proxy.feed.currentView()
 		if condition(view) {
 			return
 		}
 		select {
 		case <-view.changed:
-		case <-late:
-			f.t.Fatal("the proxy's view does not become what it should")
+		case <-timeout:
+			f.t.Fatal("the proxy's view does not satisfy the condition after a minute")
 		}
 	}
 }
 
-// lead names another leader in the feed, and waits until the proxy has the leader's epoch.
-func (f *fixture) lead(leader string, term uint64) {
+// publishLeader changes the leader in the agent's feed and waits until the proxy knows the leader's term.
+func (f *fixture) publishLeader(leader string, term uint64) {
 	f.agent.change(func(s *feed.Snapshot) { s.Leaders[testGroup] = feed.Leader{Address: leader, Term: term} })
-	f.await(func(v *view) bool { return v.leaders[testGroup].Term >= term })
+	f.awaitView(func(v *view) bool { return v.leaders[testGroup].Term >= term })
 }
 
-// clientReply is what a client gets.
+// clientReply is the proxy's answer to a client.
 type clientReply struct {
 	status     int
 	retryAfter string
@@ -129,8 +129,8 @@
 
 func (f *fixture) post() clientReply { return f.send(http.MethodPost, testPrefix+testID, testJob) }
 
-// background sends a request and delivers its reply.
-func (f *fixture) background(method, path, body string) <-chan clientReply {
+// sendAsync sends a request in a goroutine and returns a channel that receives its reply.
+func (f *fixture) sendAsync(method, path, body string) <-chan clientReply {
 	replies := make(chan clientReply, 1)
 	go func() { replies <- f.send(method, path, body) }()
 	return replies
--- a/internal/dataplane/proxy/standin_test.go
+++ b/internal/dataplane/proxy/standin_test.go
@@ -28,7 +28,7 @@
 
 var testGroup = feed.GroupOf(testService)
 
-// testConfiguration is the form of configurations in these tests: one route of any host.
+// testConfiguration is the format of configurations in these tests. It has one route, which matches any host.
 type testConfiguration struct {
 	Prefix    string
 	Service   string
@@ -76,36 +76,37 @@
 	return testConfiguration{Prefix: testPrefix, Service: testService, TimeoutMS: timeoutMS}
 }
 
-// standInLeader answers as a test says. A method that is nil refuses, as a node that does not lead does.
-type standInLeader struct {
-	server *httptest.Server
-	ended  context.Context // ends with the test, for answers that stay out
-	mutex  sync.Mutex
-	submit func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error)
-	status func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error)
-	cancel func(context.Context, jobapi.CancelRequest) (jobapi.CancelReply, error)
-	count  func(context.Context, jobapi.PendingRequest) (jobapi.PendingReply, error)
-	calls  int
-	breaks int // so many calls are read and then broken off
+// fakeLeader answers calls with functions that a test sets. A call whose function is nil is refused, as by a node that is
+// not the leader.
+type fakeLeader struct {
+	server     *httptest.Server
+	testCtx    context.Context // canceled at the end of the test, to end calls that are not answered
+	mutex      sync.Mutex
+	submit     func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error)
+	status     func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error)
+	cancel     func(context.Context, jobapi.CancelRequest) (jobapi.CancelReply, error)
+	count      func(context.Context, jobapi.PendingRequest) (jobapi.PendingReply, error)
+	calls      int
+	abortsLeft int // number of further calls whose connection is closed after the request was read
 
-	stranger atomic.Pointer[http.HandlerFunc] // serves the address instead
+	replacement atomic.Pointer[http.HandlerFunc] // if set, serves the leader's address instead
 }
 
-func newLeader(t *testing.T) *standInLeader {
+func newFakeLeader(t *testing.T) *fakeLeader {
 	ctx, end := context.WithCancel(context.Background())
-	leader := &standInLeader{ended: ctx}
+	leader := &fakeLeader{testCtx: ctx}
 	mux := transport.NewMux()
 	serve(leader, mux, jobapi.SubmitCall, &leader.submit)
 	serve(leader, mux, jobapi.StatusCall, &leader.status)
 	serve(leader, mux, jobapi.CancelCall, &leader.cancel)
 	serve(leader, mux, jobapi.PendingCall, &leader.count)
 	leader.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if leader.breakOff() {
+		if leader.countAndCheckAbort() {
 			io.Copy(io.Discard, r.Body)
 			panic(http.ErrAbortHandler)
 		}
-		if stranger := leader.stranger.Load(); stranger != nil {
-			stranger.ServeHTTP(w, r)
+		if replacement := leader.replacement.Load(); replacement != nil {
+			replacement.ServeHTTP(w, r)
 			return
 		}
 		mux.ServeHTTP(w, r)
@@ -115,27 +116,28 @@
 	return leader
 }
 
-func serve[Request, Reply any](l *standInLeader, mux *transport.Mux, endpoint transport.Endpoint[Request, Reply], method *func(context.Context, Request) (Reply, error)) {
+// serve registers an endpoint that calls the method that is set at the time of the call.
+func serve[Request, Reply any](l *fakeLeader, mux *transport.Mux, endpoint transport.Endpoint[Request, Reply], method *func(context.Context, Request) (Reply, error)) {
 	transport.Handle(mux, endpoint, func(ctx context.Context, request Request) (reply Reply, err error) {
 		l.mutex.Lock()
 		answer := *method
 		l.mutex.Unlock()
 		if answer == nil {
-			return reply, notRun("not the leader", 0)
+			return reply, notExecutedError("not the leader", 0)
 		}
 		return answer(ctx, request)
 	})
 }
 
-// replace gives the leader's address to a process of another machine, which leads nothing. The statuses of its answers
-// are delivered.
-func (l *standInLeader) replace(node string) (answers <-chan int) {
+// replace serves the leader's address with a process of another machine, which is not the leader. It returns a channel
+// that receives the statuses of that process's answers.
+func (l *fakeLeader) replace(node string) (answers <-chan int) {
 	statuses := make(chan int, 1000)
 	mux := transport.NewMuxFor(transport.NewIdentity("", node))
 	transport.Handle(mux, jobapi.SubmitCall, func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
-		return jobapi.SubmitReply{}, notRun("not the leader", 0)
+		return jobapi.SubmitReply{}, notExecutedError("not the leader", 0)
 	})
-	stranger := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	replacement := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
 		mux.ServeHTTP(recorder, r)
 		maps.Copy(w.Header(), recorder.Header())
@@ -143,44 +145,46 @@
 		w.Write(recorder.Body.Bytes())
 		statuses <- recorder.Code
 	})
-	l.stranger.Store(&stranger)
+	l.replacement.Store(&replacement)
 	return statuses
 }
 
-// breakOff counts a call, and tells whether it is to be broken off.
-func (l *standInLeader) breakOff() bool {
+// countAndCheckAbort counts a call and reports whether its connection must be closed without an answer.
+func (l *fakeLeader) countAndCheckAbort() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.calls++
-	l.breaks--
-	return l.breaks >= 0
+	l.abortsLeft--
+	return l.abortsLeft >= 0
 }
 
-func (l *standInLeader) called() int {
+func (l *fakeLeader) callCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.calls
 }
 
-// timeout does not answer until the caller has gone or the test ends.
-func (l *standInLeader) timeout(ctx context.Context) error {
+// waitForCancel blocks until the caller cancels the call or the test ends. It returns an error.
+func (l *fakeLeader) waitForCancel(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-l.ended.Done():
+	case <-l.testCtx.Done():
 	}
-	return errors.New("given up")
+	return errors.New("canceled")
 }
 
-func (l *standInLeader) address() string { return l.server.Listener.Addr().String() }
+func (l *fakeLeader) address() string { return l.server.Listener.Addr().String() }
 
-func (l *standInLeader) accepting() *standInLeader {
+// acceptSubmissions makes the leader accept all submissions.
+func (l *fakeLeader) acceptSubmissions() *fakeLeader {
 	l.submit = func(context.Context, jobapi.SubmitRequest) (jobapi.SubmitReply, error) {
 		return jobapi.SubmitReply{}, nil
 	}
 	return l
 }
 
-func (l *standInLeader) knowing(known bool, state string) *standInLeader {
+// answerJobQueries makes the leader answer status requests and cancellations.
+func (l *fakeLeader) answerJobQueries(known bool, state string) *fakeLeader {
 	l.status = func(context.Context, jobapi.StatusRequest) (jobapi.StatusReply, error) {
 		return jobapi.StatusReply{Known: known, State: jobState(state)}, nil
 	}
@@ -190,8 +194,8 @@
 	return l
 }
 
-// standInAgent feeds a proxy.
-type standInAgent struct {
+// fakeAgent serves a feed to a proxy.
+type fakeAgent struct {
 	server   *httptest.Server
 	mutex    sync.Mutex
 	snapshot feed.Snapshot
@@ -199,8 +203,8 @@
 	changed  chan struct{}
 }
 
-func newAgent(t *testing.T, snapshot feed.Snapshot) *standInAgent {
-	agent := &standInAgent{snapshot: snapshot, current: true, changed: make(chan struct{})}
+func newFakeAgent(t *testing.T, snapshot feed.Snapshot) *fakeAgent {
+	agent := &fakeAgent{snapshot: snapshot, current: true, changed: make(chan struct{})}
 	mux := transport.NewMux()
 	transport.Handle(mux, feed.LocalCall, agent.watch)
 	agent.server = httptest.NewServer(mux)
@@ -208,8 +212,9 @@
 	return agent
 }
 
-// watch answers once something is new to the proxy, or the test has changed something.
-func (a *standInAgent) watch(ctx context.Context, watch feed.WatchRequest) (feed.WatchReply, error) {
+// watch answers a poll once the snapshot differs from what the proxy knows, the test changes the agent, or the poll's
+// wait is over.
+func (a *fakeAgent) watch(ctx context.Context, watch feed.WatchRequest) (feed.WatchReply, error) {
 	reply, changed := a.reply(watch.Known)
 	if reply.Changed {
 		return reply, nil
@@ -225,7 +230,7 @@
 	return reply, nil
 }
 
-func (a *standInAgent) reply(known feed.Digest) (feed.WatchReply, <-chan struct{}) {
+func (a *fakeAgent) reply(known feed.Digest) (feed.WatchReply, <-chan struct{}) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	reply := feed.WatchReply{Current: a.current, Changed: known.ConfigurationVersion != a.snapshot.ConfigurationVersion}
@@ -240,7 +245,8 @@
 	return reply, a.changed
 }
 
-func (a *standInAgent) change(change func(*feed.Snapshot)) {
+// change changes the snapshot and wakes waiting polls.
+func (a *fakeAgent) change(change func(*feed.Snapshot)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	leaders := make(map[string]feed.Leader)
@@ -253,7 +259,7 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *standInAgent) setCurrent(current bool) {
+func (a *fakeAgent) setCurrent(current bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.current = current
@@ -261,6 +267,7 @@
 	a.changed = make(chan struct{})
 }
 
+// snapshotOf returns a snapshot with version 1 of the configuration and one leader, for the test group.
 func snapshotOf(c testConfiguration, leader string, term uint64) feed.Snapshot {
 	return feed.Snapshot{
 		ConfigurationVersion: 1,
--- a/internal/dataplane/proxy/wire_test.go
+++ b/internal/dataplane/proxy/wire_test.go
@@ -6,17 +6,17 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles compares the encoded forms of the types that are sent to clients with the golden file.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
-		goldentest.Form{Name: "state answer", Value: new(stateAnswer)},
-		goldentest.Form{Name: "pending answer", Value: new(pendingAnswer)},
-		goldentest.Form{Name: "error answer", Value: new(errorAnswer)},
+		goldentest.Form{Name: "state answer", Value: new(stateResponse)},
+		goldentest.Form{Name: "pending answer", Value: new(pendingResponse)},
+		goldentest.Form{Name: "error answer", Value: new(errorResponse)},
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the constants that are part of the HTTP interface.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: deadlineHeader, Want: "Deadline-Remaining"},
 		goldentest.Constant{Have: ReadinessPath, Want: "/-/readiness"},
