--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -23,13 +23,13 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-const patience = queuetest.Patience
+const patience = queuetest.WaitTimeout
 
 // fixture is a hub with one backend, whose subquery the test plays.
 type fixture struct {
 	*testing.T
 	hub    *Hub
-	events *queuetest.Ear[aggregator.Event]
+	events *queuetest.Receiver[aggregator.Event]
 	peer   net.Listener
 	next   policy.SubqueryID
 }
@@ -550,7 +550,7 @@
 		p.expect('S', "ab.0")
 		r.list("", policy.Removed, 0) // completes what it has
 		p.writeFrame('R', "ab.0 done 0 -\n")
-		if e := r.ended(next[0].Subquery, policy.Answered); len(r.events.Rest()) > 0 {
+		if e := r.ended(next[0].Subquery, policy.Answered); len(r.events.Remaining()) > 0 {
 			t.Fatalf("%s: more than %+v was told", name, e)
 		}
 	}
--- a/internal/dataplane/clients/connections.go
+++ b/internal/dataplane/clients/connections.go
@@ -15,19 +15,24 @@
 )
 
 const (
-	// stallTimeout is how long the rest of a request may have been here without being read; only after that is it
-	// known that the client has stopped half way.
+	// stallTimeout is the time without a byte after which an incomplete request counts as stalled. Until then the rest
+	// may have arrived and not been read yet.
 	stallTimeout = 300 * time.Millisecond
-	// queryShare of the connections may have a query held at once: far above what usual clients need. The others are for
-	// those that come and go, so that a new connection never waits for a query in progress.
+	// queryShare is the share of the connections that may have a query in progress at once. It is far above what usual clients
+	// need. The other connections are left for clients that connect and disconnect, so that a new connection never waits for
+	// a query in progress.
 	queryShare = 0.8
-	// idleShare of the connections may stand idle or held after a query. Clients have few descriptors for us themselves, and
-	// those that never ask again on a connection they keep would use them up: closed, it costs one that does a new connection.
-	idleShare    = 0.4
-	capacityPoll = 5 * time.Millisecond
-	// A client has so long to end its side after ours, unless its place is needed, and may send so much meanwhile.
+	// idleShare is the share of the connections that may stay open after they have served a query, whether idle or with
+	// another query in progress. Clients that keep connections without using them again would use up the descriptors, of which
+	// clients have few themselves. A client that does use a closed connection again only has to open a new one.
+	idleShare = 0.4
+	// capacityPollInterval is the time between two attempts to add a connection while the table is full.
+	capacityPollInterval = 5 * time.Millisecond
+	// lingerTimeout is how long a client may take to close its side after the server has closed its own. It ends early if the
+	// connection's place is needed.
 	lingerTimeout = time.Second
-	maxLinger     = 4 * maxBody
+	// maxLinger is the number of bytes that a client may send during lingerTimeout.
+	maxLinger = 4 * maxBody
 )
 
 var errDrained = errors.New("no longer accepting")
@@ -44,59 +49,60 @@
 	reasonShutdown          reason = "shutdown"
 )
 
-// connections is the listener that net/http accepts from, and the table of its connections. At the limit it evicts a connection
-// without a query; where there is none, new connections wait in the kernel's queue, where their requests are not lost.
-type connections struct {
+// connectionTable is the listener that net/http accepts from, and the table of its connections. At the limit it evicts a connection
+// without a query. If there is none, new connections wait in the kernel's accept queue, which keeps the requests sent on them.
+type connectionTable struct {
 	listener     *net.TCPListener
 	limit        int
-	maxReadAhead int // bytes read ahead on one
+	maxReadAhead int // bytes that one connection may read ahead
 	log          *zap.Logger
 	counters     *counters.Set
 
-	draining atomic.Bool // answers close their connections
+	draining atomic.Bool // each answer closes its connection
 
 	mu            sync.Mutex
 	open          map[*connection]bool
-	activeQueries int // connections that hold a query
+	activeQueries int // connections that have a query in progress
 }
 
-func newConnections(limit, memory int, log *zap.Logger, count *counters.Set) *connections {
+func newConnectionTable(limit, memory int, log *zap.Logger, count *counters.Set) *connectionTable {
 	readAhead := int(readAheadShare * float64(memory) / float64(limit))
-	return &connections{limit: limit, maxReadAhead: min(maxReadAhead, max(minReadAhead, readAhead)), log: log, counters: count, open: map[*connection]bool{}}
+	return &connectionTable{limit: limit, maxReadAhead: min(maxReadAhead, max(minReadAhead, readAhead)), log: log, counters: count, open: map[*connection]bool{}}
 }
 
-func (s *connections) Addr() net.Addr { return s.listener.Addr() }
+func (s *connectionTable) Addr() net.Addr { return s.listener.Addr() }
 
-func (s *connections) Close() error { return s.listener.Close() }
+func (s *connectionTable) Close() error { return s.listener.Close() }
 
-func (s *connections) Accept() (net.Conn, error) {
+// Accept implements net.Listener. It waits until the new connection has a place in the table.
+func (s *connectionTable) Accept() (net.Conn, error) {
 	c, err := s.listener.Accept()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, errDrained // which net/http does not take for a passing trouble
+		return nil, errDrained // net/http would retry a time-out as a temporary error
 	} else if err != nil {
 		return nil, err
 	}
 	s.counters.Add("client_lines", "accepted", 1)
-	conn := &connection{Conn: c, table: s, clientLeft: make(chan struct{})}
+	conn := &connection{Conn: c, table: s, clientDisconnected: make(chan struct{})}
 	conn.readerStopped = sync.NewCond(&conn.readMu)
 	for !s.add(conn) {
-		time.Sleep(capacityPoll)
+		time.Sleep(capacityPollInterval)
 	}
 	return conn, nil
 }
 
-// add records a new connection. At the limit it fails, and evicts another connection or ends one that lingers.
-func (s *connections) add(conn *connection) bool {
+// add adds a new connection to the table. At the limit it reports false, and ends a connection that lingers or evicts another one.
+func (s *connectionTable) add(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.open) < s.limit {
-		conn.opened = time.Now() // not when it was accepted: nobody has read from it yet
+		conn.opened = time.Now() // later than the accept, as nothing is read from a connection before it is added
 		s.open[conn] = true
 		return true
 	}
 	for o := range s.open {
-		if o.closed {
-			o.Conn.SetReadDeadline(past)
+		if o.serverClosed {
+			o.Conn.SetReadDeadline(expiredDeadline)
 			return false
 		}
 	}
@@ -106,33 +112,34 @@
 	return false
 }
 
-// evictable finds the closable connection that has been silent for longest; the lock is held. Connections that had a query are
-// evicted only where there are no others: a crowd that sends nothing must not cost them theirs.
-func (s *connections) evictable() *connection {
-	found, strangers := s.longestIdle(false)
-	if strangers == 0 {
+// evictable returns the closable connection that has been silent for longest, or nil. It returns a connection that had a query
+// only if every connection had one: many connections that send nothing must not displace those of active clients. The
+// caller holds mu.
+func (s *connectionTable) evictable() *connection {
+	found, neverQueried := s.longestIdle(false)
+	if neverQueried == 0 {
 		found, _ = s.longestIdle(true)
 	}
 	return found
 }
 
-// longestIdle finds the closable connection that has been silent for longest, among those that had a query or those that had
-// none, and counts these; the lock is held.
-func (s *connections) longestIdle(served bool) (found *connection, all int) {
+// longestIdle returns the closable connection that has been silent for longest, among those that had a query or those that had
+// none, as hadQuery says. It also returns the number of connections in that group. The caller holds mu.
+func (s *connectionTable) longestIdle(hadQuery bool) (found *connection, count int) {
 	for conn := range s.open {
-		if conn.closed || conn.hadQuery != served {
+		if conn.serverClosed || conn.hadQuery != hadQuery {
 			continue
 		}
-		all++
-		if conn.closable() && (found == nil || conn.lastByteAt().Before(found.lastByteAt())) {
+		count++
+		if conn.closable() && (found == nil || conn.lastByteTime().Before(found.lastByteTime())) {
 			found = conn
 		}
 	}
-	return found, all
+	return found, count
 }
 
-// beginQuery records a query of a connection; it fails where the limit of queries in progress is reached.
-func (s *connections) beginQuery(conn *connection) bool {
+// beginQuery records that a connection has a query in progress. It reports false if the limit of queries in progress is reached.
+func (s *connectionTable) beginQuery(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if float64(s.activeQueries) >= queryShare*float64(s.limit) {
@@ -144,44 +151,46 @@
 	return true
 }
 
-// isIdle tells whether a connection waits for its next request.
-func (s *connections) isIdle(conn *connection) bool {
+// isIdle reports whether a connection waits for its next request.
+func (s *connectionTable) isIdle(conn *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return conn.idle
 }
 
-// endQuery records the end of a connection's query; the lock is held.
-func (s *connections) endQuery(conn *connection) {
+// endQuery records that a connection has no query in progress any more. The caller holds mu.
+func (s *connectionTable) endQuery(conn *connection) {
 	if conn.hasQuery {
 		conn.hasQuery = false
 		s.activeQueries--
 	}
 }
 
-// stateChanged is net/http's callback on a connection's state.
-func (s *connections) stateChanged(c net.Conn, state http.ConnState) {
+// stateChanged is the ConnState callback of net/http's server. It records whether a connection is idle, and evicts a connection
+// where too many have served a query.
+func (s *connectionTable) stateChanged(c net.Conn, state http.ConnState) {
 	conn, isOurs := c.(*connection)
 	if !isOurs {
 		return
 	}
 	s.mu.Lock()
-	var surplus *connection
+	var excess *connection
 	if conn.idle = state == http.StateIdle; conn.idle {
 		conn.answering.Store(false)
 		s.endQuery(conn)
 		if conn.hadQuery {
-			surplus = s.excessIdle()
+			excess = s.excessIdle()
 		}
 	}
 	s.mu.Unlock()
-	if surplus != nil {
-		surplus.closeAfterAnswer(reasonEvicted)
+	if excess != nil {
+		excess.closeAfterAnswer(reasonEvicted)
 	}
 }
 
-// excessIdle finds the connection that has been idle for longest, where more than the limit are; the lock is held.
-func (s *connections) excessIdle() *connection {
+// excessIdle returns the closable connection that has been silent for longest after a query, if more than idleShare of the
+// connections have served one, and else nil. The caller holds mu.
+func (s *connectionTable) excessIdle() *connection {
 	found, idle := s.longestIdle(true)
 	if float64(idle) <= idleShare*float64(s.limit) {
 		return nil
@@ -189,53 +198,54 @@
 	return found
 }
 
-// closedByUs records that our side of a connection is closed: only its descriptor is still in use.
-func (s *connections) closedByUs(conn *connection) {
+// recordServerClose records that the server has closed its side of a connection. From then on only the descriptor is in use.
+func (s *connectionTable) recordServerClose(conn *connection) {
 	s.mu.Lock()
-	conn.closed = true
+	conn.serverClosed = true
 	s.endQuery(conn)
 	s.mu.Unlock()
 	conn.setEndReason(reasonClosedAfterAnswer)
 }
 
-// closedByBoth records that both sides are closed.
-func (s *connections) closedByBoth(conn *connection) {
+// recordFullClose removes a connection of which both sides are closed, and counts and logs the reason of its end.
+func (s *connectionTable) recordFullClose(conn *connection) {
 	s.mu.Lock()
 	delete(s.open, conn)
 	s.mu.Unlock()
-	why := string(*conn.endReason.Load())
-	s.counters.Add("client_lines", why, 1)
+	endReason := string(*conn.endReason.Load())
+	s.counters.Add("client_lines", endReason, 1)
 	entry := s.log.Check(zap.InfoLevel, "connection ended")
 	if entry == nil {
 		return
 	}
 	entry.Write(
 		zap.String("peer", "client"),
-		zap.String("reason", why),
+		zap.String("reason", endReason),
 		zap.Stringer("address", conn.RemoteAddr()),
 		zap.Float64("lived_s", time.Since(conn.opened).Seconds()))
 }
 
-// remaining counts the connections that are open on our side, and those that are open on the client's side alone.
-func (s *connections) remaining() (open, half int) {
+// remaining returns the number of connections that are open on the server's side, and the number of those that are open on the
+// client's side only.
+func (s *connectionTable) remaining() (open, halfClosed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.open {
-		if conn.closed {
-			half++
+		if conn.serverClosed {
+			halfClosed++
 		} else {
 			open++
 		}
 	}
-	return open, half
+	return open, halfClosed
 }
 
-// closeIdle closes connections that are between two requests.
-func (s *connections) closeIdle(why reason) {
+// closeIdle closes the connections that are between two requests or have stalled.
+func (s *connectionTable) closeIdle(why reason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.open {
-		if !conn.closed && conn.closable() {
+		if !conn.serverClosed && conn.closable() {
 			conn.closeAfterAnswer(why)
 		}
 	}
--- a/internal/dataplane/clients/errors.go
+++ b/internal/dataplane/clients/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// RequestError says to a client what is wrong with its request.
+// RequestError is the reason why a request is rejected as malformed. Its text is sent to the client.
 type RequestError string
 
-// Error is the text, a sentence for the client.
+// Error returns the text for the client.
 func (e RequestError) Error() string { return string(e) }
 
 func malformed(format string, arguments ...any) error {
--- a/internal/dataplane/clients/protocol.go
+++ b/internal/dataplane/clients/protocol.go
@@ -15,7 +15,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// nameTable maps the settings' names to numbers.
+// nameTable maps the index and customer names of the settings to their IDs.
 type nameTable struct {
 	indexes   map[string]policy.IndexID
 	customers map[string]policy.CustomerID
@@ -26,14 +26,14 @@
 	return nameTable{settings.Numbered[policy.IndexID](set.Indexes), settings.Numbered[policy.CustomerID](set.Customers), set.Shards}
 }
 
-// index is the one that the first subquery of a path names.
+// index returns the index that the first segment of a path names. It reports false if there is no such index.
 func (n *nameTable) index(path string) (policy.IndexID, bool) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	id, known := n.indexes[name]
 	return id, known
 }
 
-// target is a subquery in a client's request.
+// target is the encoded form of a subquery in a client's request.
 type target struct {
 	Partition *int     `json:"partition"`
 	Share     *float64 `json:"share"`
@@ -41,8 +41,8 @@
 	Route     string   `json:"route"`
 }
 
-// targets are a query's subqueries, at most one for each shard: a longer array is not read to its end, as it would take far
-// more memory than its bytes.
+// targets is the encoded list of a query's subqueries. Decoding fails at the first element beyond limit, which is the number of
+// shards: decoded elements take far more memory than their bytes.
 type targets struct {
 	limit int
 	list  []target
@@ -69,15 +69,16 @@
 	return err
 }
 
+// body is the encoded form of a query's body.
 type body struct {
 	Targets targets        `json:"targets"`
 	Query   jsontext.Value `json:"query"`
 }
 
-// readHead reads a query's headers and URL; the error is for the client.
+// readHead reads a query's headers and URL. Its error is a RequestError, whose text is sent to the client.
 func (n *nameTable) readHead(r *http.Request, q *aggregator.Query) error {
 	for name, values := range r.Header {
-		if len(values) > 1 && strings.HasPrefix(name, "Req-") { // which one counts is anyone's guess
+		if len(values) > 1 && strings.HasPrefix(name, "Req-") { // ambiguous: clients and servers differ on which value counts
 			return malformed("%s stands there twice", name)
 		}
 	}
@@ -97,19 +98,19 @@
 		}
 	}
 	text := r.Header.Get("Req-Deadline")
-	wait, err := strconv.ParseFloat(text, 64)
-	if err != nil || strings.Trim(text, "0123456789.") != "" || !(wait > 0) || wait > maxTimeoutS {
+	timeout, err := strconv.ParseFloat(text, 64)
+	if err != nil || strings.Trim(text, "0123456789.") != "" || !(timeout > 0) || timeout > maxTimeoutS {
 		return malformed("Req-Deadline is not a time in seconds")
 	}
-	q.Timeout, q.Resent = wait, r.Header.Get("Req-Retry") == "1"
-	// A key that is none of ours is no reason to turn a query away: it only says what goes together.
+	q.Timeout, q.Resent = timeout, r.Header.Get("Req-Retry") == "1"
+	// An invalid key doesn't fail the query: keys only group queries that belong together.
 	q.Key, err = strconv.ParseUint(r.URL.Query().Get("key"), 16, 64)
 	q.HasKey = err == nil
 	return nil
 }
 
-// readBody reads the subqueries; the query's text keeps its bytes. Names count in their own case only, and none may
-// come twice: what another reader would take for the query must not differ from what we do.
+// readBody decodes the body of a query into its text and subqueries. Field names are case-sensitive and duplicate names are
+// rejected, so that another JSON parser can't read a different query from the same bytes.
 func (n *nameTable) readBody(text []byte, q *aggregator.Query) error {
 	in := body{Targets: targets{limit: n.shards}}
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -138,28 +139,29 @@
 		}
 		seen[*t.Partition] = true
 		sum += *t.Share
-		p := aggregator.Subquery{Shard: policy.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
+		subquery := aggregator.Subquery{Shard: policy.ShardID(*t.Partition), Weight: *t.Share, Hint: t.EstUs / 1e6}
 		if t.Route != "" {
-			if p.Key, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
+			if subquery.Key, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
 				return malformed("targets[%d].route is not 16 hex digits", i)
 			}
-			p.HasKey = true
+			subquery.HasKey = true
 		}
-		q.Subqueries[i] = p
+		q.Subqueries[i] = subquery
 	}
-	if math.Abs(sum-1) > shareSlack {
+	if math.Abs(sum-1) > shareSumTolerance {
 		return malformed("the shares add up to %g and not to 1", sum)
 	}
 	return nil
 }
 
-// shareSlack is by how much shares may miss 1 together, as each is rounded to a few digits.
-const shareSlack = 0.01
+// shareSumTolerance is the accepted difference between the sum of a query's shares and 1. Clients round each share to a few
+// digits.
+const shareSumTolerance = 0.01
 
-// maxTimeoutS is the longest wait that is taken for one: a day, so that no sum of times overflows.
+// maxTimeoutS is the longest time in seconds that a request may state: one day. The bound keeps sums of times from overflowing.
 const maxTimeoutS = 86400
 
-// decodeString is the text of a JSON string. Where nothing in it is escaped those are the bytes that came.
+// decodeString returns the text of a JSON string. Without escapes the result shares its memory with raw.
 func decodeString(raw jsontext.Value) ([]byte, error) {
 	if raw.Kind() != '"' {
 		return nil, malformed("query is not a text")
@@ -170,15 +172,15 @@
 	return jsontext.AppendUnquote(nil, raw)
 }
 
-// appendResults appends the body of an answer with the values of answered subqueries.
+// appendResults appends the body of an answer: the values of the answered subqueries, and whether the query is complete.
 func appendResults(b []byte, q *aggregator.Query, complete bool) []byte {
 	b = append(b, `{"whole":`...)
 	b = strconv.AppendBool(b, complete)
 	b = append(b, `,"results":[`...)
 	first := true
 	for i := range q.Subqueries {
-		p := &q.Subqueries[i]
-		if !p.Answered {
+		subquery := &q.Subqueries[i]
+		if !subquery.Answered {
 			continue
 		}
 		if !first {
@@ -186,16 +188,16 @@
 		}
 		first = false
 		b = append(b, `{"partition":`...)
-		b = strconv.AppendInt(b, int64(p.Shard), 10)
+		b = strconv.AppendInt(b, int64(subquery.Shard), 10)
 		b = append(b, `,"value":`...)
-		b = append(appendText(b, p.Value), '}')
+		b = append(appendString(b, subquery.Value), '}')
 	}
 	return append(b, `]}`...)
 }
 
-// appendText writes a JSON string and escapes only what JSON needs escaped; that a value is UTF-8 was checked where
-// it came in.
-func appendText(b, text []byte) []byte {
+// appendString appends text as a JSON string. It escapes only what JSON requires. text must be valid UTF-8, which is checked
+// when a value is received from a backend.
+func appendString(b, text []byte) []byte {
 	b = append(b, '"')
 	for _, c := range text {
 		switch {
@@ -211,7 +213,7 @@
 	return append(b, '"')
 }
 
-// retryAfter formats seconds for Retry-After, rounded up to milliseconds.
-func retryAfter(s float64) string {
+// formatRetryAfter formats s, in seconds, as the value of a Retry-After header, rounded up to milliseconds.
+func formatRetryAfter(s float64) string {
 	return strconv.FormatFloat(math.Ceil(s*1000)/1000, 'f', -1, 64)
 }
--- a/internal/dataplane/clients/races_test.go
+++ b/internal/dataplane/clients/races_test.go
@@ -23,36 +23,38 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// noConnections waits until the server holds nothing of any client.
-func (r *fixture) noConnections() {
+// waitForNoConnections waits until the server has no connections, half-closed connections or queries in progress.
+func (r *fixture) waitForNoConnections() {
 	r.Helper()
-	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		open, half := r.connections.remaining()
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
+		open, halfClosed := r.connections.remaining()
 		r.connections.mu.Lock()
-		held := r.connections.activeQueries
+		activeQueries := r.connections.activeQueries
 		r.connections.mu.Unlock()
-		if open == 0 && half == 0 && held == 0 {
+		if open == 0 && halfClosed == 0 && activeQueries == 0 {
 			return
 		}
-		if time.Now().After(late) {
-			r.Fatalf("%d connections open, %d half, %d lookups held", open, half, held)
+		if time.Now().After(deadline) {
+			r.Fatalf("%d connections open, %d half-closed, %d queries in progress; want none", open, halfClosed, activeQueries)
 		}
 	}
 }
 
+// pipelined returns the text of a valid request with the given query ID.
 func pipelined(id string) string {
-	return request("/reads", strings.Replace(goodHead, "ab12", id, 1), goodBody)
+	return request("/reads", strings.Replace(validHead, "ab12", id, 1), validBody)
 }
 
-// A client that leaves behind what it pipelined is told of as soon as one that sent nothing, however it leaves.
-func TestDisconnectBehindPipelinedRequests(t *testing.T) {
+// Guards against disconnects that are detected only after the answer: net/http does not see one behind pipelined bytes. A client may
+// close its connection, close only its sending side, or reset the connection.
+func TestDisconnectBehindPipelinedRequestsIsReported(t *testing.T) {
 	for name, ahead := range map[string]string{"byte": "P", "request": pipelined("second"), "many": strings.Repeat(pipelined("second"), 100)} {
-		for _, how := range []string{"fin", "half", "reset"} {
+		for _, ending := range []string{"fin", "half", "reset"} {
 			r := newFixture(t, 100, nil)
 			c := r.dial()
 			io.WriteString(c, pipelined("first")+ahead)
-			q := r.event(policy.QueryReceived)
-			switch tcp := c.Conn.(*net.TCPConn); how {
+			q := r.expectEvent(policy.QueryReceived)
+			switch tcp := c.Conn.(*net.TCPConn); ending {
 			case "fin":
 				tcp.Close()
 			case "half":
@@ -61,27 +63,27 @@
 				tcp.SetLinger(0)
 				tcp.Close()
 			}
-			if gone := r.event(policy.ClientDisconnected); gone != q {
-				t.Fatalf("%s, %s: lookup %q is told to have no client", name, how, gone.ID)
+			if disconnected := r.expectEvent(policy.ClientDisconnected); disconnected != q {
+				t.Fatalf("%s, %s: query %q is reported as disconnected, want the first one", name, ending, disconnected.ID)
 			}
 			c.Close()
-			r.noConnections()
-			if rest := r.events.Rest(); len(rest) != 0 { // of what it sent behind
-				t.Fatalf("%s, %s: %q is sent on", name, how, rest[0].ClientQuery.ID)
+			r.waitForNoConnections()
+			if remaining := r.events.Remaining(); len(remaining) != 0 { // the pipelined requests
+				t.Fatalf("%s, %s: query %q reached the aggregator after its client had disconnected", name, ending, remaining[0].ClientQuery.ID)
 			}
 		}
 	}
 }
 
-// What is pipelined is answered in its turn as long as it is little, the last one too.
+// Pipelined requests within the read-ahead limit are answered in order, and the connection stays open.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
 	io.WriteString(c, pipelined("a")+pipelined("b"))
 	for _, id := range []string{"a", "b", "c"} {
-		q := r.event(policy.QueryReceived)
+		q := r.expectEvent(policy.QueryReceived)
 		if q.ID != id {
-			t.Fatalf("got %q, expected %q", q.ID, id)
+			t.Fatalf("got query %q, want %q", q.ID, id)
 		}
 		if id == "a" {
 			io.WriteString(c, pipelined("c")[:40])
@@ -89,58 +91,60 @@
 		}
 		q.Done <- aggregator.Reply{End: aggregator.Nacked}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
-			t.Fatalf("the connection ends with the answer to %q", id)
+			t.Fatalf("the answer to %q closes the connection", id)
 		}
 	}
 }
 
-// More is not kept: the answer in hand is whole, and the last; nothing of the rest reaches the policy.
+// Pipelined bytes beyond the read-ahead limit are dropped. The current answer is complete and closes the connection, and no pipelined
+// request reaches the aggregator.
 func TestPipelinedBytesBeyondTheLimitEndTheConnection(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c, other := r.dial(), r.dial()
 	io.WriteString(c, pipelined("first"))
-	q := r.event(policy.QueryReceived)
+	q := r.expectEvent(policy.QueryReceived)
 	if _, err := io.WriteString(c, strings.Repeat(pipelined("more"), 2*maxReadAhead/len(pipelined("more")))); err != nil {
 		t.Fatal(err)
 	}
-	r.overrun()
+	r.waitForReadAheadOverrun()
 	other.sendQuery()
-	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
+	r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 	other.expect(429)
 	q.Done <- aggregator.Reply{End: aggregator.Nacked}
 	if head, _ := c.expect(429); head.Get("Connection") != "close" {
 		t.Fatal("the connection stays open")
 	}
 	if _, err := c.in.ReadByte(); err != io.EOF {
-		t.Fatalf("ended by %v, expected io.EOF", err)
+		t.Fatalf("the connection ended by %v, want io.EOF", err)
 	}
 	c.Close()
 	other.Close()
-	r.noConnections()
-	if rest := r.events.Rest(); len(rest) != 0 {
-		t.Fatalf("%d events", len(rest))
+	r.waitForNoConnections()
+	if remaining := r.events.Remaining(); len(remaining) != 0 {
+		t.Fatalf("%d more events, want none", len(remaining))
 	}
 }
 
-// overrun waits until some connection has sent more than is kept.
-func (r *fixture) overrun() {
+// waitForReadAheadOverrun waits until a client has sent more bytes than its connection may read ahead.
+func (r *fixture) waitForReadAheadOverrun() {
 	r.Helper()
-	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		r.connections.mu.Lock()
-		for l := range r.connections.open {
-			if l.overrun.Load() {
+		for conn := range r.connections.open {
+			if conn.readAheadOverrun.Load() {
 				r.connections.mu.Unlock()
 				return
 			}
 		}
 		r.connections.mu.Unlock()
-		if time.Now().After(late) {
-			r.Fatal("nothing ran over")
+		if time.Now().After(deadline) {
+			r.Fatal("no connection exceeded the read-ahead limit")
 		}
 	}
 }
 
-// No close over bytes that nobody has read: it would be a reset, and may cost the client the answer before it.
+// Guards against a full close of a connection with unread bytes. It would send a reset, and the client might lose the answer before
+// it.
 func TestAnAnswerBeforeUnreadBytesIsNotReset(t *testing.T) {
 	r := newFixture(t, 100, nil)
 	c := r.dial()
@@ -149,73 +153,74 @@
 		t.Fatal("the connection stays open")
 	}
 	if _, err := c.in.ReadByte(); err != io.EOF {
-		t.Fatalf("ended by %v, expected io.EOF", err)
+		t.Fatalf("the connection ended by %v, want io.EOF", err)
 	}
 	if _, err := io.WriteString(c, "more"); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	r.noConnections()
+	r.waitForNoConnections()
 }
 
-// A client that rests until it is told is told by an end and not by a reset. A request that crosses with it is never sent on.
+// A drain ends an idle connection, and one with a partial request, without a reset. A request that is sent after the close never
+// reaches the aggregator.
 func TestBytesAfterTheCloseAreDiscarded(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) { s.servePeriod = time.Millisecond })
-	rests, half := r.dial(), r.dial()
-	rests.sendQuery()
-	r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
-	rests.expect(429)
-	io.WriteString(half, "POST /reads HTTP/1.1\r\nReq-Id: half")
+	idle, partial := r.dial(), r.dial()
+	idle.sendQuery()
+	r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
+	idle.expect(429)
+	io.WriteString(partial, "POST /reads HTTP/1.1\r\nReq-Id: half")
 	drained := make(chan struct{})
 	go func() { r.Drain(); close(drained) }()
-	for _, c := range []*client{rests, half} {
+	for _, c := range []*client{idle, partial} {
 		if _, err := c.in.ReadByte(); err != io.EOF {
-			t.Fatalf("ended by %v, expected io.EOF", err)
+			t.Fatalf("the connection ended by %v, want io.EOF", err)
 		}
 	}
-	if _, err := io.WriteString(rests, pipelined("after")); err != nil {
+	if _, err := io.WriteString(idle, pipelined("after")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := rests.in.ReadByte(); err != io.EOF {
-		t.Fatalf("ended by %v, expected io.EOF", err)
+	if _, err := idle.in.ReadByte(); err != io.EOF {
+		t.Fatalf("the connection ended by %v, want io.EOF", err)
 	}
-	rests.Close()
-	half.Close()
+	idle.Close()
+	partial.Close()
 	<-drained
-	r.noConnections()
-	if rest := r.events.Rest(); len(rest) != 0 {
-		t.Fatalf("%+v was sent on", rest[0].ClientQuery)
+	r.waitForNoConnections()
+	if remaining := r.events.Remaining(); len(remaining) != 0 {
+		t.Fatalf("%+v reached the aggregator", remaining[0].ClientQuery)
 	}
 }
 
-// A stop ends in time whatever clients do: one does not read its answer, one trickles a head, one a body. Those that are held are answered
-// before.
+// A drain ends in time although one client does not read its answer, one sends a head byte by byte, and one a body. The query in
+// progress is answered before.
 func TestStopDoesNotWaitForClientsThatNeverClose(t *testing.T) {
 	r := newFixture(t, 100, func(s *Server) {
 		s.servePeriod, s.answerTimeout = time.Millisecond, time.Hour
 		s.http.ReadTimeout, s.http.IdleTimeout = time.Hour, time.Hour
 	})
-	deaf, held, head, body := r.dial(), r.dial(), r.dial(), r.dial()
-	deaf.sendQuery()
-	q := r.event(policy.QueryReceived)
-	q.Subqueries[0].Answered, q.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than sockets hold unread
+	notReading, held, head, body := r.dial(), r.dial(), r.dial(), r.dial()
+	notReading.sendQuery()
+	q := r.expectEvent(policy.QueryReceived)
+	q.Subqueries[0].Answered, q.Subqueries[0].Value = true, bytes.Repeat([]byte("v"), 32<<20) // more than socket buffers hold
 	q.Done <- aggregator.Reply{End: aggregator.Satisfied}
-	if _, err := deaf.in.Peek(1); err != nil { // its answer is on its way
+	if _, err := notReading.in.Peek(1); err != nil { // wait until its answer is being written
 		t.Fatal(err)
 	}
 	held.sendQuery()
-	q = r.event(policy.QueryReceived)
+	q = r.expectEvent(policy.QueryReceived)
 	text := pipelined("trickles")
 	io.WriteString(head, text[:20])
 	io.WriteString(body, text[:len(text)-20])
 	drained := make(chan struct{})
 	go func() { r.Drain(); close(drained) }()
-	trickles := time.NewTicker(50 * time.Millisecond)
-	defer trickles.Stop()
-	late := time.After(patience)
+	ticker := time.NewTicker(50 * time.Millisecond)
+	defer ticker.Stop()
+	timeout := time.After(waitTimeout)
 	for sent := 0; ; sent++ {
 		select {
-		case <-trickles.C:
+		case <-ticker.C:
 			if sent == 2 {
 				q.Done <- aggregator.Reply{End: aggregator.Nacked}
 				held.expect(429)
@@ -226,47 +231,48 @@
 			}
 		case <-drained:
 			if sent < 2 {
-				t.Fatal("it ended with a lookup held")
+				t.Fatal("the drain ended with a query in progress")
 			}
-			if rest := r.events.Rest(); len(rest) != 0 {
-				t.Fatalf("%+v was sent on", rest[0].ClientQuery)
+			if remaining := r.events.Remaining(); len(remaining) != 0 {
+				t.Fatalf("%+v reached the aggregator", remaining[0].ClientQuery)
 			}
-			r.noConnections()
+			r.waitForNoConnections()
 			return
-		case <-late:
-			t.Fatal("it waits for them")
+		case <-timeout:
+			t.Fatal("the drain waits for clients that never close")
 		}
 	}
 }
 
-// One that rests on for ever is left after a while, and at once where its place is needed.
-func TestLingeringCloseTimesOut(t *testing.T) {
+// The clients never close their connections. A connection that the server has closed ends at once if its place is needed, and
+// otherwise after the linger time-out.
+func TestLingeringConnectionsTimeOutAndMakeRoomAtTheLimit(t *testing.T) {
 	r := newFixture(t, 2, nil)
 	for range 6 {
 		c := r.dial()
 		c.sendQuery()
-		r.event(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
+		r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
 		c.expect(429)
 	}
-	r.noConnections()
+	r.waitForNoConnections()
 }
 
-// taken is a connection whose bytes were taken from the kernel, and are not told of until the test lets go.
-type taken struct {
+// gatedConn is a connection whose Read returns received bytes only once the test releases them.
+type gatedConn struct {
 	net.Conn
-	got, let chan struct{}
+	readDone, release chan struct{}
 }
 
-func (c *taken) Read(b []byte) (int, error) {
+func (c *gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.got <- struct{}{}
-		<-c.let
+		c.readDone <- struct{}{}
+		<-c.release
 	}
 	return n, err
 }
 
-// newUnservedConnection is a connection that net/http does not read, and its client.
+// newUnservedConnection returns a connection that net/http does not read, and the client's end of it.
 func newUnservedConnection(t *testing.T) (*connection, net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -278,58 +284,58 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	conn, err := listener.Accept()
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
-	s := newConnections(10, 1<<20, zap.NewNop(), counters.New())
-	l := &connection{Conn: conn, table: s, clientLeft: make(chan struct{}), opened: time.Now(), idle: true}
-	l.readerStopped = sync.NewCond(&l.readMu)
-	s.open[l] = true
-	return l, client
+	t.Cleanup(func() { accepted.Close() })
+	table := newConnectionTable(10, 1<<20, zap.NewNop(), counters.New())
+	conn := &connection{Conn: accepted, table: table, clientDisconnected: make(chan struct{}), opened: time.Now(), idle: true}
+	conn.readerStopped = sync.NewCond(&conn.readMu)
+	table.open[conn] = true
+	return conn, client
 }
 
-// net/http stops its own read by a deadline that has passed, and takes it back. That may find who follows instead, where a client asks anew
-// right behind its answer: the next request is read all the same.
-func TestDeadlineThatIsResetEndsNothing(t *testing.T) {
-	l, client := newUnservedConnection(t)
+// net/http stops its own background read by an expired deadline and resets it afterwards. If the client sends its next request right
+// after an answer, that deadline may end watchClient instead. The next request must still be read.
+func TestResetDeadlineDoesNotEndReading(t *testing.T) {
+	conn, client := newUnservedConnection(t)
 	io.WriteString(client, "P")
-	if n, err := l.Read(make([]byte, 1)); n != 1 || err != nil { // as net/http looks for its client's disconnect
+	if n, err := conn.Read(make([]byte, 1)); n != 1 || err != nil { // as net/http does to detect a disconnect
 		t.Fatal(n, err)
 	}
-	l.SetReadDeadline(past)
-	l.readMu.Lock()
-	for l.watching {
-		l.readerStopped.Wait()
+	conn.SetReadDeadline(expiredDeadline)
+	conn.readMu.Lock()
+	for conn.watcherRunning {
+		conn.readerStopped.Wait()
 	}
-	l.readMu.Unlock()
-	l.SetReadDeadline(time.Time{})
+	conn.readMu.Unlock()
+	conn.SetReadDeadline(time.Time{})
 	io.WriteString(client, "OST")
 	b := make([]byte, 3)
-	if _, err := io.ReadFull(l, b); err != nil || string(b) != "OST" {
+	if _, err := io.ReadFull(conn, b); err != nil || string(b) != "OST" {
 		t.Fatalf("read %q, %v", b, err)
 	}
 }
 
-// Another deadline that is set while a reader waits for who follows does not leave it waiting.
+// Setting another deadline while a reader waits for watchClient to stop does not leave that reader blocked.
 func TestDeadlineSetDuringTheCloseDoesNotBlockTheReader(t *testing.T) {
-	l, client := newUnservedConnection(t)
+	conn, client := newUnservedConnection(t)
 	for range 200 {
 		io.WriteString(client, "P")
-		if n, err := l.Read(make([]byte, 1)); n != 1 || err != nil {
+		if n, err := conn.Read(make([]byte, 1)); n != 1 || err != nil {
 			t.Fatal(n, err)
 		}
 		set := make(chan struct{})
-		go func() { l.SetReadDeadline(time.Time{}); close(set) }()
+		go func() { conn.SetReadDeadline(time.Time{}); close(set) }()
 		read := make(chan error)
-		go func() { _, err := l.Read(make([]byte, 4096)); read <- err }()
+		go func() { _, err := conn.Read(make([]byte, 4096)); read <- err }()
 		<-set
-		l.readMu.Lock()
-		for l.watching {
-			l.readerStopped.Wait()
+		conn.readMu.Lock()
+		for conn.watcherRunning {
+			conn.readerStopped.Wait()
 		}
-		l.readMu.Unlock()
+		conn.readMu.Unlock()
 		io.WriteString(client, "x")
 		if err := <-read; err != nil {
 			t.Fatal(err)
@@ -337,35 +343,36 @@
 	}
 }
 
-// A request that was read as its connection is told to end is not dropped: it is read to its end and can be answered.
+// Guards against a lost request: bytes were received but Read has not returned them when closeIdle closes the connection. The request
+// must be read to its end and answered.
 func TestARequestReadAsItsConnectionEndsIsAnswered(t *testing.T) {
-	l, client := newUnservedConnection(t)
-	held := &taken{l.Conn, make(chan struct{}), make(chan struct{})}
-	l.Conn = held
+	conn, client := newUnservedConnection(t)
+	gated := &gatedConn{conn.Conn, make(chan struct{}), make(chan struct{})}
+	conn.Conn = gated
 	request := pipelined("x")
 	io.WriteString(client, request[:100])
 	text := make(chan string)
 	go func() {
 		got := ""
 		for b := make([]byte, 4096); len(got) < len(request); {
-			n, err := l.Read(b)
+			n, err := conn.Read(b)
 			if got += string(b[:n]); err != nil {
 				break
 			}
 		}
 		text <- got
 	}()
-	<-held.got // nobody knows yet
-	l.table.closeIdle(reasonShutdown)
-	held.let <- struct{}{}
+	<-gated.readDone // the connection does not know of these bytes yet
+	conn.table.closeIdle(reasonShutdown)
+	gated.release <- struct{}{}
 	io.WriteString(client, request[100:])
-	<-held.got
-	held.let <- struct{}{}
+	<-gated.readDone
+	gated.release <- struct{}{}
 	if got := <-text; got != request {
 		t.Fatalf("read %q", got)
 	}
-	l.answering.Store(true)
-	if _, err := io.WriteString(l, "HTTP/1.1 429 Too Many Requests\r\n\r\n"); err != nil {
+	conn.answering.Store(true)
+	if _, err := io.WriteString(conn, "HTTP/1.1 429 Too Many Requests\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(client), nil)
@@ -374,46 +381,47 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusTooManyRequests {
-		t.Fatalf("got %v", res)
+		t.Fatalf("got %v, want status 429", res)
 	}
 }
 
-// Clients that leave in a burst, each with a query held: all are told of, and nothing of them is left.
-func TestABurstOfClientsDisconnects(t *testing.T) {
+// Many clients disconnect at once, each with a query in progress. Each disconnect is reported, and all connections are removed.
+func TestEachDisconnectOfABurstIsReported(t *testing.T) {
 	r := newFixture(t, 1000, nil)
-	var crowd []*client
+	var clients []*client
 	for i := range 300 {
 		c := r.dial()
 		c.sendQuery()
 		if i%3 == 0 {
 			io.WriteString(c, pipelined("ahead"))
 		}
-		crowd = append(crowd, c)
+		clients = append(clients, c)
 	}
-	for range crowd {
-		r.event(policy.QueryReceived)
+	for range clients {
+		r.expectEvent(policy.QueryReceived)
 	}
-	for i, c := range crowd {
+	for i, c := range clients {
 		if i%2 == 0 {
 			c.Conn.(*net.TCPConn).SetLinger(0)
 		}
 		c.Close()
 	}
-	for range crowd {
-		r.event(policy.ClientDisconnected)
+	for range clients {
+		r.expectEvent(policy.ClientDisconnected)
 	}
-	r.noConnections()
+	r.waitForNoConnections()
 }
 
-// A client that leaves as its answer is decided is ended once, whichever comes first: by its answer, or by word of its leaving, not by both.
-func TestAnswerRacesWithItsClientsDisconnect(t *testing.T) {
+// A client disconnects while the reply to its query arrives. Either the answer or the disconnect ends the query, whichever comes first,
+// but never both.
+func TestAnswerRacingWithDisconnectEndsTheQueryOnce(t *testing.T) {
 	r := newFixture(t, 100, nil)
-	gone := map[*aggregator.Query]bool{}
-	hear := func(e aggregator.Event) {
-		if e.Kind != policy.ClientDisconnected || gone[e.ClientQuery] {
-			t.Fatalf("got %+v", e)
+	disconnected := map[*aggregator.Query]bool{}
+	recordDisconnect := func(e aggregator.Event) {
+		if e.Kind != policy.ClientDisconnected || disconnected[e.ClientQuery] {
+			t.Fatalf("got %+v, want one disconnect of each query", e)
 		}
-		gone[e.ClientQuery] = true
+		disconnected[e.ClientQuery] = true
 	}
 	answered := map[*aggregator.Query]bool{}
 	for i := range 100 {
@@ -421,7 +429,7 @@
 		c.sendQuery()
 		e := r.events.Next(t)
 		for ; e.Kind != policy.QueryReceived; e = r.events.Next(t) {
-			hear(e) // of the round before
+			recordDisconnect(e) // of the previous round
 		}
 		go c.Conn.(*net.TCPConn).CloseWrite()
 		e.ClientQuery.Done <- aggregator.Reply{End: aggregator.Satisfied, Complete: true}
@@ -444,13 +452,13 @@
 		}
 		c.Close()
 	}
-	r.noConnections()
-	for _, e := range r.events.Rest() {
-		hear(e)
+	r.waitForNoConnections()
+	for _, e := range r.events.Remaining() {
+		recordDisconnect(e)
 	}
-	for q := range gone {
+	for q := range disconnected {
 		if answered[q] {
-			t.Fatalf("%q was answered, and its client told to be gone", q.ID)
+			t.Fatalf("query %q was answered and also reported as disconnected", q.ID)
 		}
 	}
 }
--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -1,5 +1,11 @@
-// Package clients is the network side towards clients: net/http's server reads queries, the policy's actor decides, and the
-// answer is written in one piece.
+// Package clients receives queries from clients over HTTP/1.1 and writes their answers.
+//
+// Server reads and validates a query, puts it into the queue of the aggregator's actor and waits for the reply. It writes each
+// answer in one piece, and it answers a malformed request itself. A query is reported as disconnected if its client disconnects
+// before the reply.
+//
+// Package node creates one Server for each aggregator. The package never sends a query to a backend and makes no scheduling
+// decision.
 package clients
 
 import (
@@ -24,79 +30,87 @@
 )
 
 const (
-	maxBody   = 64 << 10 // what the protocol lets a body hold
-	maxHeader = 8 << 10  // many times a query's: at net/http's own 1 MB the connections at the limit would not fit in memory
-	// A client that says nothing, or stops in the middle of a head or a body, is owed an end within 3 s of
-	// connecting; some of that passes before its connection is accepted.
+	// maxBody is the largest body in bytes that the protocol allows.
+	maxBody = 64 << 10
+	// maxHeader is the largest head of a request in bytes, many times that of a usual query. With net/http's default of 1 MB, the
+	// heads of the largest number of connections would not fit in memory.
+	maxHeader = 8 << 10
+	// requestTimeout is the time to read a request. The connection of a client that sends nothing, or stops within a head or a
+	// body, must end within 3 s of connecting. Part of that passes before the connection is accepted.
 	requestTimeout = 2 * time.Second
-	// One that stops in the middle of reading an answer holds its connection no longer.
+	// answerTimeout is the time to write an answer. After it, the connection of a client that has stopped reading is closed.
 	answerTimeout = 10 * time.Second
-	// idleTimeout is how long a connection without a request is kept at the least by agreement, and not for good, as some clients
-	// never come back on one.
+	// idleTimeout is how long a connection without a request is kept. The protocol guarantees clients at least this time.
+	// Connections are not kept forever, as some clients never reuse them.
 	idleTimeout = 2 * time.Second
-	// smallBody is what the body of a usual query takes. Of larger ones only so many are in hand at once that they,
-	// their copies while they grow and what they unfold into stay within bodyShare of the memory.
-	smallBody       = 4 << 10
+	// maxSmallBody is the size in bytes below which a body counts as small. The body of a usual query is smaller.
+	maxSmallBody = 4 << 10
+	// largeBodyMemory is the memory in bytes that one large body may take, with its copies while it is read and its decoded form.
 	largeBodyMemory = 4 * maxBody
-	bodyShare       = 0.2
-	// drainNotice is how long a front goes on handing out connections to an aggregator that drains.
-	drainNotice = 500 * time.Millisecond
-	// A stopping aggregator is killed no sooner than a query's longest time, of which maxQueryTime at most, and killAfter more
-	// after the drain began.
+	// largeBodyMemoryShare is the share of the memory that all large bodies together may take. It limits how many are read at once.
+	largeBodyMemoryShare = 0.2
+	// frontDrainDelay is how long a front may still open connections to an aggregator that drains.
+	frontDrainDelay = 500 * time.Millisecond
+	// maxQueryTime is the upper bound of the longest query time that counts for a shutdown. A stopping aggregator is killed no
+	// sooner than this longest query time plus killGracePeriod after the drain began.
 	maxQueryTime = 3 * time.Second
-	killAfter    = 700 * time.Millisecond
-	// Of that it serves on, as others may not be there yet, but for closePeriod: by then all that it took is answered
-	// and its clients' connections are closed, each with an answer where they ask on.
-	closePeriod  = 500 * time.Millisecond
-	closeReserve = 200 * time.Millisecond // of those, for what no query may take any more
-	// drainPoll is how long after that the listener's queue is emptied before it is closed.
-	drainPoll = 20 * time.Millisecond
+	// killGracePeriod is the time between the longest query time and the earliest kill of a stopping aggregator.
+	killGracePeriod = 700 * time.Millisecond
+	// closePeriod is the end of a stopping aggregator's time, in which it answers all accepted queries and closes their
+	// connections. Until then it keeps serving, as its replacement may not be running yet. A client that sends another query in
+	// this period gets an answer that closes its connection.
+	closePeriod = 500 * time.Millisecond
+	// closeReserve is the end of closePeriod, in which no query may be in progress any more.
+	closeReserve = 200 * time.Millisecond
+	// drainPollInterval is the time between two checks while the server drains. It is also how long the listener's accept queue
+	// is emptied before the listener closes.
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // Server serves queries over HTTP/1.1.
 type Server struct {
-	http          *http.Server
-	connections   *connections
-	events        *eventqueue.Queue[aggregator.Event]
-	log           *zap.Logger
-	counters      *counters.Set
-	names         nameTable
-	retryAfter    bool
-	answerTimeout time.Duration // that an answer may take to be written
-	servePeriod   time.Duration // how long a stopping aggregator takes queries
-	answerBy      atomic.Int64  // when each must have its answer once it stops, in Unix ns; 0 before
-	largeBodies   chan struct{} // a place for each large body in hand
-	stopped       chan struct{}
+	http           *http.Server
+	connections    *connectionTable
+	events         *eventqueue.Queue[aggregator.Event]
+	log            *zap.Logger
+	counters       *counters.Set
+	names          nameTable
+	retryAfter     bool
+	answerTimeout  time.Duration // time to write an answer
+	servePeriod    time.Duration // how long a stopping aggregator keeps serving
+	answerDeadline atomic.Int64  // while draining, the time by which each query must have its answer, in Unix ns; 0 before
+	largeBodies    chan struct{} // holds an item for each large body being handled
+	stopped        chan struct{} // receives an item once the HTTP server has stopped accepting
 }
 
-// New makes a server with at most maxConnections connections, which may take memory bytes altogether. It puts its events into
-// events.
+// New creates a server with at most maxConnections connections, which may use a total of memory bytes. The server puts the events of
+// its queries into events.
 func New(set settings.Settings, maxConnections, memory int, events *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
 	s := &Server{events: events, log: log, counters: count, names: newNameTable(set.Net), retryAfter: set.Limits.RetryAfter, answerTimeout: answerTimeout,
-		connections: newConnections(maxConnections, memory, log, count), largeBodies: make(chan struct{}, max(1, int(bodyShare*float64(memory)/largeBodyMemory))), stopped: make(chan struct{}, 1)}
+		connections: newConnectionTable(maxConnections, memory, log, count), largeBodies: make(chan struct{}, max(1, int(largeBodyMemoryShare*float64(memory)/largeBodyMemory))), stopped: make(chan struct{}, 1)}
 	longest := 0.0
 	for _, x := range set.Indexes {
 		longest = max(longest, x.Hard)
 	}
-	s.servePeriod = killAfter + min(maxQueryTime, time.Duration(longest*float64(time.Second))) - closePeriod
+	s.servePeriod = killGracePeriod + min(maxQueryTime, time.Duration(longest*float64(time.Second))) - closePeriod
 	s.http = &http.Server{Handler: http.HandlerFunc(s.handle), MaxHeaderBytes: maxHeader, ReadTimeout: requestTimeout, IdleTimeout: idleTimeout,
-		DisableGeneralOptionsHandler: true, // which answers 200
+		DisableGeneralOptionsHandler: true, // the default handler answers OPTIONS * with 200
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, c)
 		},
-		ConnState: s.connections.stateChanged, ErrorLog: stdlog.New(httpLog{log}, "", 0)}
+		ConnState: s.connections.stateChanged, ErrorLog: stdlog.New(httpErrorLog{log}, "", 0)}
 	return s
 }
 
-// httpLog logs what net/http itself reports, a handler's panic above all.
-type httpLog struct{ log *zap.Logger }
+// httpErrorLog logs the errors that net/http's server reports, mainly panics of the handler.
+type httpErrorLog struct{ log *zap.Logger }
 
-func (l httpLog) Write(text []byte) (int, error) {
+func (l httpErrorLog) Write(text []byte) (int, error) {
 	l.log.Warn("http", zap.String("text", string(text)))
 	return len(text), nil
 }
 
-// Serve starts to accept connections, until Drain.
+// Serve starts to accept connections from l, until Drain ends that. It doesn't block.
 func (s *Server) Serve(l *net.TCPListener) {
 	s.connections.listener = l
 	go func() {
@@ -105,53 +119,58 @@
 	}()
 }
 
-// Drain is the graceful shutdown. The server goes on serving for as long as a stopping aggregator surely lives, but for the time
-// of the last answers, as a front may not have another aggregator yet and clients reuse their connections. Then answers close
-// their connections, the listener closes once its queue is empty, and idle connections close. Drain returns once all queries
-// are answered.
+// Drain shuts the server down gracefully and returns once all queries are answered.
+//
+// The server first keeps serving for servePeriod, as a front may not have another aggregator yet and clients reuse their connections.
+// It ends this period early if no connection is open. Then each answer closes its connection, the listener closes once its
+// accept queue is empty, and idle connections are closed.
 func (s *Server) Drain() {
-	s.answerBy.Store(time.Now().Add(s.servePeriod + closePeriod - closeReserve).UnixNano())
+	s.answerDeadline.Store(time.Now().Add(s.servePeriod + closePeriod - closeReserve).UnixNano())
 	open := func() bool { n, _ := s.connections.remaining(); return n > 0 }
-	for began := time.Now(); time.Since(began) < s.servePeriod && (time.Since(began) < drainNotice || open()); {
-		time.Sleep(drainPoll)
+	for began := time.Now(); time.Since(began) < s.servePeriod && (time.Since(began) < frontDrainDelay || open()); {
+		time.Sleep(drainPollInterval)
 	}
 	s.connections.draining.Store(true)
-	s.connections.listener.SetDeadline(time.Now().Add(drainPoll))
+	s.connections.listener.SetDeadline(time.Now().Add(drainPollInterval))
 	<-s.stopped
-	// Clients send on connections that stay open: an answer tells each that its connection closes. A connection that is closed
-	// between two queries may be closed under one that is on its way, so that is left for those that say nothing.
+	// Clients keep sending queries on open connections, and the answer tells each client that its connection closes. Closing a
+	// connection between two queries could lose a query that is being sent. Only connections that stay silent are
+	// closed in that way, after this wait.
 	for began := time.Now(); time.Since(began) < closePeriod-closeReserve && open(); {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
-	// By the last moment all that was taken is decided. What is open then is a client that does not read its answer, or that
-	// trickles a request: nothing is owed to either, and to be killed over them would cost others.
-	last := time.Unix(0, s.answerBy.Load()).Add(closeReserve / 2)
-	for open() && time.Now().Before(last) {
+	// At closeBy all accepted queries have their replies. A connection that is still open belongs to a client that does not read
+	// its answer, or sends a request too slowly. The server doesn't wait longer for such clients: if the process were killed
+	// meanwhile, other clients would lose their answers.
+	closeBy := time.Unix(0, s.answerDeadline.Load()).Add(closeReserve / 2)
+	for open() && time.Now().Before(closeBy) {
 		s.connections.closeIdle(reasonShutdown)
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
-	// What was answered is not to be reset by our end over what a client has sent since: its own end is waited for.
+	// Wait until clients close their side. If the process ended before, bytes that a client has sent since its answer would cause a
+	// reset, and the client might lose the answer.
 	until := time.Now().Add(lingerTimeout)
-	if last.Before(until) {
-		until = last
+	if closeBy.Before(until) {
+		until = closeBy
 	}
-	for _, half := s.connections.remaining(); half > 0 && time.Now().Before(until); _, half = s.connections.remaining() {
-		time.Sleep(drainPoll)
+	for _, halfClosed := s.connections.remaining(); halfClosed > 0 && time.Now().Before(until); _, halfClosed = s.connections.remaining() {
+		time.Sleep(drainPollInterval)
 	}
 	s.http.Close()
 }
 
-// connectionOf is the connection that a request came on: every one has its own in its context.
+// connectionOf returns the connection on which a request arrived. The context of each request holds it.
 func connectionOf(r *http.Request) *connection {
-	return r.Context().Value(connectionKey{}).(*connection) //nolint:forcetypeassert // a context without one is a mistake in this package
+	return r.Context().Value(connectionKey{}).(*connection) //nolint:forcetypeassert // a context without a connection is a bug in this package
 }
 
+// handle is the handler of all requests.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	conn := connectionOf(r)
-	conn.SetWriteDeadline(time.Time{}) // that of the answer before
+	conn.SetWriteDeadline(time.Time{}) // remove the deadline of the previous answer
 	index, known := s.names.index(r.URL.Path)
 	switch {
-	case !conn.hasOneLength(r): // net/http has settled it in its own way, but another query may be hidden in the body
+	case !conn.hasUnambiguousLength(r): // net/http accepts some of these, but another parser may see a second request in the body
 		s.refuse(w, r, http.StatusBadRequest, "the length of the body is stated twice")
 	case r.ContentLength > maxBody: // rejected before any of it is read
 		s.refuse(w, r, http.StatusRequestEntityTooLarge, tooLarge)
@@ -169,11 +188,12 @@
 	errBusy  = errors.New("too many large bodies")
 )
 
-// readAll reads a body; a large one counts against the limit of large bodies until done is called.
+// readAll reads a body. A large body occupies a place in largeBodies until done is called; without a free place the error is
+// errBusy.
 func (s *Server) readAll(w http.ResponseWriter, r *http.Request) (text []byte, done func(), err error) {
 	done = func() {}
 	body := http.MaxBytesReader(w, r.Body, maxBody)
-	if text, err = io.ReadAll(io.LimitReader(body, smallBody)); err != nil || len(text) < smallBody {
+	if text, err = io.ReadAll(io.LimitReader(body, maxSmallBody)); err != nil || len(text) < maxSmallBody {
 		return text, done, err
 	}
 	select {
@@ -186,19 +206,19 @@
 	return append(text, remainder...), done, err
 }
 
-// handleQuery reads a query, passes it to the policy's actor and writes the reply.
+// handleQuery reads a query, passes it to the aggregator's actor and writes the reply.
 func (s *Server) handleQuery(w http.ResponseWriter, r *http.Request, index policy.IndexID) {
 	conn := connectionOf(r)
-	q := &aggregator.Query{Index: index, Arrived: conn.arrived(), Done: make(chan aggregator.Reply, 1)}
+	q := &aggregator.Query{Index: index, Arrived: conn.arrivalTime(), Done: make(chan aggregator.Reply, 1)}
 	if err := s.names.readHead(r, q); err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
 	text, done, err := s.readAll(w, r)
 	defer done()
-	large := (*http.MaxBytesError)(nil)
+	tooLargeErr := (*http.MaxBytesError)(nil)
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLargeErr):
 		s.refuse(w, r, http.StatusRequestEntityTooLarge, tooLarge)
 		return
 	case errors.Is(err, errBusy):
@@ -212,7 +232,7 @@
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
-	if conn.clientHasLeft(r.Context()) { // this one was pipelined, and nobody waits for its answer
+	if conn.clientHasDisconnected(r.Context()) { // a pipelined query whose client has disconnected
 		s.write(w, r, http.StatusInternalServerError, nil)
 		return
 	}
@@ -220,30 +240,31 @@
 		s.refuse(w, r, http.StatusServiceUnavailable, "too many lookups at once")
 		return
 	}
-	if ends := s.answerBy.Load(); ends > 0 { // a stopping aggregator can't be waited for longer than it lives
-		q.Timeout = min(q.Timeout, max(0, time.Unix(0, ends).Sub(q.Arrived).Seconds()))
+	if answerBy := s.answerDeadline.Load(); answerBy > 0 { // while draining, no query may wait beyond the end of the process
+		q.Timeout = min(q.Timeout, max(0, time.Unix(0, answerBy).Sub(q.Arrived).Seconds()))
 	}
-	// That of reading goes: from here net/http only watches for the client's disconnect. It fails only on a closed connection, which that finds.
+	// Remove the read deadline: from here on net/http only watches for a disconnect. The call fails only on a closed connection,
+	// which net/http detects.
 	_ = conn.SetReadDeadline(time.Time{})
 	s.events.Put(aggregator.Event{ClientQuery: q, Event: policy.Event{Kind: policy.QueryReceived}})
 	select {
 	case reply := <-q.Done:
 		s.answer(w, r, q, reply)
-	case <-conn.clientLeft: // behind what it had pipelined, which net/http does not see
-		s.clientLeft(w, r, q)
+	case <-conn.clientDisconnected: // detected after pipelined bytes, which hide the disconnect from net/http
+		s.reportDisconnect(w, r, q)
 	case <-r.Context().Done():
-		s.clientLeft(w, r, q)
+		s.reportDisconnect(w, r, q)
 	}
 }
 
-// clientLeft reports that a query's client has disconnected.
-func (s *Server) clientLeft(w http.ResponseWriter, r *http.Request, q *aggregator.Query) {
+// reportDisconnect reports to the aggregator that a query's client has disconnected.
+func (s *Server) reportDisconnect(w http.ResponseWriter, r *http.Request, q *aggregator.Query) {
 	s.events.Put(aggregator.Event{ClientQuery: q, Event: policy.Event{Kind: policy.ClientDisconnected}})
-	// Should it still listen, having closed one direction only, net/http's own answer would be an empty 200.
+	// The client may have closed only its sending side and still read. Without this answer net/http would send an empty 200.
 	s.write(w, r, http.StatusInternalServerError, nil)
 }
 
-// answer writes a query's reply.
+// answer writes the reply to a query.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, q *aggregator.Query, reply aggregator.Reply) {
 	switch reply.End {
 	case aggregator.Satisfied:
@@ -251,7 +272,7 @@
 		s.write(w, r, http.StatusOK, appendResults(nil, q, reply.Complete))
 	case aggregator.Nacked:
 		if reply.RetryAfter > 0 && s.retryAfter {
-			w.Header().Set("Retry-After", retryAfter(reply.RetryAfter))
+			w.Header().Set("Retry-After", formatRetryAfter(reply.RetryAfter))
 		}
 		var why []byte
 		if reply.Text != "" {
@@ -268,15 +289,16 @@
 	}
 }
 
-// refuse answers a request that never reaches the policy, with one plain sentence, and closes the connection: what follows on
-// it may not start where it should, and a client that retries at once has to connect again.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, sentence string) {
+// refuse answers a request that never reaches the policy with one sentence, and closes the connection. The server may not know
+// where the next request on it starts. Closing also makes a client that retries at once connect again.
+func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, message string) {
 	w.Header().Set("Connection", "close")
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	s.write(w, r, status, []byte(sentence+".\n"))
+	s.write(w, r, status, []byte(message+".\n"))
 }
 
-// write writes a response.
+// write writes a response and counts it by status. It closes the connection after the response while the server drains, or if the
+// connection is marked to close.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, status int, body []byte) {
 	conn := connectionOf(r)
 	conn.answering.Store(true)
--- a/internal/dataplane/clients/wire_test.go
+++ b/internal/dataplane/clients/wire_test.go
@@ -10,8 +10,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the keys of a query's body, which clients write and this package only reads.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the keys of a query's body, which clients write and this package only reads.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSONExperiment, goldentest.Form{Name: "target", Value: new(target)})
 	read := body{Targets: targets{limit: 1}}
 	text := `{"targets":[{"partition":3,"share":0.5,"est_us":120.5,"route":"near"}],"query":{"a":1}}`
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -21,14 +21,14 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-const patience = queuetest.Patience
+const patience = queuetest.WaitTimeout
 
 // fixture is a register's actor and the registry it speaks with, which the test plays: each request comes as a
 // function that writes a line to it.
 type fixture struct {
 	*testing.T
 	*Client
-	events *queuetest.Ear[aggregator.Event]
+	events *queuetest.Receiver[aggregator.Event]
 	asks   chan listRequest
 	server string // its address
 }
@@ -218,7 +218,7 @@
 	r.expect(policy.ListPatch, "s2:0")
 	w.write(listLine(42, false, backend("s9", "SERVING"))) // the old one is heard no more
 	r.expectRequest("/discovery/hosts?stream=1&index=42")
-	if rest := r.events.Rest(); len(rest) > 0 {
+	if rest := r.events.Remaining(); len(rest) > 0 {
 		t.Fatalf("told %+v", rest)
 	}
 }
@@ -243,7 +243,7 @@
 	r.expect(policy.ListComplete, "s3:1")
 	w.write(whole[:strings.LastIndex(whole, "}")] + "\n\n")
 	r.expectRequest("/discovery/hosts?stream=1&index=44")
-	if rest := r.events.Rest(); len(rest) > 0 {
+	if rest := r.events.Remaining(); len(rest) > 0 {
 		t.Fatalf("told %+v", rest)
 	}
 }
@@ -266,7 +266,7 @@
 		}
 	}()
 	r.expect(policy.ListPatch, "s1:1")
-	for _, e := range r.events.Rest() { // told again at most
+	for _, e := range r.events.Remaining() { // told again at most
 		if e.List != policy.ListPatch {
 			t.Fatalf("told %+v", e)
 		}
--- a/internal/dataplane/discovery/races_test.go
+++ b/internal/dataplane/discovery/races_test.go
@@ -28,7 +28,7 @@
 type bare struct {
 	*testing.T
 	*Client
-	events *queuetest.Ear[aggregator.Event]
+	events *queuetest.Receiver[aggregator.Event]
 	server *net.TCPListener
 }
 
@@ -84,7 +84,7 @@
 // nothing expects that nothing was told by now.
 func (r *bare) nothing() {
 	r.Helper()
-	if rest := r.events.Rest(); len(rest) > 0 {
+	if rest := r.events.Remaining(); len(rest) > 0 {
 		r.Fatalf("told %+v", rest)
 	}
 }
--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -30,26 +30,26 @@
 // peer is a backend whose every call the test decides on.
 type peer struct {
 	listener net.Listener
-	does     func(id string) does
+	behavior     func(id string) peerBehavior
 
 	mu    sync.Mutex
 	calls map[string]int // by subquery's name
 }
 
-type does int
+type peerBehavior int
 
 const (
-	answers does = iota
+	answers peerBehavior = iota
 	fails
 	hangs
 )
 
-func newPeer(t *testing.T, does func(id string) does) *peer {
+func newPeer(t *testing.T, behavior func(id string) peerBehavior) *peer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{listener: l, does: does, calls: map[string]int{}}
+	p := &peer{listener: l, behavior: behavior, calls: map[string]int{}}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -76,32 +76,32 @@
 			return
 		}
 		id, _, _ := strings.Cut(string(frame[1:]), " ")
-		rest := "Hdone"
+		response := "Hdone"
 		switch frame[0] {
 		case 'S':
 			p.mu.Lock()
 			p.calls[id]++
 			p.mu.Unlock()
-			switch p.does(id) {
+			switch p.behavior(id) {
 			case answers:
-				rest = "R" + id + " done 7 -\nv"
+				response = "R" + id + " done 7 -\nv"
 			case fails:
-				rest = "R" + id + " failed 0 -\n"
+				response = "R" + id + " failed 0 -\n"
 			case hangs:
 				continue
 			}
 		case 'M':
-			rest = "M-"
+			response = "M-"
 		case 'H':
 		default:
 			continue
 		}
-		c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(rest))), rest...))
+		c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(response))), response...))
 	}
 }
 
 // sum is how often subqueries of a query were called at all of these.
-func sum(peers []*peer, query string) (n int) {
+func countCalls(peers []*peer, query string) (n int) {
 	for _, p := range peers {
 		p.mu.Lock()
 		for id, times := range p.calls {
@@ -115,14 +115,14 @@
 }
 
 // hosted is an aggregator of a deployment of its own.
-type hosted struct {
+type runningNode struct {
 	*Node
-	at    string
+	address    string
 	peers []*peer
 }
 
 // host starts one. Its classes are a list of objects, its tenants too, as the settings have them.
-func host(t *testing.T, discovery, classes, tenants string, tries int, peers ...*peer) *hosted {
+func startNode(t *testing.T, discovery, classes, tenants string, maxAttempts int, peers ...*peer) *runningNode {
 	t.Helper()
 	var known []string
 	for i, p := range peers {
@@ -133,23 +133,23 @@
 		"settings":{"granularityS":0.005,"azs":["a"],"models":["m"],"stats":{"how":"answers"},"requestClasses":%s,"tenants":%s,
 		"specifics":{"places":1,"width":1,"slices":4},"invariants":{"drainGraceS":2},
 		"limits":{"cancel":true,"probing":true,"mostTries":%d,"multiplex":100,"idleCloseS":15,"connectTimeoutS":1,"retryAfter":true,"maxRetryAfterS":1}}}`,
-		discovery, strings.Join(known, ","), classes, tenants, tries)
+		discovery, strings.Join(known, ","), classes, tenants, maxAttempts)
 	listen, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := listen.Addr().String()
+	address := listen.Addr().String()
 	listen.Close()
-	n, err := StartText(t.Context(), []byte(strings.Replace(text, "127.0.0.1:0", at, 1)), operatorfile.Defaults(), zap.NewNop(), counters.New())
+	n, err := StartText(t.Context(), []byte(strings.Replace(text, "127.0.0.1:0", address, 1)), operatorfile.Defaults(), zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Stop)
-	return &hosted{n, at, peers}
+	return &runningNode{n, address, peers}
 }
 
 // newUnresponsivePeer is an address where connects come up and nothing is ever said.
-func newUnresponsivePeer(t *testing.T) string {
+func newSilentListener(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -159,14 +159,14 @@
 }
 
 // query asks for a query of one subquery on a connection of its own.
-func (h *hosted) query(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
+func (h *runningNode) query(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
 	t.Helper()
 	return answer(t, h.send(t, index, id, tenant, deadline))
 }
 
-func (h *hosted) send(t *testing.T, index, id, tenant, deadline string) net.Conn {
+func (h *runningNode) send(t *testing.T, index, id, tenant, deadline string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", h.at)
+	conn, err := net.Dial("tcp", h.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,7 +179,7 @@
 
 func answer(t *testing.T, conn net.Conn) (status int, body string) {
 	t.Helper()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -194,11 +194,11 @@
 
 // Two deployments in one process: an index of the same name that may be repeated in the one and not in the other, and names, tenants and
 // tries that only one of them has.
-func TestTwoDeploymentsShareNothing(t *testing.T) {
-	failFirst := func() func(string) does {
+func TestTwoDeploymentsInOneProcessShareNoState(t *testing.T) {
+	failFirst := func() func(string) peerBehavior {
 		var mu sync.Mutex
 		seen := map[string]bool{}
-		return func(id string) does {
+		return func(id string) peerBehavior {
 			mu.Lock()
 			defer mu.Unlock()
 			if strings.HasPrefix(id, "warm") || seen[id] {
@@ -211,11 +211,11 @@
 	const class = `{"name":%q,"effect":%q,"promiseS":4,"giveUpS":8,"worth":1,"lateWorth":0.1}`
 	first, second := failFirst(), failFirst()
 	// With two tries a busy machine, on which an answer is overdue, gets no third call.
-	a := host(t, newUnresponsivePeer(t), "["+fmt.Sprintf(class, "reads", "repeatable")+"]", `[{"name":"acme","portion":1}]`, 2, newPeer(t, first), newPeer(t, first))
-	b := host(t, newUnresponsivePeer(t), "["+fmt.Sprintf(class, "orders", "repeatable")+","+fmt.Sprintf(class, "reads", "once")+"]", `[{"name":"other","portion":1}]`, 3,
+	a := startNode(t, newSilentListener(t), "["+fmt.Sprintf(class, "reads", "repeatable")+"]", `[{"name":"acme","portion":1}]`, 2, newPeer(t, first), newPeer(t, first))
+	b := startNode(t, newSilentListener(t), "["+fmt.Sprintf(class, "orders", "repeatable")+","+fmt.Sprintf(class, "reads", "once")+"]", `[{"name":"other","portion":1}]`, 3,
 		newPeer(t, second), newPeer(t, second))
 	var wg sync.WaitGroup
-	for _, h := range []*hosted{a, b} { // side by side, each by turns, as subqueries of a step share calls
+	for _, h := range []*runningNode{a, b} { // side by side, each by turns, as subqueries of a step share calls
 		wg.Go(func() {
 			tenant, status, calls := "acme", 200, 2
 			if h == b {
@@ -228,15 +228,15 @@
 					}
 				}
 				id := fmt.Sprintf("x%d", i) // the same on both, as clients of two deployments know nothing of each other
-				if got, body := h.query(t, "reads", id, tenant, "8"); got != status || sum(h.peers, id) != calls {
-					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, got, body, sum(h.peers, id), status, calls)
+				if got, body := h.query(t, "reads", id, tenant, "8"); got != status || countCalls(h.peers, id) != calls {
+					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, got, body, countCalls(h.peers, id), status, calls)
 				}
 			}
 		})
 	}
 	wg.Wait()
 	for _, bad := range []struct {
-		of            *hosted
+		of            *runningNode
 		index, tenant string
 		status        int
 	}{{a, "orders", "acme", 404}, {a, "reads", "other", 400}, {b, "reads", "acme", 400}} {
@@ -249,15 +249,15 @@
 const oneClass = `[{"name":"reads","effect":"repeatable","promiseS":0.5,"giveUpS":1,"worth":1,"lateWorth":0.1}]`
 
 // An aggregator serves from what it was told at its start, with discovery silent or out of reach from its first moment.
-func TestReadyWithoutDiscovery(t *testing.T) {
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+func TestAggregatorServesWithoutDiscovery(t *testing.T) {
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
-	for _, discovery := range []string{newUnresponsivePeer(t), gone.Addr().String()} {
-		h := host(t, discovery, oneClass, "[]", 2, newPeer(t, func(string) does { return answers }))
-		res, err := http.Get("http://" + h.at + "/up")
+	closed.Close()
+	for _, discovery := range []string{newSilentListener(t), closed.Addr().String()} {
+		h := startNode(t, discovery, oneClass, "[]", 2, newPeer(t, func(string) peerBehavior { return answers }))
+		res, err := http.Get("http://" + h.address + "/up")
 		if err != nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("got %v, %v", res, err)
 		}
@@ -271,21 +271,21 @@
 
 // Told to stop twice and to reload between, with discovery silent, all backends hung and clients that never leave: what is held gets its
 // whole final answer, nothing that comes later is sent on, and it ends.
-func TestStopWhileEverythingHangs(t *testing.T) {
-	hung := newPeer(t, func(string) does { return hangs })
-	h := host(t, newUnresponsivePeer(t), oneClass, "[]", 2, hung)
-	rests, err := net.Dial("tcp", h.at)
+func TestDrainEndsWhileBackendsAndDiscoveryHang(t *testing.T) {
+	unresponsive := newPeer(t, func(string) peerBehavior { return hangs })
+	h := startNode(t, newSilentListener(t), oneClass, "[]", 2, unresponsive)
+	idle, err := net.Dial("tcp", h.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer rests.Close()
-	fmt.Fprintf(rests, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-	if got, _ := answer(t, rests); got != 200 {
+	defer idle.Close()
+	fmt.Fprintf(idle, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+	if got, _ := answer(t, idle); got != 200 {
 		t.Fatalf("got %d", got)
 	}
 	held := h.send(t, "reads", "held", "", "1")
-	for late := time.Now().Add(patience); sum(h.peers, "held") == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(waitTimeout); countCalls(h.peers, "held") == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("it is not sent on")
 		}
 	}
@@ -293,7 +293,7 @@
 	if err := h.Reload(Config{Discovery: "nowhere"}); err == nil {
 		t.Fatal("an address that is none was taken")
 	}
-	if err := h.Reload(Config{Discovery: newUnresponsivePeer(t)}); err != nil {
+	if err := h.Reload(Config{Discovery: newSilentListener(t)}); err != nil {
 		t.Fatal(err)
 	}
 	h.Drain()
@@ -302,20 +302,20 @@
 	}
 	select {
 	case <-drained:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("it never ends")
 	}
-	if _, err := rests.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Fatalf("the resting connection ended by %v, expected io.EOF", err)
 	}
-	if c, err := net.Dial("tcp", h.at); err == nil {
+	if c, err := net.Dial("tcp", h.address); err == nil {
 		c.Close()
 		t.Fatal("it still listens")
 	}
 }
 
 // A stop while it waits for the address that the process before it still holds ends the wait.
-func TestStopDuringTheStart(t *testing.T) {
+func TestCanceledStartStopsWaitingForTheAddress(t *testing.T) {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -327,7 +327,7 @@
 	if _, err := listen(ctx, l.Addr().(*net.TCPAddr)); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got %v, expected %v", err, context.Canceled)
 	}
-	if took := time.Since(began); took >= addressTimeout {
-		t.Fatalf("it took %s", took)
+	if elapsed := time.Since(began); elapsed >= addressTimeout {
+		t.Fatalf("it took %s", elapsed)
 	}
 }
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -37,8 +37,8 @@
 const (
 	// Shares of the descriptors: clients' connections, backends' connections; the rest is for the registry, the listeners, the
 	// log, the store and what Go itself opens.
-	clientShare  = 0.6
-	backendShare = 0.3
+	clientConnectionShare  = 0.6
+	backendConnectionShare = 0.3
 	// addressTimeout is how long the process before may still hold the address: the longest that a stopping aggregator takes.
 	addressTimeout = 10 * time.Second
 )
@@ -111,8 +111,8 @@
 		memory = int(c.Limits.MemoryMB * (1 << 20))
 	}
 	if c.Limits.Sockets > 0 {
-		clientConnections = max(1, int(clientShare*float64(c.Limits.Sockets)))
-		backendConnections = max(1, int(backendShare*float64(c.Limits.Sockets)))
+		clientConnections = max(1, int(clientConnectionShare*float64(c.Limits.Sockets)))
+		backendConnections = max(1, int(backendConnectionShare*float64(c.Limits.Sockets)))
 	}
 	return clientConnections, backendConnections, memory
 }
@@ -243,15 +243,15 @@
 	limits := file.Overrides.Limits
 	limits.Indexes, limits.Shards, limits.Cells, limits.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
 	var contents aggregatorstore.OverrideContents
-	persistent, in := controller.Store(nil), ""
+	persistent, directory := controller.Store(nil), ""
 	if dir := file.Overrides.Directory; dir != "" {
 		var err error
 		if n.store, contents, err = aggregatorstore.OpenOverrides(dir, n.log); err != nil {
 			n.log.Error("override store unavailable; commands are rejected", zap.String("text", err.Error()))
 		}
-		persistent, in = n.store, dir
+		persistent, directory = n.store, dir
 	}
-	n.controller = controller.New(limits, n.aggregator.Inbox, persistent, in, n.log, n.counters)
+	n.controller = controller.New(limits, n.aggregator.Inbox, persistent, directory, n.log, n.counters)
 	n.controller.Restore(contents.Revision, contents.Active, contents.Recent)
 }
 
--- a/internal/dataplane/node/wire_test.go
+++ b/internal/dataplane/node/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestWireForms pins the keys of the file that tells an aggregator its configuration, in both directions.
-func TestWireForms(t *testing.T) {
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	text := `{"name":"text 1","listen":"text 2","discovery":"text 3","seed":"text 4",` +
 		`"limits":{"cores":5.5,"memory_mb":6.5,"sockets":7},"known":{"a":8},"settings":{"b":9}}`
 	want := Config{Name: "text 1", Listen: "text 2", Discovery: "text 3", Seed: "text 4",
--- a/internal/operators/controller/controller_test.go
+++ b/internal/operators/controller/controller_test.go
@@ -15,7 +15,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-const patience = queuetest.Patience
+const patience = queuetest.WaitTimeout
 
 // slowStore keeps nothing until it is told to.
 type slowStore struct{ asked chan func(error) }
@@ -25,7 +25,7 @@
 type fixture struct {
 	*testing.T
 	*Controller
-	told *queuetest.Ear[aggregator.Event]
+	told *queuetest.Receiver[aggregator.Event]
 }
 
 func newFixture(t *testing.T, keeper Store) *fixture {
@@ -110,7 +110,7 @@
 		Names: []aggregator.Name{{Backend: "s-0", Location: "north"}}}
 	r.Put(e)
 	r.event(policy.ListChanged)
-	if len(r.told.Rest()) == 0 {
+	if len(r.told.Remaining()) == 0 {
 		t.Fatal("the list came alone")
 	}
 	if e := r.event(policy.OverridesChanged); e.Override.Backends[0].Backend != 9 || !e.Override.Backends[0].Excluded {
