--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,6 +1,8 @@
-// Package counters counts what an aggregator accepts, sends and answers, by name and reason, in a registry of Prometheus'
-// client library. An aggregator serves no metrics: it writes its counters into its log, as one object. Processes of the
-// control plane and workers serve theirs over HTTP; see package metrics.
+// Package counters counts the events of an aggregator by name and reason, such as accepted connections, sent calls and answers. The
+// counters are kept in a registry of the Prometheus client library.
+//
+// An aggregator does not serve its counters as metrics. It writes them to its log as one object. Processes of the control plane and
+// workers serve their metrics over HTTP with package metrics.
 package counters
 
 import (
@@ -12,15 +14,15 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Set is a set of counters by name and reason. Any goroutine may use it.
+// Set is a set of counters by name and reason. It is safe for concurrent use.
 type Set struct {
 	registry *prometheus.Registry
-	gauges   *prometheus.GaugeVec // which may go down: some count what is in use
+	gauges   *prometheus.GaugeVec // gauges, as some values also decrease, such as the number of queries in progress
 	mutex    sync.RWMutex
-	byLabels map[[2]string]prometheus.Gauge // by name and reason; spares the look-up of labels in gauges
+	byLabels map[[2]string]prometheus.Gauge // by name and reason; avoids looking up labels in gauges
 }
 
-// New makes a set with a registry of its own, in which nothing is counted yet.
+// New creates an empty set with its own registry.
 func New() *Set {
 	s := &Set{registry: prometheus.NewRegistry(), byLabels: map[[2]string]prometheus.Gauge{}, gauges: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "puffinlink",
 		Help: "What the aggregator counts, by name and reason."}, []string{"name", "reason"})}
@@ -28,28 +30,28 @@
 	return s
 }
 
-// Add adds to the counter of a name and a reason, and makes it where there is none.
-func (s *Set) Add(name, reason string, by int64) {
+// Add adds delta to the counter of a name and a reason. It creates the counter if there is none.
+func (s *Set) Add(name, reason string, delta int64) {
 	key := [2]string{name, reason}
 	s.mutex.RLock()
 	gauge := s.byLabels[key]
 	s.mutex.RUnlock()
 	if gauge == nil {
 		s.mutex.Lock()
-		gauge = s.gauges.WithLabelValues(name, reason) // the same one for all callers
+		gauge = s.gauges.WithLabelValues(name, reason) // returns the same gauge to concurrent callers
 		s.byLabels[key] = gauge
 		s.mutex.Unlock()
 	}
-	gauge.Add(float64(by))
+	gauge.Add(float64(delta))
 }
 
-// Get is a counter's value, 0 where there is none.
+// Get returns the value of a counter, or 0 if there is none.
 func (s *Set) Get(name, reason string) int64 { return s.gather()[name+"."+reason] }
 
-// gather returns all counters by name.reason.
+// gather returns the values of all counters by NAME.REASON.
 func (s *Set) gather() map[string]int64 {
 	counts := map[string]int64{}
-	families, _ := s.registry.Gather() // has no error with gauges alone
+	families, _ := s.registry.Gather() // never fails if all collectors are gauges
 	for _, f := range families {
 		for _, m := range f.Metric {
 			counts[m.Label[0].GetValue()+"."+m.Label[1].GetValue()] = int64(m.Gauge.GetValue())
@@ -58,7 +60,8 @@
 	return counts
 }
 
-// MarshalLogObject writes all counters as fields NAME.REASON, sorted; its error is nil.
+// MarshalLogObject implements zapcore.ObjectMarshaler. It adds all counters as fields NAME.REASON, sorted by name. Its error is always
+// nil.
 func (s *Set) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	counts := s.gather()
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -10,12 +10,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// TestCountersAreLoggedAsOneSortedLine counts concurrently, up and down.
-func TestCountersAddUp(t *testing.T) {
+// TestConcurrentAddsAreCountedAndLoggedInOrder guards against lost updates when goroutines increase and decrease counters concurrently,
+// and checks that the log has all counters in one sorted line.
+func TestConcurrentAddsAreCountedAndLoggedInOrder(t *testing.T) {
 	s := New()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		wg.Go(func() {
 			for range 1000 {
 				s.Add("lookups", "taken", 1)
 				s.Add("lookups", "held", 1)
@@ -24,9 +25,9 @@
 			s.Add("calls", "sent", 1<<40)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	if n := s.Get("lookups", "taken"); n != 8000 {
-		t.Errorf("%d taken, expected 8000", n)
+		t.Errorf("got %d accepted lookups, want 8000", n)
 	}
 	var out bytes.Buffer
 	encoder := zapcore.NewJSONEncoder(zapcore.EncoderConfig{LevelKey: "level", EncodeLevel: zapcore.LowercaseLevelEncoder, MessageKey: "message"})
@@ -34,10 +35,10 @@
 	log.Info("counters", zap.Inline(s))
 	want := `{"level":"info","message":"counters","calls.sent":8796093022208,"lookups.held":0,"lookups.taken":8000}`
 	if got := strings.TrimSpace(out.String()); got != want {
-		t.Errorf("printed %s, expected %s", got, want)
+		t.Errorf("logged %s, want %s", got, want)
 	}
 	if n := s.Get("nobody", "knows"); n != 0 {
-		t.Errorf("%d for a counter that does not exist", n)
+		t.Errorf("got %d for a counter that does not exist, want 0", n)
 	}
 }
 
--- a/internal/dataplane/node/errors.go
+++ b/internal/dataplane/node/errors.go
@@ -7,10 +7,10 @@
 
 var errNoConfig = errors.New("LB_CONFIG names no file")
 
-// ConfigError says what is wrong with an aggregator's config, and what was expected.
+// ConfigError reports an invalid configuration of an aggregator.
 type ConfigError string
 
-// Error is the text, with the field and what was expected.
+// Error returns the text, which names the field and the expected value.
 func (e ConfigError) Error() string { return string(e) }
 
 func invalid(format string, arguments ...any) error {
--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -22,20 +22,22 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// Work that a stand-in has begun goes on for its time, as a backend's would; nothing of an aggregator may.
+// TestMain fails if a goroutine of an aggregator outlives the tests. Goroutines of fake backends are ignored, as they finish work
+// that they have started.
 func TestMain(m *testing.M) {
 	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Backend).work"))
 }
 
-// peer is a backend whose every call the test decides on.
-type peer struct {
+// scriptedBackend is a backend that handles each call as the test decides.
+type scriptedBackend struct {
 	listener net.Listener
-	behavior     func(id string) peerBehavior
+	behavior func(id string) peerBehavior
 
 	mu    sync.Mutex
-	calls map[string]int // by subquery's name
+	calls map[string]int // by ID of the subquery
 }
 
+// peerBehavior is how a scriptedBackend handles a call.
 type peerBehavior int
 
 const (
@@ -44,12 +46,13 @@
 	hangs
 )
 
-func newPeer(t *testing.T, behavior func(id string) peerBehavior) *peer {
+// newScriptedBackend starts a backend. behavior decides on each call by the ID of its subquery.
+func newScriptedBackend(t *testing.T, behavior func(id string) peerBehavior) *scriptedBackend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{listener: l, behavior: behavior, calls: map[string]int{}}
+	p := &scriptedBackend{listener: l, behavior: behavior, calls: map[string]int{}}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -64,7 +67,7 @@
 	return p
 }
 
-func (p *peer) serve(c net.Conn) {
+func (p *scriptedBackend) serve(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
 		var head [4]byte
@@ -100,8 +103,8 @@
 	}
 }
 
-// sum is how often subqueries of a query were called at all of these.
-func countCalls(peers []*peer, query string) (n int) {
+// countCalls returns how many calls of a query's subqueries the backends have received.
+func countCalls(peers []*scriptedBackend, query string) (n int) {
 	for _, p := range peers {
 		p.mu.Lock()
 		for id, times := range p.calls {
@@ -114,15 +117,15 @@
 	return n
 }
 
-// hosted is an aggregator of a deployment of its own.
+// runningNode is an aggregator with its own deployment.
 type runningNode struct {
 	*Node
-	address    string
-	peers []*peer
+	address string
+	peers   []*scriptedBackend
 }
 
-// host starts one. Its classes are a list of objects, its tenants too, as the settings have them.
-func startNode(t *testing.T, discovery, classes, tenants string, maxAttempts int, peers ...*peer) *runningNode {
+// startNode starts an aggregator. classes and tenants are JSON lists in the form of the settings.
+func startNode(t *testing.T, discovery, classes, tenants string, maxAttempts int, peers ...*scriptedBackend) *runningNode {
 	t.Helper()
 	var known []string
 	for i, p := range peers {
@@ -148,7 +151,7 @@
 	return &runningNode{n, address, peers}
 }
 
-// newUnresponsivePeer is an address where connects come up and nothing is ever said.
+// newSilentListener returns an address that accepts connections and never responds.
 func newSilentListener(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -158,12 +161,13 @@
 	return l.Addr().String()
 }
 
-// query asks for a query of one subquery on a connection of its own.
+// query sends a query with one subquery on a new connection and returns the answer.
 func (h *runningNode) query(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
 	t.Helper()
 	return answer(t, h.send(t, index, id, tenant, deadline))
 }
 
+// send sends a query with one subquery on a new connection.
 func (h *runningNode) send(t *testing.T, index, id, tenant, deadline string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", h.address)
@@ -177,6 +181,7 @@
 	return conn
 }
 
+// answer reads an answer.
 func answer(t *testing.T, conn net.Conn) (status int, body string) {
 	t.Helper()
 	conn.SetDeadline(time.Now().Add(waitTimeout))
@@ -192,8 +197,8 @@
 	return res.StatusCode, string(text)
 }
 
-// Two deployments in one process: an index of the same name that may be repeated in the one and not in the other, and names, tenants and
-// tries that only one of them has.
+// Guards against state that two deployments in one process share. They differ in tenants, in indexes and in the maximum number of
+// attempts, and the same index name is repeatable in only one of them.
 func TestTwoDeploymentsInOneProcessShareNoState(t *testing.T) {
 	failFirst := func() func(string) peerBehavior {
 		var mu sync.Mutex
@@ -210,12 +215,12 @@
 	}
 	const class = `{"name":%q,"effect":%q,"promiseS":4,"giveUpS":8,"worth":1,"lateWorth":0.1}`
 	first, second := failFirst(), failFirst()
-	// With two tries a busy machine, on which an answer is overdue, gets no third call.
-	a := startNode(t, newSilentListener(t), "["+fmt.Sprintf(class, "reads", "repeatable")+"]", `[{"name":"acme","portion":1}]`, 2, newPeer(t, first), newPeer(t, first))
+	// The limit of two attempts prevents a third call if an answer is late on a busy machine.
+	a := startNode(t, newSilentListener(t), "["+fmt.Sprintf(class, "reads", "repeatable")+"]", `[{"name":"acme","portion":1}]`, 2, newScriptedBackend(t, first), newScriptedBackend(t, first))
 	b := startNode(t, newSilentListener(t), "["+fmt.Sprintf(class, "orders", "repeatable")+","+fmt.Sprintf(class, "reads", "once")+"]", `[{"name":"other","portion":1}]`, 3,
-		newPeer(t, second), newPeer(t, second))
+		newScriptedBackend(t, second), newScriptedBackend(t, second))
 	var wg sync.WaitGroup
-	for _, h := range []*runningNode{a, b} { // side by side, each by turns, as subqueries of a step share calls
+	for _, h := range []*runningNode{a, b} { // the nodes run concurrently, the queries of each one by one, as concurrent subqueries may share calls
 		wg.Go(func() {
 			tenant, status, calls := "acme", 200, 2
 			if h == b {
@@ -224,12 +229,12 @@
 			for i := range 6 {
 				for w := range 3 {
 					if got, body := h.query(t, "reads", fmt.Sprintf("warm%d-%d", i, w), tenant, "8"); got != 200 {
-						t.Errorf("%s: got %d %s, expected 200", tenant, got, body)
+						t.Errorf("%s: got status %d %s, want 200", tenant, got, body)
 					}
 				}
-				id := fmt.Sprintf("x%d", i) // the same on both, as clients of two deployments know nothing of each other
+				id := fmt.Sprintf("x%d", i) // the same ID on both, as clients of two deployments choose IDs independently
 				if got, body := h.query(t, "reads", id, tenant, "8"); got != status || countCalls(h.peers, id) != calls {
-					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, got, body, countCalls(h.peers, id), status, calls)
+					t.Errorf("%s: got status %d %s with %d calls, want %d with %d", tenant, got, body, countCalls(h.peers, id), status, calls)
 				}
 			}
 		})
@@ -241,14 +246,14 @@
 		status        int
 	}{{a, "orders", "acme", 404}, {a, "reads", "other", 400}, {b, "reads", "acme", 400}} {
 		if got, body := bad.of.query(t, bad.index, "bad", bad.tenant, "8"); got != bad.status {
-			t.Errorf("%s of %s: got %d %s, expected %d", bad.index, bad.tenant, got, body, bad.status)
+			t.Errorf("index %s, tenant %s: got status %d %s, want %d", bad.index, bad.tenant, got, body, bad.status)
 		}
 	}
 }
 
 const oneClass = `[{"name":"reads","effect":"repeatable","promiseS":0.5,"giveUpS":1,"worth":1,"lateWorth":0.1}]`
 
-// An aggregator serves from what it was told at its start, with discovery silent or out of reach from its first moment.
+// An aggregator serves from the backends in its configuration if discovery is silent or unreachable from the start.
 func TestAggregatorServesWithoutDiscovery(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -256,23 +261,23 @@
 	}
 	closed.Close()
 	for _, discovery := range []string{newSilentListener(t), closed.Addr().String()} {
-		h := startNode(t, discovery, oneClass, "[]", 2, newPeer(t, func(string) peerBehavior { return answers }))
+		h := startNode(t, discovery, oneClass, "[]", 2, newScriptedBackend(t, func(string) peerBehavior { return answers }))
 		res, err := http.Get("http://" + h.address + "/up")
 		if err != nil || res.StatusCode != http.StatusOK {
-			t.Fatalf("got %v, %v", res, err)
+			t.Fatalf("GET /up: got %v, %v, want status 200", res, err)
 		}
 		res.Body.Close()
 		http.DefaultClient.CloseIdleConnections()
 		if got, body := h.query(t, "reads", "aa", "", "5"); got != 200 {
-			t.Fatalf("got %d %s", got, body)
+			t.Fatalf("got status %d %s, want 200", got, body)
 		}
 	}
 }
 
-// Told to stop twice and to reload between, with discovery silent, all backends hung and clients that never leave: what is held gets its
-// whole final answer, nothing that comes later is sent on, and it ends.
+// Drain is called twice, with a reload in between, while discovery is silent, the backend hangs and a client keeps its connection open.
+// The query in progress gets its complete final answer, the idle connection closes, and the drain ends.
 func TestDrainEndsWhileBackendsAndDiscoveryHang(t *testing.T) {
-	unresponsive := newPeer(t, func(string) peerBehavior { return hangs })
+	unresponsive := newScriptedBackend(t, func(string) peerBehavior { return hangs })
 	h := startNode(t, newSilentListener(t), oneClass, "[]", 2, unresponsive)
 	idle, err := net.Dial("tcp", h.address)
 	if err != nil {
@@ -281,40 +286,40 @@
 	defer idle.Close()
 	fmt.Fprintf(idle, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 	if got, _ := answer(t, idle); got != 200 {
-		t.Fatalf("got %d", got)
+		t.Fatalf("GET /up: got status %d, want 200", got)
 	}
 	held := h.send(t, "reads", "held", "", "1")
 	for deadline := time.Now().Add(waitTimeout); countCalls(h.peers, "held") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("it is not sent on")
+			t.Fatal("the query was not sent to the backend")
 		}
 	}
 	drained := h.Drain()
 	if err := h.Reload(Config{Discovery: "nowhere"}); err == nil {
-		t.Fatal("an address that is none was taken")
+		t.Fatal("Reload accepted an invalid address")
 	}
 	if err := h.Reload(Config{Discovery: newSilentListener(t)}); err != nil {
 		t.Fatal(err)
 	}
 	h.Drain()
 	if got, body := answer(t, held); got == 200 || got < 400 {
-		t.Fatalf("got %d %s", got, body)
+		t.Fatalf("got status %d %s, want an error status", got, body)
 	}
 	select {
 	case <-drained:
 	case <-time.After(waitTimeout):
-		t.Fatal("it never ends")
+		t.Fatal("the drain did not end")
 	}
 	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Fatalf("the resting connection ended by %v, expected io.EOF", err)
+		t.Fatalf("the idle connection ended by %v, want io.EOF", err)
 	}
 	if c, err := net.Dial("tcp", h.address); err == nil {
 		c.Close()
-		t.Fatal("it still listens")
+		t.Fatal("the aggregator still listens")
 	}
 }
 
-// A stop while it waits for the address that the process before it still holds ends the wait.
+// Canceling the start ends the wait for an address that the previous process still uses.
 func TestCanceledStartStopsWaitingForTheAddress(t *testing.T) {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -325,9 +330,9 @@
 	cancel()
 	began := time.Now()
 	if _, err := listen(ctx, l.Addr().(*net.TCPAddr)); !errors.Is(err, context.Canceled) {
-		t.Fatalf("got %v, expected %v", err, context.Canceled)
+		t.Fatalf("got %v, want %v", err, context.Canceled)
 	}
 	if elapsed := time.Since(began); elapsed >= addressTimeout {
-		t.Fatalf("it took %s", elapsed)
+		t.Fatalf("the canceled wait took %s, want less than %s", elapsed, addressTimeout)
 	}
 }
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -1,5 +1,7 @@
-// Package node assembles an aggregator process: its configuration, its actors and their queues, and the order in which they
-// start and stop.
+// Package node assembles an aggregator process.
+//
+// It reads the configuration, creates the actors and connects their queues, and starts and stops them in a fixed order. The
+// aggregator command runs one Node, and tests may run several in one process. The package handles no queries itself.
 package node
 
 import (
@@ -35,15 +37,17 @@
 )
 
 const (
-	// Shares of the descriptors: clients' connections, backends' connections; the rest is for the registry, the listeners, the
-	// log, the store and what Go itself opens.
-	clientConnectionShare  = 0.6
+	// clientConnectionShare is the share of the descriptors for connections of clients.
+	clientConnectionShare = 0.6
+	// backendConnectionShare is the share of the descriptors for connections to backends. The descriptors that neither share
+	// covers are for the registry, the listeners, the log, the store and the Go runtime.
 	backendConnectionShare = 0.3
-	// addressTimeout is how long the process before may still hold the address: the longest that a stopping aggregator takes.
+	// addressTimeout is how long Start waits while the previous process still uses the address: the longest time that a stopping
+	// aggregator takes.
 	addressTimeout = 10 * time.Second
 )
 
-// Config is the configuration file of an aggregator.
+// Config is the content of an aggregator's configuration file.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -58,7 +62,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Read reads the configuration file; environment variables override its fields.
+// Read reads the configuration file that LB_CONFIG names, and validates it. The environment variables LB_NAME, LB_LISTEN and
+// LB_DISCOVERY override its fields.
 func Read(env func(string) string) (c Config, set settings.Settings, err error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
@@ -80,7 +85,7 @@
 	return c, set, err
 }
 
-// Check validates a configuration and reads its settings.
+// Check validates the configuration and returns its settings.
 func (c *Config) Check() (set settings.Settings, err error) {
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	switch {
@@ -104,7 +109,8 @@
 	return set, nil
 }
 
-// connectionLimits are the numbers of connections for clients and backends, and their memory altogether in bytes.
+// connectionLimits returns the limits of connections of clients and to backends, and the memory limit in bytes. A limit that is not
+// configured is math.MaxInt32.
 func (c *Config) connectionLimits() (clientConnections, backendConnections, memory int) {
 	clientConnections, backendConnections, memory = math.MaxInt32, math.MaxInt32, math.MaxInt32
 	if c.Limits.MemoryMB > 0 {
@@ -117,7 +123,8 @@
 	return clientConnections, backendConnections, memory
 }
 
-// listen waits a while for an address in use: a restart may overlap with the end of the process before it.
+// listen opens a listener. It retries for addressTimeout while the address is in use, as a restart may overlap with the end of the
+// previous process.
 func listen(ctx context.Context, address *net.TCPAddr) (l *net.TCPListener, err error) {
 	for until := time.Now().Add(addressTimeout); ; {
 		l, err = net.ListenTCP("tcp", address)
@@ -132,7 +139,7 @@
 	}
 }
 
-// StartText starts an aggregator from the text of a config, as it would be started from its file. The context is Start's.
+// StartText starts an aggregator from the text of a configuration file. See Start for the context.
 func StartText(ctx context.Context, text []byte, file operatorfile.File, log *zap.Logger, count *counters.Set) (*Node, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -153,8 +160,8 @@
 	discovery  *discovery.Client
 	hub        *backends.Hub
 	server     *clients.Server
-	fleet      *fleet.Fleet           // nil where the operator's file has none
-	controller *controller.Controller // nil where the operator's file has neither overrides nor a listener
+	fleet      *fleet.Fleet           // nil if the operator's file turns the fleet off
+	controller *controller.Controller // nil if the operator's file has neither overrides nor a listener
 	store      *aggregatorstore.OverrideStore
 	operators  *api.Server
 	captures   *capture.Writer
@@ -162,8 +169,9 @@
 	drain      func()
 }
 
-// Start starts an aggregator that serves from what the config knows, with what the operator's file adds. Until it serves, the
-// context's end ends the start.
+// Start starts an aggregator with a configuration and the features of the operator's file. It serves from the backends that the
+// configuration lists until the registry reports others. Canceling the context stops the wait for the listen address;
+// it has no effect once Start has returned.
 func Start(ctx context.Context, c Config, set settings.Settings, file operatorfile.File, log *zap.Logger, count *counters.Set) (n *Node, err error) {
 	clientConnections, backendConnections, memory := c.connectionLimits()
 	n = &Node{log: log, counters: count, drained: make(chan struct{})}
@@ -205,7 +213,7 @@
 	n.server = clients.New(set, clientConnections, memory, n.aggregator.Inbox, log, count)
 	n.drain = sync.OnceFunc(func() {
 		if n.fleet != nil {
-			go n.fleet.Release() // the next process may begin
+			go n.fleet.Release() // lets the next process of this node start
 		}
 		go func() { n.server.Drain(); close(n.drained) }()
 	})
@@ -216,7 +224,7 @@
 	if n.controller != nil {
 		go n.controller.Run()
 	}
-	go n.discovery.Run() //nolint:contextcheck // the context bounds the start, and the watches last until Stop
+	go n.discovery.Run() //nolint:contextcheck // the context applies to the start only, and the watches run until Stop
 	n.server.Serve(listener)
 	if n.operators != nil {
 		go n.operators.Serve(operatorsListener)
@@ -225,7 +233,7 @@
 	return n, nil
 }
 
-// openOperators makes the operators' server and its listener, where the operator's file has one; else the listener is nil.
+// openOperators creates the operators' server and returns its listener, which is nil if the operator's file has none.
 func (n *Node) openOperators(name string, file operatorfile.Operators) (net.Listener, error) {
 	if file.Listen == "" {
 		return nil, nil
@@ -237,8 +245,8 @@
 	return api.Listen(file.Listen)
 }
 
-// openController makes the controller, with what a store has kept. Where nothing can be kept it serves all the same, and refuses
-// commands, which would end with the process though their sender thinks them kept.
+// openController creates the controller and restores the stored overrides. If the store can't be opened, the aggregator serves
+// queries but rejects commands: overrides would be lost at the end of the process, although operators expect them to persist.
 func (n *Node) openController(set settings.Settings, file operatorfile.File) {
 	limits := file.Overrides.Limits
 	limits.Indexes, limits.Shards, limits.Cells, limits.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
@@ -255,7 +263,7 @@
 	n.controller.Restore(contents.Revision, contents.Active, contents.Recent)
 }
 
-// joinFleet makes the aggregator a member of a fleet.
+// joinFleet makes the aggregator a member of a fleet, which then decides on the admission of its queries.
 func (n *Node) joinFleet(c Config, set settings.Settings, file operatorfile.File) error {
 	key, err := operatorfile.ReadKey(file.Fleet.KeyFile)
 	if err != nil {
@@ -295,7 +303,7 @@
 	return nil
 }
 
-// startCapture lets the aggregator count its load into files.
+// startCapture makes the aggregator record its load in capture files.
 func (n *Node) startCapture(name string, set settings.Settings, file operatorfile.Capture) (err error) {
 	n.captures, err = capture.NewWriter(capture.Store{Directory: file.Directory, MostBytes: file.MostBytes,
 		MostAge: time.Duration(file.MostAge * float64(time.Second))}, n.log, n.counters)
@@ -318,20 +326,20 @@
 	return nil
 }
 
-// Drain begins the graceful shutdown; the channel is closed once all queries are answered. Drains of backends are still
-// respected meanwhile, wherever the registry is.
+// Drain starts the graceful shutdown. The returned channel is closed once all queries are answered. Until then the aggregator
+// keeps applying drains of backends. Further calls return the same channel.
 func (n *Node) Drain() <-chan struct{} {
 	n.drain()
 	return n.drained
 }
 
-// Drained is the channel that Drain returns, without beginning the shutdown.
+// Drained returns the channel that Drain returns, without starting the shutdown.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
-// Count is the aggregator's counters.
-func (n *Node) Count() *counters.Set { return n.counters }
+// Counters returns the aggregator's counters.
+func (n *Node) Counters() *counters.Set { return n.counters }
 
-// Stop drains if that was not begun yet, and then ends all actors.
+// Stop drains the aggregator, unless it has drained already, and then stops all actors.
 func (n *Node) Stop() {
 	<-n.Drain()
 	if n.operators != nil {
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -22,18 +22,19 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// patience bounds what a test waits for, which comes soon unless something is broken.
+// waitTimeout limits the waits of the tests. A wait usually ends much sooner.
 const waitTimeout = time.Minute
 
-// measure makes tests hold figures to their aims, for a machine that does nothing else; without it they check rules.
+// measure makes the tests also compare measurements with their targets, which needs an otherwise idle machine. Without it, they
+// check only behavior that holds on a busy machine too.
 var measure = os.Getenv("PUFFINLINK_MEASURE") != ""
 
-// cluster is a site on loopback: a register, backends, one aggregator with overrides, and a load on it.
+// cluster is a site on the loopback interface: a registry, backends, one aggregator with overrides, and a load generator.
 type cluster struct {
 	*testing.T
 	site     fakes.Site
 	registry *fakes.Register
-	backends    []*fakes.Backend
+	backends []*fakes.Backend
 	file     operatorfile.File
 	listen   string
 	node     *Node
@@ -42,6 +43,8 @@
 	tally    fakes.Tally
 }
 
+// newCluster starts a cluster whose backends take the given service time for a subquery. queriesPerS is the rate of the load; at 0
+// the load is not started.
 func newCluster(t *testing.T, queriesPerS float64, service time.Duration) *cluster {
 	w := &cluster{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, Width: 2, Shards: 16, Aggregators: 1,
 		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 2, Hard: 8, Value: 1}, {Name: "orders", Effect: "once", Soft: 2, Hard: 8, Value: 3}}}}
@@ -65,7 +68,7 @@
 	w.file = operatorfile.Defaults()
 	w.file.Overrides.On, w.file.Overrides.Directory = true, t.TempDir()
 	w.file.Overrides.Limits.SlowStart = 2
-	dir, err := os.MkdirTemp("", "pl") // a socket's path is short
+	dir, err := os.MkdirTemp("", "pl") // the path of a Unix socket must be short
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,6 +87,7 @@
 	return w
 }
 
+// start starts the aggregator.
 func (w *cluster) start() {
 	w.Helper()
 	n, err := StartText(w.Context(), w.site.Config("n1", w.listen, w.registry, 0), w.file, zap.NewNop(), counters.New())
@@ -93,24 +97,24 @@
 	w.node = n
 }
 
-// take adds what came of the load.
+// collectLoad returns the results of the load since the previous call, and adds them to the tally.
 func (w *cluster) collectLoad() fakes.Tally {
 	t := w.load.Take()
 	w.tally.Add(t)
 	return t
 }
 
-// until waits for something that is to come.
+// waitUntil waits for a condition, and fails the test after waitTimeout.
 func (w *cluster) waitUntil(description string, condition func() bool) {
 	w.Helper()
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			w.Fatalf("never: %s; %+v", description, w.collectLoad())
+			w.Fatalf("timed out waiting for: %s; load: %+v", description, w.collectLoad())
 		}
 	}
 }
 
-// calls sums the calls of all backends.
+// calls returns the number of calls of all backends.
 func (w *cluster) calls() (n int64) {
 	for _, s := range w.backends {
 		n += s.Calls()
@@ -118,19 +122,20 @@
 	return n
 }
 
-// goesOn waits until so many more calls have been made.
+// waitForCalls waits until the backends have received count more calls.
 func (w *cluster) waitForCalls(count int64) {
 	w.Helper()
 	before := w.calls()
-	w.waitUntil("more part calls", func() bool { return w.calls() >= before+count })
+	w.waitUntil("more calls", func() bool { return w.calls() >= before+count })
 }
 
+// overrides returns the aggregator's overrides and recoveries.
 func (w *cluster) overrides() (v api.View) {
 	w.Helper()
 	for {
 		err := w.client.Get(context.Background(), "/v1/overrides", &v)
 		if e := (*api.Error)(nil); errors.As(err, &e) && e.Code == "rate" {
-			time.Sleep(200 * time.Millisecond) // asked more often than operators may
+			time.Sleep(200 * time.Millisecond) // the limit of operators' requests is reached
 			continue
 		}
 		if err != nil {
@@ -140,6 +145,7 @@
 	}
 }
 
+// command sends an operator's command based on the current revision. An override without a duration lasts 3600 s.
 func (w *cluster) command(c api.Command) api.Change {
 	w.Helper()
 	v := w.overrides()
@@ -154,26 +160,27 @@
 	return change
 }
 
+// clear removes an override.
 func (w *cluster) clear(id uint64) { w.command(api.Command{Clear: id}) }
 
-// checkLogEnds stops the load, and checks that each query had exactly one final answer and no once-only subquery ran twice.
+// checkOutcome stops the load, and checks that each query had exactly one final answer and no once-only subquery ran twice.
 func (w *cluster) checkOutcome() {
 	w.Helper()
 	w.load.Stop()
 	w.collectLoad()
 	checkEachQueryAnswered(w.T, w.tally)
-	w.Logf("%+v; %d once-only parts ran", w.tally, checkOnceOnlySubqueries(w.T, w.backends))
+	w.Logf("load: %+v; %d once-only subqueries executed", w.tally, checkOnceOnlySubqueries(w.T, w.backends))
 }
 
-// eachAnswered checks that each query had exactly one final answer, and some of them what they asked for.
+// checkEachQueryAnswered checks that each query had exactly one final answer, and that some queries were satisfied.
 func checkEachQueryAnswered(t *testing.T, a fakes.Tally) {
 	t.Helper()
 	if a.Lost > 0 || a.Sent != a.Satisfied+a.Nacked+a.Aborted || a.Satisfied == 0 {
-		t.Fatalf("not each lookup had its answer: %+v", a)
+		t.Fatalf("not every query had exactly one final answer: %+v", a)
 	}
 }
 
-// executedOnce checks that no once-only subquery ran twice, and tells how many ran.
+// checkOnceOnlySubqueries checks that no once-only subquery ran twice, and returns how many ran.
 func checkOnceOnlySubqueries(t *testing.T, fleet []*fakes.Backend) int {
 	t.Helper()
 	executions := map[string]int64{}
@@ -186,13 +193,13 @@
 	}
 	for id, n := range executions {
 		if n > 1 {
-			t.Errorf("%s ran %d times", id, n)
+			t.Errorf("once-only subquery %s ran %d times", id, n)
 		}
 	}
 	return len(executions)
 }
 
-// restartAggregator starts the aggregator anew in the same place, as a release does. What it then held is the clients' to ask again.
+// restartAggregator restarts the aggregator at the same address, as a release does. The load is stopped meanwhile.
 func (w *cluster) restartAggregator() {
 	w.Helper()
 	w.load.Stop()
@@ -202,104 +209,110 @@
 	w.load.Run(w.Context())
 }
 
-// Out gives a backend no call, whatever becomes of the list, the registry, the backend and the aggregator.
+// An excluded backend (override "out") gets no call, even after changes of the list, registry outages, and restarts of the backend and
+// the aggregator.
 func TestExclusionHoldsThroughRestartsAndFaults(t *testing.T) {
 	w := newCluster(t, 150, 2*time.Millisecond)
 	s := w.backends[3]
-	w.waitUntil("calls of the searcher", func() bool { return s.Calls() > 50 })
+	w.waitUntil("calls of the backend", func() bool { return s.Calls() > 50 })
 	w.command(api.Command{Kind: "out", Backend: s.Name})
-	w.waitForCalls(100) // what was on its way has come
+	w.waitForCalls(100) // calls sent before the command have arrived
 	was := s.Calls()
 	for _, step := range []struct {
 		name string
 		do   func()
 	}{
-		{"whole list", w.registry.SendFullList},
+		{"full list", w.registry.SendFullList},
 		{"patch", func() { w.registry.Set(w.backends[0].Entry("SERVING", true)) }},
-		{"register out of reach", func() { w.registry.Down(true) }},
-		{"register back", func() { w.registry.Down(false) }},
-		{"it drains", func() { w.registry.SetState(s.Name, "DRAINING") }},
-		{"it leaves", func() { w.registry.SetState(s.Name, "DELETED") }},
-		{"it dies", s.Kill},
-		{"it returns", func() {
+		{"registry outage", func() { w.registry.Down(true) }},
+		{"end of the registry outage", func() { w.registry.Down(false) }},
+		{"drain of the backend", func() { w.registry.SetState(s.Name, "DRAINING") }},
+		{"removal of the backend", func() { w.registry.SetState(s.Name, "DELETED") }},
+		{"failure of the backend", s.Kill},
+		{"return of the backend", func() {
 			if err := s.Start(); err != nil {
 				t.Fatal(err)
 			}
 			w.registry.Set(s.Entry("SERVING", true))
 		}},
-		{"it restarts", func() { w.registry.Set(s.Entry("SERVING", false)) }},
-		{"the mixer restarts", w.restartAggregator},
+		{"restart of the backend", func() { w.registry.Set(s.Entry("SERVING", false)) }},
+		{"restart of the aggregator", w.restartAggregator},
 	} {
 		step.do()
 		w.waitForCalls(300)
 		if got := s.Calls(); got != was {
-			t.Fatalf("%s: %d part calls went to a searcher that is out", step.name, got-was)
+			t.Fatalf("after %s: the excluded backend got %d calls", step.name, got-was)
 		}
 	}
 	v := w.overrides()
 	if len(v.Overrides) != 1 || v.Overrides[0].State != "acts" || v.Storage == "memory" {
-		t.Fatalf("got %+v", v)
+		t.Fatalf("got %+v, want one persistent override that acts", v)
 	}
 	w.clear(v.Overrides[0].ID)
-	w.waitUntil("it takes part calls again", func() bool { return s.Calls() > was+50 })
+	w.waitUntil("calls of the backend after the exclusion", func() bool { return s.Calls() > was+50 })
 	w.checkOutcome()
 }
 
-// A pin takes all of its shard through the same; a drain wins over it within 2 s, and it comes back after.
+// A pinned backend gets all calls of its shard through list changes, registry outages and restarts. A drain of the backend suspends the
+// pin within 2 s, and the pin acts again after the drain. If the backend fails, siblings serve the shard, as the pin is not
+// strict.
 func TestPinServesItsShardAndYieldsToADrain(t *testing.T) {
 	w := newCluster(t, 150, 2*time.Millisecond)
 	s, sibling := w.backends[5], w.backends[6] // shard 5 is held by cells 5 and 6
 	w.command(api.Command{Kind: "pin", Backend: s.Name, From: 5, To: 5})
 	w.waitForCalls(100)
+	// checkPinned checks that the backend gets all calls of the pinned shard.
 	checkPinned := func(name string) {
 		t.Helper()
 		w.waitForCalls(100)
 		was, own := sibling.CallsOf(5), s.CallsOf(5)
-		w.waitUntil("parts of the pinned shard", func() bool { return s.CallsOf(5) > own+20 })
+		w.waitUntil("calls of the pinned shard", func() bool { return s.CallsOf(5) > own+20 })
 		if got := sibling.CallsOf(5); got != was {
-			t.Fatalf("%s: %d part calls of the pinned shard went to its sibling", name, got-was)
+			t.Fatalf("after %s: the sibling got %d calls of the pinned shard", name, got-was)
 		}
 	}
-	checkPinned("set")
+	checkPinned("the command")
 	w.registry.SendFullList()
-	checkPinned("whole list")
+	checkPinned("full list")
 	w.registry.Down(true)
-	checkPinned("register out of reach")
+	checkPinned("registry outage")
 	w.registry.Down(false)
 	w.registry.SetState(s.Name, "DRAINING")
 	drainedAt := time.Now()
-	w.waitUntil("the pin is suspended", func() bool { return strings.HasPrefix(w.overrides().Overrides[0].State, "suspended: its searcher drains") })
+	w.waitUntil("the pin is suspended", func() bool {
+		return strings.HasPrefix(w.overrides().Overrides[0].State, "suspended: its searcher drains")
+	})
 	w.waitForCalls(100)
 	was, before := s.CallsOf(5), sibling.CallsOf(5)
 	w.waitUntil("the sibling serves the shard", func() bool { return sibling.CallsOf(5) > before+20 })
 	if got := s.CallsOf(5); got != was {
-		t.Fatalf("%d part calls went to one that drains", got-was)
+		t.Fatalf("the draining backend got %d calls", got-was)
 	}
-	t.Logf("the drain had won %s after the list told of it, with 20 part calls of the shard served", time.Since(drainedAt).Round(time.Millisecond))
+	t.Logf("the drain took effect %s after the list reported it, with 20 calls of the shard served", time.Since(drainedAt).Round(time.Millisecond))
 	if measure && time.Since(drainedAt) > 2*time.Second {
-		t.Fatal("later than 2 s")
+		t.Fatal("the drain took effect after more than 2 s")
 	}
 	w.registry.SetState(s.Name, "SERVING")
 	w.waitUntil("the pin acts", func() bool { v := w.overrides(); return v.Overrides[0].State == "acts" && len(v.Recoveries) == 0 })
-	checkPinned("back")
+	checkPinned("the drain")
 	w.registry.SetState(s.Name, "DELETED")
 	w.waitUntil("the pin waits", func() bool { return strings.HasPrefix(w.overrides().Overrides[0].State, "waits") })
 	w.registry.Set(s.Entry("SERVING", true))
 	acts := func() bool { v := w.overrides(); return v.Overrides[0].State == "acts" && len(v.Recoveries) == 0 }
 	w.waitUntil("the pin acts after a return", acts)
-	checkPinned("returned")
+	checkPinned("return of the backend")
 	w.registry.Set(s.Entry("SERVING", false))
 	w.waitUntil("the pin acts after a restart", acts)
-	checkPinned("restarted")
+	checkPinned("restart of the backend")
 	w.restartAggregator()
-	checkPinned("the mixer restarted")
-	s.Kill() // not strict: its siblings take the shard
+	checkPinned("restart of the aggregator")
+	s.Kill() // the pin is not strict: siblings serve the shard
 	before = sibling.CallsOf(5)
-	w.waitUntil("the sibling serves the shard of the dead one", func() bool { return sibling.CallsOf(5) > before+20 })
+	w.waitUntil("the sibling serves the shard of the failed backend", func() bool { return sibling.CallsOf(5) > before+20 })
 	w.checkOutcome()
 }
 
-// A strict pin to a backend that died is refused at once, not held to the deadline.
+// Queries of a strict pin to a failed backend are rejected at once and do not wait until their deadline.
 func TestStrictPinToAnUnreachableBackendIsRejectedAtOnce(t *testing.T) {
 	w := newCluster(t, 100, 2*time.Millisecond)
 	s := w.backends[5]
@@ -308,14 +321,14 @@
 	s.Kill()
 	w.registry.SetState(s.Name, "DELETED")
 	w.collectLoad()
-	w.waitUntil("nacks", func() bool { w.collectLoad(); return w.tally.Nacked > 20 })
+	w.waitUntil("rejected queries", func() bool { w.collectLoad(); return w.tally.Nacked > 20 })
 	w.load.Stop()
 	if w.collectLoad(); w.tally.Aborted+w.tally.Lost > 0 {
-		t.Fatalf("got %+v", w.tally)
+		t.Fatalf("got %+v, want no aborted or lost queries", w.tally)
 	}
 }
 
-// A weight of a quarter gives a quarter of the usual calls.
+// A weight of 0.25 gives a backend a quarter of its usual share of calls.
 func TestWeightScalesTheShareOfCalls(t *testing.T) {
 	queriesPerS, callCount := 150.0, int64(2000)
 	if measure {
@@ -334,9 +347,9 @@
 	w.waitForCalls(callCount / 4)
 	weighted := share()
 	got := weighted / usual
-	t.Logf("share of part calls %.4f, weighed by 0.25 %.4f: %.3f of the usual", usual, weighted, got)
+	t.Logf("share of calls %.4f, with weight 0.25 %.4f: %.3f of the usual", usual, weighted, got)
 	if got > 0.6 || measure && math.Abs(got-0.25) > 0.15*0.25 {
-		t.Errorf("a weight of 0.25 gives %.3f of the usual part calls", got)
+		t.Errorf("a weight of 0.25 gives %.3f of the usual calls", got)
 	}
 	w.registry.SendFullList()
 	w.registry.Down(true)
@@ -346,27 +359,27 @@
 	w.registry.SetState(s.Name, "DELETED")
 	w.registry.Set(s.Entry("SERVING", true))
 	w.registry.Set(w.backends[0].Entry("SERVING", true))
-	w.registry.Set(s.Entry("SERVING", false)) // it has restarted
+	w.registry.Set(s.Entry("SERVING", false)) // the backend has restarted
 	w.restartAggregator()
 	w.waitForCalls(callCount / 4)
 	if afterFaults := share() / usual; afterFaults > 0.6 || measure && math.Abs(afterFaults-0.25) > 0.15*0.25 {
-		t.Errorf("after lists, a drain, a return and a restart a weight of 0.25 gives %.3f of the usual part calls", afterFaults)
+		t.Errorf("after lists, a drain, a return and a restart a weight of 0.25 gives %.3f of the usual calls", afterFaults)
 	} else {
-		t.Logf("after lists, a drain, a return and a restart %.3f of the usual", afterFaults)
+		t.Logf("after lists, a drain, a return and a restart: %.3f of the usual calls", afterFaults)
 	}
 	w.clear(change.Override.ID)
-	w.waitUntil("it is back", func() bool { return len(w.overrides().Recoveries) == 0 })
+	w.waitUntil("the end of the backend's recovery", func() bool { return len(w.overrides().Recoveries) == 0 })
 	w.waitForCalls(callCount / 4)
 	if afterClear := share() / usual; afterClear < 0.6 || measure && math.Abs(afterClear-1) > 0.15 {
-		t.Errorf("back at %.3f of the usual part calls", afterClear)
+		t.Errorf("without the override: %.3f of the usual calls", afterClear)
 	}
 	w.checkOutcome()
 }
 
-// At the end of an out the backend comes back by steps, and the tail of latencies stays.
+// At the end of an exclusion the backend's load grows step by step, and the p99 latency doesn't rise.
 func TestBackendReturnsWithoutOverload(t *testing.T) {
 	if !measure {
-		t.Skip("holds latencies to their aims: run alone, with PUFFINLINK_MEASURE=1")
+		t.Skip("compares latencies with their targets: run alone, with PUFFINLINK_MEASURE=1")
 	}
 	w := newCluster(t, 300, 4*time.Millisecond)
 	s := w.backends[3]
@@ -380,12 +393,12 @@
 	after := w.collectLoad()
 	t.Logf("p99 %s before, %s after; p50 %s and %s", before.P99, after.P99, before.P50, after.P50)
 	if float64(after.P99) > 1.5*float64(before.P99) {
-		t.Errorf("the p99 of the 5 s after is %.2f times that of the 5 s before", float64(after.P99)/float64(before.P99))
+		t.Errorf("the p99 of the 5 s after the exclusion is %.2f times that of the 5 s before", float64(after.P99)/float64(before.P99))
 	}
 	w.checkOutcome()
 }
 
-// Operators that hold all connections, say half a request or ask without end cost queries nothing.
+// Operators' clients that use up all connections, send partial requests or send requests without pause do not delay queries.
 func TestMisbehavingOperatorClientsDelayNoQuery(t *testing.T) {
 	w := newCluster(t, 150, 4*time.Millisecond)
 	queries := int64(300)
@@ -394,7 +407,7 @@
 	}
 	measureLoad := func() fakes.Tally {
 		w.collectLoad()
-		w.waitUntil("lookups", func() bool { return w.load.Answered() >= queries })
+		w.waitUntil("answered queries", func() bool { return w.load.Answered() >= queries })
 		return w.collectLoad()
 	}
 	w.waitForCalls(200)
@@ -427,15 +440,15 @@
 	disturbed := measureLoad()
 	close(stop)
 	misbehaving.Wait()
-	t.Logf("p99 %s without, %s with rude operators; p50 %s and %s", undisturbed.P99, disturbed.P99, undisturbed.P50, disturbed.P50)
+	t.Logf("p99 %s without, %s with misbehaving operators' clients; p50 %s and %s", undisturbed.P99, disturbed.P99, undisturbed.P50, disturbed.P50)
 	if measure && float64(disturbed.P99) > 1.1*float64(undisturbed.P99) {
-		t.Errorf("the p99 is %.2f times that without", float64(disturbed.P99)/float64(undisturbed.P99))
+		t.Errorf("the p99 is %.2f times the p99 without misbehaving clients", float64(disturbed.P99)/float64(undisturbed.P99))
 	}
 	w.checkOutcome()
 }
 
-// Without a directory overrides end with the process, and the answer says so. Of a directory that can't be used commands
-// are refused and queries are served.
+// Without a directory, overrides are lost with the process, and the answer reports that. With a directory that can't be used, commands
+// are rejected and queries are served.
 func TestOverridesNeedAWritableDirectory(t *testing.T) {
 	w := newCluster(t, 0, time.Millisecond)
 	w.node.Stop()
@@ -443,7 +456,7 @@
 	w.start()
 	w.command(api.Command{Kind: "out", Backend: "s-1"})
 	if v := w.overrides(); v.Storage != "memory" || len(v.Overrides) != 1 {
-		t.Fatalf("got %+v", v)
+		t.Fatalf("got %+v, want one override in memory", v)
 	}
 	w.node.Stop()
 	blocked := filepath.Join(t.TempDir(), "file")
@@ -453,7 +466,7 @@
 	v := w.overrides()
 	_, err := w.client.Send(context.Background(), api.Command{Revision: &v.Revision, Kind: "out", Backend: "s-1", Author: "ann", Reason: "slow", For: 9})
 	if e := (*api.Error)(nil); !errors.As(err, &e) || e.Code != "not_kept" || len(v.Overrides) > 0 {
-		t.Fatalf("got %v, %+v", err, v)
+		t.Fatalf("got error %v with %+v, want code not_kept and no overrides", err, v)
 	}
 	w.load.Aggregators, w.load.PerS = []string{w.listen}, 100
 	w.load.Run(t.Context())
--- a/internal/dataplane/node/upgrade_test.go
+++ b/internal/dataplane/node/upgrade_test.go
@@ -14,25 +14,28 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// shape is one of two shapes of a deployment: its site, the aggregators that run in it, and the clients before those.
+// layout is one of the two layouts of a deployment, with its aggregators and its load.
 type layout struct {
-	site  fakes.Site
-	nodes []*Node
-	load  *fakes.Load
-	tally fakes.Tally
-	satisfiedAlone float64 // share satisfied while the other shape was asked for nothing
+	site           fakes.Site
+	nodes          []*Node
+	load           *fakes.Load
+	tally          fakes.Tally
+	satisfiedAlone float64 // share of satisfied queries without load on the other layout
 }
 
-// satisfied is the share of what was asked since the tally was last cleared.
+// satisfied returns the share of satisfied queries since the tally was last cleared.
 func (s *layout) satisfied() float64 { return float64(s.tally.Satisfied) / float64(s.tally.Sent) }
 
-// During a move aggregators of the old shape (shards on two neighbouring cells, a call for each subquery, whole answers) and of the
-// new one (sets, calls that subqueries share, answers in subquery, subqueries that a fingerprint guards) run before the same backends.
-// With more asked of these than they can do, one of them killed and back cold, two that hang and are killed, and one drained,
-// the rules hold for both kinds, and neither gets less than a third of what it got alone just before. Seen to fail where draining
-// backends count as ready, where once-only subqueries go again, where fingerprinted ones go again after their window, and where
-// the aggregators of one shape turn all away.
-func TestOldAndNewLayoutShareBackendsDuringAMigration(t *testing.T) {
+// During a migration, aggregators of the old and of the new layout use the same backends. In the old layout shards are on two neighboring
+// cells, each subquery has its own call, and answers are complete. In the new layout shards are in sets, subqueries share calls,
+// answers may be partial, and subqueries are deduplicated by fingerprint.
+//
+// The backends are overloaded. One is killed and restarts cold, two hang and are killed, and one drains. The rules must hold for both
+// layouts, and each layout must get at least a third of the share that it got alone.
+//
+// The test fails if draining backends count as ready, if once-only subqueries are sent again, if fingerprinted subqueries are sent again
+// after their window, and if the aggregators of one layout reject all queries.
+func TestOldAndNewLayoutsShareBackendsDuringAMigration(t *testing.T) {
 	const cells, service = 6, 50 * time.Millisecond
 	index := func(name, effect string, value, minimum float64) fakes.Index {
 		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Value: value, Minimum: minimum, DedupS: 0.05}
@@ -49,7 +52,7 @@
 			Indexes: []fakes.Index{index("maps", "repeatable", 5, 0.7), index("notes", "by_key", 1, 0)}}},
 	}
 	var backends []*fakes.Backend
-	for i := range 2 * cells { // each cell in both locations, so that either shape has two holders at the least
+	for i := range 2 * cells { // each cell in both locations, so that each shard has at least two backends in either layout
 		s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), []string{"a", "b"}[i%2], i/2, 2, service)
 		if err != nil {
 			t.Fatal(err)
@@ -75,7 +78,8 @@
 		for i, x := range l.site.Indexes {
 			mixes = append(mixes, fakes.Mix{Index: x.Name, Share: []float64{0.6, 0.4}[i], Subqueries: []int{6, 2}[i], Deadline: 3 * time.Second})
 		}
-		// 12 backends with two slots of 50 ms do 480 subqueries a second: each shape asks for 220, and for a while a fourth of them is gone.
+		// 12 backends with two slots of 50 ms serve 480 subqueries a second. Each layout sends 220, and for some time a fourth of
+		// the backends is down.
 		l.load = &fakes.Load{Aggregators: aggregators, Site: l.site, PerS: 50, Mixes: mixes, Retries: 1, Backoff: 50 * time.Millisecond}
 	}
 	collectLoad := func() {
@@ -93,7 +97,7 @@
 		l.load.Run(t.Context())
 		for deadline := time.Now().Add(waitTimeout); l.load.Answered() < 150; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s: %d of 150 lookups answered while it is alone", name, l.load.Answered())
+				t.Fatalf("%s layout: %d of 150 queries answered while it has the only load", name, l.load.Answered())
 			}
 		}
 		stop(name, l)
@@ -102,18 +106,19 @@
 	for _, l := range layouts {
 		l.load.Run(t.Context())
 	}
+	// waitForSatisfied waits until each layout has the given number of further satisfied queries.
 	waitForSatisfied := func(each int64) {
 		t.Helper()
 		collectLoad()
 		old, fresh := layouts["old"].tally.Satisfied+each, layouts["new"].tally.Satisfied+each
 		for deadline := time.Now().Add(waitTimeout); layouts["old"].tally.Satisfied < old || layouts["new"].tally.Satisfied < fresh; time.Sleep(10 * time.Millisecond) {
 			if collectLoad(); time.Now().After(deadline) {
-				t.Fatalf("one starves: old %+v, new %+v", layouts["old"].tally, layouts["new"].tally)
+				t.Fatalf("timed out waiting for satisfied queries of both layouts: old %+v, new %+v", layouts["old"].tally, layouts["new"].tally)
 			}
 		}
 	}
 	waitForSatisfied(100)
-	for _, i := range []int{0, 10} { // they take subqueries, answer probes, and are killed with what they hold
+	for _, i := range []int{0, 10} { // they accept subqueries, answer probes, and are killed with work in progress
 		backends[i].SetService(4 * time.Second)
 	}
 	waitForSatisfied(100)
@@ -127,11 +132,11 @@
 	registry.Set(backends[3].Entry("SERVING", false))
 	drained := backends[8]
 	registry.SetState(drained.Name, "DRAINING")
-	waitForSatisfied(60) // by now all have heard
+	waitForSatisfied(60) // by now all aggregators know of the drain
 	callsBefore := drained.Calls()
 	waitForSatisfied(100)
 	if more := drained.Calls() - callsBefore; more > 0 {
-		t.Errorf("%d part calls went to a searcher that drains", more)
+		t.Errorf("the draining backend got %d calls", more)
 	}
 	for name, l := range layouts {
 		stop(name, l)
@@ -141,7 +146,7 @@
 			n.Stop()
 		}
 		if share := l.satisfied(); share < l.satisfiedAlone/3 {
-			t.Errorf("%s is starved: %.2f satisfied beside the other shape, expected a third of %.2f, its share alone", name, share, l.satisfiedAlone)
+			t.Errorf("%s layout: %.2f of the queries satisfied beside the other layout, want at least a third of %.2f, its share alone", name, share, l.satisfiedAlone)
 		}
 	}
 	first, last := map[string]time.Time{}, map[string]time.Time{}
@@ -155,8 +160,9 @@
 			}
 		})
 	}
-	// A fingerprinted subquery goes again only within its window, which begins as it is first sent; the rest is a busy machine's.
-	// A client's own retry is another query, but these come only where nothing may have run, so no part of them was sent.
+	// A fingerprinted subquery may be sent again only within its window of 50 ms, which starts when it is first sent. The check allows
+	// 150 ms more for delays on a busy machine. A client's own retry is not counted: it follows only if nothing may have been executed,
+	// so no subquery of the first query was sent.
 	var gaps []time.Duration
 	for id, from := range first {
 		if strings.HasPrefix(id, "notes-") && last[id].After(from) {
@@ -164,9 +170,9 @@
 		}
 	}
 	slices.Sort(gaps)
-	t.Logf("fingerprinted parts came again after %v", gaps)
+	t.Logf("fingerprinted subqueries arrived again after %v", gaps)
 	if n := len(gaps); n > 0 && gaps[n-1] > 200*time.Millisecond {
-		t.Errorf("a fingerprinted part came again %v after it first did, expected at most 50 ms and a busy machine's 150", gaps[n-1])
+		t.Errorf("a fingerprinted subquery arrived again %v after its first arrival, want at most 50 ms plus 150 ms for a busy machine", gaps[n-1])
 	}
 	checkOnceOnlySubqueries(t, backends)
 }
--- a/internal/dataplane/node/wire_test.go
+++ b/internal/dataplane/node/wire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestWireForms pins the keys of the file that tells an aggregator its configuration, in both directions.
+// TestEncodedFormsMatchGoldenFiles checks the keys of an aggregator's configuration file, decoded and encoded.
 func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	text := `{"name":"text 1","listen":"text 2","discovery":"text 3","seed":"text 4",` +
 		`"limits":{"cores":5.5,"memory_mb":6.5,"sockets":7},"known":{"a":8},"settings":{"b":9}}`
@@ -18,9 +18,9 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, want) {
-		t.Errorf("read as %+v, want %+v", read, want)
+		t.Errorf("decoded as %+v, want %+v", read, want)
 	}
 	if written, err := json.Marshal(want); err != nil || string(written) != text {
-		t.Errorf("written as %s: %v", written, err)
+		t.Errorf("encoded as %s, %v, want %s", written, err, text)
 	}
 }
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,4 +1,5 @@
-// Package eventqueue has the unbounded queue by which goroutines that own their state (actors) get messages from each other.
+// Package eventqueue provides the unbounded message queue of actors: goroutines that own their state and change it only in response
+// to messages. Senders never block. The package does not limit the length of a queue.
 package eventqueue
 
 import (
@@ -7,18 +8,18 @@
 	"puffinlink.example/puffinlink/internal/wakeup"
 )
 
-// Queue is a queue of many senders and one receiver. Put never blocks: the queue's length is bounded by what its senders may have
-// in flight, and not here.
+// Queue is a queue with many senders and one receiver. Put never blocks. The queue's length is limited only by the number of messages
+// that its senders may have in flight.
 type Queue[T any] struct {
 	mutex sync.Mutex
 	items []T
 	ready wakeup.Signal
 }
 
-// New makes an empty queue.
+// New creates an empty queue.
 func New[T any]() *Queue[T] { return &Queue[T]{ready: wakeup.New()} }
 
-// Put appends items. The items of one Put are returned by one Take.
+// Put appends items. A single Take returns all items of one Put.
 func (q *Queue[T]) Put(items ...T) {
 	q.mutex.Lock()
 	q.items = append(q.items, items...)
@@ -26,11 +27,11 @@
 	q.ready.Notify()
 }
 
-// Ready signals that the queue may have items. It may have none, when a Take came between the Put and the signal.
+// Ready returns a channel that signals that the queue may have items. The queue is empty if a Take has already removed them.
 func (q *Queue[T]) Ready() <-chan struct{} { return q.ready }
 
-// Take removes and returns all items, in the order of Put. The receiver passes the slice of the last Take, which it must not use
-// any more, and whose memory is reused.
+// Take removes and returns all items in the order of Put. It reuses the memory of spare, which is the result of the previous Take or
+// nil. The caller must not use spare afterwards.
 func (q *Queue[T]) Take(spare []T) []T {
 	clear(spare)
 	q.mutex.Lock()
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// TestItemsOfEachSenderAreTakenOnceAndInOrder puts and takes concurrently.
+// TestItemsOfEachSenderAreTakenOnceAndInOrder guards against lost, repeated and reordered items when several senders put items while
+// the receiver takes them.
 func TestItemsOfEachSenderAreTakenOnceAndInOrder(t *testing.T) {
 	const senders, each = 8, 2000
 	queue := New[[2]int]()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for s := range senders {
-		all.Go(func() {
+		wg.Go(func() {
 			for i := range each {
 				queue.Put([2]int{s, i})
 			}
@@ -19,19 +20,19 @@
 	}
 	var next [senders]int
 	var spare [][2]int
-	for got := 0; got < senders*each; {
+	for taken := 0; taken < senders*each; {
 		<-queue.Ready()
 		spare = queue.Take(spare)
 		for _, item := range spare {
 			if item[1] != next[item[0]] {
-				t.Fatalf("sender %d: got %d, expected %d", item[0], item[1], next[item[0]])
+				t.Fatalf("sender %d: got item %d, want %d", item[0], item[1], next[item[0]])
 			}
 			next[item[0]]++
-			got++
+			taken++
 		}
 	}
-	all.Wait()
-	if rest := queue.Take(spare); len(rest) > 0 {
-		t.Fatalf("%d items too many", len(rest))
+	wg.Wait()
+	if remaining := queue.Take(spare); len(remaining) > 0 {
+		t.Fatalf("%d more items, want none", len(remaining))
 	}
 }
--- a/internal/eventqueue/queuetest/queuetest.go
+++ b/internal/eventqueue/queuetest/queuetest.go
@@ -1,4 +1,4 @@
-// Package queuetest lets a test hear a queue as its actor would, one item at a time.
+// Package queuetest lets a test receive the items of a queue one at a time, in place of the queue's actor. Only tests use it.
 package queuetest
 
 import (
@@ -8,28 +8,28 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-// Patience bounds what a test waits for, which comes at once unless something is broken.
+// WaitTimeout limits the waits of tests. A wait usually ends at once, and reaches the limit only if something is broken.
 const WaitTimeout = time.Minute
 
-// Ear is the side of a queue that takes.
+// Receiver receives the items of a queue. It is not safe for concurrent use.
 type Receiver[T any] struct {
 	Queue *eventqueue.Queue[T]
 
-	pending []T
+	pending []T // taken from the queue, but not returned by Next
 }
 
-// New makes a queue and its ear.
+// New creates a queue and its receiver.
 func New[T any]() *Receiver[T] { return &Receiver[T]{Queue: eventqueue.New[T]()} }
 
-// Next waits for the next item.
+// Next waits for the next item and returns it. It fails the test after WaitTimeout.
 func (e *Receiver[T]) Next(t testing.TB) T {
 	t.Helper()
-	for late := time.After(WaitTimeout); len(e.pending) == 0; {
+	for timeout := time.After(WaitTimeout); len(e.pending) == 0; {
 		select {
 		case <-e.Queue.Ready():
 			e.pending = e.Queue.Take(nil)
-		case <-late:
-			t.Fatal("nothing was told")
+		case <-timeout:
+			t.Fatal("no item arrived before WaitTimeout")
 		}
 	}
 	item := e.pending[0]
@@ -37,7 +37,7 @@
 	return item
 }
 
-// Rest is all that is here and not heard yet.
+// Remaining returns all items that Next has not returned yet, without waiting. The items stay with the receiver.
 func (e *Receiver[T]) Remaining() []T {
 	e.pending = append(e.pending, e.Queue.Take(nil)...)
 	return e.pending
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -1,5 +1,8 @@
-// Package operatorclient is the client of the operators' API (packages control and operations): it sends a request to one node
-// after the other until one gives a definitive answer.
+// Package operatorclient is the client of the operators' API, which packages control and operations serve.
+//
+// Client sends a request to one node after the other until one gives a definitive answer. If none does, the error says whether a
+// node may have executed the request. The commands of operators use it. It may send a request several times, so it must only be used
+// for idempotent requests.
 package operatorclient
 
 import (
@@ -20,13 +23,13 @@
 )
 
 const (
-	attemptTimeout  = 4 * time.Second // for one answer; the node may have to call another one
+	attemptTimeout  = 4 * time.Second // for one attempt; the node may have to call another node
 	dialTimeout     = 2 * time.Second
-	initialBackoff  = 200 * time.Millisecond
+	initialBackoff  = 200 * time.Millisecond // between the first two rounds; doubles up to maxBackoff
 	maxBackoff      = time.Second
-	maxRedirects    = 2
+	maxRedirects    = 2 // in one attempt
 	maxAnswerBytes  = 64 << 20
-	maxErrorText    = 400
+	maxErrorText    = 400 // bytes of an answer that is not JSON, as shown in an error
 	contentTypeJSON = "application/json"
 )
 
@@ -34,25 +37,25 @@
 
 // Client sends requests to nodes.
 type Client struct {
-	Addresses []string // control addresses, host:port, tried in turn
+	Addresses []string // control addresses in the form host:port, tried in turn
 	HTTP      *http.Client
 }
 
 // Request is one request of an operator. It must be idempotent, as it may be sent several times.
 type Request struct {
 	Method  string
-	Path    string // with names in it escaped
+	Path    string // escaped
 	Query   url.Values
-	IfMatch string // sent if it is not empty
+	IfMatch string // value of the If-Match header; not sent if empty
 	Body    []byte
 }
 
-// Answer is a definitive answer.
+// Answer is the definitive answer to a request.
 type Answer struct {
 	Status  int
-	Version string // of the configuration, from the answer's ETag
+	Version string // version of the configuration, from the ETag header
 	Body    []byte
-	Address string // of the node that answered
+	Address string // address of the node that was called, also if it redirected the request
 }
 
 // RefusedError is a definitive answer that rejects the request.
@@ -64,7 +67,7 @@
 // Error implements the error interface.
 func (e *RefusedError) Error() string { return e.Text }
 
-// UnreachableError means that no node gave a definitive answer in time.
+// UnreachableError reports that no node gave a definitive answer in time.
 type UnreachableError struct {
 	Failures            []error // the last one of each address
 	MayHaveBeenExecuted bool    // whether a node may have executed the request
@@ -79,11 +82,11 @@
 	return text + "\nnothing was done: check --at, that the mixers run, and their status"
 }
 
-// Unwrap returns the failures.
+// Unwrap returns Failures, for errors.Is and errors.As.
 func (e *UnreachableError) Unwrap() []error { return e.Failures }
 
-// Do sends a request to one node after the other, with exponential backoff between the rounds, until one gives a definitive
-// answer or the context ends. The error is a *RefusedError or an *UnreachableError.
+// Do sends a request to one node after the other until one gives a definitive answer or ctx ends. It waits between rounds, with
+// exponential backoff. The error is a *RefusedError or an *UnreachableError.
 func (c *Client) Do(ctx context.Context, request Request) (Answer, error) {
 	failures := make([]error, len(c.Addresses))
 	maybeExecuted := false
@@ -107,11 +110,12 @@
 	}
 }
 
-// isDefinitive tells whether a status is the outcome of the request, so that no other node need be called.
+// isDefinitive reports whether a status is the final outcome of a request, so that no other node is called.
 func isDefinitive(status int) bool {
 	return status < http.StatusInternalServerError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
+// definitiveError returns the error of a definitive answer, which is nil for success.
 func definitiveError(answer Answer) error {
 	if answer.Status < http.StatusMultipleChoices {
 		return nil
@@ -119,6 +123,8 @@
 	return newRefusedError(answer)
 }
 
+// newRefusedError creates the error of an answer with an error status. Its text is the node's error message, or the start of a body that
+// has none.
 func newRefusedError(answer Answer) *RefusedError {
 	var failure operations.Failure
 	if err := json.Unmarshal(answer.Body, &failure); err == nil && failure.Error != "" {
@@ -128,7 +134,7 @@
 	return &RefusedError{Status: answer.Status, Text: fmt.Sprintf("answered %d: %s", answer.Status, text)}
 }
 
-// mayHaveBeenExecuted tells whether a failed request may have changed something.
+// mayHaveBeenExecuted reports whether a failed request may have changed something.
 func mayHaveBeenExecuted(method string, err error) bool {
 	if method == http.MethodGet {
 		return false
@@ -140,19 +146,19 @@
 	switch refused.Status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests:
 		return false
-	case http.StatusServiceUnavailable: // also the response to a change of the configuration without a clear outcome
+	case http.StatusServiceUnavailable: // also the response to a configuration change whose outcome is unknown
 		return method == http.MethodPut
 	}
 	return refused.Status >= http.StatusInternalServerError // a node may fail after the execution
 }
 
-// neverConnected tells whether no connection was opened, so that nothing was sent.
+// neverConnected reports whether a request failed before its connection was opened, so that nothing was sent.
 func neverConnected(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// NewHTTPClient makes the client for Client.HTTP. It uses no proxies and does not follow redirects, which Client does itself.
+// NewHTTPClient creates a client for Client.HTTP. It uses no proxies. It does not follow redirects, as Client follows them itself.
 func NewHTTPClient() *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableCompression: true},
@@ -179,19 +185,19 @@
 	return Answer{}, errTooManyRedirects
 }
 
-// send sends a request once; next is the target of a redirect, else empty.
+// send sends a request once. If the answer is a redirect, next is its target; otherwise next is empty.
 func (c *Client) send(ctx context.Context, target string, request Request) (answer Answer, next string, err error) {
-	call, err := http.NewRequestWithContext(ctx, request.Method, target, bytes.NewReader(request.Body))
+	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, target, bytes.NewReader(request.Body))
 	if err != nil {
 		return Answer{}, "", err
 	}
 	if len(request.Body) > 0 {
-		call.Header.Set("Content-Type", contentTypeJSON)
+		httpRequest.Header.Set("Content-Type", contentTypeJSON)
 	}
 	if request.IfMatch != "" {
-		call.Header.Set("If-Match", request.IfMatch)
+		httpRequest.Header.Set("If-Match", request.IfMatch)
 	}
-	response, err := c.HTTP.Do(call)
+	response, err := c.HTTP.Do(httpRequest)
 	if err != nil {
 		return Answer{}, "", err
 	}
