--- a/internal/dataplane/clients/protocol.go
+++ b/internal/dataplane/clients/protocol.go
@@ -52,7 +52,7 @@
 	if d.PeekKind() != '[' {
 		return malformed("targets is not a list")
 	}
-	if _, err := d.ReadToken(); err != nil { // the bracket
+	if _, err := d.ReadToken(); err != nil { // the opening bracket
 		return err
 	}
 	for d.PeekKind() != ']' {
--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -1,8 +1,8 @@
 // Package clients receives queries from clients over HTTP/1.1 and writes their answers.
 //
 // Server reads and validates a query, puts it into the queue of the aggregator's actor and waits for the reply. It writes each
-// answer in one piece, and it answers a malformed request itself. A query is reported as disconnected if its client disconnects
-// before the reply.
+// answer in one piece. It answers malformed requests itself, without the actor. If a client disconnects before the reply, Server
+// reports that to the actor.
 //
 // Package node creates one Server for each aggregator. The package never sends a query to a backend and makes no scheduling
 // decision.
--- a/internal/dataplane/clients/server_test.go
+++ b/internal/dataplane/clients/server_test.go
@@ -216,9 +216,9 @@
 		{"/reads", validHead, `{"targets":[` + strings.Repeat("{},", 20000) + `{}],"query":"x"}`, 400, "more than 8 parts"},
 		{"/reads", validHead, `{"targets":7,"query":"x"}`, 400, "list"},
 	} {
-		l := r.dial()
-		io.WriteString(l, request(c.path, c.head, c.body))
-		if _, body := l.expect(c.want); !strings.Contains(body, c.message) || strings.Count(body, "\n") != 1 {
+		conn := r.dial()
+		io.WriteString(conn, request(c.path, c.head, c.body))
+		if _, body := conn.expect(c.want); !strings.Contains(body, c.message) || strings.Count(body, "\n") != 1 {
 			t.Errorf("%s %.60q: got %q", c.path, c.body, body)
 		}
 	}
@@ -228,31 +228,31 @@
 		"Content-Length: 4\r\nContent-Length: 4\r\n", "Content-Length: 4\r\nContent-Length: 5\r\n", "Content-Length: -4\r\n",
 		"Content-Length: 4, 4\r\n", "Content-Length : 4\r\n", "Content-Length: 99999999999999999999\r\n", "Transfer-Encoding: gzip\r\n"} {
 		for _, before := range []string{"", "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"} { // alone, and pipelined behind another request
-			l := r.dial()
-			io.WriteString(l, before+"POST /reads HTTP/1.1\r\nHost: x\r\n"+validHead+head+"\r\n0\r\n\r\n"+hidden)
+			conn := r.dial()
+			io.WriteString(conn, before+"POST /reads HTTP/1.1\r\nHost: x\r\n"+validHead+head+"\r\n0\r\n\r\n"+hidden)
 			if before != "" {
-				l.expect(200)
+				conn.expect(200)
 			}
-			if status, _, _ := l.answer(); status < 400 {
+			if status, _, _ := conn.answer(); status < 400 {
 				t.Errorf("%q: got status %d, want 400 or more", head, status)
 			}
-			if status, _, _ := l.answer(); status != 0 {
+			if status, _, _ := conn.answer(); status != 0 {
 				t.Errorf("%q: got another answer with status %d, want a closed connection", head, status)
 			}
 		}
 	}
-	l := r.dial() // a body beyond the limit is rejected without reading it
-	io.WriteString(l, "POST /reads HTTP/1.1\r\nHost: x\r\n"+validHead+"Content-Length: 60000000\r\n\r\n")
-	l.expect(413)
-	l = r.dial()
-	io.WriteString(l, "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
-	l.expect(404)
+	conn := r.dial() // a body beyond the limit is rejected without reading it
+	io.WriteString(conn, "POST /reads HTTP/1.1\r\nHost: x\r\n"+validHead+"Content-Length: 60000000\r\n\r\n")
+	conn.expect(413)
+	conn = r.dial()
+	io.WriteString(conn, "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
+	conn.expect(404)
 	if events := r.events.Queue.Take(nil); len(events) > 0 {
 		t.Fatalf("got events %+v, want none", events)
 	}
-	l = r.dial()
-	io.WriteString(l, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-	l.expect(200)
+	conn = r.dial()
+	io.WriteString(conn, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+	conn.expect(200)
 }
 
 func TestQueryArrivalIsTheTimeOfItsFirstByte(t *testing.T) {
--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -104,8 +104,8 @@
 }
 
 // countCalls returns how many calls of a query's subqueries the backends have received.
-func countCalls(peers []*scriptedBackend, query string) (n int) {
-	for _, p := range peers {
+func countCalls(backends []*scriptedBackend, query string) (n int) {
+	for _, p := range backends {
 		p.mu.Lock()
 		for id, times := range p.calls {
 			if strings.HasPrefix(id, query+".") {
@@ -120,15 +120,15 @@
 // runningNode is an aggregator with its own deployment.
 type runningNode struct {
 	*Node
-	address string
-	peers   []*scriptedBackend
+	address  string
+	backends []*scriptedBackend
 }
 
 // startNode starts an aggregator. classes and tenants are JSON lists in the form of the settings.
-func startNode(t *testing.T, discovery, classes, tenants string, maxAttempts int, peers ...*scriptedBackend) *runningNode {
+func startNode(t *testing.T, discovery, classes, tenants string, maxAttempts int, backends ...*scriptedBackend) *runningNode {
 	t.Helper()
 	var known []string
-	for i, p := range peers {
+	for i, p := range backends {
 		known = append(known, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"zone":"a","machineType":"m","cell":0,"lifecycle":"SERVING"}`, i, p.listener.Addr()))
 	}
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Stop)
-	return &runningNode{n, address, peers}
+	return &runningNode{n, address, backends}
 }
 
 // newSilentListener returns an address that accepts connections and never responds.
@@ -233,8 +233,8 @@
 					}
 				}
 				id := fmt.Sprintf("x%d", i) // the same ID on both, as clients of two deployments choose IDs independently
-				if got, body := h.query(t, "reads", id, tenant, "8"); got != status || countCalls(h.peers, id) != calls {
-					t.Errorf("%s: got status %d %s with %d calls, want %d with %d", tenant, got, body, countCalls(h.peers, id), status, calls)
+				if got, body := h.query(t, "reads", id, tenant, "8"); got != status || countCalls(h.backends, id) != calls {
+					t.Errorf("%s: got status %d %s with %d calls, want %d with %d", tenant, got, body, countCalls(h.backends, id), status, calls)
 				}
 			}
 		})
@@ -289,7 +289,7 @@
 		t.Fatalf("GET /up: got status %d, want 200", got)
 	}
 	held := h.send(t, "reads", "held", "", "1")
-	for deadline := time.Now().Add(waitTimeout); countCalls(h.peers, "held") == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); countCalls(h.backends, "held") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the query was not sent to the backend")
 		}
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -251,15 +251,15 @@
 	limits := file.Overrides.Limits
 	limits.Indexes, limits.Shards, limits.Cells, limits.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
 	var contents aggregatorstore.OverrideContents
-	persistent, directory := controller.Store(nil), ""
+	store, directory := controller.Store(nil), ""
 	if dir := file.Overrides.Directory; dir != "" {
 		var err error
 		if n.store, contents, err = aggregatorstore.OpenOverrides(dir, n.log); err != nil {
 			n.log.Error("override store unavailable; commands are rejected", zap.String("text", err.Error()))
 		}
-		persistent, directory = n.store, dir
+		store, directory = n.store, dir
 	}
-	n.controller = controller.New(limits, n.aggregator.Inbox, persistent, directory, n.log, n.counters)
+	n.controller = controller.New(limits, n.aggregator.Inbox, store, directory, n.log, n.counters)
 	n.controller.Restore(contents.Revision, contents.Active, contents.Recent)
 }
 
@@ -269,34 +269,34 @@
 	if err != nil {
 		return fmt.Errorf("fleet.key_file: %w", err)
 	}
-	s := fleet.Settings{Self: membership.Name(c.Name), Membership: file.Fleet.Roster(), Key: [operatorfile.KeyBytes]byte(key), Directory: file.Fleet.Directory,
+	fleetSettings := fleet.Settings{Self: membership.Name(c.Name), Membership: file.Fleet.Roster(), Key: [operatorfile.KeyBytes]byte(key), Directory: file.Fleet.Directory,
 		Lease: file.Fleet.Lease, Layout: set.Layout, Seed: set.Seed, HasQuotas: file.Quotas.On, Strict: file.Contracts.Strict,
 		Names: residency.NameSpace{Zones: set.Net.Locations, Indexes: set.Net.Indexes, Tenants: set.Net.Customers},
 		Lines: map[string]int{fleet.LineFleet: file.Fleet.Line, fleet.LineStrict: file.Contracts.Line}}
 	if location := int(set.Location); location < len(set.Net.Locations) {
-		s.Location = set.Net.Locations[location]
+		fleetSettings.Location = set.Net.Locations[location]
 	}
 	for _, index := range set.Indexes {
-		s.MaxDeadline = max(s.MaxDeadline, index.Hard)
+		fleetSettings.MaxDeadline = max(fleetSettings.MaxDeadline, index.Hard)
 	}
-	s.FileTables.ContractsVersion, s.FileTables.QuotasVersion = file.Contracts.Version, file.Quotas.Version
+	fleetSettings.FileTables.ContractsVersion, fleetSettings.FileTables.QuotasVersion = file.Contracts.Version, file.Quotas.Version
 	for _, t := range file.Contracts.Tenants {
 		tenant := residency.Tenant(t.Tenant)
-		if s.FileTables.Contracts == nil {
-			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{}
+		if fleetSettings.FileTables.Contracts == nil {
+			fleetSettings.FileTables.Contracts = map[residency.Tenant]residency.Contract{}
 		}
-		s.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, Own: t.Own, Indexes: t.Indexes}
-		s.Lines[fleet.ContractLine(tenant)] = t.Line
+		fleetSettings.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, Own: t.Own, Indexes: t.Indexes}
+		fleetSettings.Lines[fleet.ContractLine(tenant)] = t.Line
 	}
 	for _, t := range file.Quotas.Tenants {
 		tenant := quota.Tenant(t.Tenant)
-		if s.FileTables.Quotas == nil {
-			s.FileTables.Quotas = map[quota.Tenant]quota.Quota{}
+		if fleetSettings.FileTables.Quotas == nil {
+			fleetSettings.FileTables.Quotas = map[quota.Tenant]quota.Quota{}
 		}
-		s.FileTables.Quotas[tenant] = t.Quota()
-		s.Lines[fleet.QuotaLine(tenant)] = t.Line
+		fleetSettings.FileTables.Quotas[tenant] = t.Quota()
+		fleetSettings.Lines[fleet.QuotaLine(tenant)] = t.Line
 	}
-	if n.fleet, err = fleet.New(s, n.aggregator.Inbox, n.log, n.counters); err != nil {
+	if n.fleet, err = fleet.New(fleetSettings, n.aggregator.Inbox, n.log, n.counters); err != nil {
 		return err
 	}
 	n.aggregator.SetAdmission(n.fleet)
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -258,7 +258,7 @@
 // strict.
 func TestPinServesItsShardAndYieldsToADrain(t *testing.T) {
 	w := newCluster(t, 150, 2*time.Millisecond)
-	s, sibling := w.backends[5], w.backends[6] // shard 5 is held by cells 5 and 6
+	s, sibling := w.backends[5], w.backends[6] // cells 5 and 6 serve shard 5
 	w.command(api.Command{Kind: "pin", Backend: s.Name, From: 5, To: 5})
 	w.waitForCalls(100)
 	// checkPinned checks that the backend gets all calls of the pinned shard.
--- a/internal/dataplane/node/upgrade_test.go
+++ b/internal/dataplane/node/upgrade_test.go
@@ -36,7 +36,8 @@
 // The test fails if draining backends count as ready, if once-only subqueries are sent again, if fingerprinted subqueries are sent again
 // after their window, and if the aggregators of one layout reject all queries.
 func TestOldAndNewLayoutsShareBackendsDuringAMigration(t *testing.T) {
-	const cells, service = 6, 50 * time.Millisecond
+	const cells = 6
+	const service = 50 * time.Millisecond // of one subquery
 	index := func(name, effect string, value, minimum float64) fakes.Index {
 		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Value: value, Minimum: minimum, DedupS: 0.05}
 	}
@@ -110,8 +111,8 @@
 	waitForSatisfied := func(each int64) {
 		t.Helper()
 		collectLoad()
-		old, fresh := layouts["old"].tally.Satisfied+each, layouts["new"].tally.Satisfied+each
-		for deadline := time.Now().Add(waitTimeout); layouts["old"].tally.Satisfied < old || layouts["new"].tally.Satisfied < fresh; time.Sleep(10 * time.Millisecond) {
+		oldTarget, newTarget := layouts["old"].tally.Satisfied+each, layouts["new"].tally.Satisfied+each
+		for deadline := time.Now().Add(waitTimeout); layouts["old"].tally.Satisfied < oldTarget || layouts["new"].tally.Satisfied < newTarget; time.Sleep(10 * time.Millisecond) {
 			if collectLoad(); time.Now().After(deadline) {
 				t.Fatalf("timed out waiting for satisfied queries of both layouts: old %+v, new %+v", layouts["old"].tally, layouts["new"].tally)
 			}
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -8,19 +8,20 @@
 // TestItemsOfEachSenderAreTakenOnceAndInOrder guards against lost, repeated and reordered items when several senders put items while
 // the receiver takes them.
 func TestItemsOfEachSenderAreTakenOnceAndInOrder(t *testing.T) {
-	const senders, each = 8, 2000
+	const senders = 8
+	const itemsPerSender = 2000
 	queue := New[[2]int]()
 	var wg sync.WaitGroup
 	for s := range senders {
 		wg.Go(func() {
-			for i := range each {
+			for i := range itemsPerSender {
 				queue.Put([2]int{s, i})
 			}
 		})
 	}
 	var next [senders]int
 	var spare [][2]int
-	for taken := 0; taken < senders*each; {
+	for taken := 0; taken < senders*itemsPerSender; {
 		<-queue.Ready()
 		spare = queue.Take(spare)
 		for _, item := range spare {
