--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -119,11 +119,12 @@
 	}()
 }
 
-// Drain shuts the server down gracefully and returns once all queries are answered.
+// Drain shuts the server down gracefully. It returns once all queries are answered and all connections are closed. It doesn't wait
+// for connections beyond closeReserve/2 before the end of servePeriod and closePeriod.
 //
 // The server first keeps serving for servePeriod, as a front may not have another aggregator yet and clients reuse their connections.
-// It ends this period early if no connection is open. Then each answer closes its connection, the listener closes once its
-// accept queue is empty, and idle connections are closed.
+// If no connection is open, it ends this period after frontDrainDelay. Then each answer closes its connection, the listener closes once
+// its accept queue is empty, and idle connections are closed.
 func (s *Server) Drain() {
 	s.answerDeadline.Store(time.Now().Add(s.servePeriod + closePeriod - closeReserve).UnixNano())
 	open := func() bool { n, _ := s.connections.remaining(); return n > 0 }
