--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -23,13 +23,13 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-const patience = queuetest.Patience
+const patience = queuetest.WaitTimeout
 
 // fixture is a hub with one backend, whose side of the connections the test plays.
 type fixture struct {
 	*testing.T
 	hub          *Hub
-	events       *queuetest.Ear[aggregator.Event]
+	events       *queuetest.Receiver[aggregator.Event]
 	listener     net.Listener
 	lastSubquery policy.SubqueryID
 }
@@ -558,7 +558,7 @@
 		p.expect('S', "ab.0")
 		r.updateEntry("", policy.Removed, 0) // calls in flight are completed
 		p.writeFrame('R', "ab.0 done 0 -\n")
-		if e := r.expectEnd(next[0].Subquery, policy.Answered); len(r.events.Rest()) > 0 {
+		if e := r.expectEnd(next[0].Subquery, policy.Answered); len(r.events.Remaining()) > 0 {
 			t.Fatalf("%s: got more events than %+v", name, e)
 		}
 	}
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -21,13 +21,13 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-const patience = queuetest.Patience
+const patience = queuetest.WaitTimeout
 
 // fixture is a client and a registry that the test plays. Each request of the client arrives in requests.
 type fixture struct {
 	*testing.T
 	*Client
-	events   *queuetest.Ear[aggregator.Event]
+	events   *queuetest.Receiver[aggregator.Event]
 	requests chan listRequest
 	address  string // of the registry
 }
@@ -221,7 +221,7 @@
 	r.expect(policy.ListPatch, "s2:0")
 	w.write(listLine(42, false, backend("s9", "SERVING"))) // lines of the old watch are ignored
 	r.expectRequest("/discovery/hosts?stream=1&index=42")
-	if rest := r.events.Rest(); len(rest) > 0 {
+	if rest := r.events.Remaining(); len(rest) > 0 {
 		t.Fatalf("got %+v", rest)
 	}
 }
@@ -246,7 +246,7 @@
 	r.expect(policy.ListComplete, "s3:1")
 	w.write(complete[:strings.LastIndex(complete, "}")] + "\n\n")
 	r.expectRequest("/discovery/hosts?stream=1&index=44")
-	if rest := r.events.Rest(); len(rest) > 0 {
+	if rest := r.events.Remaining(); len(rest) > 0 {
 		t.Fatalf("got %+v", rest)
 	}
 }
@@ -269,7 +269,7 @@
 		}
 	}()
 	r.expect(policy.ListPatch, "s1:1")
-	for _, e := range r.events.Rest() { // a repeated patch at most
+	for _, e := range r.events.Remaining() { // a repeated patch at most
 		if e.List != policy.ListPatch {
 			t.Fatalf("got %+v", e)
 		}
--- a/internal/dataplane/discovery/races_test.go
+++ b/internal/dataplane/discovery/races_test.go
@@ -28,7 +28,7 @@
 type rawFixture struct {
 	*testing.T
 	*Client
-	events   *queuetest.Ear[aggregator.Event]
+	events   *queuetest.Receiver[aggregator.Event]
 	listener *net.TCPListener
 }
 
@@ -87,7 +87,7 @@
 // expectNoEvent checks that no event is pending.
 func (r *rawFixture) expectNoEvent() {
 	r.Helper()
-	if rest := r.events.Rest(); len(rest) > 0 {
+	if rest := r.events.Remaining(); len(rest) > 0 {
 		r.Fatalf("got %+v", rest)
 	}
 }
--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -22,34 +22,37 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// Work that a stand-in has begun goes on for its time, as a backend's would; nothing of an aggregator may.
+// TestMain fails if a goroutine of an aggregator outlives the tests. Goroutines of fake backends are ignored, as they finish work
+// that they have started.
 func TestMain(m *testing.M) {
 	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Backend).work"))
 }
 
-// peer is a backend whose every call the test decides on.
-type peer struct {
+// scriptedBackend is a backend that handles each call as the test decides.
+type scriptedBackend struct {
 	listener net.Listener
-	does     func(id string) does
+	behavior func(id string) peerBehavior
 
 	mu    sync.Mutex
-	calls map[string]int // by subquery's name
+	calls map[string]int // by ID of the subquery
 }
 
-type does int
+// peerBehavior is how a scriptedBackend handles a call.
+type peerBehavior int
 
 const (
-	answers does = iota
+	answers peerBehavior = iota
 	fails
 	hangs
 )
 
-func newPeer(t *testing.T, does func(id string) does) *peer {
+// newScriptedBackend starts a backend. behavior decides on each call by the ID of its subquery.
+func newScriptedBackend(t *testing.T, behavior func(id string) peerBehavior) *scriptedBackend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{listener: l, does: does, calls: map[string]int{}}
+	p := &scriptedBackend{listener: l, behavior: behavior, calls: map[string]int{}}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -64,7 +67,7 @@
 	return p
 }
 
-func (p *peer) serve(c net.Conn) {
+func (p *scriptedBackend) serve(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
 		var head [4]byte
@@ -76,33 +79,33 @@
 			return
 		}
 		id, _, _ := strings.Cut(string(frame[1:]), " ")
-		rest := "Hdone"
+		response := "Hdone"
 		switch frame[0] {
 		case 'S':
 			p.mu.Lock()
 			p.calls[id]++
 			p.mu.Unlock()
-			switch p.does(id) {
+			switch p.behavior(id) {
 			case answers:
-				rest = "R" + id + " done 7 -\nv"
+				response = "R" + id + " done 7 -\nv"
 			case fails:
-				rest = "R" + id + " failed 0 -\n"
+				response = "R" + id + " failed 0 -\n"
 			case hangs:
 				continue
 			}
 		case 'M':
-			rest = "M-"
+			response = "M-"
 		case 'H':
 		default:
 			continue
 		}
-		c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(rest))), rest...))
+		c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(response))), response...))
 	}
 }
 
-// sum is how often subqueries of a query were called at all of these.
-func sum(peers []*peer, query string) (n int) {
-	for _, p := range peers {
+// countCalls returns how many calls of a query's subqueries the backends have received.
+func countCalls(backends []*scriptedBackend, query string) (n int) {
+	for _, p := range backends {
 		p.mu.Lock()
 		for id, times := range p.calls {
 			if strings.HasPrefix(id, query+".") {
@@ -114,18 +117,18 @@
 	return n
 }
 
-// hosted is an aggregator of a deployment of its own.
-type hosted struct {
+// runningNode is an aggregator with its own deployment.
+type runningNode struct {
 	*Node
-	at    string
-	peers []*peer
+	address  string
+	backends []*scriptedBackend
 }
 
-// host starts one. Its classes are a list of objects, its tenants too, as the settings have them.
-func host(t *testing.T, discovery, classes, tenants string, tries int, peers ...*peer) *hosted {
+// startNode starts an aggregator. classes and tenants are JSON lists in the form of the settings.
+func startNode(t *testing.T, discovery, classes, tenants string, maxAttempts int, backends ...*scriptedBackend) *runningNode {
 	t.Helper()
 	var known []string
-	for i, p := range peers {
+	for i, p := range backends {
 		known = append(known, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"zone":"a","machineType":"m","cell":0,"lifecycle":"SERVING"}`, i, p.listener.Addr()))
 	}
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -133,23 +136,23 @@
 		"settings":{"granularityS":0.005,"azs":["a"],"models":["m"],"stats":{"how":"answers"},"requestClasses":%s,"tenants":%s,
 		"specifics":{"places":1,"width":1,"slices":4},"invariants":{"drainGraceS":2},
 		"limits":{"cancel":true,"probing":true,"mostTries":%d,"multiplex":100,"idleCloseS":15,"connectTimeoutS":1,"retryAfter":true,"maxRetryAfterS":1}}}`,
-		discovery, strings.Join(known, ","), classes, tenants, tries)
+		discovery, strings.Join(known, ","), classes, tenants, maxAttempts)
 	listen, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := listen.Addr().String()
+	address := listen.Addr().String()
 	listen.Close()
-	n, err := StartText(t.Context(), []byte(strings.Replace(text, "127.0.0.1:0", at, 1)), operatorfile.Defaults(), zap.NewNop(), counters.New())
+	n, err := StartText(t.Context(), []byte(strings.Replace(text, "127.0.0.1:0", address, 1)), operatorfile.Defaults(), zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Stop)
-	return &hosted{n, at, peers}
+	return &runningNode{n, address, backends}
 }
 
-// newUnresponsivePeer is an address where connects come up and nothing is ever said.
-func newUnresponsivePeer(t *testing.T) string {
+// newSilentListener returns an address that accepts connections and never responds.
+func newSilentListener(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -158,15 +161,16 @@
 	return l.Addr().String()
 }
 
-// query asks for a query of one subquery on a connection of its own.
-func (h *hosted) query(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
+// query sends a query with one subquery on a new connection and returns the answer.
+func (h *runningNode) query(t *testing.T, index, id, tenant, deadline string) (status int, body string) {
 	t.Helper()
 	return answer(t, h.send(t, index, id, tenant, deadline))
 }
 
-func (h *hosted) send(t *testing.T, index, id, tenant, deadline string) net.Conn {
+// send sends a query with one subquery on a new connection.
+func (h *runningNode) send(t *testing.T, index, id, tenant, deadline string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", h.at)
+	conn, err := net.Dial("tcp", h.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,9 +181,10 @@
 	return conn
 }
 
+// answer reads an answer.
 func answer(t *testing.T, conn net.Conn) (status int, body string) {
 	t.Helper()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -192,13 +197,13 @@
 	return res.StatusCode, string(text)
 }
 
-// Two deployments in one process: an index of the same name that may be repeated in the one and not in the other, and names, tenants and
-// tries that only one of them has.
-func TestTwoDeploymentsShareNothing(t *testing.T) {
-	failFirst := func() func(string) does {
+// Guards against state that two deployments in one process share. They differ in tenants, in indexes and in the maximum number of
+// attempts, and the same index name is repeatable in only one of them.
+func TestTwoDeploymentsInOneProcessShareNoState(t *testing.T) {
+	failFirst := func() func(string) peerBehavior {
 		var mu sync.Mutex
 		seen := map[string]bool{}
-		return func(id string) does {
+		return func(id string) peerBehavior {
 			mu.Lock()
 			defer mu.Unlock()
 			if strings.HasPrefix(id, "warm") || seen[id] {
@@ -210,12 +215,12 @@
 	}
 	const class = `{"name":%q,"effect":%q,"promiseS":4,"giveUpS":8,"worth":1,"lateWorth":0.1}`
 	first, second := failFirst(), failFirst()
-	// With two tries a busy machine, on which an answer is overdue, gets no third call.
-	a := host(t, newUnresponsivePeer(t), "["+fmt.Sprintf(class, "reads", "repeatable")+"]", `[{"name":"acme","portion":1}]`, 2, newPeer(t, first), newPeer(t, first))
-	b := host(t, newUnresponsivePeer(t), "["+fmt.Sprintf(class, "orders", "repeatable")+","+fmt.Sprintf(class, "reads", "once")+"]", `[{"name":"other","portion":1}]`, 3,
-		newPeer(t, second), newPeer(t, second))
+	// The limit of two attempts prevents a third call if an answer is late on a busy machine.
+	a := startNode(t, newSilentListener(t), "["+fmt.Sprintf(class, "reads", "repeatable")+"]", `[{"name":"acme","portion":1}]`, 2, newScriptedBackend(t, first), newScriptedBackend(t, first))
+	b := startNode(t, newSilentListener(t), "["+fmt.Sprintf(class, "orders", "repeatable")+","+fmt.Sprintf(class, "reads", "once")+"]", `[{"name":"other","portion":1}]`, 3,
+		newScriptedBackend(t, second), newScriptedBackend(t, second))
 	var wg sync.WaitGroup
-	for _, h := range []*hosted{a, b} { // side by side, each by turns, as subqueries of a step share calls
+	for _, h := range []*runningNode{a, b} { // the nodes run concurrently, the queries of each one by one, as concurrent subqueries may share calls
 		wg.Go(func() {
 			tenant, status, calls := "acme", 200, 2
 			if h == b {
@@ -224,98 +229,98 @@
 			for i := range 6 {
 				for w := range 3 {
 					if got, body := h.query(t, "reads", fmt.Sprintf("warm%d-%d", i, w), tenant, "8"); got != 200 {
-						t.Errorf("%s: got %d %s, expected 200", tenant, got, body)
+						t.Errorf("%s: got status %d %s, want 200", tenant, got, body)
 					}
 				}
-				id := fmt.Sprintf("x%d", i) // the same on both, as clients of two deployments know nothing of each other
-				if got, body := h.query(t, "reads", id, tenant, "8"); got != status || sum(h.peers, id) != calls {
-					t.Errorf("%s: got %d %s with %d calls, expected %d with %d", tenant, got, body, sum(h.peers, id), status, calls)
+				id := fmt.Sprintf("x%d", i) // the same ID on both, as clients of two deployments choose IDs independently
+				if got, body := h.query(t, "reads", id, tenant, "8"); got != status || countCalls(h.backends, id) != calls {
+					t.Errorf("%s: got status %d %s with %d calls, want %d with %d", tenant, got, body, countCalls(h.backends, id), status, calls)
 				}
 			}
 		})
 	}
 	wg.Wait()
 	for _, bad := range []struct {
-		of            *hosted
+		of            *runningNode
 		index, tenant string
 		status        int
 	}{{a, "orders", "acme", 404}, {a, "reads", "other", 400}, {b, "reads", "acme", 400}} {
 		if got, body := bad.of.query(t, bad.index, "bad", bad.tenant, "8"); got != bad.status {
-			t.Errorf("%s of %s: got %d %s, expected %d", bad.index, bad.tenant, got, body, bad.status)
+			t.Errorf("index %s, tenant %s: got status %d %s, want %d", bad.index, bad.tenant, got, body, bad.status)
 		}
 	}
 }
 
 const oneClass = `[{"name":"reads","effect":"repeatable","promiseS":0.5,"giveUpS":1,"worth":1,"lateWorth":0.1}]`
 
-// An aggregator serves from what it was told at its start, with discovery silent or out of reach from its first moment.
-func TestReadyWithoutDiscovery(t *testing.T) {
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+// An aggregator serves from the backends in its configuration if discovery is silent or unreachable from the start.
+func TestAggregatorServesWithoutDiscovery(t *testing.T) {
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
-	for _, discovery := range []string{newUnresponsivePeer(t), gone.Addr().String()} {
-		h := host(t, discovery, oneClass, "[]", 2, newPeer(t, func(string) does { return answers }))
-		res, err := http.Get("http://" + h.at + "/up")
+	closed.Close()
+	for _, discovery := range []string{newSilentListener(t), closed.Addr().String()} {
+		h := startNode(t, discovery, oneClass, "[]", 2, newScriptedBackend(t, func(string) peerBehavior { return answers }))
+		res, err := http.Get("http://" + h.address + "/up")
 		if err != nil || res.StatusCode != http.StatusOK {
-			t.Fatalf("got %v, %v", res, err)
+			t.Fatalf("GET /up: got %v, %v, want status 200", res, err)
 		}
 		res.Body.Close()
 		http.DefaultClient.CloseIdleConnections()
 		if got, body := h.query(t, "reads", "aa", "", "5"); got != 200 {
-			t.Fatalf("got %d %s", got, body)
+			t.Fatalf("got status %d %s, want 200", got, body)
 		}
 	}
 }
 
-// Told to stop twice and to reload between, with discovery silent, all backends hung and clients that never leave: what is held gets its
-// whole final answer, nothing that comes later is sent on, and it ends.
-func TestStopWhileEverythingHangs(t *testing.T) {
-	hung := newPeer(t, func(string) does { return hangs })
-	h := host(t, newUnresponsivePeer(t), oneClass, "[]", 2, hung)
-	rests, err := net.Dial("tcp", h.at)
+// Drain is called twice, with a reload in between, while discovery is silent, the backend hangs and a client keeps its connection open.
+// The query in progress gets its complete final answer, the idle connection closes, and the drain ends.
+func TestDrainEndsWhileBackendsAndDiscoveryHang(t *testing.T) {
+	unresponsive := newScriptedBackend(t, func(string) peerBehavior { return hangs })
+	h := startNode(t, newSilentListener(t), oneClass, "[]", 2, unresponsive)
+	idle, err := net.Dial("tcp", h.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer rests.Close()
-	fmt.Fprintf(rests, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-	if got, _ := answer(t, rests); got != 200 {
-		t.Fatalf("got %d", got)
+	defer idle.Close()
+	fmt.Fprintf(idle, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+	if got, _ := answer(t, idle); got != 200 {
+		t.Fatalf("GET /up: got status %d, want 200", got)
 	}
 	held := h.send(t, "reads", "held", "", "1")
-	for late := time.Now().Add(patience); sum(h.peers, "held") == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("it is not sent on")
+	for deadline := time.Now().Add(waitTimeout); countCalls(h.backends, "held") == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the query was not sent to the backend")
 		}
 	}
 	drained := h.Drain()
 	if err := h.Reload(Config{Discovery: "nowhere"}); err == nil {
-		t.Fatal("an address that is none was taken")
+		t.Fatal("Reload accepted an invalid address")
 	}
-	if err := h.Reload(Config{Discovery: newUnresponsivePeer(t)}); err != nil {
+	if err := h.Reload(Config{Discovery: newSilentListener(t)}); err != nil {
 		t.Fatal(err)
 	}
 	h.Drain()
 	if got, body := answer(t, held); got == 200 || got < 400 {
-		t.Fatalf("got %d %s", got, body)
+		t.Fatalf("got status %d %s, want an error status", got, body)
 	}
 	select {
 	case <-drained:
-	case <-time.After(patience):
-		t.Fatal("it never ends")
+	case <-time.After(waitTimeout):
+		t.Fatal("the drain did not end")
 	}
-	if _, err := rests.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Fatalf("the resting connection ended by %v, expected io.EOF", err)
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Fatalf("the idle connection ended by %v, want io.EOF", err)
 	}
-	if c, err := net.Dial("tcp", h.at); err == nil {
+	if c, err := net.Dial("tcp", h.address); err == nil {
 		c.Close()
-		t.Fatal("it still listens")
+		t.Fatal("the aggregator still listens")
 	}
 }
 
-// A stop while it waits for the address that the process before it still holds ends the wait.
-func TestStopDuringTheStart(t *testing.T) {
+// Canceling the start ends the wait for an address that the previous process still uses.
+func TestCanceledStartStopsWaitingForTheAddress(t *testing.T) {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -325,9 +330,9 @@
 	cancel()
 	began := time.Now()
 	if _, err := listen(ctx, l.Addr().(*net.TCPAddr)); !errors.Is(err, context.Canceled) {
-		t.Fatalf("got %v, expected %v", err, context.Canceled)
+		t.Fatalf("got %v, want %v", err, context.Canceled)
 	}
-	if took := time.Since(began); took >= addressTimeout {
-		t.Fatalf("it took %s", took)
+	if elapsed := time.Since(began); elapsed >= addressTimeout {
+		t.Fatalf("the canceled wait took %s, want less than %s", elapsed, addressTimeout)
 	}
 }
