--- a/cmd/puffinlink/fleetshow.go
+++ b/cmd/puffinlink/fleetshow.go
@@ -28,7 +28,7 @@
 		fmt.Fprintf(writer, "contract %s\t%s\t%s\n", tenant, strings.Join(x.Zones, " "), strings.Join(x.Indexes, " "))
 	}
 	for tenant, q := range status.Quotas {
-		fmt.Fprintf(writer, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.PerS, q.Burst, q.MinimumShare)
+		fmt.Fprintf(writer, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.Rate, q.Burst, q.MinimumShare)
 	}
 	for _, j := range status.Outliers {
 		fmt.Fprintf(writer, "judged %s\t%.1f s ago\n", j.Backend, j.Age)
--- a/internal/controlplane/fleet/admission.go
+++ b/internal/controlplane/fleet/admission.go
@@ -53,8 +53,8 @@
 	if now >= confirmedUntil && (view.allStrict || view.strict[customer]) {
 		return aggregator.AdmissionDecision{Reason: refusedUnconfirmed, RetryAfter: requestInterval, Text: "which zones the contract allows is not sure here at the moment"}
 	}
-	rule := view.rules.Of(customer, index)
-	if !rule.Here {
+	rule := view.rules.For(customer, index)
+	if !rule.MayServe {
 		return aggregator.AdmissionDecision{Reason: refusedElsewhere, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", a.location)}
 	}
 	if out.Zones = rule.Zones; rule.Zones != nil {
@@ -64,7 +64,7 @@
 		spent := bucket.Spend(now)
 		failpoint.Pass(failpoint.Spend)
 		if !spent || a.Now()-now > maxAdmissionPause {
-			return aggregator.AdmissionDecision{Reason: refusedQuota, RetryAfter: min(1, bucket.Wait(now)), Text: "the tenant's quota is used up"}
+			return aggregator.AdmissionDecision{Reason: refusedQuota, RetryAfter: min(1, bucket.RetryAfter(now)), Text: "the tenant's quota is used up"}
 		}
 	}
 	return out
--- a/internal/controlplane/fleet/commands.go
+++ b/internal/controlplane/fleet/commands.go
@@ -141,7 +141,7 @@
 	case f.isConfirmedLeader():
 		f.executeCommand(c)
 	case c.ours() && leader != f.settings.Self:
-		for range failpoint.Pass(failpoint.ForwardCommand).Times() {
+		for range failpoint.Pass(failpoint.ForwardCommand).Copies() {
 			f.send(leader, messageCommandRequest, c.commandRequest)
 		}
 	}
--- a/internal/controlplane/fleet/consensus/consensus_test.go
+++ b/internal/controlplane/fleet/consensus/consensus_test.go
@@ -227,7 +227,7 @@
 // applyCommand proposes a command until it is applied.
 func (w *simulation) applyCommand(id string) {
 	w.Helper()
-	c := &Command{ID: CommandID(id), Quota: &QuotaChange{Tenant: "t", Quota: &quota.Quota{PerS: float64(len(w.appliedAt) + 1), Burst: 5, MinimumShare: 0.1}}}
+	c := &Command{ID: CommandID(id), Quota: &QuotaChange{Tenant: "t", Quota: &quota.Quota{Rate: float64(len(w.appliedAt) + 1), Burst: 5, MinimumShare: 0.1}}}
 	w.eventually(600, id+" acts", func() bool {
 		if m := w.leader(); m != nil && w.tick%5 == 0 {
 			m.Propose(c)
@@ -400,18 +400,18 @@
 	s := State{}
 	file := func(id string, contracts, quotas int, zone string) AppliedCommand {
 		return s.apply(uint64(len(s.Applied)+2), &Command{ID: CommandID(id), File: &FileTables{ContractsVersion: contracts, QuotasVersion: quotas,
-			Contracts: map[residency.Tenant]residency.Contract{"t": {Zones: []string{zone}}}, Quotas: map[quota.Tenant]quota.Quota{"t": {PerS: float64(quotas), Burst: 50, MinimumShare: 0.2}}}})
+			Contracts: map[residency.Tenant]residency.Contract{"t": {Zones: []string{zone}}}, Quotas: map[quota.Tenant]quota.Quota{"t": {Rate: float64(quotas), Burst: 50, MinimumShare: 0.2}}}})
 	}
 	if d := file("a", 2, 2, "north"); d.Failure != "" {
 		t.Fatal(d.Failure)
 	}
-	if d := file("b", 1, 3, "south"); d.Failure == "" || s.Contracts.Contracts["t"].Zones[0] != "north" || s.Quotas["t"].PerS != 3 {
+	if d := file("b", 1, 3, "south"); d.Failure == "" || s.Contracts.Contracts["t"].Zones[0] != "north" || s.Quotas["t"].Rate != 3 {
 		t.Errorf("an older contract beside newer quotas: %q %+v", d.Failure, s)
 	}
 	if repeated := file("b", 9, 9, "west"); repeated.Failure == "" || s.FileContracts != 2 {
 		t.Errorf("the same command acted twice: %+v", repeated)
 	}
-	s.apply(90, &Command{ID: "q", Quota: &QuotaChange{Tenant: "t", Quota: &quota.Quota{PerS: 1, Burst: 1, MinimumShare: 0.1}}})
+	s.apply(90, &Command{ID: "q", Quota: &QuotaChange{Tenant: "t", Quota: &quota.Quota{Rate: 1, Burst: 1, MinimumShare: 0.1}}})
 	if s.LargestMinimums["t"].PerS < 0.6-1e-9 {
 		t.Errorf("the largest minimum is forgotten: %+v", s.LargestMinimums)
 	}
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -163,7 +163,7 @@
 		s.Quotas = map[quota.Tenant]quota.Quota{}
 	}
 	s.Quotas[tenant] = q
-	perS, burst := q.MinimumShare*q.PerS, q.MinimumShare*q.Burst
+	perS, burst := q.MinimumShare*q.Rate, q.MinimumShare*q.Burst
 	s.LargestMinimums = maps.Clone(s.LargestMinimums)
 	if s.LargestMinimums == nil {
 		s.LargestMinimums = map[quota.Tenant]MinimumRate{}
--- a/internal/controlplane/fleet/failpoint/failpoint.go
+++ b/internal/controlplane/fleet/failpoint/failpoint.go
@@ -1,13 +1,13 @@
-// Package failpoint numbers the places where the fleet's code sends, receives, saves, applies, grants, spends or reports. In
-// a binary built with the tag failpoints, and in no other, one of them can be armed by the environment, so that a fault
-// happens at its k-th pass: tests inject each fault at each place. In the plain build Pass does nothing and nothing reads the
-// environment.
+// Package failpoint lets tests inject faults into the code of the fleet. It numbers the places where that code sends, receives,
+// saves, applies, grants, spends or reports. In a binary built with the tag failpoints, an environment variable arms one of these
+// points, so that a fault happens at the k-th call of Pass for it. Tests inject each fault at each point. In a build without the
+// tag, Pass does nothing and the environment is not read.
 package failpoint
 
-// Point is a place in the code. Its number is fixed, as tests and recorded results have it.
+// Point is a place in the code. Its number must not change, because tests and recorded results use it.
 type Point uint8
 
-// The points; Names says what happens at each.
+// The points. Names describes what the code does at each.
 const (
 	SendDatagram Point = 1 + iota
 	ReceiveDatagram
@@ -32,11 +32,11 @@
 	DetectOutliers
 	ForwardCommand
 	SaveTables
-	count
+	pointCount
 )
 
-// Names says what the code does at each point.
-var Names = [count]string{
+// Names describes what the code does at each point.
+var Names = [pointCount]string{
 	SendDatagram: "send a datagram", ReceiveDatagram: "receive a datagram", SendLong: "send a long message", ReceiveLong: "receive a long message",
 	Introduce: "introduce a voter", SaveConsensus: "save the consensus state", ConsensusSaved: "go on after the consensus state is saved",
 	ApplyCommand: "apply committed commands", BeginGranting: "begin to grant", ConfirmGranter: "confirm the granter's authority",
@@ -46,16 +46,16 @@
 	ForwardCommand: "forward a command", SaveTables: "save tables and incarnation",
 }
 
-// Fault is what is to go wrong at a pass of a point. The code there does what concerns it: what sends or receives drops or
-// duplicates, what saves fails. Pauses, kills and delays happen inside Pass.
-type Fault struct{ Drop, Double, Fail bool }
+// Fault is the fault to simulate at a point. Code that sends or receives handles Drop and Duplicate, and code that saves handles
+// Fail. Pass itself pauses, kills or delays the process.
+type Fault struct{ Drop, Duplicate, Fail bool }
 
-// Times is how often whoever sends, receives or answers does so.
-func (f Fault) Times() int {
+// Copies returns how often a message or response is to be sent or received under the fault.
+func (f Fault) Copies() int {
 	switch {
 	case f.Drop || f.Fail:
 		return 0
-	case f.Double:
+	case f.Duplicate:
 		return 2
 	}
 	return 1
--- a/internal/controlplane/fleet/failpoint/failpoint_test.go
+++ b/internal/controlplane/fleet/failpoint/failpoint_test.go
@@ -10,17 +10,17 @@
 
 func TestEveryPointHasAName(t *testing.T) {
 	seen := map[string]bool{}
-	for p, name := range Names {
-		if p > 0 && (name == "" || seen[name]) {
-			t.Errorf("point %d is named %q", p, name)
+	for point, name := range Names {
+		if point > 0 && (name == "" || seen[name]) {
+			t.Errorf("point %d is named %q", point, name)
 		}
 		seen[name] = true
 	}
 }
 
-// The plain build has neither the variable that arms a point nor the name of one.
+// A build without the tag failpoints contains neither the name of the variable that arms a point nor the names of the points.
 func TestPlainBuildHasNoFailpoints(t *testing.T) {
-	has := func(tags string) bool {
+	containsFailpoints := func(tags string) bool {
 		path := filepath.Join(t.TempDir(), "mixer")
 		if out, err := exec.Command("go", "build", "-tags", tags, "-o", path, "puffinlink.example/puffinlink/cmd/puffinlink").CombinedOutput(); err != nil {
 			t.Fatalf("%v: %s", err, out)
@@ -31,10 +31,10 @@
 		}
 		return bytes.Contains(text, []byte("PUFFINLINK_FAILPOINT")) || bytes.Contains(text, []byte(Names[Spend]))
 	}
-	if has("") {
-		t.Error("the plain build can be armed")
+	if containsFailpoints("") {
+		t.Error("the plain build contains failpoints")
 	}
-	if !has("failpoints") {
-		t.Error("the build with failpoints can't be told from the plain one by this test")
+	if !containsFailpoints("failpoints") {
+		t.Error("no failpoints found in the build with the tag failpoints: this test cannot detect them")
 	}
 }
--- a/internal/controlplane/fleet/failpoint/on.go
+++ b/internal/controlplane/fleet/failpoint/on.go
@@ -11,68 +11,70 @@
 	"time"
 )
 
-// Variable arms a point: "POINT:PASS:FAULT", as "14:3:stop". Listed names a file to which each point's first pass is
-// written, a line each.
+// Environment variables, and the length of a delay.
 const (
-	Variable = "PUFFINLINK_FAILPOINT"
-	Listed   = "PUFFINLINK_FAILPOINTS_LIST"
-	// Once names a file that whoever gets to the armed point first makes: of several processes armed alike one fails.
-	Once = "PUFFINLINK_FAILPOINT_ONCE"
-	// DelayS is how long a delay lasts, longer than any time-out between nodes.
-	DelayS = 1.0
+	// ArmVariable is the variable that arms a point, in the form "POINT:PASS:FAULT", for example "14:3:stop".
+	ArmVariable = "PUFFINLINK_FAILPOINT"
+	// ListVariable names a file. Pass appends a line to it with the number of each point that it is called for the first time.
+	ListVariable = "PUFFINLINK_FAILPOINTS_LIST"
+	// OnceVariable names a file that the first process to reach the armed point creates. So the fault happens in only one of
+	// several processes with the same point armed.
+	OnceVariable = "PUFFINLINK_FAILPOINT_ONCE"
+	// DelaySeconds is how long a delay lasts. It is longer than any time-out between nodes.
+	DelaySeconds = 1.0
 )
 
-type armed struct {
+type armedFault struct {
 	point Point
 	pass  int64
 	fault string
 }
 
 var (
-	arm    armed
-	passes [count]atomic.Int64
+	armed  armedFault
+	passes [pointCount]atomic.Int64
 	list   *os.File
 )
 
 func init() {
-	if v := os.Getenv(Variable); v != "" {
-		if n, err := fmt.Sscanf(strings.ReplaceAll(v, ":", " "), "%d %d %s", &arm.point, &arm.pass, &arm.fault); n != 3 || err != nil {
-			panic(fmt.Sprintf("%s is %q, expected POINT:PASS:FAULT", Variable, v))
+	if v := os.Getenv(ArmVariable); v != "" {
+		if n, err := fmt.Sscanf(strings.ReplaceAll(v, ":", " "), "%d %d %s", &armed.point, &armed.pass, &armed.fault); n != 3 || err != nil {
+			panic(fmt.Sprintf("%s is %q, expected POINT:PASS:FAULT", ArmVariable, v))
 		}
 	}
-	if path := os.Getenv(Listed); path != "" {
+	if path := os.Getenv(ListVariable); path != "" {
 		list, _ = os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	}
 }
 
-// Pass counts a pass of a point, and injects the fault that is armed there.
+// Pass counts a pass of a point. At the pass that is armed it injects the fault, or returns it for the caller to handle.
 func Pass(p Point) (f Fault) {
 	n := passes[p].Add(1)
 	if n == 1 && list != nil {
 		fmt.Fprintf(list, "%d\n", p)
 	}
-	if p != arm.point || n != arm.pass {
+	if p != armed.point || n != armed.pass {
 		return f
 	}
-	if path := os.Getenv(Once); path != "" {
+	if path := os.Getenv(OnceVariable); path != "" {
 		f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL, 0o600)
 		if err != nil {
 			return Fault{}
 		}
 		f.Close()
 	}
-	fmt.Fprintf(os.Stderr, "point %d (%s), pass %d: %s\n", p, Names[p], n, arm.fault)
-	switch arm.fault {
+	fmt.Fprintf(os.Stderr, "point %d (%s), pass %d: %s\n", p, Names[p], n, armed.fault)
+	switch armed.fault {
 	case "kill":
 		syscall.Kill(os.Getpid(), syscall.SIGKILL)
-	case "stop": // whoever plays it lets it go on
+	case "stop": // the test resumes the process
 		syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 	case "delay":
-		time.Sleep(time.Duration(DelayS * float64(time.Second)))
+		time.Sleep(time.Duration(DelaySeconds * float64(time.Second)))
 	case "drop":
 		f.Drop = true
 	case "double":
-		f.Double = true
+		f.Duplicate = true
 	case "fail":
 		f.Fail = true
 	}
--- a/internal/controlplane/fleet/failuredetector/failuredetector.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector.go
@@ -1,12 +1,14 @@
-// Package failuredetector tells which nodes of the membership are alive. It is SWIM (Das, Gupta and Motivala, "SWIM: scalable
-// weakly-consistent infection-style process group membership protocol", 2002): each period one other node is pinged, and, if
-// it does not answer, through some others; who does not answer is suspected before it is declared dead, and may refute that
-// by a higher incarnation. From Lifeguard (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more accurate
-// failure detection", 2018) come the local health score, suspicions that time out sooner the more nodes confirm them, and
-// telling a suspect first. Unlike in both, dead nodes are still pinged: the membership is fixed, so that nobody has to join
-// again after a partition.
+// Package failuredetector determines which nodes of the membership are alive. It implements SWIM (Das, Gupta and Motivala,
+// "SWIM: scalable weakly-consistent infection-style process group membership protocol", 2002). In each period a node pings one
+// other node. If that node does not answer, some others are asked to ping it. A node that does not answer either way is
+// suspected before it is declared dead. It may refute the suspicion with a higher incarnation.
 //
-// It does no I/O, reads no clock and starts no goroutine; times are in seconds.
+// The package also uses Lifeguard (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more accurate failure
+// detection", 2018). From it come the local health score, suspicions that time out sooner if more nodes confirm them, and
+// messages that tell a suspected node of the suspicion first. Unlike in both papers, dead nodes are still pinged. The
+// membership is fixed, so that nodes need not join again after a partition.
+//
+// The package does no I/O, reads no clock and starts no goroutine. Times are in seconds.
 package failuredetector
 
 import (
@@ -17,7 +19,7 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// Status is what is held of another node.
+// Status is the state of another node as this node sees it.
 type Status uint8
 
 // The statuses.
@@ -27,12 +29,13 @@
 	Dead
 )
 
-// String is the status as counters and logs name it.
+// String returns the name of the status in counters and logs.
 func (s Status) String() string {
 	return map[Status]string{Alive: "alive", Suspect: "suspect", Dead: "dead"}[s]
 }
 
-// Incarnation orders what is said of one node; it starts with its process's and rises as it refutes suspicions.
+// Incarnation orders the updates about one node. It starts at the incarnation of the process, and increases when the node refutes
+// a suspicion.
 type Incarnation uint64
 
 // Seq identifies a probe.
@@ -41,63 +44,64 @@
 // The kinds of messages.
 const (
 	Ping        MessageKind = iota // asks for an Ack
-	Ack                            // the sender is alive; or, with a Target, that one is
+	Ack                            // confirms that the sender is alive or, with a Target, that Target is
 	PingRequest                    // asks to ping Target
-	Nack                           // Target, which the recipient asked to ping, has not answered yet
+	Nack                           // reports that the node that the recipient asked to ping has not answered yet
 )
 
-// Settings are times in seconds.
+// Settings are the periods and time-outs, in seconds.
 type Settings struct {
-	Period           float64 // between two probes
-	Timeout          float64 // of a ping, after which others are asked to ping too
-	IsolationTimeout float64 // without any message, after which we count as isolated
+	Period           float64 // time between two probes
+	Timeout          float64 // time-out of a ping, after which other nodes are asked to ping as well
+	IsolationTimeout float64 // time without any message after which this node considers itself isolated
 }
 
-// Defaults detect a crash in a few seconds at a few hundred bytes a second: period and time-out are a tenth and a third of
-// SWIM's own, for the network of one data centre; isolation takes three periods, in which several others are pinged.
-func Defaults() Settings { return Settings{Period: 0.5, Timeout: 0.15, IsolationTimeout: 1.5} }
+// DefaultSettings returns settings that detect a crash in a few seconds, at a few hundred bytes a second for each node. They are
+// made for the network of one data centre: the period is a tenth and the time-out a third of those of SWIM. IsolationTimeout is
+// three periods, in which several other nodes are pinged.
+func DefaultSettings() Settings { return Settings{Period: 0.5, Timeout: 0.15, IsolationTimeout: 1.5} }
 
 const (
-	indirectProbes       = 3 // nodes asked to ping; Das and others, section 3.2
-	maxConfirmations     = 3 // confirmations that shorten a suspicion most; Lifeguard, section IV-B
-	maxSuspicionFactor   = 3 // the longest suspicion, as a multiple of the shortest
-	minSuspicionPeriods  = 3 // periods of the shortest suspicion, times log10 of the fleet's size
-	maxLocalHealth       = 8 // Lifeguard, section IV-A
-	maxUpdatesPerMessage = 8 // with names of 64 bytes still a datagram
-	retransmitFactor     = 4 // times log10 of the fleet's size that an update is sent
-	// nackTimeoutFactor is the part of Timeout after which a Nack is sent.
+	indirectProbes       = 3 // nodes that are asked to ping (Das and others, section 3.2)
+	maxConfirmations     = 3 // confirmations that shorten a suspicion the most (Lifeguard, section IV-B)
+	maxSuspicionFactor   = 3 // longest suspicion as a multiple of the shortest
+	minSuspicionPeriods  = 3 // shortest suspicion in periods, per log10 of the fleet size
+	maxLocalHealth       = 8 // worst local health score (Lifeguard, section IV-A)
+	maxUpdatesPerMessage = 8 // a message still fits into a datagram with names of 64 bytes
+	retransmitFactor     = 4 // how often an update is sent, per log10 of the fleet size
+	// nackTimeoutFactor is the fraction of Timeout after which a Nack is sent.
 	nackTimeoutFactor = 0.8
 )
 
-// member is another node, as long as the machine exists.
+// member is the state of another node.
 type member struct {
 	name             membership.Name
 	status           Status
 	incarnation      Incarnation
-	receivedAt       float64
-	suspectedAt      float64                  // while it is Suspect
-	firstSuspectedBy membership.Name          // who suspected it first
-	confirmedBy      map[membership.Name]bool // the others who suspect it
+	lastReceivedAt   float64
+	suspectedAt      float64                  // valid while it is Suspect
+	firstSuspectedBy membership.Name          // the node that suspected it first
+	confirmedBy      map[membership.Name]bool // other nodes that suspect it too
 }
 
-// probe is the one in progress.
+// probe is the probe in progress. Its to is nil before the first one.
 type probe struct {
 	seq          Seq
 	to           *member
-	at           float64
+	sentAt       float64
 	indirectSent int // nodes that were asked to ping
 	nacks        int
 	acknowledged bool
 	indirect     bool
 }
 
-// indirectProbe is a ping on another node's request.
+// indirectProbe is a ping on behalf of another node.
 type indirectProbe struct {
-	seq          Seq // our own
+	seq          Seq // of the ping that this node sent
 	requester    membership.Name
 	requesterSeq Seq
 	to           membership.Name
-	nackAt       float64 // infinite once the Nack is sent
+	nackAt       float64 // infinite after the Nack was sent
 	expiresAt    float64
 }
 
@@ -107,8 +111,8 @@
 	transmissions int
 }
 
-// Machine is one node's view of the others. One goroutine uses it.
-type Machine struct {
+// Detector is the view that one node has of the others. It must be used by one goroutine only.
+type Detector struct {
 	settings       Settings
 	self           membership.Name
 	incarnation    Incarnation
@@ -116,45 +120,45 @@
 	random         random.PCG
 	members        []*member
 	byName         map[membership.Name]*member
-	round          []*member // still to be pinged in this round
+	unprobed       []*member // members still to be pinged in this round
 	probe          probe
 	nextProbeAt    float64
 	seq            Seq
 	localHealth    int
-	receivedAt     float64 // the last message of any node
+	lastReceivedAt float64 // time of the last message from any node
 	indirectProbes []indirectProbe
 	pendingUpdates []pendingUpdate
-	out            []Outgoing
+	outgoing       []Outgoing
 	changes        []Change
 }
 
-// New makes a view in which all others are alive, as nothing else is known.
-func New(set Settings, self membership.Name, own Incarnation, others []membership.Name, seed uint64, now float64) *Machine {
-	m := &Machine{settings: set, self: self, incarnation: own, now: now, random: random.PCG(seed), byName: map[membership.Name]*member{}, receivedAt: now}
+// New returns a detector that considers all other nodes alive at first.
+func New(settings Settings, self membership.Name, incarnation Incarnation, others []membership.Name, seed uint64, now float64) *Detector {
+	m := &Detector{settings: settings, self: self, incarnation: incarnation, now: now, random: random.PCG(seed), byName: map[membership.Name]*member{}, lastReceivedAt: now}
 	for _, name := range others {
-		x := &member{name: name, status: Alive, receivedAt: now}
-		m.members, m.byName[name] = append(m.members, x), x
+		peer := &member{name: name, status: Alive, lastReceivedAt: now}
+		m.members, m.byName[name] = append(m.members, peer), peer
 	}
-	m.nextProbeAt = now + set.Period*m.random.Unit() // nodes that start together must not ping together
+	m.nextProbeAt = now + settings.Period*m.random.Unit() // nodes that start at the same time must not all ping at the same time
 	return m
 }
 
 const (
-	refuted           event = 1 << iota // it is alive, by a higher incarnation
-	suspectedByPeer                     // another node suspects it
-	declaredDead                        // another node declares it dead
-	probeFailed                         // our own probe was not answered
-	suspicionTimedOut                   // the suspicion was not refuted in time
+	refuted            event = 1 << iota // an update with a higher incarnation shows that the member is alive
+	suspectedByPeer                      // another node suspects it
+	declaredDeadByPeer                   // another node declares it dead
+	probeFailed                          // our own probe was not answered
+	suspicionTimedOut                    // the suspicion was not refuted in time
 )
 
-// Isolated tells that no message has come for so long that it is rather this node that is partitioned. It declares nobody
-// dead meanwhile.
-func (m *Machine) Isolated() bool {
-	return len(m.members) > 0 && m.now-m.receivedAt >= m.settings.IsolationTimeout
+// Isolated reports whether this node has received no message for IsolationTimeout, so that probably this node itself is partitioned.
+// An isolated node declares no other node dead.
+func (m *Detector) Isolated() bool {
+	return len(m.members) > 0 && m.now-m.lastReceivedAt >= m.settings.IsolationTimeout
 }
 
-// Status of a node: Alive for this one, and Dead for none of the membership.
-func (m *Machine) Status(name membership.Name) Status {
+// Status returns the status of a node. It is Alive for this node, and Dead for a node outside of the membership.
+func (m *Detector) Status(name membership.Name) Status {
 	if name == m.self {
 		return Alive
 	}
@@ -164,72 +168,73 @@
 	return Dead
 }
 
-// ReceivedAt is when the last message of a node came.
-func (m *Machine) ReceivedAt(name membership.Name) float64 {
+// ReceivedAt returns when the last message from a node was received, or 0 for a node outside of the membership.
+func (m *Detector) ReceivedAt(name membership.Name) float64 {
 	if x := m.byName[name]; x != nil {
-		return x.receivedAt
+		return x.lastReceivedAt
 	}
 	return 0
 }
 
-// LocalHealth is Lifeguard's score of this node: 0 is healthy, maxLocalHealth the worst. It stretches the time-outs.
-func (m *Machine) LocalHealth() int { return m.localHealth }
+// LocalHealth returns the local health score of this node, as in Lifeguard: 0 is healthy and maxLocalHealth the worst. A higher
+// score lengthens the time-outs.
+func (m *Detector) LocalHealth() int { return m.localHealth }
 
-// Incarnation is this node's.
-func (m *Machine) Incarnation() Incarnation { return m.incarnation }
+// Incarnation returns the current incarnation of this node.
+func (m *Detector) Incarnation() Incarnation { return m.incarnation }
 
-// Tick does what is due, and returns when to call it next.
-func (m *Machine) Tick(now float64) (next float64) {
+// Tick sends what is due and processes time-outs. It returns when to call it next.
+func (m *Detector) Tick(now float64) (next float64) {
 	m.now = now
 	if len(m.members) == 0 {
 		return now + m.settings.Period
 	}
 	for i := range m.indirectProbes {
-		if request := &m.indirectProbes[i]; request.nackAt <= now {
-			m.send(request.requester, Message{Kind: Nack, Seq: request.requesterSeq})
-			request.nackAt = math.Inf(1)
+		if indirect := &m.indirectProbes[i]; indirect.nackAt <= now {
+			m.send(indirect.requester, Message{Kind: Nack, Seq: indirect.requesterSeq})
+			indirect.nackAt = math.Inf(1)
 		}
 	}
 	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(request indirectProbe) bool { return request.expiresAt <= now })
 	isolated := m.Isolated()
-	for _, suspect := range m.members {
+	for _, peer := range m.members {
 		switch {
-		case suspect.status != Suspect:
-		case isolated: // the fault may be ours: the suspicion starts again once messages come
-			suspect.suspectedAt = now
-		case now-suspect.suspectedAt >= m.suspicionTimeout(suspect):
-			m.apply(suspect, suspicionTimedOut)
+		case peer.status != Suspect:
+		case isolated: // the fault may be at this node: the suspicion starts again once messages arrive
+			peer.suspectedAt = now
+		case now-peer.suspectedAt >= m.suspicionTimeout(peer):
+			m.apply(peer, suspicionTimedOut)
 		}
 	}
-	if probe := &m.probe; probe.to != nil && !probe.acknowledged && !probe.indirect && now-probe.at >= m.stretch(m.settings.Timeout) {
+	if probe := &m.probe; probe.to != nil && !probe.acknowledged && !probe.indirect && now-probe.sentAt >= m.scaleByHealth(m.settings.Timeout) {
 		probe.indirect = true
-		for _, suspect := range m.sample(indirectProbes, probe.to) {
+		for _, helper := range m.sample(indirectProbes, probe.to) {
 			probe.indirectSent++
-			m.send(suspect.name, Message{Kind: PingRequest, Seq: probe.seq, Target: probe.to.name})
+			m.send(helper.name, Message{Kind: PingRequest, Seq: probe.seq, Target: probe.to.name})
 		}
 	}
 	if now >= m.nextProbeAt {
 		m.finishProbe()
 		m.startProbe()
-		m.nextProbeAt = now + m.stretch(m.settings.Period)
+		m.nextProbeAt = now + m.scaleByHealth(m.settings.Period)
 	}
-	return m.nextDue()
+	return m.nextDeadline()
 }
 
-func (m *Machine) nextDue() float64 {
+func (m *Detector) nextDeadline() float64 {
 	next := m.nextProbeAt
 	if p := &m.probe; p.to != nil && !p.acknowledged && !p.indirect {
-		next = min(next, p.at+m.stretch(m.settings.Timeout))
+		next = min(next, p.sentAt+m.scaleByHealth(m.settings.Timeout))
 	}
-	for _, e := range m.indirectProbes {
-		next = min(next, e.nackAt)
+	for _, indirect := range m.indirectProbes {
+		next = min(next, indirect.nackAt)
 	}
 	return next
 }
 
-// finishProbe ends the probe in progress. If neither its target nor all of the nodes that were asked to ping it answered, it
-// is rather this node that is slow or partitioned.
-func (m *Machine) finishProbe() {
+// finishProbe ends the probe in progress. If its target did not answer, it is suspected, unless this node is isolated. If some of the nodes that were asked to
+// ping the target sent no Nack either, this node is probably slow or partitioned itself. Its local health score then rises.
+func (m *Detector) finishProbe() {
 	p := &m.probe
 	if p.to == nil || p.acknowledged {
 		return
@@ -245,20 +250,19 @@
 	}
 }
 
-// startProbe pings the next node of a round. In each round every node is pinged once, in a new random order (SWIM, section
-// 4.3).
-func (m *Machine) startProbe() {
-	if len(m.round) == 0 {
-		m.round = m.sample(len(m.members), nil)
+// startProbe pings the next node of the round. Each round pings every node once, in a new random order (SWIM, section 4.3).
+func (m *Detector) startProbe() {
+	if len(m.unprobed) == 0 {
+		m.unprobed = m.sample(len(m.members), nil)
 	}
 	m.seq++
-	m.probe = probe{seq: m.seq, to: m.round[0], at: m.now}
-	m.round = m.round[1:]
+	m.probe = probe{seq: m.seq, to: m.unprobed[0], sentAt: m.now}
+	m.unprobed = m.unprobed[1:]
 	m.send(m.probe.to.name, Message{Kind: Ping, Seq: m.seq})
 }
 
-// sample draws up to n others but one; dead ones only where all are drawn.
-func (m *Machine) sample(n int, excluded *member) (candidates []*member) {
+// sample returns up to n random members other than excluded. It returns dead members only if n covers all members.
+func (m *Detector) sample(n int, excluded *member) (candidates []*member) {
 	for _, candidate := range m.members {
 		if candidate != excluded && (candidate.status != Dead || n >= len(m.members)) {
 			candidates = append(candidates, candidate)
--- a/internal/controlplane/fleet/failuredetector/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -7,22 +7,22 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// Update is a node's status as one node tells it another.
+// Update is the status of a node, as one node sends it to another.
 type Update struct {
 	Name        membership.Name `cbor:"1,keyasint"`
 	Status      Status          `cbor:"2,keyasint"`
 	Incarnation Incarnation     `cbor:"3,keyasint"`
-	By          membership.Name `cbor:"4,keyasint,omitempty"` // who suspects it, for a suspicion
+	By          membership.Name `cbor:"4,keyasint,omitempty"` // the node that suspects it, for a suspicion
 }
 
-// MessageKind says what a message asks or answers.
+// MessageKind is the kind of a message.
 type MessageKind uint8
 
-// Message is what nodes send to each other, with the updates that it carries along.
+// Message is a message between two nodes. It also carries updates about other nodes.
 type Message struct {
 	Kind        MessageKind     `cbor:"1,keyasint"`
 	Seq         Seq             `cbor:"2,keyasint"`
-	Incarnation Incarnation     `cbor:"3,keyasint"` // the sender's own
+	Incarnation Incarnation     `cbor:"3,keyasint"` // of the sender
 	Target      membership.Name `cbor:"4,keyasint,omitempty"`
 	Updates     []Update        `cbor:"5,keyasint,omitempty"`
 }
@@ -33,30 +33,30 @@
 	Message
 }
 
-// Change is a change of another node's status, to be counted and logged.
+// Change is a change in the status of another node. The caller counts and logs it.
 type Change struct {
 	Name     membership.Name
-	Was, Now Status
+	Old, New Status
 }
 
-// TakeOutput returns what is to be sent and what has changed since the last call.
-func (m *Machine) TakeOutput() (out []Outgoing, changes []Change) {
-	out, changes = m.out, m.changes
-	m.out, m.changes = nil, nil
+// TakeOutput returns the messages to send and the status changes since the last call.
+func (m *Detector) TakeOutput() (out []Outgoing, changes []Change) {
+	out, changes = m.outgoing, m.changes
+	m.outgoing, m.changes = nil, nil
 	return out, changes
 }
 
-// RecordContact notes a message of any kind, which shows that its sender is alive. Only a refutation ends a suspicion,
-// though.
-func (m *Machine) RecordContact(now float64, from membership.Name) {
+// RecordContact records that a message of any protocol was received from a node. It does not end a suspicion; only a refutation
+// does.
+func (m *Detector) RecordContact(now float64, from membership.Name) {
 	m.now = now
-	if x := m.byName[from]; x != nil {
-		x.receivedAt, m.receivedAt = now, now
+	if sender := m.byName[from]; sender != nil {
+		sender.lastReceivedAt, m.lastReceivedAt = now, now
 	}
 }
 
-// Receive takes a message. One of no member changes nothing.
-func (m *Machine) Receive(now float64, from membership.Name, msg *Message) {
+// Receive processes a message. A message from a node outside of the membership is ignored.
+func (m *Detector) Receive(now float64, from membership.Name, msg *Message) {
 	sender := m.byName[from]
 	if sender == nil {
 		return
@@ -94,10 +94,10 @@
 	}
 }
 
-// receiveUpdate takes an update. One about an older incarnation changes nothing.
-func (m *Machine) receiveUpdate(update Update) {
+// receiveUpdate processes an update. An update about an older incarnation changes nothing.
+func (m *Detector) receiveUpdate(update Update) {
 	if update.Name == m.self {
-		if update.Status != Alive && update.Incarnation >= m.incarnation { // refute it; our answers were late, so that our health score rises
+		if update.Status != Alive && update.Incarnation >= m.incarnation { // refute it; the answers of this node were late, so its health score rises
 			m.incarnation = update.Incarnation + 1
 			m.localHealth = min(maxLocalHealth, m.localHealth+1)
 			m.broadcast(Update{Name: m.self, Status: Alive, Incarnation: m.incarnation})
@@ -117,7 +117,7 @@
 		}
 	case Suspect:
 		if newer && subject.status == Dead {
-			return // a suspicion of a process that is unknown here does not show that it is alive
+			return // a suspicion of a newer process does not show that the process is alive
 		}
 		if subject.status == Alive {
 			subject.firstSuspectedBy = update.By
@@ -128,23 +128,23 @@
 			m.broadcastStatus(subject, update.By)
 		}
 	case Dead:
-		m.apply(subject, declaredDead)
+		m.apply(subject, declaredDeadByPeer)
 	}
 }
 
-func (m *Machine) send(to membership.Name, msg Message) {
+func (m *Detector) send(to membership.Name, msg Message) {
 	msg.Incarnation = m.incarnation
-	if recipient := m.byName[to]; recipient != nil && recipient.status != Alive { // tell it first, so that it can refute that
+	if recipient := m.byName[to]; recipient != nil && recipient.status != Alive { // send the recipient its own status first, so that it can refute it
 		msg.Updates = append(msg.Updates, Update{recipient.name, recipient.status, recipient.incarnation, m.self})
 	}
 	maxTransmissions := int(math.Ceil(retransmitFactor * m.logClusterSize()))
 	slices.SortStableFunc(m.pendingUpdates, func(a, b pendingUpdate) int { return a.transmissions - b.transmissions })
 	for i := range m.pendingUpdates {
-		if r := &m.pendingUpdates[i]; len(msg.Updates) < maxUpdatesPerMessage && r.Name != to {
-			msg.Updates = append(msg.Updates, r.Update)
-			r.transmissions++
+		if pending := &m.pendingUpdates[i]; len(msg.Updates) < maxUpdatesPerMessage && pending.Name != to {
+			msg.Updates = append(msg.Updates, pending.Update)
+			pending.transmissions++
 		}
 	}
-	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(r pendingUpdate) bool { return r.transmissions >= maxTransmissions })
-	m.out = append(m.out, Outgoing{to, msg})
+	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(pending pendingUpdate) bool { return pending.transmissions >= maxTransmissions })
+	m.outgoing = append(m.outgoing, Outgoing{to, msg})
 }
--- a/internal/controlplane/fleet/failuredetector/transitions.go
+++ b/internal/controlplane/fleet/failuredetector/transitions.go
@@ -7,69 +7,74 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// event is what may change a member's status.
+// event is an event that may change the status of a member.
 type event uint8
 
-// transition is a row of the table: in one of these states, on one of these events, go to the next state and run the action.
+// transition is a row of the transition table. A member in one of the states in state changes to next on one of the events, and
+// action is called.
 type transition struct {
-	state Status
-	on    event
-	next  Status
-	do    func(*Machine, *member)
+	state  Status
+	events event
+	next   Status
+	action func(*Detector, *member)
 }
 
-// transitions is the state machine of a member. An event that it does not list for a state changes nothing.
+// transitions is the state machine of a member. An event that is not listed for a state changes nothing.
 var transitions = []transition{}
 
 func init() {
 	transitions = []transition{
-		{Suspect | Dead, refuted, Alive, (*Machine).markAlive},
-		{Alive, suspectedByPeer | probeFailed, Suspect, (*Machine).markSuspect},
-		{Alive | Suspect, declaredDead, Dead, (*Machine).markDead},
-		{Suspect, suspicionTimedOut, Dead, (*Machine).markDead},
+		{Suspect | Dead, refuted, Alive, (*Detector).markAlive},
+		{Alive, suspectedByPeer | probeFailed, Suspect, (*Detector).markSuspect},
+		{Alive | Suspect, declaredDeadByPeer, Dead, (*Detector).markDead},
+		{Suspect, suspicionTimedOut, Dead, (*Detector).markDead},
 	}
 }
 
-func (m *Machine) apply(subject *member, on event) {
+func (m *Detector) apply(subject *member, on event) {
 	for i := range transitions {
-		if r := &transitions[i]; r.state&subject.status != 0 && r.on&on != 0 {
-			m.changes = append(m.changes, Change{subject.name, subject.status, r.next})
-			subject.status = r.next
-			r.do(m, subject)
+		if rule := &transitions[i]; rule.state&subject.status != 0 && rule.events&on != 0 {
+			m.changes = append(m.changes, Change{subject.name, subject.status, rule.next})
+			subject.status = rule.next
+			rule.action(m, subject)
 			return
 		}
 	}
 }
 
-func (m *Machine) markAlive(x *member) { x.confirmedBy = nil; m.broadcastStatus(x, "") }
+func (m *Detector) markAlive(peer *member) { peer.confirmedBy = nil; m.broadcastStatus(peer, "") }
 
-func (m *Machine) markSuspect(x *member) {
-	x.suspectedAt, x.confirmedBy = m.now, map[membership.Name]bool{}
-	m.broadcastStatus(x, x.firstSuspectedBy)
+func (m *Detector) markSuspect(peer *member) {
+	peer.suspectedAt, peer.confirmedBy = m.now, map[membership.Name]bool{}
+	m.broadcastStatus(peer, peer.firstSuspectedBy)
 }
 
-func (m *Machine) markDead(x *member) { x.confirmedBy = nil; m.broadcastStatus(x, "") }
+func (m *Detector) markDead(peer *member) { peer.confirmedBy = nil; m.broadcastStatus(peer, "") }
 
-// broadcastStatus sends on what is believed of a member, and, for a suspicion, who suspects it.
-func (m *Machine) broadcastStatus(x *member, by membership.Name) {
-	m.broadcast(Update{x.name, x.status, x.incarnation, by})
+// broadcastStatus queues an update with the status of a member. by is the node that suspects it, if it is suspected.
+func (m *Detector) broadcastStatus(peer *member, by membership.Name) {
+	m.broadcast(Update{peer.name, peer.status, peer.incarnation, by})
 }
 
-// broadcast puts an update first in the queue, in place of an earlier one on the same node.
-func (m *Machine) broadcast(update Update) {
+// broadcast queues an update to be sent, in place of an earlier one about the same node. Updates that were sent least often are
+// sent first.
+func (m *Detector) broadcast(update Update) {
 	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(pending pendingUpdate) bool { return pending.Name == update.Name })
 	m.pendingUpdates = append(m.pendingUpdates, pendingUpdate{Update: update})
 }
 
-// logClusterSize is the logarithm that times and transmissions grow with, at least 1.
-func (m *Machine) logClusterSize() float64 { return math.Max(1, math.Log10(float64(len(m.members)+1))) }
+// logClusterSize returns log10 of the number of nodes, but at least 1. Suspicion time-outs and the number of transmissions grow
+// with it.
+func (m *Detector) logClusterSize() float64 {
+	return math.Max(1, math.Log10(float64(len(m.members)+1)))
+}
 
-// suspicionTimeout is how long a member stays suspect: longest without a confirmation, shortest with maxConfirmations
-// (Lifeguard, section IV-B).
-func (m *Machine) suspicionTimeout(suspect *member) float64 {
+// suspicionTimeout returns how long a member stays suspect. The time is longest without confirmations, and shortest with
+// maxConfirmations (Lifeguard, section IV-B).
+func (m *Detector) suspicionTimeout(suspect *member) float64 {
 	shortest := minSuspicionPeriods * m.logClusterSize() * m.settings.Period
 	longest := maxSuspicionFactor * shortest
-	confirmers := min(maxConfirmations, len(m.members)-1) // nodes that could confirm it
+	confirmers := min(maxConfirmations, len(m.members)-1) // most confirmations that the suspicion can get
 	if confirmers < 1 {
 		return shortest
 	}
@@ -77,5 +82,5 @@
 	return math.Max(shortest, longest-(longest-shortest)*confirmed)
 }
 
-// stretch lengthens a time-out by the local health score.
-func (m *Machine) stretch(seconds float64) float64 { return seconds * float64(1+m.localHealth) }
+// scaleByHealth lengthens a time-out by the local health score.
+func (m *Detector) scaleByHealth(seconds float64) float64 { return seconds * float64(1+m.localHealth) }
--- a/internal/controlplane/fleet/failuredetector/wire_test.go
+++ b/internal/controlplane/fleet/failuredetector/wire_test.go
@@ -6,16 +6,16 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the encoded forms of the types that are sent or stored.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.CBOR,
 		goldentest.Form{Name: "news", Value: new(Update)},
 		goldentest.Form{Name: "message", Value: new(Message)},
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the constants that are sent or stored.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: Alive, Want: 1},
 		goldentest.Constant{Have: Suspect, Want: 2},
--- a/internal/controlplane/fleet/fleet.go
+++ b/internal/controlplane/fleet/fleet.go
@@ -50,7 +50,7 @@
 	store         *aggregatorstore.Log    // nil where nothing is stored, and while it is closed
 	stored        aggregatorstore.LogContents
 	sealer        *sealedmessage.Sealer
-	detector      *failuredetector.Machine // nil before address and directory are open, and once they are released
+	detector      *failuredetector.Detector // nil before address and directory are open, and once they are released
 	voter         voter
 	quotaClient   *quota.Client
 	contractLease *residency.Lease
--- a/internal/controlplane/fleet/fleet_test.go
+++ b/internal/controlplane/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	return Settings{Self: "a", Location: "north", Lease: 8, MaxDeadline: 2, Directory: "/nowhere",
 		Membership: membership.Set{Version: 1, Members: []membership.Member{{Name: "a", Address: "127.0.0.1:1", Location: "north", Votes: true},
 			{Name: "b", Address: "127.0.0.1:2", Location: "south", Votes: true}, {Name: "c", Address: "127.0.0.1:3", Location: "north", Votes: true}}},
-		Names: residency.NameSpace{Zones: []string{"north", "south"}, Indexes: []string{"reads"}, Tenants: []string{"acme"}},
+		Names: residency.KnownNames{Zones: []string{"north", "south"}, Indexes: []string{"reads"}, Tenants: []string{"acme"}},
 		Lines: map[string]int{LineFleet: 2, LineStrict: 9, ContractLine("x"): 11, QuotaLine("x"): 17}}
 }
 
@@ -41,7 +41,7 @@
 		`contracts: zone "mars" of tenant "acme" is none`: func(s *Settings) {
 			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"mars"}}}
 		},
-		`line 17: quotas: tenant "x" is none`: func(s *Settings) { s.FileTables.Quotas = map[quota.Tenant]quota.Quota{"x": {PerS: 1, Burst: 1}} },
+		`line 17: quotas: tenant "x" is none`: func(s *Settings) { s.FileTables.Quotas = map[quota.Tenant]quota.Quota{"x": {Rate: 1, Burst: 1}} },
 	} {
 		s := validSettings()
 		change(&s)
@@ -89,7 +89,7 @@
 		want   string
 	}{{nil, ""}, {func(s *Settings) { s.HasQuotas = true }, refusedQuota}, {func(s *Settings) { s.Strict = []string{"*"} }, refusedUnconfirmed},
 		{func(s *Settings) {
-			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"south"}, Own: true}}
+			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{"acme": {Zones: []string{"south"}, RestrictsAggregators: true}}
 		}, refusedElsewhere}} {
 		if v := startAlone(t, c.change).Admit(0, 0); v.Reason != c.want {
 			t.Errorf("refused as %q, expected %q", v.Reason, c.want)
--- a/internal/controlplane/fleet/granterclient.go
+++ b/internal/controlplane/fleet/granterclient.go
@@ -83,7 +83,7 @@
 	granter := f.currentGranter()
 	f.granters.add(pendingRequest{number, f.now, granter})
 	fault := failpoint.Pass(failpoint.RequestGrants)
-	for range fault.Times() {
+	for range fault.Copies() {
 		if granter == f.settings.Self {
 			f.receiveGrantResponse(granter, f.grantResponse(granter, request))
 		} else {
@@ -128,7 +128,7 @@
 	if f.tables.versions.Contracts == response.Versions.Contracts {
 		failpoint.Pass(failpoint.Renew)
 		f.contractLease.Renew(request.sentAt)
-		f.admission.setContractsConfirmedUntil(f.contractLease.Until())
+		f.admission.setContractsConfirmedUntil(f.contractLease.AcceptUntil())
 	}
 	for i := range response.Grants {
 		f.quotaClient.ReceiveGrant(f.now, request.sentAt, request.number, &response.Grants[i])
--- a/internal/controlplane/fleet/leadership.go
+++ b/internal/controlplane/fleet/leadership.go
@@ -113,7 +113,7 @@
 func (l *leadership) reservedMinimums(state *consensus.State, members []membership.Member, tenant quota.Tenant) (perS, burst float64) {
 	currentPerS, currentBurst := state.Quotas[tenant].NodeMinimum(len(members))
 	largest := state.LargestMinimums[tenant]
-	largestPerS, largestBurst := quota.Quota{PerS: largest.PerS, Burst: largest.Burst, MinimumShare: 1}.NodeMinimum(len(members))
+	largestPerS, largestBurst := quota.Quota{Rate: largest.PerS, Burst: largest.Burst, MinimumShare: 1}.NodeMinimum(len(members))
 	for _, member := range members {
 		if version, reported := l.minimumsAppliedBy[member.Name]; reported && version == state.QuotasVersion {
 			perS, burst = perS+currentPerS, burst+currentBurst
@@ -153,7 +153,7 @@
 
 func (f *Fleet) receiveGrantRequest(from membership.Name, request *grantRequest) {
 	response := f.grantResponse(from, request)
-	for range failpoint.Pass(failpoint.RespondToGrantRequest).Times() {
+	for range failpoint.Pass(failpoint.RespondToGrantRequest).Copies() {
 		f.send(from, messageGrantResponse, response)
 	}
 }
--- a/internal/controlplane/fleet/membership/membership.go
+++ b/internal/controlplane/fleet/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership says which nodes a fleet has: names, addresses, locations, and which of them vote. The set is fixed by
-// the operator's file, where its key is roster. The package does no I/O.
+// Package membership defines the nodes of a fleet: their names, addresses and locations, and which of them vote. The operator
+// fixes the set in a settings file, under the key roster. The package does no I/O.
 package membership
 
 import (
@@ -8,34 +8,34 @@
 	"slices"
 )
 
-// Name is a node's, unique in the set.
+// Name is the name of a node. It is unique in the set.
 type Name string
 
 // Member is one node.
 type Member struct {
 	Name     Name
-	Address  string // host and port, on which it takes datagrams and connections from others
+	Address  string // host and port on which the node receives datagrams and connections from other nodes
 	Location string
 	Votes    bool
 }
 
-// Set is all nodes, in the same order at each of them.
+// Set lists all nodes, in the same order at each node.
 type Set struct {
 	Version int
 	Members []Member
 }
 
 const (
-	// MinVoters is the least number of voters: with fewer none may fail.
+	// MinVoters is the smallest number of voters. With fewer, no voter could fail without losing the quorum.
 	MinVoters = 3
-	// MaxVoters is the largest: with more, each commit waits for more disks than it gains in safety
-	// (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4).
+	// MaxVoters is the largest number of voters. With more, the cost of waiting for more disks at each commit outweighs the gain
+	// in safety (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4).
 	MaxVoters = 7
-	// maxMembers is far above any fleet's size, so that a mistake in a file does not size tables.
+	// maxMembers is far above the size of any fleet. It prevents a mistake in the file from causing huge tables.
 	maxMembers = 4096
 )
 
-// Check lists all that is wrong with a set, in words for the operator who wrote it.
+// Check returns all problems of a set, as texts for the operator who wrote it.
 func (s *Set) Check() (problems []string) {
 	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	if s.Version < 1 {
@@ -65,7 +65,7 @@
 	return problems
 }
 
-// Find is the member of a name, nil if there is none.
+// Find returns the member with a name, or nil if there is none.
 func (s *Set) Find(name Name) *Member {
 	if i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
 		return &s.Members[i]
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Voters lists the names of the members that vote.
+// Voters returns the names of the members that vote.
 func (s *Set) Voters() (names []Name) {
 	for _, m := range s.Members {
 		if m.Votes {
@@ -83,7 +83,7 @@
 	return names
 }
 
-// Others lists the names of all members but one.
+// Others returns the names of all members except self.
 func (s *Set) Others(self Name) (names []Name) {
 	for _, m := range s.Members {
 		if m.Name != self {
--- a/internal/controlplane/fleet/open.go
+++ b/internal/controlplane/fleet/open.go
@@ -60,11 +60,11 @@
 	incarnation := sealedmessage.Incarnation(f.startUnix * 1e9)
 	stored := f.readTables()
 	incarnation = max(incarnation, stored.Incarnation+1)
-	limits := sealedmessage.Limits{BytesPerS: maxPeerBytesPerSecond, Burst: 2 * sealedmessage.MaxBytes}
+	limits := sealedmessage.Limits{BytesPerSecond: maxPeerBytesPerSecond, Burst: 2 * sealedmessage.MaxBytes}
 	if f.sealer, err = sealedmessage.New(f.settings.Self, incarnation, f.settings.Key, f.peers, limits); err != nil {
 		return err
 	}
-	f.detector = failuredetector.New(failuredetector.Defaults(), f.settings.Self, failuredetector.Incarnation(incarnation), f.peers, f.settings.Seed, f.now)
+	f.detector = failuredetector.New(failuredetector.DefaultSettings(), f.settings.Self, failuredetector.Incarnation(incarnation), f.peers, f.settings.Seed, f.now)
 	f.outliers.store = outlier.NewStore(f.settings.Self, f.peers, f.settings.Seed^outlierSeedMask)
 	f.outliers.version = outlier.Version(incarnation)
 	if stored.Table != nil {
--- a/internal/controlplane/fleet/outlier/outlier.go
+++ b/internal/controlplane/fleet/outlier/outlier.go
@@ -1,12 +1,13 @@
-// Package outlier finds backends that are slow or fail at several nodes, as outlier detection in a proxy does at one. Each
-// node reports what it observed itself. Reports spread by gossip (Demers and others, "Epidemic algorithms for replicated
-// database maintenance", 1987); each is identified by origin and version, so that it may arrive late, twice and in any order.
+// Package outlier detects backends that are slow or failing as seen by several nodes. It extends the outlier detection that a
+// proxy does on its own to a fleet. Each node reports its own observations. Reports spread by gossip (Demers and others,
+// "Epidemic algorithms for replicated database maintenance", 1987). A report is identified by its origin and version, so that
+// it may arrive late, more than once and in any order.
 //
-// A verdict needs several witnesses, none of which finds fault with a third of all backends; it lapses unless it is made
-// again, and leaves each shard at least half of its replicas. It only stands in for observations that a node lacks: package
-// policy says where it counts.
+// A verdict requires several witnesses. Reports of a node that finds more than a third of its backends bad are ignored. Verdicts
+// leave each shard at least half of its replicas. A verdict expires unless it is renewed. It only replaces observations that a
+// node lacks; package policy defines where it applies.
 //
-// The package does no I/O, reads no clock and starts no goroutine; times are seconds.
+// The package does no I/O, reads no clock and starts no goroutine. Times are in seconds.
 package outlier
 
 import (
@@ -19,128 +20,131 @@
 	"puffinlink.example/puffinlink/internal/random"
 )
 
-// Backend is a backend's name in the endpoint list.
+// Backend is the name of a backend in the endpoint list.
 type Backend string
 
-// Version orders the reports of one origin, across its incarnations.
+// Version orders the reports of one origin, also across its incarnations.
 type Version uint64
 
-// Observation is what one node observed of one backend in the last decaySeconds or so.
+// Observation is what one node observed of one backend in about the last decaySeconds.
 type Observation struct {
 	Backend Backend `cbor:"1,keyasint" json:"Searcher"`
 	Calls   int     `cbor:"2,keyasint" json:"Calls"`
-	Failed  int     `cbor:"3,keyasint,omitempty" json:"Failed"`  // recently
-	Latency float64 `cbor:"4,keyasint,omitempty" json:"Latency"` // smoothed, of all calls, however they ended
+	Failed  int     `cbor:"3,keyasint,omitempty" json:"Failed"`  // of Calls, by the recent share of failures
+	Latency float64 `cbor:"4,keyasint,omitempty" json:"Latency"` // moving average over all calls, successful or not
 }
 
-// Report is what one node observed of all backends. Age is in seconds as of its sending, so that no two clocks are compared.
+// Report is what one node observed of all backends. Age is its age in seconds when it was sent, so that the clocks of two nodes
+// are never compared.
 type Report struct {
-	Origin       membership.Name `cbor:"1,keyasint"`
-	Version      Version         `cbor:"2,keyasint"`
-	Age          float64         `cbor:"3,keyasint"`
-	Usual        float64         `cbor:"4,keyasint"` // median of the backends' Latency
-	Evaluated    int             `cbor:"5,keyasint"` // backends with enough calls
-	Bad          int             `cbor:"6,keyasint"` // of those, the ones that Bad holds for
-	Observations []Observation   `cbor:"7,keyasint"` // the worst first, then those called most
+	Origin        membership.Name `cbor:"1,keyasint"`
+	Version       Version         `cbor:"2,keyasint"`
+	Age           float64         `cbor:"3,keyasint"`
+	MedianLatency float64         `cbor:"4,keyasint"` // median latency of the backends with enough calls
+	Evaluated     int             `cbor:"5,keyasint"` // backends with enough calls
+	BadCount      int             `cbor:"6,keyasint"` // backends that are bad, see Observation.IsBad
+	Observations  []Observation   `cbor:"7,keyasint"` // the worst first, then those with the most calls
 }
 
-// Verdict says that a backend is an outlier, by the reports of its witnesses.
+// Verdict states that a backend is an outlier according to the reports of its witnesses.
 type Verdict struct {
 	Backend       Backend           `json:"searcher"`
-	LatencyFactor float64           `json:"times"` // median over witnesses, in usual latencies
+	LatencyFactor float64           `json:"times"` // latency as a multiple of the median latency; median over the witnesses
 	Witnesses     []membership.Name `json:"witnesses"`
 }
 
 const (
-	minCalls             = 3   // with fewer nothing is said of a backend
-	maxFailureShare      = 0.5 // of calls; above it a backend is bad
-	slowFactor           = 4.0 // times the usual latency; above it a backend is bad
-	failureLatencyFactor = 8.0 // usual latencies that a backend counts for whose calls all fail
-	minWitnesses         = 2   // of a verdict
-	minAgreement         = 0.5 // share of the nodes with enough calls that have to find a backend bad
-	// unhealthyShare is the share of bad backends above which a reporter counts as unhealthy itself.
-	unhealthyShare   = 1.0 / 3
-	maxObservations  = 16 // in a report: with names of 64 bytes still a datagram
-	maxReportAge     = 10.0
-	maxReplicaShare  = 0.5 // of a shard's replicas that may be outliers
-	gossipFanout     = 2   // nodes that a report is sent to at a time
-	maxTransmissions = 2   // of a report by each node: with that it reaches nearly all (Demers and others)
-	// decaySeconds is the time constant with which calls are forgotten. newCallWeight is that of a call in the moving averages:
-	// high, as a node hardly calls a backend any more that it finds slow.
-	decaySeconds  = 10.0
+	minCalls             = 3   // a backend with fewer calls is not evaluated
+	maxFailureShare      = 0.5 // a backend with a larger share of failed calls is bad
+	slowFactor           = 4.0 // a backend with a larger multiple of the median latency is bad
+	failureLatencyFactor = 8.0 // latency factor of a backend whose calls all fail
+	minWitnesses         = 2   // for a verdict
+	minAgreement         = 0.5 // share of the nodes with enough calls that must find a backend bad
+	// unhealthyShare is the share of bad backends above which the reporting node itself counts as unhealthy.
+	unhealthyShare    = 1.0 / 3
+	maxObservations   = 16 // in a report, which still fits into a datagram with names of 64 bytes
+	maxReportAge      = 10.0
+	maxReplicaShare   = 0.5 // share of the replicas of a shard that may be outliers
+	gossipFanout      = 2   // nodes that a report is sent to each time
+	maxSendsPerReport = 2   // by each node, which is enough to reach nearly all nodes (Demers and others)
+	// decaySeconds is the time constant of the exponential decay of the number of calls.
+	decaySeconds = 10.0
+	// newCallWeight is the weight of a new call in the moving averages. It is high because a node rarely calls a backend that it
+	// has found slow.
 	newCallWeight = 0.3
 )
 
-// VerdictSeconds is how long a verdict counts after it was last made.
+// VerdictSeconds is how long a verdict applies after it was last renewed.
 const VerdictSeconds = 3.0
 
-// Bad tells whether a backend is slow or failing, by a node's usual latency.
-func (s *Observation) Bad(usual float64) bool {
-	return s.Calls >= minCalls && (float64(s.Failed) > maxFailureShare*float64(s.Calls) || usual > 0 && s.Latency > slowFactor*usual)
+// IsBad reports whether a backend is slow compared to the median latency at the node, or failing.
+func (s *Observation) IsBad(medianLatency float64) bool {
+	return s.Calls >= minCalls && (float64(s.Failed) > maxFailureShare*float64(s.Calls) || medianLatency > 0 && s.Latency > slowFactor*medianLatency)
 }
 
-// latencyFactor is how many usual latencies a backend counts for.
-func (s *Observation) latencyFactor(usual float64) float64 {
-	return max(s.Latency/max(usual, 1e-6), failureLatencyFactor*float64(s.Failed)/float64(max(1, s.Calls)))
+// latencyFactor returns the latency of a backend as a multiple of the median latency. Failures count as high latency.
+func (s *Observation) latencyFactor(medianLatency float64) float64 {
+	return max(s.Latency/max(medianLatency, 1e-6), failureLatencyFactor*float64(s.Failed)/float64(max(1, s.Calls)))
 }
 
-// tally is what a node observed of one backend; calls decay, failing and latency are moving averages.
-type tally struct{ calls, failing, latency, at float64 }
+// callStats are the statistics of the calls of a node to one backend. callCount decays with time. failureShare and latency are
+// moving averages.
+type callStats struct{ callCount, failureShare, latency, updatedAt float64 }
 
-func (t *tally) decay(now float64) {
-	t.calls, t.at = t.calls*math.Exp((t.at-now)/decaySeconds), now
+func (t *callStats) decay(now float64) {
+	t.callCount, t.updatedAt = t.callCount*math.Exp((t.updatedAt-now)/decaySeconds), now
 }
 
-// Observer counts how a node's own calls end. One goroutine uses it.
-type Observer struct{ tallies map[Backend]*tally }
+// Observer collects statistics on the calls of one node. It must be used by one goroutine only.
+type Observer struct{ stats map[Backend]*callStats }
 
-// NewObserver makes one that has counted nothing.
-func NewObserver() *Observer { return &Observer{map[Backend]*tally{}} }
+// NewObserver returns an observer without any calls.
+func NewObserver() *Observer { return &Observer{map[Backend]*callStats{}} }
 
-// End is how a call ended, as far as that says something of its backend.
-type End uint8
+// Outcome is how a call ended, as far as it says something about the backend.
+type Outcome uint8
 
-// The ends of a call.
+// The outcomes of a call.
 const (
-	Answered End = iota
+	Answered Outcome = iota
 	Failed
-	Canceled // by us: it counts only where it had taken longer than others
+	Canceled // by this node; it counts only if it took longer than the average call
 )
 
-// RecordCall counts a call that ended so many seconds after it was sent.
-func (o *Observer) RecordCall(now float64, backend Backend, end End, elapsed float64) {
-	t := o.tallies[backend]
+// RecordCall records a call that ended elapsed seconds after it was sent.
+func (o *Observer) RecordCall(now float64, backend Backend, outcome Outcome, elapsed float64) {
+	t := o.stats[backend]
 	switch {
-	case end == Canceled && (t == nil || elapsed <= t.latency):
+	case outcome == Canceled && (t == nil || elapsed <= t.latency):
 		return
 	case t == nil:
-		t = &tally{at: now, latency: elapsed}
-		o.tallies[backend] = t
+		t = &callStats{updatedAt: now, latency: elapsed}
+		o.stats[backend] = t
 	}
 	t.decay(now)
-	t.calls++
+	t.callCount++
 	failed := 0.0
-	if end == Failed {
+	if outcome == Failed {
 		failed = 1
 	}
 	t.latency += newCallWeight * (elapsed - t.latency)
-	t.failing += newCallWeight * (failed - t.failing)
+	t.failureShare += newCallWeight * (failed - t.failureShare)
 }
 
-// Observations is what to report now. Backends whose calls have decayed are forgotten.
+// Observations returns the observations to report at the time now. It removes backends without recent calls.
 func (o *Observer) Observations(now float64) (observations []Observation) {
-	for _, name := range slices.Sorted(maps.Keys(o.tallies)) {
-		t := o.tallies[name]
-		if t.decay(now); t.calls < 0.5 {
-			delete(o.tallies, name)
+	for _, name := range slices.Sorted(maps.Keys(o.stats)) {
+		t := o.stats[name]
+		if t.decay(now); t.callCount < 0.5 {
+			delete(o.stats, name)
 			continue
 		}
-		observations = append(observations, Observation{name, int(math.Round(t.calls)), int(math.Round(t.calls * t.failing)), t.latency})
+		observations = append(observations, Observation{name, int(math.Round(t.callCount)), int(math.Round(t.callCount * t.failureShare)), t.latency})
 	}
 	return observations
 }
 
-// NewReport makes a report of observations: of the worst, then of those with the most calls.
+// NewReport returns a report with the worst of the observations, followed by those with the most calls, up to maxObservations.
 func NewReport(origin membership.Name, version Version, observations []Observation) Report {
 	r := Report{Origin: origin, Version: version}
 	var latencies []float64
@@ -151,40 +155,40 @@
 	}
 	if r.Evaluated = len(latencies); r.Evaluated > 0 {
 		slices.Sort(latencies)
-		r.Usual = latencies[(len(latencies)-1)/2]
+		r.MedianLatency = latencies[(len(latencies)-1)/2]
 	}
 	r.Observations = slices.Clone(observations)
 	badness := func(s *Observation) float64 {
-		if !s.Bad(r.Usual) {
+		if !s.IsBad(r.MedianLatency) {
 			return 0
 		}
-		return s.latencyFactor(r.Usual)
+		return s.latencyFactor(r.MedianLatency)
 	}
 	slices.SortStableFunc(r.Observations, func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(badness(&b), badness(&a)), cmp.Compare(b.Calls, a.Calls))
 	})
 	for i := range r.Observations {
-		if r.Observations[i].Bad(r.Usual) {
-			r.Bad++
+		if r.Observations[i].IsBad(r.MedianLatency) {
+			r.BadCount++
 		}
 	}
 	r.Observations = r.Observations[:min(len(r.Observations), maxObservations)]
 	return r
 }
 
-// unhealthy tells whether an origin finds fault with so many that the fault is rather its own.
+// unhealthy reports whether the origin finds so many backends bad that the cause is probably the origin itself.
 func (r *Report) unhealthy() bool {
-	return r.Bad >= 2 && float64(r.Bad) > unhealthyShare*float64(r.Evaluated)
+	return r.BadCount >= 2 && float64(r.BadCount) > unhealthyShare*float64(r.Evaluated)
 }
 
-// storedReport is a report with the time by our clock at which it was made, and how often it was sent on.
+// storedReport is a report with the time by the clock of this node at which it was made, and how often this node has sent it.
 type storedReport struct {
 	Report
-	madeAt        float64
-	transmissions int
+	madeAt float64
+	sends  int
 }
 
-// Store keeps the newest report of each node. One goroutine uses it.
+// Store keeps the newest report of each node. It must be used by one goroutine only.
 type Store struct {
 	self    membership.Name
 	reports map[membership.Name]*storedReport
@@ -192,19 +196,20 @@
 	random  random.PCG
 }
 
-// NewStore makes one for a node among its peers; seed decides whom it gossips to.
+// NewStore returns a store for the node self. seed determines which peers it gossips to.
 func NewStore(self membership.Name, peers []membership.Name, seed uint64) *Store {
 	return &Store{self: self, peers: peers, reports: map[membership.Name]*storedReport{}, random: random.PCG(seed)}
 }
 
-// Receive takes a report, ours or another's, and tells whether it is new. What is old, of no member or implausible changes
-// nothing. A restarted origin's versions are above those before, as they begin at its incarnation.
+// Receive stores a report of this or another node, and reports whether it is new. A report that is old, implausible or from a
+// node outside of the membership changes nothing. After a restart of the origin its versions are higher than before, because
+// they start at its incarnation.
 func (s *Store) Receive(now float64, r *Report) bool {
-	had := s.reports[r.Origin]
+	previous := s.reports[r.Origin]
 	switch {
 	case r.Origin != s.self && !slices.Contains(s.peers, r.Origin):
 		return false
-	case had != nil && had.Version >= r.Version:
+	case previous != nil && previous.Version >= r.Version:
 		return false
 	case !(r.Age >= 0 && r.Age < maxReportAge) || len(r.Observations) > maxObservations || !plausible(r):
 		return false
@@ -213,30 +218,30 @@
 	return true
 }
 
-// plausible tells whether a report's figures are possible.
+// plausible reports whether the values of a report are possible.
 func plausible(r *Report) bool {
 	finite := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
-	return finite(r.Usual) && r.Bad >= 0 && r.Evaluated >= 0 && !slices.ContainsFunc(r.Observations, func(s Observation) bool {
+	return finite(r.MedianLatency) && r.BadCount >= 0 && r.Evaluated >= 0 && !slices.ContainsFunc(r.Observations, func(s Observation) bool {
 		return !finite(s.Latency) || s.Calls < 0 || s.Failed < 0 || s.Failed > s.Calls || len(s.Backend) > 64
 	})
 }
 
-// NextGossip is which reports to send to whom now: new ones, those first that find a backend bad, and at most maxReports, so
-// that the load of a node does not grow with the fleet.
-func (s *Store) NextGossip(now float64, alive func(membership.Name) bool, maxReports int) (to []membership.Name, reports []Report) {
+// NextGossip returns the reports to send now, and the nodes to send them to. It prefers reports that find a backend bad, then newer
+// ones. It returns at most maxReports, so that the load of a node does not grow with the fleet.
+func (s *Store) NextGossip(now float64, alive func(membership.Name) bool, maxReports int) (recipients []membership.Name, reports []Report) {
 	var due []*storedReport
 	for name, stored := range s.reports {
 		if now-stored.madeAt >= maxReportAge {
 			delete(s.reports, name)
-		} else if stored.transmissions < maxTransmissions {
+		} else if stored.sends < maxSendsPerReport {
 			due = append(due, stored)
 		}
 	}
 	slices.SortFunc(due, func(a, b *storedReport) int {
-		return cmp.Or(cmp.Compare(min(b.Bad, 1), min(a.Bad, 1)), cmp.Compare(b.madeAt, a.madeAt), cmp.Compare(a.Origin, b.Origin))
+		return cmp.Or(cmp.Compare(min(b.BadCount, 1), min(a.BadCount, 1)), cmp.Compare(b.madeAt, a.madeAt), cmp.Compare(a.Origin, b.Origin))
 	})
 	for _, stored := range due[:min(maxReports, len(due))] {
-		stored.transmissions++
+		stored.sends++
 		r := stored.Report
 		r.Age = now - stored.madeAt
 		reports = append(reports, r)
@@ -246,25 +251,25 @@
 	}
 	for _, name := range s.peers {
 		if alive(name) {
-			to = append(to, name)
+			recipients = append(recipients, name)
 		}
 	}
-	for i := range to {
-		j := i + int(s.random.Unit()*float64(len(to)-i))
-		to[i], to[j] = to[j], to[i]
+	for i := range recipients {
+		j := i + int(s.random.Unit()*float64(len(recipients)-i))
+		recipients[i], recipients[j] = recipients[j], recipients[i]
 	}
-	return to[:min(gossipFanout, len(to))], reports
+	return recipients[:min(gossipFanout, len(recipients))], reports
 }
 
-// ShardReplicas lists the backends that hold each shard. Shards with the same backends stand in it once.
+// ShardReplicas lists the backends that hold each shard. Shards with the same backends share one entry.
 type ShardReplicas [][]Backend
 
-// Verdicts are the outliers by the reports of other nodes; this node's own observations reach the policy without them. They
-// are sorted by LatencyFactor, the worst first.
+// Verdicts returns the outliers according to the reports of other nodes, sorted by LatencyFactor, the worst first. The own
+// observations of this node are left out, because package policy uses them directly.
 func (s *Store) Verdicts(now float64, replicas ShardReplicas) (verdicts []Verdict) {
 	type evidence struct {
-		bad, fine []membership.Name
-		times     []float64
+		bad, good      []membership.Name
+		latencyFactors []float64
 	}
 	byBackend := map[Backend]*evidence{}
 	for _, origin := range slices.Sorted(maps.Keys(s.reports)) {
@@ -274,24 +279,24 @@
 		}
 		for i := range stored.Observations {
 			observation := &stored.Observations[i]
-			found := byBackend[observation.Backend]
-			if found == nil {
-				found = &evidence{}
-				byBackend[observation.Backend] = found
+			reported := byBackend[observation.Backend]
+			if reported == nil {
+				reported = &evidence{}
+				byBackend[observation.Backend] = reported
 			}
 			switch {
-			case observation.Bad(stored.Usual):
-				found.bad = append(found.bad, origin)
-				found.times = append(found.times, observation.latencyFactor(stored.Usual))
+			case observation.IsBad(stored.MedianLatency):
+				reported.bad = append(reported.bad, origin)
+				reported.latencyFactors = append(reported.latencyFactors, observation.latencyFactor(stored.MedianLatency))
 			case observation.Calls >= minCalls:
-				found.fine = append(found.fine, origin)
+				reported.good = append(reported.good, origin)
 			}
 		}
 	}
-	for name, found := range byBackend {
-		if n := len(found.bad); n >= minWitnesses && float64(n) >= minAgreement*float64(n+len(found.fine)) {
-			slices.Sort(found.times)
-			verdicts = append(verdicts, Verdict{name, found.times[(n-1)/2], found.bad})
+	for name, reported := range byBackend {
+		if badCount := len(reported.bad); badCount >= minWitnesses && float64(badCount) >= minAgreement*float64(badCount+len(reported.good)) {
+			slices.Sort(reported.latencyFactors)
+			verdicts = append(verdicts, Verdict{name, reported.latencyFactors[(badCount-1)/2], reported.bad})
 		}
 	}
 	slices.SortFunc(verdicts, func(a, b Verdict) int {
@@ -300,27 +305,27 @@
 	return limitPerShard(verdicts, replicas)
 }
 
-// limitPerShard drops the verdicts, the mildest first, that would leave a shard too few replicas, and those on backends of no
-// shard.
+// limitPerShard drops the verdicts that would leave a shard too few replicas, the mildest first. It also drops those on backends
+// without a shard.
 func limitPerShard(verdicts []Verdict, replicas ShardReplicas) (limited []Verdict) {
 	excluded := map[Backend]bool{}
 	for _, verdict := range verdicts {
 		excluded[verdict.Backend] = true
-		known, over := false, false
+		inShard, overLimit := false, false
 		for _, shard := range replicas {
 			if !slices.Contains(shard, verdict.Backend) {
 				continue
 			}
-			known = true
-			n := 0
+			inShard = true
+			excludedReplicas := 0
 			for _, name := range shard {
 				if excluded[name] {
-					n++
+					excludedReplicas++
 				}
 			}
-			over = over || float64(n) > maxReplicaShare*float64(len(shard))
+			overLimit = overLimit || float64(excludedReplicas) > maxReplicaShare*float64(len(shard))
 		}
-		if over || !known {
+		if overLimit || !inShard {
 			delete(excluded, verdict.Backend)
 			continue
 		}
@@ -329,27 +334,27 @@
 	return limited
 }
 
-// Summary is a node's last report in short, for operators.
+// Summary is a summary of the last report of a node, for operators.
 type Summary struct {
-	Origin    membership.Name `json:"mixer"`
-	Age       float64         `json:"s_ago"`
-	Evaluated int             `json:"of"`
-	Usual     float64         `json:"usual_s"`
-	Worst     Observation     `json:"worst"`
-	Unhealthy bool            `json:"sick,omitempty"` // its report counts for nothing
-	Bad       []Backend       `json:"bad,omitempty"`
+	Origin        membership.Name `json:"mixer"`
+	Age           float64         `json:"s_ago"`
+	Evaluated     int             `json:"of"`
+	MedianLatency float64         `json:"usual_s"`
+	Worst         Observation     `json:"worst"`
+	Unhealthy     bool            `json:"sick,omitempty"` // its report is ignored
+	Bad           []Backend       `json:"bad,omitempty"`
 }
 
-// Summaries are of the newest report of each node.
+// Summaries returns a summary of the newest report of each node.
 func (s *Store) Summaries(now float64) (summaries []Summary) {
 	for _, origin := range slices.Sorted(maps.Keys(s.reports)) {
 		stored := s.reports[origin]
-		summary := Summary{Origin: origin, Age: now - stored.madeAt, Evaluated: stored.Evaluated, Usual: stored.Usual, Unhealthy: stored.unhealthy()}
+		summary := Summary{Origin: origin, Age: now - stored.madeAt, Evaluated: stored.Evaluated, MedianLatency: stored.MedianLatency, Unhealthy: stored.unhealthy()}
 		if len(stored.Observations) > 0 {
 			summary.Worst = stored.Observations[0]
 		}
 		for i := range stored.Observations {
-			if stored.Observations[i].Bad(stored.Usual) {
+			if stored.Observations[i].IsBad(stored.MedianLatency) {
 				summary.Bad = append(summary.Bad, stored.Observations[i].Backend)
 			}
 		}
--- a/internal/controlplane/fleet/outlier/wire_test.go
+++ b/internal/controlplane/fleet/outlier/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the encoded forms of the types that are sent or stored.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.CBOR,
 		goldentest.Form{Name: "seen", Value: new(Observation)},
 		goldentest.Form{Name: "report", Value: new(Report)},
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -18,7 +18,7 @@
 )
 
 // callEnds says what the outcome of a subquery counts as in the observations.
-var callEnds = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.Rejected: outlier.Canceled,
+var callEnds = [...]outlier.Outcome{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.Rejected: outlier.Canceled,
 	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Canceled: outlier.Canceled,
 	policy.NotSent: outlier.Canceled}
 
@@ -101,7 +101,7 @@
 	}
 	fault := failpoint.Pass(failpoint.SendReports)
 	for _, name := range to {
-		for range fault.Times() {
+		for range fault.Copies() {
 			f.send(name, messageReports, reportBatch{list})
 		}
 	}
--- a/internal/controlplane/fleet/publish.go
+++ b/internal/controlplane/fleet/publish.go
@@ -13,7 +13,7 @@
 var (
 	// emptyBucket is that of a tenant of whom it is not known whether it has a quota, and of all tenants before the address is
 	// open: another process may spend what is due to this node.
-	emptyBucket = quota.Empty()
+	emptyBucket = quota.NewEmptyBucket()
 	// noZones is for queued queries that this node may not serve any more.
 	noZones = policy.NewZones()
 )
@@ -25,7 +25,7 @@
 		strict:    map[policy.CustomerID]bool{},
 		allStrict: slices.Contains(f.settings.Strict, "*"),
 	}
-	buckets := f.quotaClient.Set(f.now, f.tables.quotas)
+	buckets := f.quotaClient.SetQuotas(f.now, f.tables.quotas)
 	for i, tenant := range f.settings.Names.Tenants {
 		view.strict[policy.CustomerID(i)] = f.settings.strict(quota.Tenant(tenant))
 		bucket := buckets[quota.Tenant(tenant)]
@@ -46,8 +46,8 @@
 func (f *Fleet) publishZones() {
 	rules := f.admission.view.Load().rules
 	zones := func(customer policy.CustomerID, index policy.IndexID) *policy.Zones {
-		rule := rules.Of(customer, index)
-		if !rule.Here {
+		rule := rules.For(customer, index)
+		if !rule.MayServe {
 			return noZones
 		}
 		return rule.Zones
--- a/internal/controlplane/fleet/quota/client.go
+++ b/internal/controlplane/fleet/quota/client.go
@@ -7,43 +7,50 @@
 )
 
 const (
-	slotCount = 4 // grants that a bucket has at once: one being spent, one in reserve, and two that expire
-	// aheadSeconds is for how long of its demand a node has tokens: two requests and a response, each of which may get lost.
-	aheadSeconds = 0.5
-	// spareFactor times that may be left over before a node gives a grant back.
-	spareFactor = 2
-	// demandDecaySeconds is the time constant with which past demand is forgotten.
+	// slotsPerBucket is the number of grants that a bucket holds at once: one to spend from, one in reserve, and two that are
+	// about to expire.
+	slotsPerBucket = 4
+	// prefetchSeconds is how many seconds of its demand a node keeps tokens for. It covers two requests and a response, each of
+	// which may be lost.
+	prefetchSeconds = 0.5
+	// surplusFactor is the multiple of the tokens for prefetchSeconds that may remain unspent. With more, a node returns its
+	// largest grant.
+	surplusFactor = 2
+	// demandDecaySeconds is the time constant of the exponential decay of the estimated demand.
 	demandDecaySeconds = 0.5
-	// clockGrain is the rounding of Unix seconds in a float64: without it a minimum of one query would never admit it.
-	clockGrain = 1e-6
-	// maxUsageReports is how many grants one Request reports on.
-	maxUsageReports = 2 * slotCount
+	// clockResolution is a tolerance for the rounding of Unix seconds in a float64. Without it, a minimum with a burst of one
+	// query would never admit that query.
+	clockResolution = 1e-6
+	// maxUsageReports limits how many grants one Request reports on. Closed grants beyond it wait for a later request.
+	maxUsageReports = 2 * slotsPerBucket
 )
 
-// slot is a grant that is spent from. Whoever decrements remaining from above 0 has a token.
+// slot holds a grant that queries spend from. A goroutine that decrements remaining from a value above 0 obtains a token.
 type slot struct {
 	number    GrantNumber
 	tokens    int64
 	remaining atomic.Int64
-	until     float64
+	expiresAt float64
 }
 
-// minimum is what a node may spend without a grant.
-type minimum struct{ perS, burst float64 }
+// minimum is the rate and burst, in tokens, that a node may spend without a grant.
+type minimum struct{ rate, burst float64 }
 
-// Bucket is one tenant's at one node. Any goroutine may spend from it, without a lock; only the Client's fills it.
+// Bucket is the token bucket of one tenant at one node. Any goroutine may spend from it without a lock. Only the goroutine of
+// the Client fills it.
 type Bucket struct {
-	slots   [slotCount]atomic.Pointer[slot]
+	slots   [slotsPerBucket]atomic.Pointer[slot]
 	minimum atomic.Pointer[minimum]
-	// minimumFullAt is the time at which the minimum's bucket will be full, as bits of a float64: the form of a token bucket
-	// that one compare-and-swap spends from (the generic cell rate algorithm, ITU-T I.371).
+	// minimumFullAt is the time at which the token bucket of the minimum will be full, as the bits of a float64. In this form a
+	// single compare-and-swap spends a token (the generic cell rate algorithm, ITU-T I.371).
 	minimumFullAt atomic.Uint64
-	requested     atomic.Int64 // queries that asked for a token
-	rejected      atomic.Int64 // queries that got none
-	retryAt       atomic.Uint64
+	requested     atomic.Int64  // queries that asked for a token
+	rejected      atomic.Int64  // queries that got none
+	retryAt       atomic.Uint64 // when the granter expects to have tokens, as the bits of a float64; 0 if it did not say
 }
 
-// newBucket starts with an empty minimum: the process before this one may just have spent all of it.
+// newBucket returns a bucket whose minimum is empty at first, because the previous process of this node may just have spent
+// all of it.
 func newBucket(now, perS, burst float64) *Bucket {
 	b := &Bucket{}
 	b.setMinimum(now, perS, burst)
@@ -61,11 +68,11 @@
 	}
 }
 
-// Spend takes a token at a time; false if there is none.
+// Spend takes a token at the time now. It reports whether there was one.
 func (b *Bucket) Spend(now float64) bool {
 	b.requested.Add(1)
 	for i := range b.slots {
-		if s := b.slots[i].Load(); s != nil && now < s.until && s.remaining.Load() > 0 && s.remaining.Add(-1) >= 0 {
+		if s := b.slots[i].Load(); s != nil && now < s.expiresAt && s.remaining.Load() > 0 && s.remaining.Add(-1) >= 0 {
 			return true
 		}
 	}
@@ -78,27 +85,28 @@
 
 func (b *Bucket) spendMinimum(now float64) bool {
 	minimum := b.minimum.Load()
-	if minimum.perS <= 0 || minimum.burst < 1 {
+	if minimum.rate <= 0 || minimum.burst < 1 {
 		return false
 	}
-	rate := minimum.perS * FillFactor
+	rate := minimum.rate * FillFactor
 	for {
 		before := b.minimumFullAt.Load()
-		full := max(now, math.Float64frombits(before)) + 1/rate
-		if full-now > minimum.burst/rate+clockGrain {
+		fullAt := max(now, math.Float64frombits(before)) + 1/rate
+		if fullAt-now > minimum.burst/rate+clockResolution {
 			return false
 		}
-		if b.minimumFullAt.CompareAndSwap(before, math.Float64bits(full)) {
+		if b.minimumFullAt.CompareAndSwap(before, math.Float64bits(fullAt)) {
 			return true
 		}
 	}
 }
 
-// Wait is in how many seconds there may be a token again: by the minimum, or sooner by what the granter said.
-func (b *Bucket) Wait(now float64) float64 {
+// RetryAfter returns in how many seconds there may be a token again: from the minimum, or from the granter if it announced an
+// earlier time. It is infinite if neither is known.
+func (b *Bucket) RetryAfter(now float64) float64 {
 	wait := math.Inf(1)
-	if minimum := b.minimum.Load(); minimum.perS > 0 && minimum.burst >= 1 {
-		wait = max(0, math.Float64frombits(b.minimumFullAt.Load())-(minimum.burst-1)/(minimum.perS*FillFactor)-now)
+	if minimum := b.minimum.Load(); minimum.rate > 0 && minimum.burst >= 1 {
+		wait = max(0, math.Float64frombits(b.minimumFullAt.Load())-(minimum.burst-1)/(minimum.rate*FillFactor)-now)
 	}
 	if retryAt := math.Float64frombits(b.retryAt.Load()); retryAt > 0 {
 		wait = min(wait, max(0, retryAt-now))
@@ -106,18 +114,19 @@
 	return wait
 }
 
-// Demand tells how many queries asked for a token, and how many of them got none.
-func (b *Bucket) Demand() (requested, rejected int64) { return b.requested.Load(), b.rejected.Load() }
+// Counts returns how many queries asked for a token, and how many of them got none.
+func (b *Bucket) Counts() (requested, rejected int64) { return b.requested.Load(), b.rejected.Load() }
 
-// closedGrant is a grant that nothing more is spent from, until the granter has acknowledged its report.
+// closedGrant is a grant that nothing more is spent from. It is kept until the granter has acknowledged its report, or until
+// it expires.
 type closedGrant struct {
 	GrantUsage
-	until      float64
-	reportedIn uint64 // number of the first request that reported it, 0 for none
+	expiresAt         float64
+	reportedInRequest uint64 // number of the first request that reported it; 0 if none did
 }
 
-// account is what the client knows of one bucket.
-type account struct {
+// tenantState is the client's state of one tenant. The counts are those of the bucket when they were last read.
+type tenantState struct {
 	bucket    *Bucket
 	quota     Quota
 	requested int64
@@ -127,59 +136,60 @@
 	closed    []closedGrant
 }
 
-// Client fills the buckets of one node, from the grants that it asks for. One goroutine uses it.
+// Client requests grants for one node and fills its buckets from them. It must be used by one goroutine only.
 type Client struct {
-	lease    float64
-	nodes    int
-	accounts map[Tenant]*account
-	order    []Tenant
+	lease         float64
+	nodeCount     int
+	states        map[Tenant]*tenantState
+	sortedTenants []Tenant
 }
 
-// NewClient makes one of a fleet of so many nodes; grants last for lease seconds from the sending of the request.
-func NewClient(lease float64, nodes int) *Client {
-	return &Client{lease: lease, nodes: nodes, accounts: map[Tenant]*account{}}
+// NewClient returns a client for one node of a fleet with nodeCount nodes. A grant expires lease seconds after its request was sent.
+func NewClient(lease float64, nodeCount int) *Client {
+	return &Client{lease: lease, nodeCount: nodeCount, states: map[Tenant]*tenantState{}}
 }
 
-// Set takes the quotas that apply from now on, and returns the buckets by tenant. A tenant without a quota loses its bucket.
-func (c *Client) Set(now float64, quotas map[Tenant]Quota) map[Tenant]*Bucket {
+// SetQuotas sets the quotas that apply from now on, and returns the buckets by tenant. The bucket of a tenant without a quota
+// is removed.
+func (c *Client) SetQuotas(now float64, quotas map[Tenant]Quota) map[Tenant]*Bucket {
 	buckets := make(map[Tenant]*Bucket, len(quotas))
-	for tenant, q := range quotas {
-		perS, burst := q.NodeMinimum(c.nodes)
-		a := c.accounts[tenant]
-		if a == nil {
-			a = &account{bucket: newBucket(now, perS, burst), updatedAt: now}
-			c.accounts[tenant] = a
+	for tenant, tenantQuota := range quotas {
+		perS, burst := tenantQuota.NodeMinimum(c.nodeCount)
+		state := c.states[tenant]
+		if state == nil {
+			state = &tenantState{bucket: newBucket(now, perS, burst), updatedAt: now}
+			c.states[tenant] = state
 		}
-		a.bucket.setMinimum(now, perS, burst)
-		a.quota, buckets[tenant] = q, a.bucket
+		state.bucket.setMinimum(now, perS, burst)
+		state.quota, buckets[tenant] = tenantQuota, state.bucket
 	}
-	c.order = c.order[:0]
-	for tenant := range c.accounts {
-		if _, has := quotas[tenant]; !has {
-			delete(c.accounts, tenant)
+	c.sortedTenants = c.sortedTenants[:0]
+	for tenant := range c.states {
+		if _, hasQuota := quotas[tenant]; !hasQuota {
+			delete(c.states, tenant)
 			continue
 		}
-		c.order = append(c.order, tenant)
+		c.sortedTenants = append(c.sortedTenants, tenant)
 	}
-	slices.Sort(c.order)
+	slices.Sort(c.sortedTenants)
 	return buckets
 }
 
-// Requests is what the request of a number asks for and reports: an entry for each tenant that needs tokens or has grants.
+// Requests returns the entries of the request with a number: one for each tenant that needs tokens or has grants to report on.
 func (c *Client) Requests(now float64, number uint64) (requests []Request) {
-	for _, tenant := range c.order {
-		a := c.accounts[tenant]
-		a.update(now)
-		request := Request{Tenant: tenant, Tokens: a.tokensNeeded(now)}
-		for i := range a.bucket.slots {
-			if s := a.bucket.slots[i].Load(); s != nil {
+	for _, tenant := range c.sortedTenants {
+		state := c.states[tenant]
+		state.update(now)
+		request := Request{Tenant: tenant, Tokens: state.tokensNeeded(now)}
+		for i := range state.bucket.slots {
+			if s := state.bucket.slots[i].Load(); s != nil {
 				request.Spent = append(request.Spent, GrantUsage{Number: s.number, Spent: float64(s.tokens - max(0, s.remaining.Load()))})
 			}
 		}
-		for i := range a.closed {
-			if grant := &a.closed[i]; len(request.Spent) < maxUsageReports {
-				if grant.reportedIn == 0 {
-					grant.reportedIn = number
+		for i := range state.closed {
+			if grant := &state.closed[i]; len(request.Spent) < maxUsageReports {
+				if grant.reportedInRequest == 0 {
+					grant.reportedInRequest = number
 				}
 				request.Spent = append(request.Spent, grant.GrantUsage)
 			}
@@ -191,9 +201,9 @@
 	return requests
 }
 
-// Urgent tells whether a query got no token since the last request.
+// Urgent reports whether a query was refused a token since the last request.
 func (c *Client) Urgent() bool {
-	for _, a := range c.accounts {
+	for _, a := range c.states {
 		if a.bucket.rejected.Load() > a.rejected {
 			return true
 		}
@@ -201,15 +211,15 @@
 	return false
 }
 
-// update closes the grants that have expired, are spent, or exceed the demand, and estimates the demand.
-func (a *account) update(now float64) {
+// update estimates the demand, and closes the grants that have expired, are spent, or exceed the demand.
+func (a *tenantState) update(now float64) {
 	requested, elapsed := a.bucket.requested.Load(), now-a.updatedAt
 	if elapsed > 0 {
 		a.demand = max(float64(requested-a.requested)/max(elapsed, 0.05), a.demand*math.Exp(-elapsed/demandDecaySeconds))
 	}
 	a.requested, a.updatedAt = requested, now
-	a.closed = slices.DeleteFunc(a.closed, func(grant closedGrant) bool { return now >= grant.until })
-	remaining, most, largest := 0.0, 0.0, -1
+	a.closed = slices.DeleteFunc(a.closed, func(grant closedGrant) bool { return now >= grant.expiresAt })
+	remaining, largestTokens, largestIndex := 0.0, 0.0, -1
 	for i := range a.bucket.slots {
 		slot := a.bucket.slots[i].Load()
 		if slot == nil {
@@ -217,92 +227,96 @@
 		}
 		tokens := float64(max(0, slot.remaining.Load()))
 		switch {
-		case now >= slot.until || tokens == 0:
+		case now >= slot.expiresAt || tokens == 0:
 			a.closeSlot(i)
-		case tokens > most:
-			most, largest = tokens, i
+		case tokens > largestTokens:
+			largestTokens, largestIndex = tokens, i
 			fallthrough
 		default:
 			remaining += tokens
 		}
 	}
-	if largest >= 0 && remaining > 1+spareFactor*aheadSeconds*a.demand {
-		a.closeSlot(largest)
+	if largestIndex >= 0 && remaining > 1+surplusFactor*prefetchSeconds*a.demand {
+		a.closeSlot(largestIndex)
 	}
 }
 
-// closeSlot closes a slot. A token that is taken concurrently is taken before that, or not at all.
-func (a *account) closeSlot(i int) {
+// closeSlot closes the grant in a slot. A concurrent Spend either takes its token before the grant is closed, and is counted as
+// spent, or gets none from it.
+func (a *tenantState) closeSlot(i int) {
 	s := a.bucket.slots[i].Swap(nil)
 	remaining := max(0, s.remaining.Swap(math.MinInt64/2))
-	a.closed = append(a.closed, closedGrant{GrantUsage: GrantUsage{Number: s.number, Spent: float64(s.tokens - remaining), Closed: true}, until: s.until})
+	a.closed = append(a.closed, closedGrant{GrantUsage: GrantUsage{Number: s.number, Spent: float64(s.tokens - remaining), Closed: true}, expiresAt: s.expiresAt})
 }
 
-// tokensNeeded is how many further tokens to ask for.
-func (a *account) tokensNeeded(now float64) float64 {
+// tokensNeeded returns how many further tokens to ask for.
+func (a *tenantState) tokensNeeded(now float64) float64 {
 	rejected := a.bucket.rejected.Load()
-	needed := aheadSeconds * a.demand
+	needed := prefetchSeconds * a.demand
 	if rejected > a.rejected {
 		needed = max(needed, 1)
 	}
 	a.rejected = rejected
 	for i := range a.bucket.slots {
-		if s := a.bucket.slots[i].Load(); s != nil && now < s.until {
+		if s := a.bucket.slots[i].Load(); s != nil && now < s.expiresAt {
 			needed -= float64(max(0, s.remaining.Load()))
 		}
 	}
-	if needed <= 0.25 { // the demand has decayed
+	if needed <= 0.25 { // too little demand is left to ask for a token
 		return 0
 	}
 	return min(math.Ceil(needed), a.quota.Burst)
 }
 
-// ReceiveGrant puts a grant into its bucket. It expires a lease after its request was sent, whenever the response came.
+// ReceiveGrant puts a grant into the bucket of its tenant. The grant expires one lease length after its request was sent,
+// however late the response arrives.
 func (c *Client) ReceiveGrant(now, requestedAt float64, requestNumber uint64, grant *Grant) {
-	account := c.accounts[grant.Tenant]
-	if account == nil {
+	state := c.states[grant.Tenant]
+	if state == nil {
 		return
 	}
-	account.closed = slices.DeleteFunc(account.closed, func(closed closedGrant) bool { return closed.reportedIn > 0 && closed.reportedIn <= requestNumber })
+	state.closed = slices.DeleteFunc(state.closed, func(closed closedGrant) bool {
+		return closed.reportedInRequest > 0 && closed.reportedInRequest <= requestNumber
+	})
 	if grant.RetryAfter > 0 {
-		account.bucket.retryAt.Store(math.Float64bits(now + grant.RetryAfter))
+		state.bucket.retryAt.Store(math.Float64bits(now + grant.RetryAfter))
 	} else {
-		account.bucket.retryAt.Store(0)
+		state.bucket.retryAt.Store(0)
 	}
-	until := requestedAt + c.lease
-	if grant.Tokens < 1 || now >= until {
+	expiresAt := requestedAt + c.lease
+	if grant.Tokens < 1 || now >= expiresAt {
 		return
 	}
-	free := -1
-	for i := range account.bucket.slots {
-		s := account.bucket.slots[i].Load()
+	freeIndex := -1
+	for i := range state.bucket.slots {
+		s := state.bucket.slots[i].Load()
 		switch {
 		case s == nil:
-			free = i
+			freeIndex = i
 		case s.number == grant.Number:
 			return
 		}
 	}
-	if free < 0 {
-		free = 0
-		for i := range account.bucket.slots {
-			if account.bucket.slots[i].Load().until < account.bucket.slots[free].Load().until {
-				free = i
+	if freeIndex < 0 {
+		freeIndex = 0
+		for i := range state.bucket.slots {
+			if state.bucket.slots[i].Load().expiresAt < state.bucket.slots[freeIndex].Load().expiresAt {
+				freeIndex = i
 			}
 		}
-		account.closeSlot(free)
+		state.closeSlot(freeIndex)
 	}
-	s := &slot{number: grant.Number, tokens: int64(grant.Tokens), until: until}
+	s := &slot{number: grant.Number, tokens: int64(grant.Tokens), expiresAt: expiresAt}
 	s.remaining.Store(s.tokens)
-	account.bucket.slots[free].Store(s)
+	state.bucket.slots[freeIndex].Store(s)
 }
 
-// DropMinimums ends all minimums: the next process of this node has them from here on.
+// DropMinimums ends all minimums of this process, because the next process of this node uses them from now on.
 func (c *Client) DropMinimums() {
-	for _, a := range c.accounts {
+	for _, a := range c.states {
 		a.bucket.setMinimum(0, 0, 0)
 	}
 }
 
-// Empty is a bucket without a minimum or a grant.
-func Empty() *Bucket { return newBucket(0, 0, 0) }
+// NewEmptyBucket returns a bucket without a minimum or a grant.
+func NewEmptyBucket() *Bucket { return newBucket(0, 0, 0) }
--- a/internal/controlplane/fleet/quota/granter.go
+++ b/internal/controlplane/fleet/quota/granter.go
@@ -1,13 +1,15 @@
-// Package quota enforces a tenant's quota over all nodes together. One node, the granter, has a token bucket for each tenant
-// and leases tokens out of it to the others; a node spends what it was granted, and a minimum of its own that needs no grant.
+// Package quota enforces the quota of a tenant over all nodes of a fleet together. One node, the granter, has a token bucket
+// for each tenant and leases tokens from it to the nodes. A node spends the tokens that it was granted. It may also spend a
+// minimum of its own, which needs no grant.
 //
-// The bound: a bucket fills only while its level and the tokens that are granted and not known to be spent stay within its
-// burst. So in any W seconds no more is spent than was anywhere at their beginning, which is a burst at most, and what the
-// bucket took in, which is rate x W. What is spent and not yet reported only delays the filling, and a grant that is lost
-// counts until it has surely expired. Minimums are subtracted from rate and burst before anything is granted.
+// The package guarantees that a tenant spends at most burst + rate x W tokens in any W seconds. The granter fills a bucket only
+// as long as its level and its outstanding tokens (granted, and not known to be spent) together stay within the burst. So at
+// the start of the W seconds there is at most one burst of tokens in the whole fleet, and rate x W are added until their end.
+// Tokens that are spent and not yet reported only delay the filling. A grant that is lost counts as outstanding until it has
+// certainly expired. The minimums of all nodes are subtracted from rate and burst before anything is granted.
 //
-// Granter is the granter's side, Client that of each node, and Bucket what its queries spend from, from many goroutines at
-// once and without waiting. Nothing here does I/O, reads a clock or starts a goroutine; times are seconds.
+// Granter is the side of the granter, and Client the side of each node. Queries spend from a Bucket, which many goroutines may
+// use at once without blocking. The package does no I/O, reads no clock and starts no goroutine. Times are in seconds.
 package quota
 
 import (
@@ -17,47 +19,48 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// Tenant is a tenant's name.
+// Tenant is the name of a tenant.
 type Tenant string
 
-// GrantNumber identifies a grant of one granter to one node.
+// GrantNumber identifies a grant.
 type GrantNumber uint64
 
-// Quota is how many queries a tenant may have at all nodes together.
+// Quota limits the queries of a tenant at all nodes together.
 type Quota struct {
-	PerS         float64 `cbor:"1,keyasint" json:"per_s"`
+	Rate         float64 `cbor:"1,keyasint" json:"per_s"`
 	Burst        float64 `cbor:"2,keyasint" json:"burst"`
-	MinimumShare float64 `cbor:"3,keyasint" json:"floor_share"` // share of it that nodes have without grants
+	MinimumShare float64 `cbor:"3,keyasint" json:"floor_share"` // share of rate and burst that the nodes may spend without grants
 }
 
 const (
-	// ClockSlack is by how much the rates of two nodes' clocks may differ.
-	ClockSlack = 0.01
-	// FillFactor slows what fills, as that may go by a clock that runs fast.
-	FillFactor = 1 / (1 + ClockSlack)
-	// WaitFactor lengthens the wait for what was granted to expire: it expires at the granter by a clock that may run fast, at
-	// the node by one that may run slow.
-	WaitFactor = (1 + ClockSlack) / (1 - ClockSlack)
-	// minBurstSeconds is for how many seconds of its rate a burst has to last for the rate to be used in full: some requests,
-	// and the reports of what was spent.
+	// MaxClockDrift is how much the rates of the clocks of two nodes may differ, as a fraction.
+	MaxClockDrift = 0.01
+	// FillFactor slows the filling of token buckets, because the clock that they are filled by may run fast.
+	FillFactor = 1 / (1 + MaxClockDrift)
+	// WaitFactor lengthens the time after which a granter counts a lease as expired. The clock of the granter may run fast, while
+	// the clock of the node that holds the lease may run slow.
+	WaitFactor = (1 + MaxClockDrift) / (1 - MaxClockDrift)
+	// minBurstSeconds is how many seconds of the rate a burst has to cover so that the rate can be used in full. In this time
+	// nodes send some requests, with their reports of what was spent.
 	minBurstSeconds = 0.5
 )
 
-// NodeMinimum is what each of so many nodes may spend without a grant: both 0 where the quota has no minimum, or so little
-// burst that no node could ever admit a whole query by it. Then nothing has to be reserved for it either.
+// NodeMinimum returns what each of the nodes may spend without a grant. Both results are 0 if the quota has no minimum, or if
+// the burst of a node would be less than one query, so that it could never admit one. The granter then reserves nothing for it.
 func (q Quota) NodeMinimum(nodes int) (perS, burst float64) {
 	n := float64(max(1, nodes))
 	if burst = q.MinimumShare * q.Burst / n; burst < 1 {
 		return 0, 0
 	}
-	return q.MinimumShare * q.PerS / n, burst
+	return q.MinimumShare * q.Rate / n, burst
 }
 
-// Check tells what is wrong with a quota for so many nodes, or what an operator is to be warned of.
+// Check validates a quota for a number of nodes. It returns an error text, or a warning for the operator; both are empty if the
+// quota is fine.
 func (q Quota) Check(nodes int) (problem, warning string) {
 	minimum, _ := q.NodeMinimum(nodes)
 	switch {
-	case !(q.PerS > 0) || math.IsInf(q.PerS, 0):
+	case !(q.Rate > 0) || math.IsInf(q.Rate, 0):
 		return "per_s has to be more than 0", ""
 	case !(q.Burst >= 1) || math.IsInf(q.Burst, 0):
 		return "burst has to be 1 or more", ""
@@ -65,7 +68,7 @@
 		return "floor_share is above the quota, expected 0 to 1", ""
 	case q.MinimumShare > 0 && minimum == 0:
 		return "", "floor_share gives no mixer a whole lookup of the burst, so that one that hears nothing admits none"
-	case q.Burst < minBurstSeconds*q.PerS:
+	case q.Burst < minBurstSeconds*q.Rate:
 		return "", "burst is under half a second of per_s, so that less than the quota can be used"
 	}
 	return "", ""
@@ -73,19 +76,19 @@
 
 // outstandingGrant is a grant that may still be spent from.
 type outstandingGrant struct {
-	number GrantNumber
-	tokens float64
-	spent  float64
-	until  float64
+	number    GrantNumber
+	tokens    float64
+	spent     float64
+	expiresAt float64
 }
 
-// granteeState is what the granter knows of one node and one tenant.
+// granteeState is what the granter knows of one tenant at one node.
 type granteeState struct {
 	outstanding []outstandingGrant
-	requestedAt float64 // when it last asked for tokens
+	requestedAt float64 // when the node last asked for tokens
 }
 
-// tenantBucket is one tenant's token bucket at the granter.
+// tenantBucket is the token bucket of one tenant at the granter.
 type tenantBucket struct {
 	quota    Quota
 	level    float64
@@ -93,11 +96,11 @@
 	grantees map[membership.Name]*granteeState
 }
 
-// Request is what a node says of one tenant.
+// Request is what a node requests and reports for one tenant.
 type Request struct {
 	Tenant Tenant       `cbor:"1,keyasint"`
-	Tokens float64      `cbor:"2,keyasint,omitempty"` // further ones that it needs
-	Spent  []GrantUsage `cbor:"3,keyasint,omitempty"` // of all grants that it has
+	Tokens float64      `cbor:"2,keyasint,omitempty"` // how many further tokens the node needs
+	Spent  []GrantUsage `cbor:"3,keyasint,omitempty"` // usage of all grants that the node holds, and of closed ones
 }
 
 // GrantUsage reports how much of a grant is spent.
@@ -107,39 +110,40 @@
 	Closed bool        `cbor:"3,keyasint,omitempty"` // nothing more will be spent from it
 }
 
-// Grant answers a Request.
+// Grant is the response to a Request. Tokens is 0 if nothing is granted.
 type Grant struct {
 	Tenant     Tenant      `cbor:"1,keyasint"`
 	Number     GrantNumber `cbor:"2,keyasint,omitempty"`
 	Tokens     float64     `cbor:"3,keyasint,omitempty"`
-	RetryAfter float64     `cbor:"4,keyasint,omitempty"` // seconds until there may be more
+	RetryAfter float64     `cbor:"4,keyasint,omitempty"` // seconds until there may be more tokens
 }
 
-// MinimumsFunc sums what nodes may spend of a tenant's quota without a grant.
+// MinimumsFunc returns the sum over all nodes of what they may spend of the quota of a tenant without a grant.
 type MinimumsFunc func(Tenant) (perS, burst float64)
 
-// Granter grants tokens while no other node can. One goroutine uses it.
+// Granter grants tokens while no other node can. It must be used by one goroutine only.
 type Granter struct {
-	lease      float64 // length of a grant, from the sending of its request
-	grantFrom  float64 // no grant before
-	grantUntil float64 // no grant from here on
-	fillFrom   float64 // buckets fill from here on
+	lease      float64 // how long a grant lasts after its request was sent
+	grantFrom  float64 // no grants before this time
+	grantUntil float64 // no grants from this time on
+	fillFrom   float64 // buckets fill from this time on
 	active     bool
 	lastNumber GrantNumber
 	buckets    map[Tenant]*tenantBucket
 }
 
-// activeSeconds is how long a node that asked for tokens counts among those that share what there is.
+// activeSeconds is how long a node is counted among the nodes that share the available tokens after it asked for some.
 const activeSeconds = 0.5
 
-// NewGranter makes one that may not grant yet. Grants last for lease seconds.
+// NewGranter returns a granter that may not grant yet. A grant expires lease seconds after its request was sent.
 func NewGranter(lease float64) *Granter {
 	return &Granter{lease: lease, buckets: map[Tenant]*tenantBucket{}}
 }
 
-// Begin makes this node the granter at a time. The one before may act for authority seconds more, and its grants last a lease
-// longer, so that nothing is granted before. What the buckets take in meanwhile is not lost, up to a burst, but for the time
-// in which the one before may have granted it too. Grants are numbered by the term, apart from earlier ones.
+// Begin makes this node the granter at the time now. The previous granter may still grant for authority seconds, and its grants
+// last one lease length longer. This one grants nothing until both are over. The buckets fill, up to a burst, from the time at
+// which the previous granter can no longer grant the same tokens. The numbers of the grants contain the term, so that they
+// differ from those of earlier granters.
 func (g *Granter) Begin(now, authority float64, term uint64) {
 	g.active, g.grantUntil, g.lastNumber = true, 0, GrantNumber(term<<32)
 	g.fillFrom = now + authority*WaitFactor
@@ -147,22 +151,22 @@
 	g.buckets = map[Tenant]*tenantBucket{}
 }
 
-// Confirm says that this node was the granter at a time, so that no other grants in the authority seconds after it.
+// Confirm records that this node was the granter at a time. No other node can grant in the authority seconds after it.
 func (g *Granter) Confirm(at, authority float64) { g.grantUntil = max(g.grantUntil, at+authority) }
 
-// End stops it from granting.
+// End makes this node stop granting, and discards its buckets.
 func (g *Granter) End() { g.active, g.buckets = false, map[Tenant]*tenantBucket{} }
 
-// MayGrant tells whether it may grant now.
+// MayGrant reports whether this node may grant at the time now.
 func (g *Granter) MayGrant(now float64) bool {
 	return g.active && now >= g.grantFrom && now < g.grantUntil
 }
 
-// ReadyAt is the earliest time at which it may grant.
+// ReadyAt returns the earliest time at which this node may grant.
 func (g *Granter) ReadyAt() float64 { return g.grantFrom }
 
-// outstandingTokens is what is granted and not known to be spent as of the last filling, so that what expires or is reported
-// meanwhile makes room only from here on.
+// outstandingTokens returns the number of tokens that are granted and not known to be spent. fill calls it before expired grants
+// and new reports are processed, so that these make room only for tokens that are added later.
 func (b *tenantBucket) outstandingTokens() (sum float64) {
 	for _, grantee := range b.grantees {
 		for _, grant := range grantee.outstanding {
@@ -172,27 +176,27 @@
 	return sum
 }
 
-// expireGrants forgets grants that have surely expired or are spent, and nodes that ask no more.
+// expireGrants removes grants that have certainly expired or are spent, and nodes without grants that no longer ask for tokens.
 func (b *tenantBucket) expireGrants(now float64) {
 	for name, grantee := range b.grantees {
-		grantee.outstanding = slices.DeleteFunc(grantee.outstanding, func(o outstandingGrant) bool { return now >= o.until || o.spent >= o.tokens })
+		grantee.outstanding = slices.DeleteFunc(grantee.outstanding, func(o outstandingGrant) bool { return now >= o.expiresAt || o.spent >= o.tokens })
 		if len(grantee.outstanding) == 0 && now-grantee.requestedAt > activeSeconds {
 			delete(b.grantees, name)
 		}
 	}
 }
 
-// fill takes in what has come since the last time, up to what the burst leaves beside the outstanding tokens of that time:
-// what came while the bucket was full is gone, whatever became of the grants afterwards.
+// fill adds the tokens that accrued since the last call. The level stays within the burst less the tokens that were outstanding
+// in that time. Tokens that accrued while the bucket was full are lost, even if outstanding grants expire afterwards.
 func (b *tenantBucket) fill(now float64, minimums MinimumsFunc, tenant Tenant) {
 	perS, burst := minimums(tenant)
-	rate, capacity := max(0, b.quota.PerS-perS)*FillFactor, max(0, b.quota.Burst-burst)
+	rate, capacity := max(0, b.quota.Rate-perS)*FillFactor, max(0, b.quota.Burst-burst)
 	b.level = max(0, min(b.level+rate*max(0, now-b.filledAt), capacity-b.outstandingTokens()))
 	b.filledAt = max(b.filledAt, now)
 }
 
-// Grant answers a node's request at a time; false where this node may not grant. Nodes that ask at the same time share evenly
-// what there is. The reported usage counts whether or not a grant results.
+// Grant returns the response to the request of a node, or false if this node may not grant. Nodes that ask at the same time get
+// equal shares of the available tokens. A granter records the reported usage even if it grants no tokens.
 func (g *Granter) Grant(now float64, from membership.Name, request *Request, quota Quota, minimums MinimumsFunc) (Grant, bool) {
 	grant := Grant{Tenant: request.Tenant}
 	if !g.MayGrant(now) {
@@ -216,26 +220,27 @@
 		return grant, true
 	}
 	grantee.requestedAt = now
-	sharers := 0.0
+	activeNodes := 0.0
 	for _, other := range bucket.grantees {
 		if now-other.requestedAt <= activeSeconds {
-			sharers++
+			activeNodes++
 		}
 	}
-	if n := math.Floor(min(request.Tokens, max(bucket.level/max(1, sharers), min(1, bucket.level)))); n >= 1 {
+	if granted := math.Floor(min(request.Tokens, max(bucket.level/max(1, activeNodes), min(1, bucket.level)))); granted >= 1 {
 		g.lastNumber++
-		bucket.level -= n
-		grantee.outstanding = append(grantee.outstanding, outstandingGrant{number: g.lastNumber, tokens: n, until: now + g.lease*WaitFactor})
-		grant.Number, grant.Tokens = g.lastNumber, n
+		bucket.level -= granted
+		grantee.outstanding = append(grantee.outstanding, outstandingGrant{number: g.lastNumber, tokens: granted, expiresAt: now + g.lease*WaitFactor})
+		grant.Number, grant.Tokens = g.lastNumber, granted
 	}
 	if perS, _ := minimums(request.Tenant); bucket.level < 1 {
-		grant.RetryAfter = (1 - bucket.level) / max(1e-6, (quota.PerS-perS)*FillFactor)
+		grant.RetryAfter = (1 - bucket.level) / max(1e-6, (quota.Rate-perS)*FillFactor)
 	}
 	return grant, true
 }
 
-// recordUsage takes reports of what was spent. It only ever lessens what is outstanding, and a late or repeated report
-// changes nothing, as spending only grows. What is left of a closed grant goes back into the bucket.
+// recordUsage records reports of what was spent. A report can only decrease the number of outstanding tokens. A late or repeated
+// report changes nothing, because the spent amount of a grant never decreases. The remaining tokens of a closed grant are
+// returned to the bucket.
 func (b *tenantBucket) recordUsage(grantee *granteeState, usages []GrantUsage) {
 	for _, usage := range usages {
 		for i := range grantee.outstanding {
--- a/internal/controlplane/fleet/receive.go
+++ b/internal/controlplane/fleet/receive.go
@@ -94,13 +94,13 @@
 	messages, changes := f.detector.TakeOutput()
 	for _, message := range messages {
 		fault := failpoint.Pass(failpoint.ProbeMember)
-		for range fault.Times() {
+		for range fault.Copies() {
 			f.send(message.To, messageFailureDetector, message.Message)
 		}
 	}
 	for _, change := range changes {
-		f.counters.Add("fleet_members", change.Now.String(), 1)
+		f.counters.Add("fleet_members", change.New.String(), 1)
 		f.logger.Info("fleet member status changed",
-			zap.String("member", string(change.Name)), zap.String("was", change.Was.String()), zap.String("now", change.Now.String()))
+			zap.String("member", string(change.Name)), zap.String("was", change.Old.String()), zap.String("now", change.New.String()))
 	}
 }
--- a/internal/controlplane/fleet/residency/errors.go
+++ b/internal/controlplane/fleet/residency/errors.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// ContractError says what is wrong with a contract, and what was expected.
+// ContractError describes what is invalid in a contract, and what was expected.
 type ContractError string
 
-// Error is the message, for the operator who wrote the contract.
+// Error returns the message for the operator who wrote the contract.
 func (e ContractError) Error() string { return string(e) }
 
-func invalid(format string, arguments ...any) error {
+func contractErrorf(format string, arguments ...any) error {
 	return ContractError(fmt.Sprintf(format, arguments...))
 }
--- a/internal/controlplane/fleet/residency/residency.go
+++ b/internal/controlplane/fleet/residency/residency.go
@@ -1,9 +1,9 @@
-// Package residency keeps each tenant's queries inside the zones that its contract allows. It compiles contracts into masks
-// of zones (Rules), knows at each node until when its contracts are confirmed to be the newest (Lease), and at the leader
-// which nodes apply a changed one (Rollout). Leases as in Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism
-// for distributed file cache consistency", 1989.
+// Package residency keeps the queries of each tenant within the zones that its contract allows. Rules are contracts compiled
+// into masks of zones. A Lease, at each node, records until when the contracts of the node are confirmed to be the newest. A
+// Rollout, at the leader, records which nodes apply a changed contract. Leases work as in Gray and Cheriton, "Leases: an
+// efficient fault-tolerant mechanism for distributed file cache consistency", 1989.
 //
-// It does no I/O, reads no clock and starts no goroutine; times are in seconds.
+// The package does no I/O, reads no clock and starts no goroutine. Times are in seconds.
 package residency
 
 import (
@@ -15,28 +15,28 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Tenant is a tenant's name, as quotas have it.
+// Tenant is the name of a tenant, as in package quota.
 type Tenant = quota.Tenant
 
-// Version orders tables of contracts: the index of the last change in the log of the consensus.
+// Version orders tables of contracts. It is the index of the last change in the consensus log.
 type Version uint64
 
-// Contract is what one tenant's allows.
+// Contract restricts the queries of one tenant to zones.
 type Contract struct {
 	Zones []string `cbor:"1,keyasint" json:"zones"`
-	// Own restricts the aggregators as well to these zones, for data that may not pass through others.
-	Own bool `cbor:"2,keyasint,omitempty" json:"own,omitempty"`
-	// Indexes are those that the contract is about; none means all.
+	// RestrictsAggregators restricts the aggregators to these zones as well, for data that must not pass through other zones.
+	RestrictsAggregators bool `cbor:"2,keyasint,omitempty" json:"own,omitempty"`
+	// Indexes are the indexes that the contract applies to. An empty list means all.
 	Indexes []string `cbor:"3,keyasint,omitempty" json:"indexes,omitempty"`
 }
 
-// Table is all contracts as of a version. It is immutable.
+// Table holds all contracts as of a version. It is immutable.
 type Table struct {
 	Version   Version             `cbor:"1,keyasint" json:"version"`
 	Contracts map[Tenant]Contract `cbor:"2,keyasint" json:"contracts"`
 }
 
-// With is the table with one tenant's contract changed, or, with a nil one, removed.
+// With returns a copy of the table in which the contract of one tenant is replaced, or removed if c is nil.
 func (t *Table) With(version Version, tenant Tenant, c *Contract) *Table {
 	next := &Table{Version: version, Contracts: maps.Clone(t.Contracts)}
 	if next.Contracts == nil {
@@ -50,50 +50,50 @@
 	return next
 }
 
-// NameSpace lists the names that the settings have.
-type NameSpace struct{ Zones, Indexes, Tenants []string }
+// KnownNames lists the zones, indexes and tenants that the settings define.
+type KnownNames struct{ Zones, Indexes, Tenants []string }
 
-// Check tells what is wrong with a contract. The error is a ContractError.
-func (n *NameSpace) Check(tenant Tenant, contract *Contract) error {
+// Check validates a contract. The error is a ContractError.
+func (n *KnownNames) Check(tenant Tenant, contract *Contract) error {
 	switch {
 	case !slices.Contains(n.Tenants, string(tenant)):
-		return invalid("tenant %q is none that the settings know, expected one of %q", tenant, n.Tenants)
+		return contractErrorf("tenant %q is none that the settings know, expected one of %q", tenant, n.Tenants)
 	case len(contract.Zones) == 0:
-		return invalid("tenant %q has no zone, expected one at the least", tenant)
+		return contractErrorf("tenant %q has no zone, expected one at the least", tenant)
 	}
 	for _, zone := range contract.Zones {
 		if !slices.Contains(n.Zones, zone) {
-			return invalid("zone %q of tenant %q is none that the settings know, expected some of %q", zone, tenant, n.Zones)
+			return contractErrorf("zone %q of tenant %q is none that the settings know, expected some of %q", zone, tenant, n.Zones)
 		}
 	}
 	for _, index := range contract.Indexes {
 		if !slices.Contains(n.Indexes, index) {
-			return invalid("index %q of tenant %q is none that the settings know, expected some of %q", index, tenant, n.Indexes)
+			return contractErrorf("index %q of tenant %q is none that the settings know, expected some of %q", index, tenant, n.Indexes)
 		}
 	}
 	return nil
 }
 
-// Rule is what applies to the queries of one tenant and index.
+// Rule applies to the queries of one tenant on one index.
 type Rule struct {
-	Zones *policy.Zones // nil where no contract restricts them
-	// Here tells whether this node may serve them at all.
-	Here bool
+	Zones *policy.Zones // nil if no contract restricts them
+	// MayServe reports whether this node may serve the queries at all.
+	MayServe bool
 }
 
-// Rules is a table compiled for queries: a rule by customer and index. It is immutable.
+// Rules is a compiled Table: a rule for each customer and index. It is immutable.
 type Rules struct {
 	Table *Table
 	rules map[policy.CustomerID][]Rule
 }
 
-// Compile makes the rules of a node in a location. Zones that the settings do not have are in no mask, so that a backend of
-// such a zone, or of none, is outside of every contract.
-func (n *NameSpace) Compile(t *Table, location string) *Rules {
+// Compile returns the rules for a node at a location. Zones that the settings do not define are in no mask. So a backend in such
+// a zone, or in none, is outside of every contract.
+func (n *KnownNames) Compile(t *Table, location string) *Rules {
 	r := &Rules{Table: t, rules: map[policy.CustomerID][]Rule{}}
 	for i, tenant := range n.Tenants {
-		contract, has := t.Contracts[Tenant(tenant)]
-		if !has {
+		contract, hasContract := t.Contracts[Tenant(tenant)]
+		if !hasContract {
 			continue
 		}
 		zones := policy.NewZones()
@@ -102,11 +102,11 @@
 				zones.Allow(policy.LocationID(j))
 			}
 		}
-		here := !contract.Own || location != "" && slices.Contains(contract.Zones, location)
+		mayServe := !contract.RestrictsAggregators || location != "" && slices.Contains(contract.Zones, location)
 		rules := make([]Rule, len(n.Indexes))
 		for k, index := range n.Indexes {
-			if rules[k].Here = true; len(contract.Indexes) == 0 || slices.Contains(contract.Indexes, index) {
-				rules[k] = Rule{zones, here}
+			if rules[k].MayServe = true; len(contract.Indexes) == 0 || slices.Contains(contract.Indexes, index) {
+				rules[k] = Rule{zones, mayServe}
 			}
 		}
 		r.rules[policy.CustomerID(i)] = rules
@@ -114,105 +114,108 @@
 	return r
 }
 
-// Of is the rule for a query.
-func (r *Rules) Of(customer policy.CustomerID, index policy.IndexID) Rule {
+// For returns the rule for a query.
+func (r *Rules) For(customer policy.CustomerID, index policy.IndexID) Rule {
 	if rules := r.rules[customer]; int(index) < len(rules) {
 		return rules[index]
 	}
-	return Rule{Here: true}
+	return Rule{MayServe: true}
 }
 
-// Lease is how long a node knows its contracts to be the newest. One goroutine uses it; traffic goes by Until.
+// Lease records until when the contracts of a node are known to be the newest. It must be used by one goroutine only. Queries
+// are accepted until AcceptUntil.
 type Lease struct {
-	length  float64 // from the sending of the request
-	margin  float64 // by which it ends sooner for new queries, so that those accepted have ended by then
-	until   float64
-	renewed bool
+	length    float64 // counted from when the request was sent
+	margin    float64 // new queries are refused this long before the lease expires, so that accepted ones end within it
+	expiresAt float64
+	renewed   bool
 }
 
-// NewLease makes one; margin is the longest that a query may last.
+// NewLease returns a lease that is not granted yet. margin is the longest time that a query may take.
 func NewLease(length, margin float64) *Lease { return &Lease{length: length, margin: margin} }
 
-// Renew takes the response to a request that was sent at a time: our contracts were the newest after it.
+// Renew extends the lease after the response to a request that was sent at requestedAt. The response confirms that the contracts
+// of this node were the newest at that time.
 func (l *Lease) Renew(requestedAt float64) {
-	l.until, l.renewed = max(l.until, requestedAt+l.length), true
+	l.expiresAt, l.renewed = max(l.expiresAt, requestedAt+l.length), true
 }
 
-// Until is until when queries may be accepted by the contracts; 0 before any response.
-func (l *Lease) Until() float64 {
+// AcceptUntil returns until when new queries may be accepted. It is 0 before the first renewal.
+func (l *Lease) AcceptUntil() float64 {
 	if !l.renewed {
 		return 0
 	}
-	return l.until - l.margin
+	return l.expiresAt - l.margin
 }
 
-// Progress tells how far a version is rolled out.
+// Progress describes how far a version is rolled out.
 type Progress struct {
 	Version Version     `cbor:"version" json:"version"`
 	Applied bool        `cbor:"held" json:"held"`
 	Nodes   []NodeState `cbor:"mixers" json:"mixers"`
 }
 
-// NodeState is how one node stands to a version.
+// NodeState describes the state of one node in the rollout of a version.
 type NodeState struct {
 	Node        membership.Name `cbor:"mixer" json:"mixer"`
 	State       string          `cbor:"state" json:"state"`
-	Applied     Version         `cbor:"holds" json:"holds"` // the version that it reported to apply
+	Applied     Version         `cbor:"holds" json:"holds"` // the version that the node reported as applied
 	LeaseEndsIn float64         `cbor:"in_s,omitempty" json:"in_s,omitempty"`
 }
 
-// How a node stands to a version.
+// States of a node in the rollout of a version.
 const (
-	StateApplied = "holds"   // it reported so, once no subquery outside was in flight
-	StateRefuses = "refuses" // its lease has expired for sure: strict tenants are refused there
-	StateOld     = "old"     // it may go by an older one
+	StateApplied  = "holds"   // it reported the version as applied, once it had no subquery outside of the contract in flight
+	StateRefuses  = "refuses" // its lease has certainly expired, so it refuses the queries of strict tenants
+	StateOutdated = "old"     // it may still apply an older version
 )
 
-// nodeProgress is what the leader knows of one node.
+// nodeProgress is what the leader knows about one node.
 type nodeProgress struct {
-	applied   Version
-	leaseEnds float64 // when its lease has expired for sure, unless it is renewed
+	applied        Version
+	leaseExpiresAt float64 // when its lease has certainly expired, unless it is renewed
 }
 
-// Rollout is the leader's knowledge of which contracts the nodes apply.
+// Rollout records at the leader which version of the contracts each node applies.
 type Rollout struct {
-	lease       float64 // as granted, with its slack
-	ignoreUntil float64 // until when another leader may still hand out what it knew
-	nodes       map[membership.Name]*nodeProgress
-	names       []membership.Name
+	lease              float64 // length of a lease at the nodes, times quota.WaitFactor
+	ignoreReportsUntil float64 // until when the previous leader may still send its older table to nodes
+	nodes              map[membership.Name]*nodeProgress
+	names              []membership.Name
 }
 
-// NewRollout makes one for a fleet; lease is as granted to the nodes.
+// NewRollout returns the rollout state for the named nodes. lease is the length of the leases that are granted to them.
 func NewRollout(lease float64, names []membership.Name) *Rollout {
 	return &Rollout{lease: lease * quota.WaitFactor, names: slices.Sorted(slices.Values(names)), nodes: map[membership.Name]*nodeProgress{}}
 }
 
-// Begin starts a leadership. The leader before may renew leases for authority seconds more, and each lasts for a lease. It
-// may also send an older table to a node that restarts after it reported a newer one, so that no report counts before then.
+// Begin resets the state when this node becomes the leader. The previous leader may renew leases for authority more seconds, and
+// each renewed lease lasts one lease length. The previous leader may also send an older table to a node that restarts after it
+// reported a newer one as applied. So reports are ignored until that authority has ended.
 func (r *Rollout) Begin(now, authority float64) {
 	clear(r.nodes)
-	r.ignoreUntil = now + authority*quota.WaitFactor
+	r.ignoreReportsUntil = now + authority*quota.WaitFactor
 	for _, name := range r.names {
-		r.nodes[name] = &nodeProgress{leaseEnds: now + authority*quota.WaitFactor + r.lease}
+		r.nodes[name] = &nodeProgress{leaseExpiresAt: now + authority*quota.WaitFactor + r.lease}
 	}
 }
 
-// RecordApplied takes the version that a node reports to apply.
+// RecordApplied records the version that a node reports as applied.
 func (r *Rollout) RecordApplied(now float64, from membership.Name, applied Version) {
-	if node := r.nodes[from]; node != nil && now >= r.ignoreUntil {
-		node.applied = applied // a restarted process may apply an older version than the one before it
+	if node := r.nodes[from]; node != nil && now >= r.ignoreReportsUntil {
+		node.applied = applied // may decrease: a restarted process may apply an older version than the previous process
 	}
 }
 
-// RecordRenewal notes that a node's lease is renewed now.
+// RecordRenewal records that the lease of a node is renewed at the time now.
 func (r *Rollout) RecordRenewal(now float64, name membership.Name) {
 	if node := r.nodes[name]; node != nil {
-		node.leaseEnds = max(node.leaseEnds, now+r.lease)
+		node.leaseExpiresAt = max(node.leaseExpiresAt, now+r.lease)
 	}
 }
 
-// Progress tells how far a version is rolled out. It applies everywhere once each node applies it, or, where the tenant is
-// strict, refuses its queries.
+// Progress returns how far a version is rolled out. The version counts as applied once every node applies it. For a strict tenant
+// a node whose lease has certainly expired counts too, because it refuses the queries of the tenant.
 func (r *Rollout) Progress(now float64, version Version, strict bool) Progress {
 	progress := Progress{Version: version, Applied: len(r.nodes) > 0}
 	for _, name := range r.names {
@@ -220,19 +223,19 @@
 		if node == nil {
 			continue
 		}
-		state := NodeState{Node: name, State: StateOld, Applied: node.applied}
+		nodeState := NodeState{Node: name, State: StateOutdated, Applied: node.applied}
 		switch {
 		case node.applied >= version:
-			state.State = StateApplied
-		case strict && now >= node.leaseEnds:
-			state.State = StateRefuses
+			nodeState.State = StateApplied
+		case strict && now >= node.leaseExpiresAt:
+			nodeState.State = StateRefuses
 		default:
 			progress.Applied = false
 			if strict {
-				state.LeaseEndsIn = node.leaseEnds - now
+				nodeState.LeaseEndsIn = node.leaseExpiresAt - now
 			}
 		}
-		progress.Nodes = append(progress.Nodes, state)
+		progress.Nodes = append(progress.Nodes, nodeState)
 	}
 	return progress
 }
--- a/internal/controlplane/fleet/residency/residency_test.go
+++ b/internal/controlplane/fleet/residency/residency_test.go
@@ -13,171 +13,174 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-var site = NameSpace{Zones: []string{"north", "south", ""}, Indexes: []string{"reads", "orders"}, Tenants: []string{"acme", "bolt"}}
+var testNames = KnownNames{Zones: []string{"north", "south", ""}, Indexes: []string{"reads", "orders"}, Tenants: []string{"acme", "bolt"}}
 
-func TestRulesOfContracts(t *testing.T) {
-	table := (&Table{}).With(5, "acme", &Contract{Zones: []string{"south", "gone", ""}, Own: true, Indexes: []string{"orders"}})
-	here, elsewhere := site.Compile(table, "south"), site.Compile(table, "north")
-	if r := here.Of(0, 0); r.Zones != nil || !r.Here {
-		t.Errorf("an index that no contract names: %+v", r)
+func TestContractsCompileToRules(t *testing.T) {
+	table := (&Table{}).With(5, "acme", &Contract{Zones: []string{"south", "gone", ""}, RestrictsAggregators: true, Indexes: []string{"orders"}})
+	inside, outside := testNames.Compile(table, "south"), testNames.Compile(table, "north")
+	if r := inside.For(0, 0); r.Zones != nil || !r.MayServe {
+		t.Errorf("an index that no contract covers: %+v", r)
 	}
-	if r := here.Of(1, 1); r.Zones != nil || !r.Here {
+	if r := inside.For(1, 1); r.Zones != nil || !r.MayServe {
 		t.Errorf("a tenant without a contract: %+v", r)
 	}
-	if r := here.Of(99, 99); r.Zones != nil || !r.Here {
-		t.Errorf("one that is not known: %+v", r)
+	if r := inside.For(99, 99); r.Zones != nil || !r.MayServe {
+		t.Errorf("an unknown tenant and index: %+v", r)
 	}
-	r := here.Of(0, 1)
-	if !r.Here || elsewhere.Of(0, 1).Here || site.Compile(table, "").Of(0, 1).Here {
-		t.Error("the node's own zone does not count")
+	rule := inside.For(0, 1)
+	if !rule.MayServe || outside.For(0, 1).MayServe || testNames.Compile(table, "").For(0, 1).MayServe {
+		t.Error("MayServe does not follow the zone of the node")
 	}
-	for at, want := range map[policy.LocationID]bool{0: false, 1: true, 2: false, 3: false, -1: false} {
-		if r.Zones.Allows(at) != want {
-			t.Errorf("location %d: allowed %t; a zone without a name, or beyond the settings', is outside", at, !want)
+	for location, want := range map[policy.LocationID]bool{0: false, 1: true, 2: false, 3: false, -1: false} {
+		if rule.Zones.Allows(location) != want {
+			t.Errorf("location %d: allowed is %t; a zone without a name, or not in the settings, is outside of every contract", location, !want)
 		}
 	}
-	if free := table.With(6, "acme", nil); len(free.Contracts) != 0 || len(table.Contracts) != 1 || free.Version != 6 {
-		t.Error("taking a contract away changes the table before, or not the one after")
+	if without := table.With(6, "acme", nil); len(without.Contracts) != 0 || len(table.Contracts) != 1 || without.Version != 6 {
+		t.Error("removing a contract changed the original table, or left it in the new one")
 	}
 	for _, c := range []struct {
 		tenant Tenant
 		Contract
 	}{{"nobody", Contract{Zones: []string{"north"}}}, {"acme", Contract{}}, {"acme", Contract{Zones: []string{"west"}}}, {"acme", Contract{Zones: []string{"north"}, Indexes: []string{"x"}}}} {
-		if site.Check(c.tenant, &c.Contract) == nil {
-			t.Errorf("%+v is taken", c)
+		if testNames.Check(c.tenant, &c.Contract) == nil {
+			t.Errorf("%+v is accepted", c)
 		}
 	}
 }
 
-// omittedRule is a rule that the simulation leaves out, which the checker has to find.
+// omittedRule disables one rule of the implementation in a simulation. The checker has to detect the violation that results.
 type omittedRule struct {
-	reportEarly          bool // reported as applied before all nodes apply it
-	ignorePreviousLeader bool // a new leader ignores that the one before may have renewed leases
-	ignoreExpiry         bool // nodes ignore the end of their lease
-	reportUnapplied      bool // a node reports a version that its queries do not go by yet
+	reportBeforeAllApply  bool // a version is reported as applied before all nodes apply it
+	ignorePreviousLeader  bool // a new leader ignores that the previous one may have renewed leases
+	ignoreExpiry          bool // nodes ignore that their lease has expired
+	reportReceivedVersion bool // a node reports a version before its queries follow it
 }
 
 const (
-	lease, longest, authority = 4.0, 1.0, 1.0
-	bound                     = lease + authority // after which an accepted contract holds at strict tenants
+	leaseSeconds     = 4.0
+	maxQuerySeconds  = 1.0
+	authoritySeconds = 1.0
+	// enforcedWithinSeconds is the time after which an accepted contract is enforced for strict tenants.
+	enforcedWithinSeconds = leaseSeconds + authoritySeconds
 )
 
-// simNode is one node. Its queries are accepted by the table that it has, and each may send subqueries until it ends.
+// simNode is one node. It accepts queries by the table that it received last. Each query may send subqueries until it ends.
 type simNode struct {
-	name      membership.Name
-	rate      float64
-	lease     *Lease
-	received  Version
-	applied   Version
-	appliesAt float64 // when the module goes by what it has
-	stops     float64
-	queries   []simQuery
-	next      float64
+	name          membership.Name
+	clockRate     float64
+	lease         *Lease
+	received      Version
+	applied       Version
+	appliesAt     float64 // when the received table is applied
+	pausedUntil   float64
+	queries       []simQuery
+	nextRequestAt float64
 }
 
 type simQuery struct {
 	version Version
-	ends    float64
+	endsAt  float64
 }
 
 type simLeader struct {
-	spread         *Rollout
+	rollout        *Rollout
 	version        Version
-	confirmedUntil float64 // until when, by true time
+	confirmedUntil float64 // in true time
 }
 
-// play runs one strict tenant's contract, narrowed again and again, at nodes that are partitioned, pause and restart, under
-// leaders that come and go while the one before still acts on its last confirmation. Version v allows no subquery that v-1
-// allowed, so that a subquery is outside where its query goes by an older version than has to be applied.
-func play(seed uint64, b omittedRule) error {
-	g := random.PCG(seed)
+// simulate runs the contract of one strict tenant, which is narrowed repeatedly. Nodes are partitioned, pause and restart.
+// Leaders change while the previous one still acts on its last confirmation. Version v allows no subquery that v-1 allowed. So a
+// subquery violates the contract if its query follows an older version than the one that has to be applied.
+func simulate(seed uint64, omitted omittedRule) error {
+	rng := random.PCG(seed)
 	var names []membership.Name
 	var nodes []*simNode
 	for i := range 4 {
 		names = append(names, membership.Name(fmt.Sprint("m", i)))
 	}
-	begin := func(m *simNode) {
-		m.lease, m.received, m.applied, m.queries = NewLease(lease, longest), 0, 0, nil
+	startProcess := func(node *simNode) {
+		node.lease, node.received, node.applied, node.queries = NewLease(leaseSeconds, maxQuerySeconds), 0, 0, nil
 	}
 	for _, name := range names {
-		m := &simNode{name: name, rate: 1 + quota.ClockSlack/2*(2*g.Unit()-1)}
-		begin(m)
-		nodes = append(nodes, m)
+		node := &simNode{name: name, clockRate: 1 + quota.MaxClockDrift/2*(2*rng.Unit()-1)}
+		startProcess(node)
+		nodes = append(nodes, node)
 	}
 	latest, accepted, reported := Version(1), 0.0, Version(0)
-	leaders := []*simLeader{{spread: NewRollout(lease, names), version: 1}}
-	leaders[0].spread.Begin(0, authority)
+	leaders := []*simLeader{{rollout: NewRollout(leaseSeconds, names), version: 1}}
+	leaders[0].rollout.Begin(0, authoritySeconds)
 	partitioned := map[int]float64{}
 	const step = 0.02
 	for now := 0.0; now < 60; now += step {
-		newest := leaders[len(leaders)-1]
-		newest.confirmedUntil, newest.version = now+authority, latest // a majority says so, and tells what was agreed on
-		switch u := g.Unit(); {
+		leader := leaders[len(leaders)-1]
+		leader.confirmedUntil, leader.version = now+authoritySeconds, latest // a majority confirms the leader, and sends it the committed version
+		switch u := rng.Unit(); {
 		case u < 0.004:
-			l := &simLeader{spread: NewRollout(lease, names), version: latest, confirmedUntil: now + authority}
-			if l.spread.Begin(now, authority); b.ignorePreviousLeader {
-				l.spread.Begin(now-100, 0)
+			newLeader := &simLeader{rollout: NewRollout(leaseSeconds, names), version: latest, confirmedUntil: now + authoritySeconds}
+			if newLeader.rollout.Begin(now, authoritySeconds); omitted.ignorePreviousLeader {
+				newLeader.rollout.Begin(now-100, 0)
 			}
-			leaders = append(leaders, l)
-			newest = l
+			leaders = append(leaders, newLeader)
+			leader = newLeader
 		case u < 0.010 && now-accepted > 0.5:
 			latest, accepted = latest+1, now
-			newest.version = latest
+			leader.version = latest
 		case u < 0.014:
-			partitioned[int(g.Unit()*4)] = now + 9*g.Unit()
+			partitioned[int(rng.Unit()*4)] = now + 9*rng.Unit()
 		case u < 0.018:
-			nodes[int(g.Unit()*4)].stops = now + 6*g.Unit()
+			nodes[int(rng.Unit()*4)].pausedUntil = now + 6*rng.Unit()
 		case u < 0.020:
-			begin(nodes[int(g.Unit()*4)])
+			startProcess(nodes[int(rng.Unit()*4)])
 		}
-		if p := newest.spread.Progress(now, latest, true); p.Applied || b.reportEarly && slices.ContainsFunc(p.Nodes, func(x NodeState) bool { return x.State != StateOld }) {
+		if progress := leader.rollout.Progress(now, latest, true); progress.Applied || omitted.reportBeforeAllApply && slices.ContainsFunc(progress.Nodes, func(x NodeState) bool { return x.State != StateOutdated }) {
 			reported = max(reported, latest)
 		}
-		must := reported
-		if now > accepted+bound*quota.WaitFactor+step {
-			must = latest
+		requiredVersion := reported
+		if now > accepted+enforcedWithinSeconds*quota.WaitFactor+step {
+			requiredVersion = latest
 		}
-		for i, m := range nodes {
-			if now < m.stops {
+		for i, node := range nodes {
+			if now < node.pausedUntil {
 				continue
 			}
-			clock := now * m.rate
-			m.queries = slices.DeleteFunc(m.queries, func(l simQuery) bool { return now >= l.ends })
-			if m.applied < m.received && now >= m.appliesAt { // the module's step brings held queries under the new rules
-				m.applied = m.received
-				for j := range m.queries {
-					m.queries[j].version = m.received
+			clock := now * node.clockRate
+			node.queries = slices.DeleteFunc(node.queries, func(query simQuery) bool { return now >= query.endsAt })
+			if node.applied < node.received && now >= node.appliesAt { // running queries follow the new rules from here on
+				node.applied = node.received
+				for j := range node.queries {
+					node.queries[j].version = node.received
 				}
 			}
-			if clock < m.lease.Until() || b.ignoreExpiry && m.received > 0 {
-				m.queries = append(m.queries, simQuery{m.received, now + longest})
+			if clock < node.lease.AcceptUntil() || omitted.ignoreExpiry && node.received > 0 {
+				node.queries = append(node.queries, simQuery{node.received, now + maxQuerySeconds})
 			}
-			for _, l := range m.queries { // each sends a part call now
-				if l.version < must {
-					return fmt.Errorf("at %.2f s: %s sends by version %d, %d must hold", now, m.name, l.version, must)
+			for _, query := range node.queries { // each sends a subquery now
+				if query.version < requiredVersion {
+					return fmt.Errorf("at %.2f s: %s sends a subquery by version %d, expected %d or later", now, node.name, query.version, requiredVersion)
 				}
 			}
-			if now < m.next || now < partitioned[i] {
+			if now < node.nextRequestAt || now < partitioned[i] {
 				continue
 			}
-			m.next = now + 0.2
-			l := leaders[max(0, len(leaders)-1-int(g.Unit()*g.Unit()*3))]
-			if now >= l.confirmedUntil || g.Unit() < 0.1 {
+			node.nextRequestAt = now + 0.2
+			contacted := leaders[max(0, len(leaders)-1-int(rng.Unit()*rng.Unit()*3))]
+			if now >= contacted.confirmedUntil || rng.Unit() < 0.1 {
 				continue
 			}
-			holds := m.applied
-			if b.reportUnapplied {
-				holds = m.received
+			reportedVersion := node.applied
+			if omitted.reportReceivedVersion {
+				reportedVersion = node.received
 			}
-			l.spread.RecordApplied(now, m.name, holds)
-			l.spread.RecordRenewal(now, m.name)
-			if g.Unit() < 0.1 || l.version < m.received { // the answer is lost, or of one that led before
+			contacted.rollout.RecordApplied(now, node.name, reportedVersion)
+			contacted.rollout.RecordRenewal(now, node.name)
+			if rng.Unit() < 0.1 || contacted.version < node.received { // the response is lost, or comes from an earlier leader
 				continue
 			}
-			if m.received != l.version {
-				m.received, m.appliesAt = l.version, now+0.3*g.Unit()
+			if node.received != contacted.version {
+				node.received, node.appliesAt = contacted.version, now+0.3*rng.Unit()
 			}
-			m.lease.Renew(clock - 0.05)
+			node.lease.Renew(clock - 0.05)
 		}
 	}
 	if reported < 2 {
@@ -186,45 +189,46 @@
 	return nil
 }
 
-func TestNarrowedContractIsEnforcedOnceReported(t *testing.T) {
+func TestNarrowedContractIsEnforcedOnceReportedAsApplied(t *testing.T) {
 	seeds := uint64(1000)
 	if raceflag.On || testing.Short() {
 		seeds = 500
 	}
 	for seed := range seeds {
-		if err := play(seed+1, omittedRule{}); err != nil {
+		if err := simulate(seed+1, omittedRule{}); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-func TestCheckerFindsOmittedRules(t *testing.T) {
-	for name, b := range map[string]omittedRule{"told before all hold it": {reportEarly: true}, "a new leader forgets": {ignorePreviousLeader: true},
-		"leases are not looked at": {ignoreExpiry: true}, "said to hold before it does": {reportUnapplied: true}} {
+func TestCheckerDetectsEachOmittedRule(t *testing.T) {
+	for name, omitted := range map[string]omittedRule{"reported before all nodes apply it": {reportBeforeAllApply: true}, "a new leader ignores leases of the previous one": {ignorePreviousLeader: true},
+		"expiry of leases is ignored": {ignoreExpiry: true}, "a node reports a version that it does not apply yet": {reportReceivedVersion: true}} {
 		found := 0
 		for seed := range uint64(100) {
-			if play(seed+1, b) != nil {
+			if simulate(seed+1, omitted) != nil {
 				found++
 			}
 		}
 		if t.Logf("%s: found in %d of 100 runs", name, found); found == 0 {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: not found in 100 runs", name)
 		}
 	}
 }
 
-// A tenant that is served past its lease never counts as applied by time alone, and the nodes that are behind are named.
-func TestLenientTenantsWaitForAllNodes(t *testing.T) {
-	s := NewRollout(lease, []membership.Name{"a", "b"})
-	s.Begin(0, authority)
-	s.RecordApplied(50, "a", 7)
-	if p := s.Progress(100, 7, false); p.Applied || p.Nodes[1].State != StateOld {
+// A tenant that is not strict is served even after the lease of a node has expired. So its contract counts as applied only when
+// all nodes report it, and Progress names the nodes that have not. For a strict tenant an expired lease suffices.
+func TestNonStrictContractNeedsAllNodesToApplyIt(t *testing.T) {
+	rollout := NewRollout(leaseSeconds, []membership.Name{"a", "b"})
+	rollout.Begin(0, authoritySeconds)
+	rollout.RecordApplied(50, "a", 7)
+	if p := rollout.Progress(100, 7, false); p.Applied || p.Nodes[1].State != StateOutdated {
 		t.Errorf("%+v", p)
 	}
-	if p := s.Progress(100, 7, true); !p.Applied || p.Nodes[1].State != StateRefuses {
+	if p := rollout.Progress(100, 7, true); !p.Applied || p.Nodes[1].State != StateRefuses {
 		t.Errorf("%+v", p)
 	}
-	if p := s.Progress(1, 7, true); p.Applied || !(p.Nodes[1].LeaseEndsIn > 0) || math.IsInf(p.Nodes[1].LeaseEndsIn, 0) {
+	if p := rollout.Progress(1, 7, true); p.Applied || !(p.Nodes[1].LeaseEndsIn > 0) || math.IsInf(p.Nodes[1].LeaseEndsIn, 0) {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/controlplane/fleet/residency/wire_test.go
+++ b/internal/controlplane/fleet/residency/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the encoded forms of the types that are sent or stored.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.CBOR,
 		goldentest.Form{Name: "contract", Value: new(Contract)},
 		goldentest.Form{Name: "table", Value: new(Table)},
@@ -20,11 +20,11 @@
 	)
 }
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the constants that are sent or stored.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: StateApplied, Want: "holds"},
 		goldentest.Constant{Have: StateRefuses, Want: "refuses"},
-		goldentest.Constant{Have: StateOld, Want: "old"},
+		goldentest.Constant{Have: StateOutdated, Want: "old"},
 	)
 }
--- a/internal/controlplane/fleet/sealedmessage/sealedmessage_test.go
+++ b/internal/controlplane/fleet/sealedmessage/sealedmessage_test.go
@@ -9,126 +9,126 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-var key = [KeyBytes]byte{1, 2, 3}
+var testKey = [KeyBytes]byte{1, 2, 3}
 
-func sealers(t testing.TB, lim Limits) (a, s *Sealer) {
+func newSealers(t testing.TB, limits Limits) (sender, receiver *Sealer) {
 	t.Helper()
-	a, err := New("a", 10, key, []membership.Name{"b", "c"}, lim)
+	sender, err := New("a", 10, testKey, []membership.Name{"b", "c"}, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err = New("b", 20, key, []membership.Name{"a", "c"}, lim); err != nil {
+	if receiver, err = New("b", 20, testKey, []membership.Name{"a", "c"}, limits); err != nil {
 		t.Fatal(err)
 	}
-	return a, s
+	return sender, receiver
 }
 
-var wide = Limits{BytesPerS: 1e9, Burst: 1e9}
+var unlimited = Limits{BytesPerSecond: 1e9, Burst: 1e9}
 
-func TestMessagesAreOpenedOnce(t *testing.T) {
-	a, s := sealers(t, wide)
-	sealed := a.Seal("b", 3, []byte("body"))
-	l, why := s.Open(1, sealed)
-	if why != Accepted || l.From != "a" || l.Kind != 3 || string(l.Body) != "body" || l.Incarnation != 10 || l.Number != 1 {
-		t.Fatalf("%v %+v", why, l)
+func TestMessageIsOpenedOnceByItsRecipient(t *testing.T) {
+	sender, receiver := newSealers(t, unlimited)
+	sealed := sender.Seal("b", 3, []byte("body"))
+	message, verdict := receiver.Open(1, sealed)
+	if verdict != Accepted || message.From != "a" || message.Kind != 3 || string(message.Body) != "body" || message.Incarnation != 10 || message.Number != 1 {
+		t.Fatalf("%v %+v", verdict, message)
 	}
-	if _, why := s.Open(1, sealed); why != Replayed {
-		t.Errorf("a replayed message: %v", why)
+	if _, verdict := receiver.Open(1, sealed); verdict != Replayed {
+		t.Errorf("a replayed message: %v", verdict)
 	}
-	if _, why := a.Open(1, sealed); why != UnknownSender { // our own, turned back
-		t.Errorf("our own message: %v", why)
+	if _, verdict := sender.Open(1, sealed); verdict != UnknownSender { // a message of this node that is sent back to it
+		t.Errorf("a message of the node itself: %v", verdict)
 	}
-	c, _ := New("c", 1, key, []membership.Name{"a", "b"}, wide)
-	if _, why := c.Open(1, sealed); why != WrongRecipient {
-		t.Errorf("a message to another node: %v", why)
+	third, _ := New("c", 1, testKey, []membership.Name{"a", "b"}, unlimited)
+	if _, verdict := third.Open(1, sealed); verdict != WrongRecipient {
+		t.Errorf("a message to another node: %v", verdict)
 	}
 	for i := range sealed {
 		altered := bytes.Clone(sealed)
 		altered[i] ^= 1
-		if _, why := s.Open(1, altered); why == Accepted {
-			t.Errorf("byte %d altered, and opened", i)
+		if _, verdict := receiver.Open(1, altered); verdict == Accepted {
+			t.Errorf("a message with byte %d altered is accepted", i)
 		}
 	}
-	other, _ := New("a", 11, [KeyBytes]byte{9}, []membership.Name{"b"}, wide)
-	if _, why := s.Open(1, other.Seal("b", 1, nil)); why != BadMAC {
-		t.Errorf("another key: %v", why)
+	otherKey, _ := New("a", 11, [KeyBytes]byte{9}, []membership.Name{"b"}, unlimited)
+	if _, verdict := receiver.Open(1, otherKey.Seal("b", 1, nil)); verdict != BadMAC {
+		t.Errorf("a message sealed with another key: %v", verdict)
 	}
-	if a.Seal("nobody", 1, nil) != nil || a.Seal("b", 1, make([]byte, MaxBytes)) != nil {
-		t.Error("a message to no member, or too long, is sealed")
+	if sender.Seal("nobody", 1, nil) != nil || sender.Seal("b", 1, make([]byte, MaxBytes)) != nil {
+		t.Error("a message to an unknown member, or with a body that is too long, is sealed")
 	}
-	if _, why := s.Open(1, make([]byte, MaxBytes+1)); why != TooLong {
-		t.Errorf("too long: %v", why)
+	if _, verdict := receiver.Open(1, make([]byte, MaxBytes+1)); verdict != TooLong {
+		t.Errorf("a message that is too long: %v", verdict)
 	}
 }
 
-// A process that starts after another of its name ends what that one sent; its own messages begin at 1 again. One whose clock
-// went back is notified, and raises its incarnation.
-func TestOlderIncarnationIsRejected(t *testing.T) {
-	a, s := sealers(t, wide)
-	old := a.Seal("b", 1, nil)
-	next, _ := New("a", 11, key, []membership.Name{"b"}, wide)
-	if _, why := s.Open(1, next.Seal("b", 1, nil)); why != Accepted {
-		t.Fatal(why)
-	}
-	if l, why := s.Open(1, old); why != OldIncarnation || l.From != "a" {
-		t.Errorf("of the process before: %v", why)
-	}
-	a.RaiseIncarnation(s.KnownIncarnation("a"))
-	if _, why := s.Open(1, a.Seal("b", 1, nil)); why != Accepted || a.Incarnation() != 12 {
-		t.Errorf("after it rose: %v, incarnation %d", why, a.Incarnation())
+// After a message of a newer process is accepted, messages of the older process of the same node are rejected. The numbers of the
+// newer process start at 1 again. A process whose clock went back raises its incarnation, and is then accepted.
+func TestMessageOfOlderIncarnationIsRejected(t *testing.T) {
+	sender, receiver := newSealers(t, unlimited)
+	oldMessage := sender.Seal("b", 1, nil)
+	restarted, _ := New("a", 11, testKey, []membership.Name{"b"}, unlimited)
+	if _, verdict := receiver.Open(1, restarted.Seal("b", 1, nil)); verdict != Accepted {
+		t.Fatal(verdict)
+	}
+	if message, verdict := receiver.Open(1, oldMessage); verdict != OldIncarnation || message.From != "a" {
+		t.Errorf("a message of the older process: %v", verdict)
+	}
+	sender.RaiseIncarnation(receiver.KnownIncarnation("a"))
+	if _, verdict := receiver.Open(1, sender.Seal("b", 1, nil)); verdict != Accepted || sender.Incarnation() != 12 {
+		t.Errorf("after the incarnation was raised: %v, incarnation %d", verdict, sender.Incarnation())
 	}
 }
 
-// The messages of a node that sends too much are rejected for a while; those of others are not.
-func TestBytesPerSecondAreLimited(t *testing.T) {
-	a, s := sealers(t, Limits{BytesPerS: 1000, Burst: 1000})
-	c, _ := New("c", 1, key, []membership.Name{"b"}, wide)
+// Messages of a node that exceeds its limit are rejected until the limit allows more. Those of other nodes are accepted.
+func TestBytesPerSecondOfASenderAreLimited(t *testing.T) {
+	sender, receiver := newSealers(t, Limits{BytesPerSecond: 1000, Burst: 1000})
+	third, _ := New("c", 1, testKey, []membership.Name{"b"}, unlimited)
 	opened := 0
 	for range 100 {
-		if _, why := s.Open(5, a.Seal("b", 1, make([]byte, 50))); why == Accepted {
+		if _, verdict := receiver.Open(5, sender.Seal("b", 1, make([]byte, 50))); verdict == Accepted {
 			opened++
 		}
 	}
 	if opened < 8 || opened > 11 {
-		t.Errorf("%d messages of 100 bytes opened at once, expected 10", opened)
+		t.Errorf("%d messages of 100 bytes accepted at once, expected 8 to 11", opened)
 	}
-	if _, why := s.Open(5, c.Seal("b", 1, nil)); why != Accepted {
-		t.Errorf("another node: %v", why)
+	if _, verdict := receiver.Open(5, third.Seal("b", 1, nil)); verdict != Accepted {
+		t.Errorf("a message of another node: %v", verdict)
 	}
-	if _, why := s.Open(6, a.Seal("b", 1, nil)); why != Accepted {
-		t.Errorf("a second later: %v", why)
+	if _, verdict := receiver.Open(6, sender.Seal("b", 1, nil)); verdict != Accepted {
+		t.Errorf("a message one second later: %v", verdict)
 	}
 }
 
-// The window accepts each number once, in whatever order they come, while it is close behind the highest.
-func TestReplayWindow(t *testing.T) {
+// The window accepts each number once, in whatever order the numbers arrive, unless the number is too far below the highest.
+func TestReplayWindowAcceptsEachNumberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, seen, highest := window{}, map[Number]bool{}, Number(0)
-		for range rapid.IntRange(1, 400).Draw(t, "letters") {
-			n := Number(rapid.Uint64Range(1, 3000).Draw(t, "number"))
+		window, seen, highest := replayWindow{}, map[Number]bool{}, Number(0)
+		for range rapid.IntRange(1, 400).Draw(t, "messages") {
+			number := Number(rapid.Uint64Range(1, 3000).Draw(t, "number"))
 			if near := rapid.Bool().Draw(t, "near"); near {
-				n = max(1, highest+Number(rapid.Uint64Range(0, 80).Draw(t, "ahead"))-min(highest, 40))
+				number = max(1, highest+Number(rapid.Uint64Range(0, 80).Draw(t, "ahead"))-min(highest, 40))
 			}
-			first, near := !seen[n], highest < windowWords*64 || n > highest-windowWords*64
-			if got := w.accept(n); got != (first && near) {
-				t.Fatalf("number %d with %d the highest: taken %t, expected %t", n, highest, got, first && near)
+			isNew, inWindow := !seen[number], highest < windowWords*64 || number > highest-windowWords*64
+			if accepted := window.accept(number); accepted != (isNew && inWindow) {
+				t.Fatalf("number %d, highest %d: accepted is %t, expected %t", number, highest, accepted, isNew && inWindow)
 			}
-			if near {
-				seen[n] = true
+			if inWindow {
+				seen[number] = true
 			}
-			highest = max(highest, n)
+			highest = max(highest, number)
 		}
 	})
 }
 
 func FuzzOpen(f *testing.F) {
-	a, _ := sealers(f, wide)
-	f.Add(a.Seal("b", 1, []byte("x")))
+	sender, _ := newSealers(f, unlimited)
+	f.Add(sender.Seal("b", 1, []byte("x")))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		a, s := sealers(t, wide)
-		genuine := a.Seal("b", 1, []byte("x"))
-		if _, why := s.Open(1, in); why == Accepted && !bytes.Equal(in, genuine) {
-			t.Errorf("opened what nobody sealed: %x", in)
+		sender, receiver := newSealers(t, unlimited)
+		genuine := sender.Seal("b", 1, []byte("x"))
+		if _, verdict := receiver.Open(1, in); verdict == Accepted && !bytes.Equal(in, genuine) {
+			t.Errorf("a forged message is accepted: %x", in)
 		}
 	})
 }
--- a/internal/controlplane/fleet/sealedmessage/wire_test.go
+++ b/internal/controlplane/fleet/sealedmessage/wire_test.go
@@ -7,9 +7,9 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// TestWireForms pins a sealed message, in both directions.
-func TestWireForms(t *testing.T) {
-	limits := Limits{BytesPerS: 1 << 20, Burst: 1 << 20}
+// TestEncodedFormsMatchGoldenFiles checks the bytes of a sealed message, and that Open reads them back.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
+	limits := Limits{BytesPerSecond: 1 << 20, Burst: 1 << 20}
 	sender, err := New("a", 5, [KeyBytes]byte{1, 2, 3}, []membership.Name{"b"}, limits)
 	if err != nil {
 		t.Fatal(err)
@@ -23,8 +23,8 @@
 		t.Errorf("sealed as %s, want %s", have, want)
 	}
 	sealed, _ := hex.DecodeString(want)
-	message, why := receiver.Open(0, sealed)
-	if why != Accepted || message.From != "a" || message.Incarnation != 5 || message.Number != 1 || message.Kind != 7 || string(message.Body) != "text" {
-		t.Errorf("opened as %+v, %d", message, why)
+	message, verdict := receiver.Open(0, sealed)
+	if verdict != Accepted || message.From != "a" || message.Incarnation != 5 || message.Number != 1 || message.Kind != 7 || string(message.Body) != "text" {
+		t.Errorf("opened as %+v, %d", message, verdict)
 	}
 }
--- a/internal/controlplane/fleet/settings.go
+++ b/internal/controlplane/fleet/settings.go
@@ -25,7 +25,7 @@
 	Directory   string // "" stores nothing; a voter needs one
 	Lease       float64
 	MaxDeadline float64 // the longest hard deadline of a query
-	Names       residency.NameSpace
+	Names       residency.KnownNames
 	Layout      policy.Layout
 	Seed        uint64
 
--- a/internal/controlplane/fleet/status.go
+++ b/internal/controlplane/fleet/status.go
@@ -67,7 +67,7 @@
 		SteppedOut:            f.voter.steppedOut,
 		Leader:                f.granters.leader,
 		Leads:                 f.isConfirmedLeader(),
-		ContractsConfirmedFor: max(0, f.contractLease.Until()-f.now),
+		ContractsConfirmedFor: max(0, f.contractLease.AcceptUntil()-f.now),
 		Contracts:             *f.tables.contracts,
 		AppliedContracts:      f.tables.appliedContracts,
 		QuotasVersion:         f.tables.versions.Quotas,
@@ -128,7 +128,7 @@
 	switch {
 	case !has || len(contract.Indexes) > 0 && !slices.Contains(contract.Indexes, index):
 		explain("contract: none speaks of this tenant and index")
-	case contract.Own && !slices.Contains(contract.Zones, f.settings.Location):
+	case contract.RestrictsAggregators && !slices.Contains(contract.Zones, f.settings.Location):
 		e.Accepted = false
 		explain("contract: mixers have to stand in %q, this one is in %q: refused", contract.Zones, f.settings.Location)
 	default:
@@ -137,7 +137,7 @@
 	}
 	if tenantQuota, has := s.Quotas[string(tenant)]; has {
 		perS, burst := tenantQuota.NodeMinimum(len(f.settings.Membership.Members))
-		explain("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.PerS, tenantQuota.Burst, perS, burst)
+		explain("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.Rate, tenantQuota.Burst, perS, burst)
 	} else {
 		explain("quota: none")
 	}
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -31,8 +31,8 @@
 var (
 	storedNames    = []membership.Name{"a", "b", "c"}
 	storedFounders = []consensus.Voter{{Name: "a", ID: 0x11}, {Name: "b", ID: 0x22}, {Name: "c", ID: 0x33}}
-	storedQuota    = quota.Quota{PerS: 100, Burst: 50, MinimumShare: 0.25}
-	storedContract = residency.Contract{Zones: []string{"north", "south"}, Own: true, Indexes: []string{"reads"}}
+	storedQuota    = quota.Quota{Rate: 100, Burst: 50, MinimumShare: 0.25}
+	storedContract = residency.Contract{Zones: []string{"north", "south"}, RestrictsAggregators: true, Indexes: []string{"reads"}}
 	// storedState is that of the snapshot.
 	storedState = consensus.State{
 		Index:     7,
@@ -50,10 +50,10 @@
 	// storedCommands are in the log after the snapshot, from index 8 on.
 	storedCommands = []consensus.Command{
 		{ID: "c-3", Author: "ann", Reason: "new", Contract: &consensus.ContractChange{Tenant: "beta", Contract: &residency.Contract{Zones: []string{"west"}}}},
-		{ID: "c-4", Author: "ann", Reason: "more", Quota: &consensus.QuotaChange{Tenant: "beta", Quota: &quota.Quota{PerS: 8, Burst: 4, MinimumShare: 0.5}}},
+		{ID: "c-4", Author: "ann", Reason: "more", Quota: &consensus.QuotaChange{Tenant: "beta", Quota: &quota.Quota{Rate: 8, Burst: 4, MinimumShare: 0.5}}},
 		{ID: "c-5", Author: "file", File: &consensus.FileTables{
 			ContractsVersion: 2, Contracts: map[residency.Tenant]residency.Contract{"late": {Zones: []string{"east"}}},
-			QuotasVersion: 4, Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, MinimumShare: 0.25}},
+			QuotasVersion: 4, Quotas: map[quota.Tenant]quota.Quota{"acme": {Rate: 200, Burst: 50, MinimumShare: 0.25}},
 		}},
 	}
 	// storedAgreed is the state after the commands that the vote record says are agreed on.
@@ -61,7 +61,7 @@
 		Index: 10,
 		Contracts: residency.Table{Version: 8, Contracts: map[residency.Tenant]residency.Contract{
 			"acme": storedContract, "beta": {Zones: []string{"west"}}}},
-		Quotas: map[quota.Tenant]quota.Quota{"acme": {PerS: 200, Burst: 50, MinimumShare: 0.25}}, QuotasVersion: 10,
+		Quotas: map[quota.Tenant]quota.Quota{"acme": {Rate: 200, Burst: 50, MinimumShare: 0.25}}, QuotasVersion: 10,
 		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {PerS: 50, Burst: 15}, "beta": {PerS: 4, Burst: 2}},
 		FileContracts:   2, FileQuotas: 4, Voters: storedFounders,
 		Applied: []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}, {ID: "c-3", Index: 8}, {ID: "c-4", Index: 9},
--- a/internal/controlplane/fleet/udptransport/udptransport.go
+++ b/internal/controlplane/fleet/udptransport/udptransport.go
@@ -1,8 +1,8 @@
-// Package udptransport carries sealed messages between nodes: datagrams over UDP, and longer messages over TCP, both at the
-// one address that the membership gives a node. It neither opens messages nor retries them. Send never blocks: a message that
-// finds its queue full is dropped, as a network would drop it, and counted.
+// Package udptransport sends and receives sealed messages between nodes. Short messages are sent as datagrams over UDP, and long
+// ones over TCP. Both use the one address that the membership defines for a node. The package neither opens messages nor retries
+// them. Send never blocks. A message whose queue is full is dropped, as a network might do, and counted.
 //
-// A long message is framed by its length, in 4 bytes, big endian.
+// A long message is sent as a frame: its length in 4 bytes, big endian, followed by the message.
 package udptransport
 
 import (
@@ -20,38 +20,39 @@
 )
 
 const (
-	// receiveQueueLength is in messages: several rounds of what a fleet of hundreds may send at once.
+	// receiveQueueLength is in messages. It suffices for several rounds of the messages that a fleet of hundreds of nodes may send
+	// at once.
 	receiveQueueLength = 4096
-	// longQueueLength is in messages to one other node; senders repeat what matters.
-	longQueueLength = 8
-	dialTimeout     = time.Second
-	frameTimeout    = 5 * time.Second  // for a frame, once its header has come
-	idleTimeout     = 10 * time.Second // then a connection without a frame is closed
-	maxConnections  = 64               // accepted at once
+	// longMessageQueueLength is in messages to one other node. It can be small because senders repeat important messages.
+	longMessageQueueLength = 8
+	dialTimeout            = time.Second
+	frameTimeout           = 5 * time.Second  // to read a frame after its header, or to write one
+	idleTimeout            = 10 * time.Second // a sender closes its connection after this time without a frame
+	maxConnections         = 64               // open incoming connections
 )
 
-// Transport is the sockets of one node. Send may be called from one goroutine, Close once.
+// Transport holds the sockets of one node. Send must be called by one goroutine only, and Close only once.
 type Transport struct {
 	Received chan []byte // sealed messages, in the order of their arrival
 
-	udp         *net.UDPConn
-	tcp         net.Listener
-	counters    *counters.Set
-	addresses   map[membership.Name]*net.UDPAddr
-	longQueues  map[membership.Name]chan []byte
-	closing     chan struct{}
-	goroutines  sync.WaitGroup
-	mu          sync.Mutex
-	connections map[net.Conn]bool
-	closed      bool
+	udp               *net.UDPConn
+	tcp               net.Listener
+	counters          *counters.Set
+	addresses         map[membership.Name]*net.UDPAddr
+	longMessageQueues map[membership.Name]chan []byte
+	closing           chan struct{}
+	goroutines        sync.WaitGroup
+	mu                sync.Mutex
+	connections       map[net.Conn]bool
+	closed            bool
 }
 
-// Listen opens the sockets of a node and resolves its peers' addresses. The address is a lock too: a second process under the
-// same name gets an error.
-func Listen(self string, peers map[membership.Name]string, counters *counters.Set) (*Transport, error) {
-	transport := &Transport{Received: make(chan []byte, receiveQueueLength), counters: counters, addresses: map[membership.Name]*net.UDPAddr{}, longQueues: map[membership.Name]chan []byte{},
+// Listen opens the sockets of a node and resolves the addresses of its peers. The listening address also serves as a lock: a second
+// process of the same node gets an error.
+func Listen(listenAddress string, peers map[membership.Name]string, counters *counters.Set) (*Transport, error) {
+	transport := &Transport{Received: make(chan []byte, receiveQueueLength), counters: counters, addresses: map[membership.Name]*net.UDPAddr{}, longMessageQueues: map[membership.Name]chan []byte{},
 		closing: make(chan struct{}), connections: map[net.Conn]bool{}}
-	address, err := net.ResolveUDPAddr("udp", self)
+	address, err := net.ResolveUDPAddr("udp", listenAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -59,38 +60,38 @@
 		if transport.addresses[name], err = net.ResolveUDPAddr("udp", address); err != nil {
 			return nil, err
 		}
-		transport.longQueues[name] = make(chan []byte, longQueueLength)
+		transport.longMessageQueues[name] = make(chan []byte, longMessageQueueLength)
 	}
 	if transport.udp, err = net.ListenUDP("udp", address); err != nil {
 		return nil, err
 	}
-	if transport.tcp, err = net.Listen("tcp", self); err != nil {
+	if transport.tcp, err = net.Listen("tcp", listenAddress); err != nil {
 		transport.udp.Close()
 		return nil, err
 	}
 	transport.goroutines.Go(transport.readDatagrams)
 	transport.goroutines.Go(transport.accept)
-	for name, queue := range transport.longQueues {
-		transport.goroutines.Go(func() { transport.sendLong(peers[name], queue) })
+	for name, queue := range transport.longMessageQueues {
+		transport.goroutines.Go(func() { transport.sendLongMessages(peers[name], queue) })
 	}
 	return transport, nil
 }
 
-// Close closes the sockets, and returns once all goroutines have ended.
+// Close closes the sockets and waits for all goroutines to end.
 func (s *Transport) Close() {
 	close(s.closing)
 	s.udp.Close()
 	s.tcp.Close()
 	s.mu.Lock()
 	s.closed = true
-	for c := range s.connections {
-		c.Close()
+	for connection := range s.connections {
+		connection.Close()
 	}
 	s.mu.Unlock()
 	s.goroutines.Wait()
 }
 
-// Send sends a message, by datagram if it fits into one.
+// Send sends a message, as a datagram if it fits into one.
 func (s *Transport) Send(to membership.Name, sealed []byte) {
 	if len(sealed) == 0 || s.addresses[to] == nil {
 		s.counters.Add("fleet_dropped", "not_sent", 1)
@@ -98,14 +99,14 @@
 	}
 	if len(sealed) > sealedmessage.MaxDatagramBytes {
 		select {
-		case s.longQueues[to] <- sealed:
+		case s.longMessageQueues[to] <- sealed:
 		default:
 			s.counters.Add("fleet_dropped", "no_room", 1)
 		}
 		return
 	}
 	fault := failpoint.Pass(failpoint.SendDatagram)
-	for range fault.Times() {
+	for range fault.Copies() {
 		if _, err := s.udp.WriteToUDP(sealed, s.addresses[to]); err != nil {
 			s.counters.Add("fleet_dropped", "not_sent", 1)
 		}
@@ -113,10 +114,10 @@
 	}
 }
 
-// enqueue hands a message to the reader of Received. The queue is bounded, so that a process that was paused does not find hours
-// of old messages: the newest are dropped.
+// enqueue adds a message to Received. The queue is bounded, so that a process that was paused does not find hours of old messages.
+// If it is full, new messages are dropped.
 func (s *Transport) enqueue(sealed []byte, fault failpoint.Fault) {
-	for range fault.Times() {
+	for range fault.Copies() {
 		select {
 		case s.Received <- sealed:
 		default:
@@ -132,7 +133,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // an ICMP error for a datagram of ours is reported here
+		case err != nil: // ICMP errors for datagrams that this node sent are reported here
 			continue
 		}
 		s.counters.Add("fleet_bytes", "taken", int64(n))
@@ -140,8 +141,9 @@
 	}
 }
 
-// sendLong sends long messages to one other node, one after the other, over a connection that it opens for the first of them.
-func (s *Transport) sendLong(address string, queue chan []byte) {
+// sendLongMessages sends the long messages for one other node one after the other. It opens a connection for the first message, and
+// again after the connection was closed.
+func (s *Transport) sendLongMessages(address string, queue chan []byte) {
 	var connection net.Conn
 	defer func() {
 		if connection != nil {
@@ -162,14 +164,15 @@
 			idle.Reset(idleTimeout)
 			frame := binary.BigEndian.AppendUint32(nil, uint32(len(sealed)))
 			frame = append(frame, sealed...)
-			for range failpoint.Pass(failpoint.SendLong).Times() {
+			for range failpoint.Pass(failpoint.SendLong).Copies() {
 				connection = s.writeFrame(connection, address, frame)
 			}
 		}
 	}
 }
 
-// writeFrame writes a frame to a connection, or to a new one where that was closed meanwhile. It returns the connection to use next.
+// writeFrame writes a frame to a connection. It opens a new connection if there is none or if the write fails on the given one. It
+// returns the connection to use next, or nil if the frame was not sent.
 func (s *Transport) writeFrame(connection net.Conn, address string, frame []byte) net.Conn {
 	for range 2 {
 		dialed := connection == nil
@@ -201,7 +204,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // no file descriptor is left: wait for others to be closed
+			time.Sleep(10 * time.Millisecond) // probably out of file descriptors: wait until some are closed
 			continue
 		}
 		s.mu.Lock()
@@ -217,7 +220,7 @@
 	}
 }
 
-// readFrames reads long messages from a connection. Memory grows with the bytes that come, and not by the length in the header.
+// readFrames reads long messages from a connection. Memory is allocated as bytes arrive, not by the length in the header.
 func (s *Transport) readFrames(connection net.Conn) {
 	defer func() {
 		connection.Close()
--- a/internal/controlplane/fleet/voter.go
+++ b/internal/controlplane/fleet/voter.go
@@ -100,7 +100,7 @@
 func (f *Fleet) sendIntroduction(to []membership.Name, introduction *consensus.Introduction) {
 	fault := failpoint.Pass(failpoint.Introduce)
 	for _, name := range to {
-		for range fault.Times() {
+		for range fault.Copies() {
 			if name != f.settings.Self {
 				f.send(name, messageIntroduction, introduction)
 			}
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -263,7 +263,7 @@
 	}
 	s := fleet.Settings{Self: membership.Name(c.Name), Membership: file.Fleet.Roster(), Key: [operatorfile.KeyBytes]byte(key), Directory: file.Fleet.Directory,
 		Lease: file.Fleet.Lease, Layout: set.Layout, Seed: set.Seed, HasQuotas: file.Quotas.On, Strict: file.Contracts.Strict,
-		Names: residency.NameSpace{Zones: set.Net.Locations, Indexes: set.Net.Indexes, Tenants: set.Net.Customers},
+		Names: residency.KnownNames{Zones: set.Net.Locations, Indexes: set.Net.Indexes, Tenants: set.Net.Customers},
 		Lines: map[string]int{fleet.LineFleet: file.Fleet.Line, fleet.LineStrict: file.Contracts.Line}}
 	if location := int(set.Location); location < len(set.Net.Locations) {
 		s.Location = set.Net.Locations[location]
@@ -277,7 +277,7 @@
 		if s.FileTables.Contracts == nil {
 			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{}
 		}
-		s.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, Own: t.Own, Indexes: t.Indexes}
+		s.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, RestrictsAggregators: t.Own, Indexes: t.Indexes}
 		s.Lines[fleet.ContractLine(tenant)] = t.Line
 	}
 	for _, t := range file.Quotas.Tenants {
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -64,9 +64,9 @@
 		return out, invalid("expected a tenant, and one of contract, quota and clear")
 	case c.Contract != nil:
 		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant),
-			Contract: &residency.Contract{Zones: c.Contract.Zones, Own: c.Contract.AggregatorsToo, Indexes: c.Contract.Indexes}}
+			Contract: &residency.Contract{Zones: c.Contract.Zones, RestrictsAggregators: c.Contract.AggregatorsToo, Indexes: c.Contract.Indexes}}
 	case c.Quota != nil:
-		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{PerS: c.Quota.PerS, Burst: c.Quota.Burst, MinimumShare: c.Quota.Floor}}
+		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{Rate: c.Quota.PerS, Burst: c.Quota.Burst, MinimumShare: c.Quota.Floor}}
 	case c.Clear == "contract":
 		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant)}
 	case c.Clear == "quota":
--- a/internal/operators/operatorfile/fleet.go
+++ b/internal/operators/operatorfile/fleet.go
@@ -64,7 +64,7 @@
 
 // Quota is the same in the fleet's terms.
 func (q Quota) Quota() quota.Quota {
-	return quota.Quota{PerS: q.PerS, Burst: q.Burst, MinimumShare: q.Floor}
+	return quota.Quota{Rate: q.PerS, Burst: q.Burst, MinimumShare: q.Floor}
 }
 
 // Warnings tells of what is allowed and may not be meant, a line each.
