--- a/internal/controlplane/fleet/failuredetector/failuredetector.go
+++ b/internal/controlplane/fleet/failuredetector/failuredetector.go
@@ -52,24 +52,26 @@
 // Settings are the periods and time-outs, in seconds.
 type Settings struct {
 	Period           float64 // time between two probes
-	Timeout          float64 // time-out of a ping, after which other nodes are asked to ping as well
+	PingTimeout      float64 // time-out of a ping, after which other nodes are asked to ping as well
 	IsolationTimeout float64 // time without any message after which this node considers itself isolated
 }
 
 // DefaultSettings returns settings that detect a crash in a few seconds, at a few hundred bytes a second for each node. They are
 // made for the network of one data centre: the period is a tenth and the time-out a third of those of SWIM. IsolationTimeout is
 // three periods, in which several other nodes are pinged.
-func DefaultSettings() Settings { return Settings{Period: 0.5, Timeout: 0.15, IsolationTimeout: 1.5} }
+func DefaultSettings() Settings {
+	return Settings{Period: 0.5, PingTimeout: 0.15, IsolationTimeout: 1.5}
+}
 
 const (
-	indirectProbes       = 3 // nodes that are asked to ping (Das and others, section 3.2)
+	indirectProbeCount   = 3 // nodes that are asked to ping (Das and others, section 3.2)
 	maxConfirmations     = 3 // confirmations that shorten a suspicion the most (Lifeguard, section IV-B)
 	maxSuspicionFactor   = 3 // longest suspicion as a multiple of the shortest
 	minSuspicionPeriods  = 3 // shortest suspicion in periods, per log10 of the fleet size
 	maxLocalHealth       = 8 // worst local health score (Lifeguard, section IV-A)
 	maxUpdatesPerMessage = 8 // a message still fits into a datagram with names of 64 bytes
 	retransmitFactor     = 4 // how often an update is sent, per log10 of the fleet size
-	// nackTimeoutFactor is the fraction of Timeout after which a Nack is sent.
+	// nackTimeoutFactor is the fraction of PingTimeout after which a Nack is sent.
 	nackTimeoutFactor = 0.8
 )
 
@@ -134,13 +136,13 @@
 
 // New returns a detector that considers all other nodes alive at first.
 func New(settings Settings, self membership.Name, incarnation Incarnation, others []membership.Name, seed uint64, now float64) *Detector {
-	m := &Detector{settings: settings, self: self, incarnation: incarnation, now: now, random: random.PCG(seed), byName: map[membership.Name]*member{}, lastReceivedAt: now}
+	d := &Detector{settings: settings, self: self, incarnation: incarnation, now: now, random: random.PCG(seed), byName: map[membership.Name]*member{}, lastReceivedAt: now}
 	for _, name := range others {
 		peer := &member{name: name, status: Alive, lastReceivedAt: now}
-		m.members, m.byName[name] = append(m.members, peer), peer
+		d.members, d.byName[name] = append(d.members, peer), peer
 	}
-	m.nextProbeAt = now + settings.Period*m.random.Unit() // nodes that start at the same time must not all ping at the same time
-	return m
+	d.nextProbeAt = now + settings.Period*d.random.Unit() // nodes that start at the same time must not all ping at the same time
+	return d
 }
 
 const (
@@ -153,80 +155,80 @@
 
 // Isolated reports whether this node has received no message for IsolationTimeout, so that probably this node itself is partitioned.
 // An isolated node declares no other node dead.
-func (m *Detector) Isolated() bool {
-	return len(m.members) > 0 && m.now-m.lastReceivedAt >= m.settings.IsolationTimeout
+func (d *Detector) Isolated() bool {
+	return len(d.members) > 0 && d.now-d.lastReceivedAt >= d.settings.IsolationTimeout
 }
 
 // Status returns the status of a node. It is Alive for this node, and Dead for a node outside of the membership.
-func (m *Detector) Status(name membership.Name) Status {
-	if name == m.self {
+func (d *Detector) Status(name membership.Name) Status {
+	if name == d.self {
 		return Alive
 	}
-	if x := m.byName[name]; x != nil {
-		return x.status
+	if peer := d.byName[name]; peer != nil {
+		return peer.status
 	}
 	return Dead
 }
 
 // ReceivedAt returns when the last message from a node was received, or 0 for a node outside of the membership.
-func (m *Detector) ReceivedAt(name membership.Name) float64 {
-	if x := m.byName[name]; x != nil {
-		return x.lastReceivedAt
+func (d *Detector) ReceivedAt(name membership.Name) float64 {
+	if peer := d.byName[name]; peer != nil {
+		return peer.lastReceivedAt
 	}
 	return 0
 }
 
 // LocalHealth returns the local health score of this node, as in Lifeguard: 0 is healthy and maxLocalHealth the worst. A higher
 // score lengthens the time-outs.
-func (m *Detector) LocalHealth() int { return m.localHealth }
+func (d *Detector) LocalHealth() int { return d.localHealth }
 
 // Incarnation returns the current incarnation of this node.
-func (m *Detector) Incarnation() Incarnation { return m.incarnation }
+func (d *Detector) Incarnation() Incarnation { return d.incarnation }
 
 // Tick sends what is due and processes time-outs. It returns when to call it next.
-func (m *Detector) Tick(now float64) (next float64) {
-	m.now = now
-	if len(m.members) == 0 {
-		return now + m.settings.Period
+func (d *Detector) Tick(now float64) (next float64) {
+	d.now = now
+	if len(d.members) == 0 {
+		return now + d.settings.Period
 	}
-	for i := range m.indirectProbes {
-		if indirect := &m.indirectProbes[i]; indirect.nackAt <= now {
-			m.send(indirect.requester, Message{Kind: Nack, Seq: indirect.requesterSeq})
+	for i := range d.indirectProbes {
+		if indirect := &d.indirectProbes[i]; indirect.nackAt <= now {
+			d.send(indirect.requester, Message{Kind: Nack, Seq: indirect.requesterSeq})
 			indirect.nackAt = math.Inf(1)
 		}
 	}
-	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(request indirectProbe) bool { return request.expiresAt <= now })
-	isolated := m.Isolated()
-	for _, peer := range m.members {
+	d.indirectProbes = slices.DeleteFunc(d.indirectProbes, func(request indirectProbe) bool { return request.expiresAt <= now })
+	isolated := d.Isolated()
+	for _, peer := range d.members {
 		switch {
 		case peer.status != Suspect:
 		case isolated: // the fault may be at this node: the suspicion starts again once messages arrive
 			peer.suspectedAt = now
-		case now-peer.suspectedAt >= m.suspicionTimeout(peer):
-			m.apply(peer, suspicionTimedOut)
+		case now-peer.suspectedAt >= d.suspicionTimeout(peer):
+			d.apply(peer, suspicionTimedOut)
 		}
 	}
-	if probe := &m.probe; probe.to != nil && !probe.acknowledged && !probe.indirect && now-probe.sentAt >= m.scaleByHealth(m.settings.Timeout) {
+	if probe := &d.probe; probe.to != nil && !probe.acknowledged && !probe.indirect && now-probe.sentAt >= d.scaleByHealth(d.settings.PingTimeout) {
 		probe.indirect = true
-		for _, helper := range m.sample(indirectProbes, probe.to) {
+		for _, helper := range d.sample(indirectProbeCount, probe.to) {
 			probe.indirectSent++
-			m.send(helper.name, Message{Kind: PingRequest, Seq: probe.seq, Target: probe.to.name})
+			d.send(helper.name, Message{Kind: PingRequest, Seq: probe.seq, Target: probe.to.name})
 		}
 	}
-	if now >= m.nextProbeAt {
-		m.finishProbe()
-		m.startProbe()
-		m.nextProbeAt = now + m.scaleByHealth(m.settings.Period)
+	if now >= d.nextProbeAt {
+		d.finishProbe()
+		d.startProbe()
+		d.nextProbeAt = now + d.scaleByHealth(d.settings.Period)
 	}
-	return m.nextDeadline()
+	return d.nextDeadline()
 }
 
-func (m *Detector) nextDeadline() float64 {
-	next := m.nextProbeAt
-	if p := &m.probe; p.to != nil && !p.acknowledged && !p.indirect {
-		next = min(next, p.sentAt+m.scaleByHealth(m.settings.Timeout))
+func (d *Detector) nextDeadline() float64 {
+	next := d.nextProbeAt
+	if p := &d.probe; p.to != nil && !p.acknowledged && !p.indirect {
+		next = min(next, p.sentAt+d.scaleByHealth(d.settings.PingTimeout))
 	}
-	for _, indirect := range m.indirectProbes {
+	for _, indirect := range d.indirectProbes {
 		next = min(next, indirect.nackAt)
 	}
 	return next
@@ -234,42 +236,42 @@
 
 // finishProbe ends the probe in progress. If its target did not answer, it is suspected, unless this node is isolated. If some of the nodes that were asked to
 // ping the target sent no Nack either, this node is probably slow or partitioned itself. Its local health score then rises.
-func (m *Detector) finishProbe() {
-	p := &m.probe
+func (d *Detector) finishProbe() {
+	p := &d.probe
 	if p.to == nil || p.acknowledged {
 		return
 	}
 	if p.indirectSent > p.nacks {
-		m.localHealth = min(maxLocalHealth, m.localHealth+1)
+		d.localHealth = min(maxLocalHealth, d.localHealth+1)
 	}
-	if !m.Isolated() {
+	if !d.Isolated() {
 		if p.to.status == Alive {
-			p.to.firstSuspectedBy = m.self
+			p.to.firstSuspectedBy = d.self
 		}
-		m.apply(p.to, probeFailed)
+		d.apply(p.to, probeFailed)
 	}
 }
 
 // startProbe pings the next node of the round. Each round pings every node once, in a new random order (SWIM, section 4.3).
-func (m *Detector) startProbe() {
-	if len(m.unprobed) == 0 {
-		m.unprobed = m.sample(len(m.members), nil)
+func (d *Detector) startProbe() {
+	if len(d.unprobed) == 0 {
+		d.unprobed = d.sample(len(d.members), nil)
 	}
-	m.seq++
-	m.probe = probe{seq: m.seq, to: m.unprobed[0], sentAt: m.now}
-	m.unprobed = m.unprobed[1:]
-	m.send(m.probe.to.name, Message{Kind: Ping, Seq: m.seq})
+	d.seq++
+	d.probe = probe{seq: d.seq, to: d.unprobed[0], sentAt: d.now}
+	d.unprobed = d.unprobed[1:]
+	d.send(d.probe.to.name, Message{Kind: Ping, Seq: d.seq})
 }
 
 // sample returns up to n random members other than excluded. It returns dead members only if n covers all members.
-func (m *Detector) sample(n int, excluded *member) (candidates []*member) {
-	for _, candidate := range m.members {
-		if candidate != excluded && (candidate.status != Dead || n >= len(m.members)) {
+func (d *Detector) sample(n int, excluded *member) (candidates []*member) {
+	for _, candidate := range d.members {
+		if candidate != excluded && (candidate.status != Dead || n >= len(d.members)) {
 			candidates = append(candidates, candidate)
 		}
 	}
 	for i := range candidates {
-		j := i + int(m.random.Unit()*float64(len(candidates)-i))
+		j := i + int(d.random.Unit()*float64(len(candidates)-i))
 		candidates[i], candidates[j] = candidates[j], candidates[i]
 	}
 	return candidates[:min(n, len(candidates))]
--- a/internal/controlplane/fleet/failuredetector/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -12,7 +12,7 @@
 	Name        membership.Name `cbor:"1,keyasint"`
 	Status      Status          `cbor:"2,keyasint"`
 	Incarnation Incarnation     `cbor:"3,keyasint"`
-	By          membership.Name `cbor:"4,keyasint,omitempty"` // the node that suspects it, for a suspicion
+	SuspectedBy membership.Name `cbor:"4,keyasint,omitempty"` // the node that suspects it, for a suspicion
 }
 
 // MessageKind is the kind of a message.
@@ -40,54 +40,54 @@
 }
 
 // TakeOutput returns the messages to send and the status changes since the last call.
-func (m *Detector) TakeOutput() (out []Outgoing, changes []Change) {
-	out, changes = m.outgoing, m.changes
-	m.outgoing, m.changes = nil, nil
+func (d *Detector) TakeOutput() (out []Outgoing, changes []Change) {
+	out, changes = d.outgoing, d.changes
+	d.outgoing, d.changes = nil, nil
 	return out, changes
 }
 
 // RecordContact records that a message of any protocol was received from a node. It does not end a suspicion; only a refutation
 // does.
-func (m *Detector) RecordContact(now float64, from membership.Name) {
-	m.now = now
-	if sender := m.byName[from]; sender != nil {
-		sender.lastReceivedAt, m.lastReceivedAt = now, now
+func (d *Detector) RecordContact(now float64, from membership.Name) {
+	d.now = now
+	if sender := d.byName[from]; sender != nil {
+		sender.lastReceivedAt, d.lastReceivedAt = now, now
 	}
 }
 
 // Receive processes a message. A message from a node outside of the membership is ignored.
-func (m *Detector) Receive(now float64, from membership.Name, msg *Message) {
-	sender := m.byName[from]
+func (d *Detector) Receive(now float64, from membership.Name, msg *Message) {
+	sender := d.byName[from]
 	if sender == nil {
 		return
 	}
-	m.RecordContact(now, from)
-	m.receiveUpdate(Update{Name: from, Status: Alive, Incarnation: msg.Incarnation})
+	d.RecordContact(now, from)
+	d.receiveUpdate(Update{Name: from, Status: Alive, Incarnation: msg.Incarnation})
 	for _, update := range msg.Updates {
-		m.receiveUpdate(update)
+		d.receiveUpdate(update)
 	}
 	switch msg.Kind {
 	case Ping:
-		m.send(from, Message{Kind: Ack, Seq: msg.Seq})
+		d.send(from, Message{Kind: Ack, Seq: msg.Seq})
 	case PingRequest:
-		if target := m.byName[msg.Target]; target != nil && len(m.indirectProbes) < 4*len(m.members) {
-			m.seq++
-			m.indirectProbes = append(m.indirectProbes, indirectProbe{m.seq, from, msg.Seq, msg.Target, now + nackTimeoutFactor*m.settings.Timeout, now + 2*m.settings.Period})
-			m.send(msg.Target, Message{Kind: Ping, Seq: m.seq})
+		if target := d.byName[msg.Target]; target != nil && len(d.indirectProbes) < 4*len(d.members) {
+			d.seq++
+			d.indirectProbes = append(d.indirectProbes, indirectProbe{d.seq, from, msg.Seq, msg.Target, now + nackTimeoutFactor*d.settings.PingTimeout, now + 2*d.settings.Period})
+			d.send(msg.Target, Message{Kind: Ping, Seq: d.seq})
 		}
 	case Nack:
-		if msg.Seq == m.probe.seq {
-			m.probe.nacks++
+		if msg.Seq == d.probe.seq {
+			d.probe.nacks++
 		}
 	case Ack:
-		if msg.Seq == m.probe.seq && !m.probe.acknowledged {
-			m.probe.acknowledged, m.localHealth = true, max(0, m.localHealth-1)
+		if msg.Seq == d.probe.seq && !d.probe.acknowledged {
+			d.probe.acknowledged, d.localHealth = true, max(0, d.localHealth-1)
 			return
 		}
-		for i, indirect := range m.indirectProbes {
+		for i, indirect := range d.indirectProbes {
 			if indirect.seq == msg.Seq && indirect.to == from {
-				m.send(indirect.requester, Message{Kind: Ack, Seq: indirect.requesterSeq, Target: indirect.to})
-				m.indirectProbes = slices.Delete(m.indirectProbes, i, i+1)
+				d.send(indirect.requester, Message{Kind: Ack, Seq: indirect.requesterSeq, Target: indirect.to})
+				d.indirectProbes = slices.Delete(d.indirectProbes, i, i+1)
 				return
 			}
 		}
@@ -95,16 +95,16 @@
 }
 
 // receiveUpdate processes an update. An update about an older incarnation changes nothing.
-func (m *Detector) receiveUpdate(update Update) {
-	if update.Name == m.self {
-		if update.Status != Alive && update.Incarnation >= m.incarnation { // refute it; the answers of this node were late, so its health score rises
-			m.incarnation = update.Incarnation + 1
-			m.localHealth = min(maxLocalHealth, m.localHealth+1)
-			m.broadcast(Update{Name: m.self, Status: Alive, Incarnation: m.incarnation})
+func (d *Detector) receiveUpdate(update Update) {
+	if update.Name == d.self {
+		if update.Status != Alive && update.Incarnation >= d.incarnation { // refute it; the answers of this node were late, so its health score rises
+			d.incarnation = update.Incarnation + 1
+			d.localHealth = min(maxLocalHealth, d.localHealth+1)
+			d.broadcast(Update{Name: d.self, Status: Alive, Incarnation: d.incarnation})
 		}
 		return
 	}
-	subject := m.byName[update.Name]
+	subject := d.byName[update.Name]
 	if subject == nil || update.Incarnation < subject.incarnation {
 		return
 	}
@@ -113,38 +113,38 @@
 	switch update.Status {
 	case Alive:
 		if newer {
-			m.apply(subject, refuted)
+			d.apply(subject, refuted)
 		}
 	case Suspect:
 		if newer && subject.status == Dead {
 			return // a suspicion of a newer process does not show that the process is alive
 		}
 		if subject.status == Alive {
-			subject.firstSuspectedBy = update.By
+			subject.firstSuspectedBy = update.SuspectedBy
 		}
-		m.apply(subject, suspectedByPeer)
-		if subject.status == Suspect && update.By != subject.firstSuspectedBy && update.By != "" && !subject.confirmedBy[update.By] && len(subject.confirmedBy) < maxConfirmations {
-			subject.confirmedBy[update.By] = true
-			m.broadcastStatus(subject, update.By)
+		d.apply(subject, suspectedByPeer)
+		if subject.status == Suspect && update.SuspectedBy != subject.firstSuspectedBy && update.SuspectedBy != "" && !subject.confirmedBy[update.SuspectedBy] && len(subject.confirmedBy) < maxConfirmations {
+			subject.confirmedBy[update.SuspectedBy] = true
+			d.broadcastStatus(subject, update.SuspectedBy)
 		}
 	case Dead:
-		m.apply(subject, declaredDeadByPeer)
+		d.apply(subject, declaredDeadByPeer)
 	}
 }
 
-func (m *Detector) send(to membership.Name, msg Message) {
-	msg.Incarnation = m.incarnation
-	if recipient := m.byName[to]; recipient != nil && recipient.status != Alive { // send the recipient its own status first, so that it can refute it
-		msg.Updates = append(msg.Updates, Update{recipient.name, recipient.status, recipient.incarnation, m.self})
+func (d *Detector) send(to membership.Name, msg Message) {
+	msg.Incarnation = d.incarnation
+	if recipient := d.byName[to]; recipient != nil && recipient.status != Alive { // send the recipient its own status first, so that it can refute it
+		msg.Updates = append(msg.Updates, Update{recipient.name, recipient.status, recipient.incarnation, d.self})
 	}
-	maxTransmissions := int(math.Ceil(retransmitFactor * m.logClusterSize()))
-	slices.SortStableFunc(m.pendingUpdates, func(a, b pendingUpdate) int { return a.transmissions - b.transmissions })
-	for i := range m.pendingUpdates {
-		if pending := &m.pendingUpdates[i]; len(msg.Updates) < maxUpdatesPerMessage && pending.Name != to {
+	maxTransmissions := int(math.Ceil(retransmitFactor * d.logClusterSize()))
+	slices.SortStableFunc(d.pendingUpdates, func(a, b pendingUpdate) int { return a.transmissions - b.transmissions })
+	for i := range d.pendingUpdates {
+		if pending := &d.pendingUpdates[i]; len(msg.Updates) < maxUpdatesPerMessage && pending.Name != to {
 			msg.Updates = append(msg.Updates, pending.Update)
 			pending.transmissions++
 		}
 	}
-	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(pending pendingUpdate) bool { return pending.transmissions >= maxTransmissions })
-	m.outgoing = append(m.outgoing, Outgoing{to, msg})
+	d.pendingUpdates = slices.DeleteFunc(d.pendingUpdates, func(pending pendingUpdate) bool { return pending.transmissions >= maxTransmissions })
+	d.outgoing = append(d.outgoing, Outgoing{to, msg})
 }
--- a/internal/controlplane/fleet/failuredetector/transitions.go
+++ b/internal/controlplane/fleet/failuredetector/transitions.go
@@ -10,10 +10,10 @@
 // event is an event that may change the status of a member.
 type event uint8
 
-// transition is a row of the transition table. A member in one of the states in state changes to next on one of the events, and
+// transition is a row of the transition table. A member in one of states changes to next on one of events, and
 // action is called.
 type transition struct {
-	state  Status
+	states Status
 	events event
 	next   Status
 	action func(*Detector, *member)
@@ -31,50 +31,50 @@
 	}
 }
 
-func (m *Detector) apply(subject *member, on event) {
+func (d *Detector) apply(subject *member, on event) {
 	for i := range transitions {
-		if rule := &transitions[i]; rule.state&subject.status != 0 && rule.events&on != 0 {
-			m.changes = append(m.changes, Change{subject.name, subject.status, rule.next})
+		if rule := &transitions[i]; rule.states&subject.status != 0 && rule.events&on != 0 {
+			d.changes = append(d.changes, Change{subject.name, subject.status, rule.next})
 			subject.status = rule.next
-			rule.action(m, subject)
+			rule.action(d, subject)
 			return
 		}
 	}
 }
 
-func (m *Detector) markAlive(peer *member) { peer.confirmedBy = nil; m.broadcastStatus(peer, "") }
+func (d *Detector) markAlive(peer *member) { peer.confirmedBy = nil; d.broadcastStatus(peer, "") }
 
-func (m *Detector) markSuspect(peer *member) {
-	peer.suspectedAt, peer.confirmedBy = m.now, map[membership.Name]bool{}
-	m.broadcastStatus(peer, peer.firstSuspectedBy)
+func (d *Detector) markSuspect(peer *member) {
+	peer.suspectedAt, peer.confirmedBy = d.now, map[membership.Name]bool{}
+	d.broadcastStatus(peer, peer.firstSuspectedBy)
 }
 
-func (m *Detector) markDead(peer *member) { peer.confirmedBy = nil; m.broadcastStatus(peer, "") }
+func (d *Detector) markDead(peer *member) { peer.confirmedBy = nil; d.broadcastStatus(peer, "") }
 
 // broadcastStatus queues an update with the status of a member. by is the node that suspects it, if it is suspected.
-func (m *Detector) broadcastStatus(peer *member, by membership.Name) {
-	m.broadcast(Update{peer.name, peer.status, peer.incarnation, by})
+func (d *Detector) broadcastStatus(peer *member, by membership.Name) {
+	d.broadcast(Update{peer.name, peer.status, peer.incarnation, by})
 }
 
 // broadcast queues an update to be sent, in place of an earlier one about the same node. Updates that were sent least often are
 // sent first.
-func (m *Detector) broadcast(update Update) {
-	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(pending pendingUpdate) bool { return pending.Name == update.Name })
-	m.pendingUpdates = append(m.pendingUpdates, pendingUpdate{Update: update})
+func (d *Detector) broadcast(update Update) {
+	d.pendingUpdates = slices.DeleteFunc(d.pendingUpdates, func(pending pendingUpdate) bool { return pending.Name == update.Name })
+	d.pendingUpdates = append(d.pendingUpdates, pendingUpdate{Update: update})
 }
 
 // logClusterSize returns log10 of the number of nodes, but at least 1. Suspicion time-outs and the number of transmissions grow
 // with it.
-func (m *Detector) logClusterSize() float64 {
-	return math.Max(1, math.Log10(float64(len(m.members)+1)))
+func (d *Detector) logClusterSize() float64 {
+	return math.Max(1, math.Log10(float64(len(d.members)+1)))
 }
 
 // suspicionTimeout returns how long a member stays suspect. The time is longest without confirmations, and shortest with
 // maxConfirmations (Lifeguard, section IV-B).
-func (m *Detector) suspicionTimeout(suspect *member) float64 {
-	shortest := minSuspicionPeriods * m.logClusterSize() * m.settings.Period
+func (d *Detector) suspicionTimeout(suspect *member) float64 {
+	shortest := minSuspicionPeriods * d.logClusterSize() * d.settings.Period
 	longest := maxSuspicionFactor * shortest
-	confirmers := min(maxConfirmations, len(m.members)-1) // most confirmations that the suspicion can get
+	confirmers := min(maxConfirmations, len(d.members)-1) // most confirmations that the suspicion can get
 	if confirmers < 1 {
 		return shortest
 	}
@@ -83,4 +83,4 @@
 }
 
 // scaleByHealth lengthens a time-out by the local health score.
-func (m *Detector) scaleByHealth(seconds float64) float64 { return seconds * float64(1+m.localHealth) }
+func (d *Detector) scaleByHealth(seconds float64) float64 { return seconds * float64(1+d.localHealth) }
--- a/internal/controlplane/fleet/outlier/outlier.go
+++ b/internal/controlplane/fleet/outlier/outlier.go
@@ -62,11 +62,11 @@
 	minAgreement         = 0.5 // share of the nodes with enough calls that must find a backend bad
 	// unhealthyShare is the share of bad backends above which the reporting node itself counts as unhealthy.
 	unhealthyShare    = 1.0 / 3
-	maxObservations   = 16 // in a report, which still fits into a datagram with names of 64 bytes
-	maxReportAge      = 10.0
-	maxReplicaShare   = 0.5 // share of the replicas of a shard that may be outliers
-	gossipFanout      = 2   // nodes that a report is sent to each time
-	maxSendsPerReport = 2   // by each node, which is enough to reach nearly all nodes (Demers and others)
+	maxObservations   = 16   // in a report, which still fits into a datagram with names of 64 bytes
+	maxReportAge      = 10.0 // seconds; older reports are ignored
+	maxReplicaShare   = 0.5  // share of the replicas of a shard that may be outliers
+	gossipFanout      = 2    // nodes that a report is sent to each time
+	maxSendsPerReport = 2    // by each node, which is enough to reach nearly all nodes (Demers and others)
 	// decaySeconds is the time constant of the exponential decay of the number of calls.
 	decaySeconds = 10.0
 	// newCallWeight is the weight of a new call in the moving averages. It is high because a node rarely calls a backend that it
@@ -78,21 +78,21 @@
 const VerdictSeconds = 3.0
 
 // IsBad reports whether a backend is slow compared to the median latency at the node, or failing.
-func (s *Observation) IsBad(medianLatency float64) bool {
-	return s.Calls >= minCalls && (float64(s.Failed) > maxFailureShare*float64(s.Calls) || medianLatency > 0 && s.Latency > slowFactor*medianLatency)
+func (o *Observation) IsBad(medianLatency float64) bool {
+	return o.Calls >= minCalls && (float64(o.Failed) > maxFailureShare*float64(o.Calls) || medianLatency > 0 && o.Latency > slowFactor*medianLatency)
 }
 
 // latencyFactor returns the latency of a backend as a multiple of the median latency. Failures count as high latency.
-func (s *Observation) latencyFactor(medianLatency float64) float64 {
-	return max(s.Latency/max(medianLatency, 1e-6), failureLatencyFactor*float64(s.Failed)/float64(max(1, s.Calls)))
+func (o *Observation) latencyFactor(medianLatency float64) float64 {
+	return max(o.Latency/max(medianLatency, 1e-6), failureLatencyFactor*float64(o.Failed)/float64(max(1, o.Calls)))
 }
 
 // callStats are the statistics of the calls of a node to one backend. callCount decays with time. failureShare and latency are
 // moving averages.
 type callStats struct{ callCount, failureShare, latency, updatedAt float64 }
 
-func (t *callStats) decay(now float64) {
-	t.callCount, t.updatedAt = t.callCount*math.Exp((t.updatedAt-now)/decaySeconds), now
+func (c *callStats) decay(now float64) {
+	c.callCount, c.updatedAt = c.callCount*math.Exp((c.updatedAt-now)/decaySeconds), now
 }
 
 // Observer collects statistics on the calls of one node. It must be used by one goroutine only.
@@ -113,33 +113,33 @@
 
 // RecordCall records a call that ended elapsed seconds after it was sent.
 func (o *Observer) RecordCall(now float64, backend Backend, outcome Outcome, elapsed float64) {
-	t := o.stats[backend]
+	stats := o.stats[backend]
 	switch {
-	case outcome == Canceled && (t == nil || elapsed <= t.latency):
+	case outcome == Canceled && (stats == nil || elapsed <= stats.latency):
 		return
-	case t == nil:
-		t = &callStats{updatedAt: now, latency: elapsed}
-		o.stats[backend] = t
+	case stats == nil:
+		stats = &callStats{updatedAt: now, latency: elapsed}
+		o.stats[backend] = stats
 	}
-	t.decay(now)
-	t.callCount++
+	stats.decay(now)
+	stats.callCount++
 	failed := 0.0
 	if outcome == Failed {
 		failed = 1
 	}
-	t.latency += newCallWeight * (elapsed - t.latency)
-	t.failureShare += newCallWeight * (failed - t.failureShare)
+	stats.latency += newCallWeight * (elapsed - stats.latency)
+	stats.failureShare += newCallWeight * (failed - stats.failureShare)
 }
 
 // Observations returns the observations to report at the time now. It removes backends without recent calls.
 func (o *Observer) Observations(now float64) (observations []Observation) {
 	for _, name := range slices.Sorted(maps.Keys(o.stats)) {
-		t := o.stats[name]
-		if t.decay(now); t.callCount < 0.5 {
+		stats := o.stats[name]
+		if stats.decay(now); stats.callCount < 0.5 {
 			delete(o.stats, name)
 			continue
 		}
-		observations = append(observations, Observation{name, int(math.Round(t.callCount)), int(math.Round(t.callCount * t.failureShare)), t.latency})
+		observations = append(observations, Observation{name, int(math.Round(stats.callCount)), int(math.Round(stats.callCount * stats.failureShare)), stats.latency})
 	}
 	return observations
 }
--- a/internal/controlplane/fleet/quota/client.go
+++ b/internal/controlplane/fleet/quota/client.go
@@ -51,20 +51,20 @@
 
 // newBucket returns a bucket whose minimum is empty at first, because the previous process of this node may just have spent
 // all of it.
-func newBucket(now, perS, burst float64) *Bucket {
+func newBucket(now, rate, burst float64) *Bucket {
 	b := &Bucket{}
-	b.setMinimum(now, perS, burst)
+	b.setMinimum(now, rate, burst)
 	return b
 }
 
-func (b *Bucket) setMinimum(now, perS, burst float64) {
-	if current := b.minimum.Load(); current != nil && *current == (minimum{perS, burst}) {
+func (b *Bucket) setMinimum(now, rate, burst float64) {
+	if current := b.minimum.Load(); current != nil && *current == (minimum{rate, burst}) {
 		return
 	}
 	b.minimumFullAt.Store(math.Float64bits(math.Inf(1)))
-	b.minimum.Store(&minimum{perS, burst})
-	if perS > 0 {
-		b.minimumFullAt.Store(math.Float64bits(now + burst/(perS*FillFactor)))
+	b.minimum.Store(&minimum{rate, burst})
+	if rate > 0 {
+		b.minimumFullAt.Store(math.Float64bits(now + burst/(rate*FillFactor)))
 	}
 }
 
@@ -154,13 +154,13 @@
 func (c *Client) SetQuotas(now float64, quotas map[Tenant]Quota) map[Tenant]*Bucket {
 	buckets := make(map[Tenant]*Bucket, len(quotas))
 	for tenant, tenantQuota := range quotas {
-		perS, burst := tenantQuota.NodeMinimum(c.nodeCount)
+		rate, burst := tenantQuota.NodeMinimum(c.nodeCount)
 		state := c.states[tenant]
 		if state == nil {
-			state = &tenantState{bucket: newBucket(now, perS, burst), updatedAt: now}
+			state = &tenantState{bucket: newBucket(now, rate, burst), updatedAt: now}
 			c.states[tenant] = state
 		}
-		state.bucket.setMinimum(now, perS, burst)
+		state.bucket.setMinimum(now, rate, burst)
 		state.quota, buckets[tenant] = tenantQuota, state.bucket
 	}
 	c.sortedTenants = c.sortedTenants[:0]
@@ -183,18 +183,18 @@
 		request := Request{Tenant: tenant, Tokens: state.tokensNeeded(now)}
 		for i := range state.bucket.slots {
 			if s := state.bucket.slots[i].Load(); s != nil {
-				request.Spent = append(request.Spent, GrantUsage{Number: s.number, Spent: float64(s.tokens - max(0, s.remaining.Load()))})
+				request.Usages = append(request.Usages, GrantUsage{Number: s.number, Spent: float64(s.tokens - max(0, s.remaining.Load()))})
 			}
 		}
 		for i := range state.closed {
-			if grant := &state.closed[i]; len(request.Spent) < maxUsageReports {
+			if grant := &state.closed[i]; len(request.Usages) < maxUsageReports {
 				if grant.reportedInRequest == 0 {
 					grant.reportedInRequest = number
 				}
-				request.Spent = append(request.Spent, grant.GrantUsage)
+				request.Usages = append(request.Usages, grant.GrantUsage)
 			}
 		}
-		if request.Tokens >= 1 || len(request.Spent) > 0 {
+		if request.Tokens >= 1 || len(request.Usages) > 0 {
 			requests = append(requests, request)
 		}
 	}
@@ -203,8 +203,8 @@
 
 // Urgent reports whether a query was refused a token since the last request.
 func (c *Client) Urgent() bool {
-	for _, a := range c.states {
-		if a.bucket.rejected.Load() > a.rejected {
+	for _, state := range c.states {
+		if state.bucket.rejected.Load() > state.rejected {
 			return true
 		}
 	}
@@ -212,23 +212,23 @@
 }
 
 // update estimates the demand, and closes the grants that have expired, are spent, or exceed the demand.
-func (a *tenantState) update(now float64) {
-	requested, elapsed := a.bucket.requested.Load(), now-a.updatedAt
+func (t *tenantState) update(now float64) {
+	requested, elapsed := t.bucket.requested.Load(), now-t.updatedAt
 	if elapsed > 0 {
-		a.demand = max(float64(requested-a.requested)/max(elapsed, 0.05), a.demand*math.Exp(-elapsed/demandDecaySeconds))
+		t.demand = max(float64(requested-t.requested)/max(elapsed, 0.05), t.demand*math.Exp(-elapsed/demandDecaySeconds))
 	}
-	a.requested, a.updatedAt = requested, now
-	a.closed = slices.DeleteFunc(a.closed, func(grant closedGrant) bool { return now >= grant.expiresAt })
+	t.requested, t.updatedAt = requested, now
+	t.closed = slices.DeleteFunc(t.closed, func(grant closedGrant) bool { return now >= grant.expiresAt })
 	remaining, largestTokens, largestIndex := 0.0, 0.0, -1
-	for i := range a.bucket.slots {
-		slot := a.bucket.slots[i].Load()
+	for i := range t.bucket.slots {
+		slot := t.bucket.slots[i].Load()
 		if slot == nil {
 			continue
 		}
 		tokens := float64(max(0, slot.remaining.Load()))
 		switch {
 		case now >= slot.expiresAt || tokens == 0:
-			a.closeSlot(i)
+			t.closeSlot(i)
 		case tokens > largestTokens:
 			largestTokens, largestIndex = tokens, i
 			fallthrough
@@ -236,36 +236,36 @@
 			remaining += tokens
 		}
 	}
-	if largestIndex >= 0 && remaining > 1+surplusFactor*prefetchSeconds*a.demand {
-		a.closeSlot(largestIndex)
+	if largestIndex >= 0 && remaining > 1+surplusFactor*prefetchSeconds*t.demand {
+		t.closeSlot(largestIndex)
 	}
 }
 
 // closeSlot closes the grant in a slot. A concurrent Spend either takes its token before the grant is closed, and is counted as
 // spent, or gets none from it.
-func (a *tenantState) closeSlot(i int) {
-	s := a.bucket.slots[i].Swap(nil)
+func (t *tenantState) closeSlot(i int) {
+	s := t.bucket.slots[i].Swap(nil)
 	remaining := max(0, s.remaining.Swap(math.MinInt64/2))
-	a.closed = append(a.closed, closedGrant{GrantUsage: GrantUsage{Number: s.number, Spent: float64(s.tokens - remaining), Closed: true}, expiresAt: s.expiresAt})
+	t.closed = append(t.closed, closedGrant{GrantUsage: GrantUsage{Number: s.number, Spent: float64(s.tokens - remaining), Closed: true}, expiresAt: s.expiresAt})
 }
 
 // tokensNeeded returns how many further tokens to ask for.
-func (a *tenantState) tokensNeeded(now float64) float64 {
-	rejected := a.bucket.rejected.Load()
-	needed := prefetchSeconds * a.demand
-	if rejected > a.rejected {
+func (t *tenantState) tokensNeeded(now float64) float64 {
+	rejected := t.bucket.rejected.Load()
+	needed := prefetchSeconds * t.demand
+	if rejected > t.rejected {
 		needed = max(needed, 1)
 	}
-	a.rejected = rejected
-	for i := range a.bucket.slots {
-		if s := a.bucket.slots[i].Load(); s != nil && now < s.expiresAt {
+	t.rejected = rejected
+	for i := range t.bucket.slots {
+		if s := t.bucket.slots[i].Load(); s != nil && now < s.expiresAt {
 			needed -= float64(max(0, s.remaining.Load()))
 		}
 	}
 	if needed <= 0.25 { // too little demand is left to ask for a token
 		return 0
 	}
-	return min(math.Ceil(needed), a.quota.Burst)
+	return min(math.Ceil(needed), t.quota.Burst)
 }
 
 // ReceiveGrant puts a grant into the bucket of its tenant. The grant expires one lease length after its request was sent,
@@ -313,8 +313,8 @@
 
 // DropMinimums ends all minimums of this process, because the next process of this node uses them from now on.
 func (c *Client) DropMinimums() {
-	for _, a := range c.states {
-		a.bucket.setMinimum(0, 0, 0)
+	for _, state := range c.states {
+		state.bucket.setMinimum(0, 0, 0)
 	}
 }
 
--- a/internal/controlplane/fleet/quota/granter.go
+++ b/internal/controlplane/fleet/quota/granter.go
@@ -47,7 +47,7 @@
 
 // NodeMinimum returns what each of the nodes may spend without a grant. Both results are 0 if the quota has no minimum, or if
 // the burst of a node would be less than one query, so that it could never admit one. The granter then reserves nothing for it.
-func (q Quota) NodeMinimum(nodes int) (perS, burst float64) {
+func (q Quota) NodeMinimum(nodes int) (rate, burst float64) {
 	n := float64(max(1, nodes))
 	if burst = q.MinimumShare * q.Burst / n; burst < 1 {
 		return 0, 0
@@ -100,7 +100,7 @@
 type Request struct {
 	Tenant Tenant       `cbor:"1,keyasint"`
 	Tokens float64      `cbor:"2,keyasint,omitempty"` // how many further tokens the node needs
-	Spent  []GrantUsage `cbor:"3,keyasint,omitempty"` // usage of all grants that the node holds, and of closed ones
+	Usages []GrantUsage `cbor:"3,keyasint,omitempty"` // usage of all grants that the node holds, and of closed ones
 }
 
 // GrantUsage reports how much of a grant is spent.
@@ -119,7 +119,7 @@
 }
 
 // MinimumsFunc returns the sum over all nodes of what they may spend of the quota of a tenant without a grant.
-type MinimumsFunc func(Tenant) (perS, burst float64)
+type MinimumsFunc func(Tenant) (rate, burst float64)
 
 // Granter grants tokens while no other node can. It must be used by one goroutine only.
 type Granter struct {
@@ -189,8 +189,8 @@
 // fill adds the tokens that accrued since the last call. The level stays within the burst less the tokens that were outstanding
 // in that time. Tokens that accrued while the bucket was full are lost, even if outstanding grants expire afterwards.
 func (b *tenantBucket) fill(now float64, minimums MinimumsFunc, tenant Tenant) {
-	perS, burst := minimums(tenant)
-	rate, capacity := max(0, b.quota.Rate-perS)*FillFactor, max(0, b.quota.Burst-burst)
+	minimumRate, minimumBurst := minimums(tenant)
+	rate, capacity := max(0, b.quota.Rate-minimumRate)*FillFactor, max(0, b.quota.Burst-minimumBurst)
 	b.level = max(0, min(b.level+rate*max(0, now-b.filledAt), capacity-b.outstandingTokens()))
 	b.filledAt = max(b.filledAt, now)
 }
@@ -215,7 +215,7 @@
 		grantee = &granteeState{requestedAt: now}
 		bucket.grantees[from] = grantee
 	}
-	bucket.recordUsage(grantee, request.Spent)
+	bucket.recordUsage(grantee, request.Usages)
 	if request.Tokens < 1 {
 		return grant, true
 	}
@@ -232,8 +232,8 @@
 		grantee.outstanding = append(grantee.outstanding, outstandingGrant{number: g.lastNumber, tokens: granted, expiresAt: now + g.lease*WaitFactor})
 		grant.Number, grant.Tokens = g.lastNumber, granted
 	}
-	if perS, _ := minimums(request.Tenant); bucket.level < 1 {
-		grant.RetryAfter = (1 - bucket.level) / max(1e-6, (quota.Rate-perS)*FillFactor)
+	if minimumRate, _ := minimums(request.Tenant); bucket.level < 1 {
+		grant.RetryAfter = (1 - bucket.level) / max(1e-6, (quota.Rate-minimumRate)*FillFactor)
 	}
 	return grant, true
 }
--- a/internal/controlplane/fleet/quota/quota_test.go
+++ b/internal/controlplane/fleet/quota/quota_test.go
@@ -100,7 +100,7 @@
 	node.granter.End()
 }
 
-func (m *simNode) clock(now float64) float64 { return 1000 + now*m.clockRate }
+func (n *simNode) clock(now float64) float64 { return 1000 + now*n.clockRate }
 
 // makeGranter makes a node the granter from now on. The previous granter is not told.
 func (s *simulation) makeGranter(i int) {
@@ -114,13 +114,13 @@
 	}
 }
 
-func (s *simulation) reservedMinimums(Tenant) (perS, burst float64) {
+func (s *simulation) reservedMinimums(Tenant) (rate, burst float64) {
 	if s.omitted.ignoreMinimums {
 		return 0, 0
 	}
-	perS, burst = s.quota.NodeMinimum(len(s.nodes))
+	rate, burst = s.quota.NodeMinimum(len(s.nodes))
 	n := float64(len(s.nodes))
-	return n * perS, n * burst
+	return n * rate, n * burst
 }
 
 func (s *simulation) send(msg simMessage) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// step advances the simulation by one step. The perS queries a second are spread over the nodes by their weights.
-func (s *simulation) step(perS float64) error {
+// step advances the simulation by one step. The queryRate queries a second are spread over the nodes by their weights.
+func (s *simulation) step(queryRate float64) error {
 	s.now += simStepSeconds
 	switch u := s.Unit(); { // faults: several per minute
 	case u < 0.002:
@@ -190,7 +190,7 @@
 				s.send(msg)
 			}
 		}
-		for want := perS * simStepSeconds * node.weight / total; want > 0; want-- {
+		for want := queryRate * simStepSeconds * node.weight / total; want > 0; want-- {
 			if (want >= 1 || s.Unit() < want) && node.bucket.Spend(now) {
 				s.admitted++
 				if err := s.checkBound(); err != nil {
@@ -254,9 +254,9 @@
 	}
 }
 
-func (s *simulation) run(seconds, perS float64) error {
+func (s *simulation) run(seconds, queryRate float64) error {
 	for end := s.now + seconds; s.now < end; {
-		if err := s.step(perS); err != nil {
+		if err := s.step(queryRate); err != nil {
 			return err
 		}
 	}
@@ -314,7 +314,7 @@
 }
 
 // calmStep advances the simulation by one step without faults, and returns how many queries were admitted.
-func (s *simulation) calmStep(perS float64) (admitted float64, err error) {
+func (s *simulation) calmStep(queryRate float64) (admitted float64, err error) {
 	admittedBefore := s.admitted
 	s.now += simStepSeconds
 	s.deliver()
@@ -338,7 +338,7 @@
 				s.messages = append(s.messages, msg)
 			}
 		}
-		node.weightDue += perS * simStepSeconds * node.weight / total
+		node.weightDue += queryRate * simStepSeconds * node.weight / total
 		for ; node.weightDue >= 1; node.weightDue-- {
 			if node.bucket.Spend(now) {
 				s.admitted++
@@ -434,7 +434,7 @@
 		client.ReceiveGrant(1, 0.5, number+1, &Grant{Tenant: "t", Number: GrantNumber(number + 1), Tokens: 7})
 		granted += 7
 		for _, request := range client.Requests(1+float64(number)/1e6, number+1) {
-			for _, usage := range request.Spent {
+			for _, usage := range request.Usages {
 				if usage.Closed && !countedClosed[usage.Number] {
 					countedClosed[usage.Number] = true
 					returned += 7 - usage.Spent
--- a/internal/controlplane/fleet/udptransport/udptransport.go
+++ b/internal/controlplane/fleet/udptransport/udptransport.go
@@ -78,72 +78,72 @@
 }
 
 // Close closes the sockets and waits for all goroutines to end.
-func (s *Transport) Close() {
-	close(s.closing)
-	s.udp.Close()
-	s.tcp.Close()
-	s.mu.Lock()
-	s.closed = true
-	for connection := range s.connections {
+func (t *Transport) Close() {
+	close(t.closing)
+	t.udp.Close()
+	t.tcp.Close()
+	t.mu.Lock()
+	t.closed = true
+	for connection := range t.connections {
 		connection.Close()
 	}
-	s.mu.Unlock()
-	s.goroutines.Wait()
+	t.mu.Unlock()
+	t.goroutines.Wait()
 }
 
 // Send sends a message, as a datagram if it fits into one.
-func (s *Transport) Send(to membership.Name, sealed []byte) {
-	if len(sealed) == 0 || s.addresses[to] == nil {
-		s.counters.Add("fleet_dropped", "not_sent", 1)
+func (t *Transport) Send(to membership.Name, sealed []byte) {
+	if len(sealed) == 0 || t.addresses[to] == nil {
+		t.counters.Add("fleet_dropped", "not_sent", 1)
 		return
 	}
 	if len(sealed) > sealedmessage.MaxDatagramBytes {
 		select {
-		case s.longMessageQueues[to] <- sealed:
+		case t.longMessageQueues[to] <- sealed:
 		default:
-			s.counters.Add("fleet_dropped", "no_room", 1)
+			t.counters.Add("fleet_dropped", "no_room", 1)
 		}
 		return
 	}
 	fault := failpoint.Pass(failpoint.SendDatagram)
 	for range fault.Copies() {
-		if _, err := s.udp.WriteToUDP(sealed, s.addresses[to]); err != nil {
-			s.counters.Add("fleet_dropped", "not_sent", 1)
+		if _, err := t.udp.WriteToUDP(sealed, t.addresses[to]); err != nil {
+			t.counters.Add("fleet_dropped", "not_sent", 1)
 		}
-		s.counters.Add("fleet_bytes", "sent", int64(len(sealed)))
+		t.counters.Add("fleet_bytes", "sent", int64(len(sealed)))
 	}
 }
 
 // enqueue adds a message to Received. The queue is bounded, so that a process that was paused does not find hours of old messages.
 // If it is full, new messages are dropped.
-func (s *Transport) enqueue(sealed []byte, fault failpoint.Fault) {
+func (t *Transport) enqueue(sealed []byte, fault failpoint.Fault) {
 	for range fault.Copies() {
 		select {
-		case s.Received <- sealed:
+		case t.Received <- sealed:
 		default:
-			s.counters.Add("fleet_dropped", "too_many", 1)
+			t.counters.Add("fleet_dropped", "too_many", 1)
 		}
 	}
 }
 
-func (s *Transport) readDatagrams() {
+func (t *Transport) readDatagrams() {
 	buffer := make([]byte, sealedmessage.MaxDatagramBytes+1)
 	for {
-		n, _, err := s.udp.ReadFromUDP(buffer)
+		n, _, err := t.udp.ReadFromUDP(buffer)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil: // ICMP errors for datagrams that this node sent are reported here
 			continue
 		}
-		s.counters.Add("fleet_bytes", "taken", int64(n))
-		s.enqueue(append([]byte(nil), buffer[:n]...), failpoint.Pass(failpoint.ReceiveDatagram))
+		t.counters.Add("fleet_bytes", "taken", int64(n))
+		t.enqueue(append([]byte(nil), buffer[:n]...), failpoint.Pass(failpoint.ReceiveDatagram))
 	}
 }
 
 // sendLongMessages sends the long messages for one other node one after the other. It opens a connection for the first message, and
 // again after the connection was closed.
-func (s *Transport) sendLongMessages(address string, queue chan []byte) {
+func (t *Transport) sendLongMessages(address string, queue chan []byte) {
 	var connection net.Conn
 	defer func() {
 		if connection != nil {
@@ -153,7 +153,7 @@
 	idle := time.NewTimer(idleTimeout)
 	for {
 		select {
-		case <-s.closing:
+		case <-t.closing:
 			return
 		case <-idle.C:
 			if connection != nil {
@@ -165,7 +165,7 @@
 			frame := binary.BigEndian.AppendUint32(nil, uint32(len(sealed)))
 			frame = append(frame, sealed...)
 			for range failpoint.Pass(failpoint.SendLong).Copies() {
-				connection = s.writeFrame(connection, address, frame)
+				connection = t.writeFrame(connection, address, frame)
 			}
 		}
 	}
@@ -173,19 +173,19 @@
 
 // writeFrame writes a frame to a connection. It opens a new connection if there is none or if the write fails on the given one. It
 // returns the connection to use next, or nil if the frame was not sent.
-func (s *Transport) writeFrame(connection net.Conn, address string, frame []byte) net.Conn {
+func (t *Transport) writeFrame(connection net.Conn, address string, frame []byte) net.Conn {
 	for range 2 {
 		dialed := connection == nil
 		if dialed {
 			var err error
 			if connection, err = net.DialTimeout("tcp", address, dialTimeout); err != nil {
-				s.counters.Add("fleet_dropped", "no_line", 1)
+				t.counters.Add("fleet_dropped", "no_line", 1)
 				return nil
 			}
 		}
 		connection.SetWriteDeadline(time.Now().Add(frameTimeout))
 		if _, err := connection.Write(frame); err == nil {
-			s.counters.Add("fleet_bytes", "sent", int64(len(frame)))
+			t.counters.Add("fleet_bytes", "sent", int64(len(frame)))
 			return connection
 		}
 		connection.Close()
@@ -193,13 +193,13 @@
 			break
 		}
 	}
-	s.counters.Add("fleet_dropped", "line_ended", 1)
+	t.counters.Add("fleet_dropped", "line_ended", 1)
 	return nil
 }
 
-func (s *Transport) accept() {
+func (t *Transport) accept() {
 	for {
-		connection, err := s.tcp.Accept()
+		connection, err := t.tcp.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -207,13 +207,13 @@
 			time.Sleep(10 * time.Millisecond) // probably out of file descriptors: wait until some are closed
 			continue
 		}
-		s.mu.Lock()
-		accepted := !s.closed && len(s.connections) < maxConnections
+		t.mu.Lock()
+		accepted := !t.closed && len(t.connections) < maxConnections
 		if accepted {
-			s.connections[connection] = true
-			s.goroutines.Go(func() { s.readFrames(connection) })
+			t.connections[connection] = true
+			t.goroutines.Go(func() { t.readFrames(connection) })
 		}
-		s.mu.Unlock()
+		t.mu.Unlock()
 		if !accepted {
 			connection.Close()
 		}
@@ -221,12 +221,12 @@
 }
 
 // readFrames reads long messages from a connection. Memory is allocated as bytes arrive, not by the length in the header.
-func (s *Transport) readFrames(connection net.Conn) {
+func (t *Transport) readFrames(connection net.Conn) {
 	defer func() {
 		connection.Close()
-		s.mu.Lock()
-		delete(s.connections, connection)
-		s.mu.Unlock()
+		t.mu.Lock()
+		delete(t.connections, connection)
+		t.mu.Unlock()
 	}()
 	for {
 		var header [4]byte
@@ -236,7 +236,7 @@
 		}
 		length := binary.BigEndian.Uint32(header[:])
 		if length > sealedmessage.MaxBytes {
-			s.counters.Add("fleet_dropped", sealedmessage.TooLong.String(), 1)
+			t.counters.Add("fleet_dropped", sealedmessage.TooLong.String(), 1)
 			return
 		}
 		connection.SetReadDeadline(time.Now().Add(frameTimeout))
@@ -244,7 +244,7 @@
 		if err != nil || len(sealed) < int(length) {
 			return
 		}
-		s.counters.Add("fleet_bytes", "taken", int64(length))
-		s.enqueue(sealed, failpoint.Pass(failpoint.ReceiveLong))
+		t.counters.Add("fleet_bytes", "taken", int64(length))
+		t.enqueue(sealed, failpoint.Pass(failpoint.ReceiveLong))
 	}
 }
