--- a/internal/controlplane/fleet/admission.go
+++ b/internal/controlplane/fleet/admission.go
@@ -55,8 +55,8 @@
 	if now >= confirmedUntil && (view.allStrict || view.strict[customer]) {
 		return aggregator.AdmissionDecision{Reason: reasonContractsUnconfirmed, RetryAfter: requestInterval, Text: "which zones the contract allows is not sure here at the moment"}
 	}
-	rule := view.rules.Of(customer, index)
-	if !rule.Here {
+	rule := view.rules.For(customer, index)
+	if !rule.MayServe {
 		return aggregator.AdmissionDecision{Reason: reasonOtherLocation, Text: fmt.Sprintf("the contract keeps these lookups to mixers in other zones than %q", a.location)}
 	}
 	if decision.Zones = rule.Zones; rule.Zones != nil {
@@ -66,7 +66,7 @@
 		spent := bucket.Spend(now)
 		failpoint.Pass(failpoint.Spend)
 		if !spent || a.Now()-now > maxAdmissionPause {
-			return aggregator.AdmissionDecision{Reason: reasonOverQuota, RetryAfter: min(1, bucket.Wait(now)), Text: "the tenant's quota is used up"}
+			return aggregator.AdmissionDecision{Reason: reasonOverQuota, RetryAfter: min(1, bucket.RetryAfter(now)), Text: "the tenant's quota is used up"}
 		}
 	}
 	return decision
--- a/internal/controlplane/fleet/failuredetector/messages.go
+++ b/internal/controlplane/fleet/failuredetector/messages.go
@@ -7,22 +7,22 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/membership"
 )
 
-// Update is a node's status as one node tells it another.
+// Update is the status of a node, as one node sends it to another.
 type Update struct {
 	Name        membership.Name `cbor:"1,keyasint"`
 	Status      Status          `cbor:"2,keyasint"`
 	Incarnation Incarnation     `cbor:"3,keyasint"`
-	By          membership.Name `cbor:"4,keyasint,omitempty"` // who suspects it, for a suspicion
+	SuspectedBy membership.Name `cbor:"4,keyasint,omitempty"` // the node that suspects it, for a suspicion
 }
 
-// MessageKind says what a message asks or answers.
+// MessageKind is the kind of a message.
 type MessageKind uint8
 
-// Message is what nodes send to each other, with the updates that it carries along.
+// Message is a message between two nodes. It also carries updates about other nodes.
 type Message struct {
 	Kind        MessageKind     `cbor:"1,keyasint"`
 	Seq         Seq             `cbor:"2,keyasint"`
-	Incarnation Incarnation     `cbor:"3,keyasint"` // the sender's own
+	Incarnation Incarnation     `cbor:"3,keyasint"` // of the sender
 	Target      membership.Name `cbor:"4,keyasint,omitempty"`
 	Updates     []Update        `cbor:"5,keyasint,omitempty"`
 }
@@ -33,78 +33,78 @@
 	Message
 }
 
-// Change is a change of another node's status, to be counted and logged.
+// Change is a change in the status of another node. The caller counts and logs it.
 type Change struct {
 	Name     membership.Name
-	Was, Now Status
+	Old, New Status
 }
 
-// TakeOutput returns what is to be sent and what has changed since the last call.
-func (m *Machine) TakeOutput() (out []Outgoing, changes []Change) {
-	out, changes = m.out, m.changes
-	m.out, m.changes = nil, nil
+// TakeOutput returns the messages to send and the status changes since the last call.
+func (d *Detector) TakeOutput() (out []Outgoing, changes []Change) {
+	out, changes = d.outgoing, d.changes
+	d.outgoing, d.changes = nil, nil
 	return out, changes
 }
 
-// RecordContact notes a message of any kind, which shows that its sender is alive. Only a refutation ends a suspicion,
-// though.
-func (m *Machine) RecordContact(now float64, from membership.Name) {
-	m.now = now
-	if x := m.byName[from]; x != nil {
-		x.receivedAt, m.receivedAt = now, now
+// RecordContact records that a message of any protocol was received from a node. It does not end a suspicion; only a refutation
+// does.
+func (d *Detector) RecordContact(now float64, from membership.Name) {
+	d.now = now
+	if sender := d.byName[from]; sender != nil {
+		sender.lastReceivedAt, d.lastReceivedAt = now, now
 	}
 }
 
-// Receive takes a message. One of no member changes nothing.
-func (m *Machine) Receive(now float64, from membership.Name, msg *Message) {
-	sender := m.byName[from]
+// Receive processes a message. A message from a node outside of the membership is ignored.
+func (d *Detector) Receive(now float64, from membership.Name, msg *Message) {
+	sender := d.byName[from]
 	if sender == nil {
 		return
 	}
-	m.RecordContact(now, from)
-	m.receiveUpdate(Update{Name: from, Status: Alive, Incarnation: msg.Incarnation})
+	d.RecordContact(now, from)
+	d.receiveUpdate(Update{Name: from, Status: Alive, Incarnation: msg.Incarnation})
 	for _, update := range msg.Updates {
-		m.receiveUpdate(update)
+		d.receiveUpdate(update)
 	}
 	switch msg.Kind {
 	case Ping:
-		m.send(from, Message{Kind: Ack, Seq: msg.Seq})
+		d.send(from, Message{Kind: Ack, Seq: msg.Seq})
 	case PingRequest:
-		if target := m.byName[msg.Target]; target != nil && len(m.indirectProbes) < 4*len(m.members) {
-			m.seq++
-			m.indirectProbes = append(m.indirectProbes, indirectProbe{m.seq, from, msg.Seq, msg.Target, now + nackTimeoutFactor*m.settings.Timeout, now + 2*m.settings.Period})
-			m.send(msg.Target, Message{Kind: Ping, Seq: m.seq})
+		if target := d.byName[msg.Target]; target != nil && len(d.indirectProbes) < 4*len(d.members) {
+			d.seq++
+			d.indirectProbes = append(d.indirectProbes, indirectProbe{d.seq, from, msg.Seq, msg.Target, now + nackTimeoutFactor*d.settings.PingTimeout, now + 2*d.settings.Period})
+			d.send(msg.Target, Message{Kind: Ping, Seq: d.seq})
 		}
 	case Nack:
-		if msg.Seq == m.probe.seq {
-			m.probe.nacks++
+		if msg.Seq == d.probe.seq {
+			d.probe.nacks++
 		}
 	case Ack:
-		if msg.Seq == m.probe.seq && !m.probe.acknowledged {
-			m.probe.acknowledged, m.localHealth = true, max(0, m.localHealth-1)
+		if msg.Seq == d.probe.seq && !d.probe.acknowledged {
+			d.probe.acknowledged, d.localHealth = true, max(0, d.localHealth-1)
 			return
 		}
-		for i, indirect := range m.indirectProbes {
+		for i, indirect := range d.indirectProbes {
 			if indirect.seq == msg.Seq && indirect.to == from {
-				m.send(indirect.requester, Message{Kind: Ack, Seq: indirect.requesterSeq, Target: indirect.to})
-				m.indirectProbes = slices.Delete(m.indirectProbes, i, i+1)
+				d.send(indirect.requester, Message{Kind: Ack, Seq: indirect.requesterSeq, Target: indirect.to})
+				d.indirectProbes = slices.Delete(d.indirectProbes, i, i+1)
 				return
 			}
 		}
 	}
 }
 
-// receiveUpdate takes an update. One about an older incarnation changes nothing.
-func (m *Machine) receiveUpdate(update Update) {
-	if update.Name == m.self {
-		if update.Status != Alive && update.Incarnation >= m.incarnation { // refute it; our answers were late, so that our health score rises
-			m.incarnation = update.Incarnation + 1
-			m.localHealth = min(maxLocalHealth, m.localHealth+1)
-			m.broadcast(Update{Name: m.self, Status: Alive, Incarnation: m.incarnation})
+// receiveUpdate processes an update. An update about an older incarnation changes nothing.
+func (d *Detector) receiveUpdate(update Update) {
+	if update.Name == d.self {
+		if update.Status != Alive && update.Incarnation >= d.incarnation { // refute it; the answers of this node were late, so its health score rises
+			d.incarnation = update.Incarnation + 1
+			d.localHealth = min(maxLocalHealth, d.localHealth+1)
+			d.broadcast(Update{Name: d.self, Status: Alive, Incarnation: d.incarnation})
 		}
 		return
 	}
-	subject := m.byName[update.Name]
+	subject := d.byName[update.Name]
 	if subject == nil || update.Incarnation < subject.incarnation {
 		return
 	}
@@ -113,38 +113,38 @@
 	switch update.Status {
 	case Alive:
 		if newer {
-			m.apply(subject, refuted)
+			d.apply(subject, refuted)
 		}
 	case Suspect:
 		if newer && subject.status == Dead {
-			return // a suspicion of a process that is unknown here does not show that it is alive
+			return // a suspicion of a newer process does not show that the process is alive
 		}
 		if subject.status == Alive {
-			subject.firstSuspectedBy = update.By
+			subject.firstSuspectedBy = update.SuspectedBy
 		}
-		m.apply(subject, suspectedByPeer)
-		if subject.status == Suspect && update.By != subject.firstSuspectedBy && update.By != "" && !subject.confirmedBy[update.By] && len(subject.confirmedBy) < maxConfirmations {
-			subject.confirmedBy[update.By] = true
-			m.broadcastStatus(subject, update.By)
+		d.apply(subject, suspectedByPeer)
+		if subject.status == Suspect && update.SuspectedBy != subject.firstSuspectedBy && update.SuspectedBy != "" && !subject.confirmedBy[update.SuspectedBy] && len(subject.confirmedBy) < maxConfirmations {
+			subject.confirmedBy[update.SuspectedBy] = true
+			d.broadcastStatus(subject, update.SuspectedBy)
 		}
 	case Dead:
-		m.apply(subject, declaredDead)
+		d.apply(subject, declaredDeadByPeer)
 	}
 }
 
-func (m *Machine) send(to membership.Name, msg Message) {
-	msg.Incarnation = m.incarnation
-	if recipient := m.byName[to]; recipient != nil && recipient.status != Alive { // tell it first, so that it can refute that
-		msg.Updates = append(msg.Updates, Update{recipient.name, recipient.status, recipient.incarnation, m.self})
+func (d *Detector) send(to membership.Name, msg Message) {
+	msg.Incarnation = d.incarnation
+	if recipient := d.byName[to]; recipient != nil && recipient.status != Alive { // send the recipient its own status first, so that it can refute it
+		msg.Updates = append(msg.Updates, Update{recipient.name, recipient.status, recipient.incarnation, d.self})
 	}
-	maxTransmissions := int(math.Ceil(retransmitFactor * m.logClusterSize()))
-	slices.SortStableFunc(m.pendingUpdates, func(a, b pendingUpdate) int { return a.transmissions - b.transmissions })
-	for i := range m.pendingUpdates {
-		if r := &m.pendingUpdates[i]; len(msg.Updates) < maxUpdatesPerMessage && r.Name != to {
-			msg.Updates = append(msg.Updates, r.Update)
-			r.transmissions++
+	maxTransmissions := int(math.Ceil(retransmitFactor * d.logClusterSize()))
+	slices.SortStableFunc(d.pendingUpdates, func(a, b pendingUpdate) int { return a.transmissions - b.transmissions })
+	for i := range d.pendingUpdates {
+		if pending := &d.pendingUpdates[i]; len(msg.Updates) < maxUpdatesPerMessage && pending.Name != to {
+			msg.Updates = append(msg.Updates, pending.Update)
+			pending.transmissions++
 		}
 	}
-	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(r pendingUpdate) bool { return r.transmissions >= maxTransmissions })
-	m.out = append(m.out, Outgoing{to, msg})
+	d.pendingUpdates = slices.DeleteFunc(d.pendingUpdates, func(pending pendingUpdate) bool { return pending.transmissions >= maxTransmissions })
+	d.outgoing = append(d.outgoing, Outgoing{to, msg})
 }
--- a/internal/controlplane/fleet/fleet.go
+++ b/internal/controlplane/fleet/fleet.go
@@ -54,7 +54,7 @@
 	store         *aggregatorstore.Log    // nil while it is closed, and always without a directory
 	stored        aggregatorstore.LogContents
 	sealer        *sealedmessage.Sealer
-	detector      *failuredetector.Machine // nil before address and directory are open, and after the release
+	detector      *failuredetector.Detector // nil before address and directory are open, and after the release
 	voter         voter
 	quotaClient   *quota.Client
 	contractLease *residency.Lease
--- a/internal/controlplane/fleet/outliers.go
+++ b/internal/controlplane/fleet/outliers.go
@@ -21,7 +21,7 @@
 )
 
 // endByOutcome maps the outcome of a subquery to the way in which the observations count it.
-var endByOutcome = [...]outlier.End{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.Rejected: outlier.Canceled,
+var endByOutcome = [...]outlier.Outcome{policy.Answered: outlier.Answered, policy.Errored: outlier.Failed, policy.Rejected: outlier.Canceled,
 	policy.TimedOut: outlier.Failed, policy.NotConnected: outlier.Failed, policy.Broken: outlier.Failed, policy.Canceled: outlier.Canceled,
 	policy.NotSent: outlier.Canceled}
 
@@ -105,7 +105,7 @@
 	}
 	fault := failpoint.Pass(failpoint.SendReports)
 	for _, name := range targets {
-		for range fault.Times() {
+		for range fault.Copies() {
 			f.send(name, messageReports, reportBatch{reports})
 		}
 	}
--- a/internal/controlplane/fleet/publish.go
+++ b/internal/controlplane/fleet/publish.go
@@ -14,7 +14,7 @@
 	// emptyBucket holds no tokens. If the operator's file has quotas, tenants without a bucket get this one in two cases: before
 	// this node has received the tables, as a tenant may have a quota, and before the address is open, as another process may
 	// spend this node's tokens.
-	emptyBucket = quota.Empty()
+	emptyBucket = quota.NewEmptyBucket()
 	// noZones is the set of zones for queued queries that this node may no longer serve.
 	noZones = policy.NewZones()
 )
@@ -27,7 +27,7 @@
 		strict:    map[policy.CustomerID]bool{},
 		allStrict: slices.Contains(f.settings.Strict, "*"),
 	}
-	buckets := f.quotaClient.Set(f.now, f.tables.quotas)
+	buckets := f.quotaClient.SetQuotas(f.now, f.tables.quotas)
 	for i, tenant := range f.settings.Names.Tenants {
 		view.strict[policy.CustomerID(i)] = f.settings.isStrict(quota.Tenant(tenant))
 		bucket := buckets[quota.Tenant(tenant)]
@@ -48,8 +48,8 @@
 func (f *Fleet) publishZoneRules() {
 	rules := f.admission.view.Load().rules
 	zones := func(customer policy.CustomerID, index policy.IndexID) *policy.Zones {
-		rule := rules.Of(customer, index)
-		if !rule.Here {
+		rule := rules.For(customer, index)
+		if !rule.MayServe {
 			return noZones
 		}
 		return rule.Zones
--- a/internal/controlplane/fleet/status.go
+++ b/internal/controlplane/fleet/status.go
@@ -67,7 +67,7 @@
 		VoterSuspended:        f.voter.suspended,
 		Leader:                f.granterClient.leader,
 		Leads:                 f.isConfirmedLeader(),
-		ContractsConfirmedFor: max(0, f.contractLease.Until()-f.now),
+		ContractsConfirmedFor: max(0, f.contractLease.AcceptUntil()-f.now),
 		Contracts:             *f.tables.contracts,
 		AppliedContracts:      f.tables.appliedContracts,
 		QuotasVersion:         f.tables.versions.Quotas,
@@ -130,7 +130,7 @@
 	switch {
 	case !found || len(contract.Indexes) > 0 && !slices.Contains(contract.Indexes, index):
 		addRule("contract: none speaks of this tenant and index")
-	case contract.Own && !slices.Contains(contract.Zones, f.settings.Location):
+	case contract.RestrictsAggregators && !slices.Contains(contract.Zones, f.settings.Location):
 		explanation.Accepted = false
 		addRule("contract: mixers have to stand in %q, this one is in %q: refused", contract.Zones, f.settings.Location)
 	default:
@@ -139,7 +139,7 @@
 	}
 	if tenantQuota, has := s.Quotas[string(tenant)]; has {
 		perS, burst := tenantQuota.NodeMinimum(len(f.settings.Membership.Members))
-		addRule("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.PerS, tenantQuota.Burst, perS, burst)
+		addRule("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.Rate, tenantQuota.Burst, perS, burst)
 	} else {
 		addRule("quota: none")
 	}
