--- a/cmd/benchadapter/main.go
+++ b/cmd/benchadapter/main.go
@@ -1,4 +1,5 @@
-// Command benchadapter hosts the decision module for many mixers on the bench's wire.
+// Command benchadapter runs the decision module for many aggregators under the benchmark, with which it exchanges messages on
+// standard input and output.
 package main
 
 import (
--- a/cmd/puffinlink/agent.go
+++ b/cmd/puffinlink/agent.go
@@ -9,64 +9,65 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Times of the agent's stop. The proxy on the same machine is told to stop at the same time, and needs the agent while
-// it serves on.
+// Timing of the agent's shutdown. The proxy on the same machine receives SIGTERM at the same time, and needs the agent while
+// it drains. Therefore the agent continues for a while after the signal.
 const (
-	agentLinger  = 3500 * time.Millisecond
-	agentReserve = time.Second // of the grace period, not used for lingering
+	agentStopDelay   = 3500 * time.Millisecond
+	agentStopReserve = time.Second // end of the grace period that the delay must leave free
 )
 
-// runAgent links a front machine to the control plane until the context ends, and a little longer.
-func runAgent(ctx context.Context, node *systemNode) error {
-	settings := node.settings
+// runAgent runs an agent, which connects a front machine to the control plane. The agent stops after a delay of at most
+// agentStopDelay once ctx has ended.
+func runAgent(ctx context.Context, env *processEnvironment) error {
+	settings := env.settings
 	caller := transport.NewClientFor(settings.Cluster)
 	defer caller.Close()
-	link := agent.New(agent.Config{
-		Address: settings.InternalAddress(agentPeerOffset),
+	frontAgent := agent.New(agent.Config{
+		Address: settings.InternalAddress(agentPeerPortOffset),
 		Seeds:   settings.SeedInternalAddresses(),
 		Caller:  caller,
-		Logger:  node.log,
+		Logger:  env.log,
 	})
-	stopServing, err := serveAgent(ctx, node, link)
+	stopServing, err := serveAgent(ctx, env, frontAgent)
 	if err != nil {
 		return err
 	}
 	defer stopServing()
-	stopMetrics, err := serveMetrics(node, link.Metrics)
+	stopMetrics, err := serveMetrics(env, frontAgent.Metrics)
 	if err != nil {
 		return err
 	}
 	defer stopMetrics()
 	go func() {
-		for settings := range node.changes {
+		for settings := range env.changes {
 			setMemoryLimit(settings)
-			link.SetSeeds(settings.SeedInternalAddresses())
+			frontAgent.SetSeeds(settings.SeedInternalAddresses())
 		}
 	}()
-	lingering, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	linger := max(0, min(agentLinger, settings.Bounds.GracePeriod-agentReserve))
-	context.AfterFunc(ctx, func() { time.AfterFunc(linger, stop) })
-	return link.Run(lingering)
+	stopDelay := max(0, min(agentStopDelay, settings.Bounds.GracePeriod-agentStopReserve))
+	context.AfterFunc(ctx, func() { time.AfterFunc(stopDelay, stop) })
+	return frontAgent.Run(runCtx)
 }
 
-// serveAgent serves other agents and the proxy on the same machine until the returned function is called.
-func serveAgent(ctx context.Context, node *systemNode, link *agent.Agent) (stop func(), err error) {
-	peers, err := listen(ctx, node.settings.InternalAddress(agentPeerOffset))
+// serveAgent serves requests of other agents and of the proxy on the same machine until stop is called.
+func serveAgent(ctx context.Context, env *processEnvironment, frontAgent *agent.Agent) (stop func(), err error) {
+	peers, err := listen(ctx, env.settings.InternalAddress(agentPeerPortOffset))
 	if err != nil {
 		return nil, fmt.Errorf("address for other agents: %w", err)
 	}
-	local, err := listen(ctx, node.localAddress())
+	local, err := listen(ctx, env.localAddress())
 	if err != nil {
 		peers.Close()
 		return nil, fmt.Errorf("address for the proxy: %w", err)
 	}
-	self := transport.NewIdentity(node.settings.Cluster, node.settings.NodeName)
+	self := transport.NewIdentity(env.settings.Cluster, env.settings.NodeName)
 	peerMux, localMux := transport.NewMuxFor(self), transport.NewMuxFor(self)
-	link.Mount(peerMux)
-	link.MountLocal(localMux)
-	peerServer := serveInternal(peers, peerMux, node.log)
-	localServer := serveInternal(local, localMux, node.log)
+	frontAgent.Mount(peerMux)
+	frontAgent.MountLocal(localMux)
+	peerServer := serveInternal(peers, peerMux, env.log)
+	localServer := serveInternal(local, localMux, env.log)
 	return func() {
 		peerServer.Close()
 		localServer.Close()
--- a/cmd/puffinlink/aggregatorcommands.go
+++ b/cmd/puffinlink/aggregatorcommands.go
@@ -11,7 +11,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// aggregatorCommands are the commands of an aggregator and of its operators, by the order of the help.
+// aggregatorCommands are the commands of an aggregator and of its operators, in the order of the help.
 type aggregatorCommands struct {
 	Serve    serveCommand    `command:"serve" description:"Serve queries with the configuration that LB_CONFIG names. Example: LB_CONFIG=config.json puffinlink"`
 	Check    checkCommand    `command:"check" description:"Check an operator's file. Example: puffinlink check deploy/operator.json5"`
@@ -24,16 +24,17 @@
 	Version  versionCommand  `command:"version" description:"Print the version. Example: puffinlink version --json"`
 }
 
+// Texts of the help. exampleSeparator separates a command's description from its example.
 const (
 	aggregatorDescription = "An aggregator: it reads many shards for one query."
 	overviewDescription   = "A cluster scheduler for jobs, and an aggregator that reads many shards for one query."
-	exampleMark           = " Example: "
+	exampleSeparator      = " Example: "
 )
 
-// defaultCommand is what an empty command line means.
+// defaultCommand is the command that an empty command line runs.
 const defaultCommand = "serve"
 
-// runAggregatorCommand runs one of the aggregator's commands and tells its exit code.
+// runAggregatorCommand runs the aggregator's command that args name and returns the exit code.
 func runAggregatorCommand(args []string) int {
 	if len(args) == 0 {
 		args = []string{defaultCommand}
@@ -54,54 +55,55 @@
 	}
 	if err := chosen.Execute(nil); err != nil {
 		fmt.Fprintln(stderr, "puffinlink:", err)
-		return exitCode(err)
+		return aggregatorExitCode(err)
 	}
 	return 0
 }
 
-// newAggregatorParser makes a parser of the aggregator's commands. The help of each one ends with its example.
+// newAggregatorParser returns a parser of the aggregator's commands. The help of each command ends with its example.
 func newAggregatorParser() *flags.Parser {
 	parser := flags.NewNamedParser("puffinlink", flags.HelpFlag|flags.PassDoubleDash|flags.AllowBoolValues)
 	parser.LongDescription = aggregatorDescription
 	if _, err := parser.AddGroup("Options", "", new(aggregatorCommands)); err != nil {
-		panic(err) // a mistake in the tags
+		panic(err) // the struct tags of the commands are invalid
 	}
 	setDescriptions(parser.Commands())
 	return parser
 }
 
-// setDescriptions gives all commands their whole text as the description that their own help shows, and the text without the example as the one
-// that lists show.
+// setDescriptions splits the descriptions from the struct tags: the help of a command shows the whole text, and lists of
+// commands show the text without the example.
 func setDescriptions(commands []*flags.Command) {
 	for _, one := range commands {
 		one.LongDescription = one.ShortDescription
-		one.ShortDescription, _, _ = strings.Cut(one.LongDescription, exampleMark)
+		one.ShortDescription, _, _ = strings.Cut(one.LongDescription, exampleSeparator)
 		setDescriptions(one.Commands())
 	}
 }
 
-// parseAggregatorCommand finds the command that a line means, with its flags set. All errors are the line's.
+// parseAggregatorCommand returns the command that args name, with its flags set, without running it. An error means that the
+// command line is invalid, or contains the requested help.
 func parseAggregatorCommand(parser *flags.Parser, args []string) (flags.Commander, error) {
 	var chosen flags.Commander
 	parser.CommandHandler = func(command flags.Commander, rest []string) error {
 		if len(rest) > 0 {
-			return unexpected(rest[0])
+			return unexpectedArgument(rest[0])
 		}
 		chosen = command
 		return nil
 	}
 	rest, err := parser.ParseArgs(args)
-	var number *strconv.NumError // of an argument; for flags the parser names them
-	if errors.As(err, &number) {
-		return nil, usageErrorf("expected a number but got %q", number.Num)
+	var numberError *strconv.NumError // from a positional argument; for flags the parser's error names the flag
+	if errors.As(err, &numberError) {
+		return nil, usageErrorf("expected a number but got %q", numberError.Num)
 	}
-	var usage *flags.Error
-	if !errors.As(err, &usage) {
+	var flagError *flags.Error
+	if !errors.As(err, &flagError) {
 		return chosen, err
 	}
-	switch usage.Type {
+	switch flagError.Type {
 	case flags.ErrUnknownCommand:
-		return nil, unexpected(rest[0])
+		return nil, unexpectedArgument(rest[0])
 	case flags.ErrRequired:
 		if missing := missingFlags(parser.Command); len(missing) > 0 {
 			return nil, usageErrorf("missing flags: %s", strings.Join(missing, ", "))
@@ -110,9 +112,11 @@
 	return nil, err
 }
 
-func unexpected(argument string) error { return usageErrorf("unexpected argument %s", argument) }
+func unexpectedArgument(argument string) error {
+	return usageErrorf("unexpected argument %s", argument)
+}
 
-// missingFlags lists the flags that the chosen command needs and the line lacks.
+// missingFlags returns the required flags of the chosen command, and of the commands within it, that the command line does not set.
 func missingFlags(chosen *flags.Command) []string {
 	var missing []string
 	for ; chosen != nil; chosen = chosen.Active {
@@ -125,12 +129,12 @@
 	return missing
 }
 
-// writeOverview prints all commands, those within others too.
+// writeOverview writes the help that lists all commands, including nested ones.
 func writeOverview(out io.Writer, parser *flags.Parser) {
 	fmt.Fprintf(out, "Usage: puffinlink <command>\n\n%s\n", overviewDescription)
 	rows := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	writeHeading(rows, "Processes of the cluster scheduler")
-	for _, process := range systemProcesses {
+	for _, process := range clusterProcesses {
 		fmt.Fprintf(rows, "  %s\t%s\n", process.name, process.short)
 	}
 	writeHeading(rows, "Operators of the cluster scheduler")
@@ -143,19 +147,19 @@
 	fmt.Fprintln(out, "\nRun \"puffinlink <command> --help\" for more information on a command.")
 }
 
-// writeHeading begins a group of commands. It ends the columns of the group before.
+// writeHeading starts a group of commands. It flushes the rows of the previous group, so that each group aligns its own columns.
 func writeHeading(rows *tabwriter.Writer, heading string) {
 	rows.Flush()
 	fmt.Fprintf(rows, "\n%s:\n", heading)
 }
 
-// writeCommands prints a row for each command that is not made of others.
-func writeCommands(rows io.Writer, before string, commands []*flags.Command) {
+// writeCommands writes a row for each command without subcommands, and descends into the others.
+func writeCommands(rows io.Writer, prefix string, commands []*flags.Command) {
 	for _, one := range commands {
-		if within := one.Commands(); len(within) > 0 {
-			writeCommands(rows, before+one.Name+" ", within)
+		if subcommands := one.Commands(); len(subcommands) > 0 {
+			writeCommands(rows, prefix+one.Name+" ", subcommands)
 			continue
 		}
-		fmt.Fprintf(rows, "%s%s\t%s\n", before, one.Name, one.LongDescription)
+		fmt.Fprintf(rows, "%s%s\t%s\n", prefix, one.Name, one.LongDescription)
 	}
 }
--- a/cmd/puffinlink/aggregatorcommands_test.go
+++ b/cmd/puffinlink/aggregatorcommands_test.go
@@ -10,15 +10,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestAggregatorCommandLines(t *testing.T) {
+func TestAggregatorCommandLinesReturnExitCodeAndMessage(t *testing.T) {
 	for _, name := range []string{"PUFFINLINK_OPERATORS", "LB_CONFIG"} {
-		t.Setenv(name, "") // and back at the end
+		t.Setenv(name, "") // restores the variable when the test ends
 		os.Unsetenv(name)
 	}
 	cases := []struct {
-		line string
-		code int
-		text string
+		line       string
+		code       int
+		wantOutput string
 	}{
 		{"", exitFailed, "LB_CONFIG names no file"},
 		{"serve", exitFailed, "LB_CONFIG names no file"},
@@ -60,22 +60,22 @@
 		{"plan compare --help", 0, "--other-capture=STRING"},
 		{"override list --help", 0, "[$PUFFINLINK_OPERATORS]"},
 	}
-	Convey("A mixer's command line ends with its code and says why", t, func() {
+	Convey("Command lines of an aggregator return the exit code and print the message", t, func() {
 		for _, c := range cases {
 			Convey("puffinlink "+c.line, func() {
 				code, out := runForTest(t, strings.Fields(c.line)...)
 				So(code, ShouldEqual, c.code)
-				So(out, ShouldContainSubstring, c.text)
+				So(out, ShouldContainSubstring, c.wantOutput)
 			})
 		}
 	})
 }
 
-func TestOverviewOfAllCommands(t *testing.T) {
+func TestOverviewListsAllCommandsInOrder(t *testing.T) {
 	code, out := runForTest(t, "--help")
-	Convey("The help lists the scheduler's processes and operators' commands first, then the aggregator's", t, func() {
+	Convey("The help lists the scheduler's processes first, then its operators' commands, then the aggregator's commands", t, func() {
 		So(code, ShouldEqual, 0)
-		for _, process := range systemProcesses {
+		for _, process := range clusterProcesses {
 			So(out, ShouldContainSubstring, "\n  "+process.name+" ")
 		}
 		for _, one := range operations {
@@ -86,18 +86,18 @@
 	})
 }
 
-// parseForTest reads a command line without running its command.
+// parseForTest parses a command line and returns its command without running it.
 func parseForTest(args ...string) flags.Commander {
 	command, err := parseAggregatorCommand(newAggregatorParser(), args)
 	So(err, ShouldBeNil)
 	return command
 }
 
-func TestAggregatorFlags(t *testing.T) {
+func TestAggregatorFlagsReachTheCommand(t *testing.T) {
 	t.Setenv("PUFFINLINK_OPERATORS", "unix:/from-the-environment")
 	t.Setenv("USER", "ann")
-	Convey("Flags, arguments, defaults and the environment reach their command", t, func() {
-		Convey("of an override", func() {
+	Convey("Flags, arguments, defaults and environment variables set the command's fields", t, func() {
+		Convey("for an override", func() {
 			set := parseForTest("override", "set", "pin", "s-1", "--shards", "7-9", "--for", "90m", "--reason", "two words", "--strict").(*overrideSetCommand)
 			So(set.At, ShouldEqual, "unix:/from-the-environment")
 			So(set.Arguments.Kind, ShouldEqual, overridePin)
@@ -110,7 +110,7 @@
 			So(set.Strict, ShouldBeTrue)
 			So(set.Force, ShouldBeFalse)
 		})
-		Convey("of a contract, whose lists have commas or come in several flags", func() {
+		Convey("for a contract, whose lists are comma-separated or repeated flags", func() {
 			contract := parseForTest("fleet", "contract", "acme", "--zones", "a,b", "--zones=c", "--reason", "x", "--at", "unix:/s").(*fleetContractCommand)
 			So(contract.At, ShouldEqual, "unix:/s")
 			So(contract.Arguments.Tenant, ShouldEqual, "acme")
@@ -118,21 +118,21 @@
 			So(contract.Indexes, ShouldBeEmpty)
 			So(contract.Wait, ShouldEqual, 30*time.Second)
 		})
-		Convey("of captures", func() {
+		Convey("for captures", func() {
 			cut := parseForTest("capture", "cut", "all", "--from", "2026-11-30T09:00:00+01:00", "--for", "1h", "--out", "x").(*captureCutCommand)
 			So(cut.From.Equal(time.Date(2026, 11, 30, 8, 0, 0, 0, time.UTC)), ShouldBeTrue)
 			merge := parseForTest("capture", "merge", "n1", "n2", "--out", "x").(*captureMergeCommand)
 			So(merge.Arguments.Paths, ShouldResemble, []string{"n1", "n2"})
 			So(merge.Span, ShouldEqual, 10*time.Second)
 		})
-		Convey("of plans", func() {
+		Convey("for plans", func() {
 			compare := parseForTest("plan", "compare", "a", "b", "--capture", "c").(*planCompareCommand)
 			So(compare.Arguments.Fleet, ShouldEqual, "a")
 			So(compare.Second.Other, ShouldEqual, "b")
 			So(compare.Times, ShouldEqual, 1)
 			So(compare.Seed, ShouldEqual, 1)
 		})
-		Convey("of the demo", func() {
+		Convey("for the demo", func() {
 			demo := parseForTest("demo").(*demoCommand)
 			So(*demo, ShouldResemble, demoCommand{Aggregators: 2, Backends: 6, PerS: 200, Service: 5 * time.Millisecond, Every: time.Second, JobsPerS: 6, LogLevel: "info"})
 		})
--- a/cmd/puffinlink/apply.go
+++ b/cmd/puffinlink/apply.go
@@ -23,11 +23,11 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// applied is what the command prints with --json.
-type applied struct {
-	Version uint64 `json:"version"`
-	BuiltOn string `json:"builtOn"`
-	Changed bool   `json:"changed"`
+// applyResult is what the command prints with --json.
+type applyResult struct {
+	Version     uint64 `json:"version"`
+	BaseVersion string `json:"builtOn"`
+	Changed     bool   `json:"changed"`
 }
 
 // Execute implements flags.Commander.
@@ -40,45 +40,47 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Arguments.File, err)
 	}
-	builtOn, same, err := c.base(body)
+	baseVersion, unchanged, err := c.baseVersion(body)
 	if err != nil {
 		return err
 	}
-	if same {
-		return c.report(applied{Version: parsed.Version, BuiltOn: builtOn})
+	if unchanged {
+		return c.printResult(applyResult{Version: parsed.Version, BaseVersion: baseVersion})
 	}
-	request := operatorclient.Request{Method: http.MethodPut, Path: control.ConfigurationPath, IfMatch: builtOn, Body: body}
+	request := operatorclient.Request{Method: http.MethodPut, Path: control.ConfigurationPath, IfMatch: baseVersion, Body: body}
 	if _, err := c.send(request); err != nil {
-		return explainApply(err, builtOn)
+		return describeApplyConflict(err, baseVersion)
 	}
-	return c.report(applied{Version: parsed.Version, BuiltOn: builtOn, Changed: true})
+	return c.printResult(applyResult{Version: parsed.Version, BaseVersion: baseVersion, Changed: true})
 }
 
-// base finds the version to build on, and whether the very same configuration is in force already.
-func (c *applyCommand) base(body []byte) (version string, same bool, err error) {
+// baseVersion returns the version that the new configuration is based on: --if-match, or else the version in force. It reports
+// unchanged if body equals the configuration in force.
+func (c *applyCommand) baseVersion(body []byte) (version string, unchanged bool, err error) {
 	if c.IfMatch != nil {
 		return fmt.Sprint(*c.IfMatch), false, nil
 	}
-	answer, err := c.send(operatorclient.Request{Method: http.MethodGet, Path: control.ConfigurationPath})
+	response, err := c.send(operatorclient.Request{Method: http.MethodGet, Path: control.ConfigurationPath})
 	var refused *operatorclient.RefusedError
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
-		return "0", false, nil // there is none yet
+		return "0", false, nil // no configuration has been applied yet
 	}
 	if err != nil {
 		return "", false, fmt.Errorf("read the version in force: %w", err)
 	}
-	return strings.Trim(answer.Version, `"`), bytes.Equal(answer.Body, body), nil
+	return strings.Trim(response.Version, `"`), bytes.Equal(response.Body, body), nil
 }
 
-func explainApply(err error, builtOn string) error {
+// describeApplyConflict adds the base version to the error of a request that failed because another version is in force.
+func describeApplyConflict(err error, baseVersion string) error {
 	var refused *operatorclient.RefusedError
 	if !errors.As(err, &refused) || refused.Status != http.StatusPreconditionFailed {
 		return err
 	}
-	return fmt.Errorf("conflict: it was built on version %s: %w", builtOn, err)
+	return fmt.Errorf("conflict: it was built on version %s: %w", baseVersion, err)
 }
 
-func (c *applyCommand) report(result applied) error {
+func (c *applyCommand) printResult(result applyResult) error {
 	if c.JSON {
 		text, err := json.Marshal(result)
 		if err != nil {
@@ -91,6 +93,6 @@
 		fmt.Fprintf(stdout, "version %d is in force already\n", result.Version)
 		return nil
 	}
-	fmt.Fprintf(stdout, "version %d is in force; it was built on version %s\n", result.Version, result.BuiltOn)
+	fmt.Fprintf(stdout, "version %d is in force; it was built on version %s\n", result.Version, result.BaseVersion)
 	return nil
 }
--- a/cmd/puffinlink/capture.go
+++ b/cmd/puffinlink/capture.go
@@ -13,11 +13,11 @@
 	Synth captureSynthCommand `command:"synth" description:"Generate a capture from a description of a load. Example: puffinlink capture synth load.json5 --out load.capture"`
 }
 
-// openCapture reads a capture, and tells where it is cut off.
+// openCapture reads a capture. It warns on standard error of files that are truncated, and fails if no interval can be read.
 func openCapture(path string) (capture.Capture, error) {
-	c, cuts, err := capture.Open(path)
-	for _, cut := range cuts {
-		fmt.Fprintln(stderr, "puffinlink:", cut)
+	c, truncations, err := capture.Open(path)
+	for _, truncation := range truncations {
+		fmt.Fprintln(stderr, "puffinlink:", truncation)
 	}
 	if err == nil && len(c.Intervals) == 0 {
 		err = fmt.Errorf("%s: %w", path, errNoInterval)
@@ -25,4 +25,4 @@
 	return c, err
 }
 
-func formatMilliseconds(s float64) string { return fmt.Sprintf("%.1f ms", 1000*s) }
+func formatSecondsAsMilliseconds(seconds float64) string { return fmt.Sprintf("%.1f ms", 1000*seconds) }
--- a/cmd/puffinlink/captureshow.go
+++ b/cmd/puffinlink/captureshow.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-func formatSeconds(at float64) string {
-	return time.UnixMilli(int64(1000 * at)).UTC().Format(time.RFC3339)
+// formatUnixSeconds formats a Unix time in seconds as RFC 3339.
+func formatUnixSeconds(seconds float64) string {
+	return time.UnixMilli(int64(1000 * seconds)).UTC().Format(time.RFC3339)
 }
 
 type captureShowCommand struct {
@@ -23,33 +24,33 @@
 	if err != nil {
 		return err
 	}
-	sum := c.Sum()
+	summary := c.Sum()
 	if s.JSON {
-		return printJSON(sum)
+		return printJSON(summary)
 	}
-	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(c.Intervals), formatSeconds(sum.At), formatSeconds(sum.At+sum.Span), strings.Join(sum.Aggregators, ", "))
-	for _, hole := range c.Gaps() {
-		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", formatSeconds(hole.From), formatSeconds(hole.To))
+	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(c.Intervals), formatUnixSeconds(summary.At), formatUnixSeconds(summary.At+summary.Span), strings.Join(summary.Aggregators, ", "))
+	for _, gap := range c.Gaps() {
+		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", formatUnixSeconds(gap.From), formatUnixSeconds(gap.To))
 	}
-	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", sum.InFlight.Mean, sum.InFlight.Most, sum.CallsInFlight.Mean, sum.CallsInFlight.Most)
+	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", summary.InFlight.Mean, summary.InFlight.Most, summary.CallsInFlight.Mean, summary.CallsInFlight.Most)
 	rows := [][]string{}
 	format := func(v int64) string { return strconv.FormatInt(v, 10) }
-	for _, load := range sum.Loads {
-		rows = append(rows, []string{load.Index, load.Customer, format(load.Queries), fmt.Sprintf("%.1f", float64(load.Queries)/sum.Span), fmt.Sprintf("%.1f", float64(load.Parts)/max(1, float64(load.Queries))),
+	for _, load := range summary.Loads {
+		rows = append(rows, []string{load.Index, load.Customer, format(load.Queries), fmt.Sprintf("%.1f", float64(load.Queries)/summary.Span), fmt.Sprintf("%.1f", float64(load.Parts)/max(1, float64(load.Queries))),
 			format(load.Resent), format(load.Ends.Satisfied), format(load.Ends.Late), format(load.Ends.Nacked), format(load.Ends.Aborted), format(load.Ends.Disconnected), format(load.Ends.Full)})
 	}
-	table(stdout, "INDEX CUSTOMER LOOKUPS A-SECOND PARTS RESENT SATISFIED LATE NACKED ABORTED GONE FULL", rows)
+	writeTableWithHeader(stdout, "INDEX CUSTOMER LOOKUPS A-SECOND PARTS RESENT SATISFIED LATE NACKED ABORTED GONE FULL", rows)
 	rows = rows[:0]
-	for _, x := range sum.Indexes {
-		rows = append(rows, []string{x.Index, format(x.Latency.Count()), formatMilliseconds(x.Latency.Quantile(0.5)), formatMilliseconds(x.Latency.Quantile(0.99)), formatMilliseconds(x.Latency.Quantile(1))})
+	for _, x := range summary.Indexes {
+		rows = append(rows, []string{x.Index, format(x.Latency.Count()), formatSecondsAsMilliseconds(x.Latency.Quantile(0.5)), formatSecondsAsMilliseconds(x.Latency.Quantile(0.99)), formatSecondsAsMilliseconds(x.Latency.Quantile(1))})
 	}
 	fmt.Fprintln(stdout)
-	table(stdout, "INDEX ANSWERED P50 P99 MOST", rows)
+	writeTableWithHeader(stdout, "INDEX ANSWERED P50 P99 MOST", rows)
 	rows = rows[:0]
-	for _, x := range sum.Backends {
-		rows = append(rows, []string{x.Backend, x.Location, x.Index, format(x.Calls), format(x.Failed), format(x.Rejected), formatMilliseconds(x.Latency.Quantile(0.5)), formatMilliseconds(x.Latency.Quantile(0.99)), formatMilliseconds(x.Alone.Mean())})
+	for _, x := range summary.Backends {
+		rows = append(rows, []string{x.Backend, x.Location, x.Index, format(x.Calls), format(x.Failed), format(x.Rejected), formatSecondsAsMilliseconds(x.Latency.Quantile(0.5)), formatSecondsAsMilliseconds(x.Latency.Quantile(0.99)), formatSecondsAsMilliseconds(x.Alone.Mean())})
 	}
 	fmt.Fprintln(stdout)
-	table(stdout, "SEARCHER LOCATION INDEX CALLS FAILED TURNED-AWAY P50 P99 ALONE", rows)
+	writeTableWithHeader(stdout, "SEARCHER LOCATION INDEX CALLS FAILED TURNED-AWAY P50 P99 ALONE", rows)
 	return nil
 }
--- a/cmd/puffinlink/capturesynth.go
+++ b/cmd/puffinlink/capturesynth.go
@@ -16,7 +16,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// synthFile is the form of a stated load.
+// synthFile is the format of the file that describes a load to generate.
 type synthFile struct {
 	Begins           time.Time `json:"begins"`
 	LastsS           float64   `json:"lasts_s"`
--- a/cmd/puffinlink/commands_test.go
+++ b/cmd/puffinlink/commands_test.go
@@ -14,19 +14,19 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-// runForTest runs a command line and tells its exit code and what it printed.
+// runForTest runs a command line. It returns the exit code and the output on stdout and stderr.
 func runForTest(t *testing.T, args ...string) (code int, out string) {
 	t.Helper()
 	var text bytes.Buffer
-	wasOut, wasErr := stdout, stderr
+	previousOut, previousErr := stdout, stderr
 	stdout, stderr = &text, &text
-	defer func() { stdout, stderr = wasOut, wasErr }()
+	defer func() { stdout, stderr = previousOut, previousErr }()
 	code = runCommandLine(args)
 	return code, text.String()
 }
 
-func TestInvalidCommandLines(t *testing.T) {
-	t.Setenv("PUFFINLINK_OPERATORS", "") // and back at the end
+func TestCommandLinesReturnExitCodeAndMessage(t *testing.T) {
+	t.Setenv("PUFFINLINK_OPERATORS", "") // restores the variable when the test ends
 	os.Unsetenv("PUFFINLINK_OPERATORS")
 	bad := filepath.Join(t.TempDir(), "bad.json5")
 	os.WriteFile(bad, []byte("{\n\"overides\": {}}"), 0o600)
@@ -49,14 +49,14 @@
 		`"go":"go1.`:                              {0, "version --json"},
 	} {
 		if code, out := runForTest(t, strings.Fields(c.args)...); code != c.code || !strings.Contains(out, want) {
-			t.Errorf("%s: exit code %d, expected %d with %q; it said:\n%s", c.args, code, c.code, want, out)
+			t.Errorf("%s: exit code %d, expected %d with %q; output:\n%s", c.args, code, c.code, want, out)
 		}
 	}
 }
 
-// TestOverridesByCommandLine plays an operator's session against a mixer that serves.
-func TestOverridesByCommandLine(t *testing.T) {
-	dir, err := os.MkdirTemp("", "pl") // a socket's path is short
+// TestOverrideCommandsAgainstARunningAggregator sets, lists, explains and clears overrides of an aggregator that serves.
+func TestOverrideCommandsAgainstARunningAggregator(t *testing.T) {
+	dir, err := os.MkdirTemp("", "pl") // t.TempDir may be too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	setConfiguration(t, listen, "127.0.0.1:1", "127.0.0.1:2", goodSettings)
+	setConfiguration(t, listen, "127.0.0.1:1", "127.0.0.1:2", validSettings)
 	socket := "unix:" + dir + "/s"
 	operator := filepath.Join(dir, "operator.json5")
 	os.WriteFile(operator, []byte(`{"overrides": {"directory": "`+dir+`/kept"}, "operators": {"listen": "`+socket+`"}}`), 0o600)
@@ -73,36 +73,36 @@
 	t.Setenv("PUFFINLINK_OPERATORS", socket)
 	ended := make(chan error, 1)
 	go func() { ended <- serveAggregator(operator) }()
-	for late := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("unix", dir+"/s"); err == nil {
 			c.Close()
 			break
 		}
-		if time.Now().After(late) {
-			t.Fatal("no listener")
+		if time.Now().After(deadline) {
+			t.Fatal("the operators' listener was not ready within a minute")
 		}
 	}
-	play := func(code int, want, line string) string {
+	runCommand := func(code int, want, line string) string {
 		t.Helper()
 		got, out := runForTest(t, strings.Fields(line)...)
 		if got != code || !strings.Contains(out, want) {
-			t.Fatalf("%s: exit code %d, expected %d with %q; it said:\n%s", line, got, code, want, out)
+			t.Fatalf("%s: exit code %d, expected %d with %q; output:\n%s", line, got, code, want, out)
 		}
 		return out
 	}
-	play(exitRefused, "last_holder", "override set out s-1 --for 1h --reason slow")
-	play(0, "override 1 set: s-1 out", "override set out s-1 --for 1h --reason slow --force --author ann")
-	play(exitConflict, "conflict", "override set weight s-1 --weight 0.5 --for 1h --reason slow --revision 0")
-	play(0, "override 2 set", "override set weight s-1 --weight 0.5 --for 1h --reason slow --revision 1 --key k1")
-	play(0, "it had acted before", "override set weight s-1 --weight 0.5 --for 1h --reason slow --revision 1 --key k1")
-	play(0, "suspended: override 1", "override list")
-	play(0, "shard 2 of reads does not go to s-1", "override why 2 reads s-1")
-	play(exitRefused, "unknown", "override clear 9 --reason done")
-	play(0, "cleared", "override clear 1 --reason done")
-	play(0, "forced over last_holder", "override history")
-	var v api.View
-	if err := json.Unmarshal([]byte(play(0, `"revision": 3`, "override list --json")), &v); err != nil || len(v.Overrides) != 1 || v.Overrides[0].State != "acts" {
-		t.Fatalf("got %+v, %v", v, err)
+	runCommand(exitRefused, "last_holder", "override set out s-1 --for 1h --reason slow")
+	runCommand(0, "override 1 set: s-1 out", "override set out s-1 --for 1h --reason slow --force --author ann")
+	runCommand(exitConflict, "conflict", "override set weight s-1 --weight 0.5 --for 1h --reason slow --revision 0")
+	runCommand(0, "override 2 set", "override set weight s-1 --weight 0.5 --for 1h --reason slow --revision 1 --key k1")
+	runCommand(0, "it had acted before", "override set weight s-1 --weight 0.5 --for 1h --reason slow --revision 1 --key k1")
+	runCommand(0, "suspended: override 1", "override list")
+	runCommand(0, "shard 2 of reads does not go to s-1", "override why 2 reads s-1")
+	runCommand(exitRefused, "unknown", "override clear 9 --reason done")
+	runCommand(0, "cleared", "override clear 1 --reason done")
+	runCommand(0, "forced over last_holder", "override history")
+	var view api.View
+	if err := json.Unmarshal([]byte(runCommand(0, `"revision": 3`, "override list --json")), &view); err != nil || len(view.Overrides) != 1 || view.Overrides[0].State != "acts" {
+		t.Fatalf("got %+v, %v", view, err)
 	}
 	self, _ := os.FindProcess(os.Getpid())
 	self.Signal(os.Interrupt)
@@ -112,7 +112,7 @@
 			t.Fatal(err)
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("did not end")
+		t.Fatal("the aggregator did not end within a minute")
 	}
-	play(exitUnreachable, "", "override list")
+	runCommand(exitUnreachable, "", "override list")
 }
--- a/cmd/puffinlink/coordinator.go
+++ b/cmd/puffinlink/coordinator.go
@@ -8,36 +8,37 @@
 	"puffinlink.example/puffinlink/internal/controlplane/coordinator"
 )
 
-// collectionGrowth is how much a coordinator's memory may grow, in hundredths of what is in use, until it is collected. The
-// stacks and connections of thousands of workers make each collection dear; the memory limit comes first.
-const collectionGrowth = 200
+// coordinatorGCPercent is the coordinator's GOGC value: how many percent the heap may grow over the live heap before the next
+// garbage collection. Collections are expensive, as each one scans the stacks and connections of thousands of workers. The
+// soft memory limit triggers a collection earlier.
+const coordinatorGCPercent = 200
 
-// coordinatorOffset is the coordinator's offset from the first internal port.
-const coordinatorOffset = 0
+// coordinatorPortOffset is the offset of the coordinator's port from the first internal port.
+const coordinatorPortOffset = 0
 
-// runCoordinator holds the control state until the context ends.
-func runCoordinator(ctx context.Context, node *systemNode) error {
-	debug.SetGCPercent(collectionGrowth)
-	core, err := coordinator.Open(ctx, node.settings, node.log)
+// runCoordinator runs a coordinator until ctx ends.
+func runCoordinator(ctx context.Context, env *processEnvironment) error {
+	debug.SetGCPercent(coordinatorGCPercent)
+	core, err := coordinator.Open(ctx, env.settings, env.log)
 	if err != nil {
 		return err
 	}
-	stopMetrics, err := serveMetrics(node, core.Metrics)
+	stopMetrics, err := serveMetrics(env, core.Metrics)
 	if err != nil {
 		return err
 	}
 	defer stopMetrics()
-	internal, err := listen(ctx, node.settings.InternalAddress(coordinatorOffset))
+	internal, err := listen(ctx, env.settings.InternalAddress(coordinatorPortOffset))
 	if err != nil {
 		return fmt.Errorf("internal address: %w", err)
 	}
-	operator, err := listen(ctx, node.settings.Listen.Control)
+	operator, err := listen(ctx, env.settings.Listen.Control)
 	if err != nil {
 		internal.Close()
 		return fmt.Errorf("listenAddresses.control: %w", err)
 	}
 	go func() {
-		for settings := range node.changes {
+		for settings := range env.changes {
 			setMemoryLimit(settings)
 		}
 	}()
--- a/cmd/puffinlink/demo.go
+++ b/cmd/puffinlink/demo.go
@@ -32,28 +32,28 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if c.System {
-		return c.runSystem(ctx)
+		return c.runCluster(ctx)
 	}
-	o := demo.Options{For: c.For, Aggregators: c.Aggregators, Backends: c.Backends, PerS: c.PerS, Service: c.Service, Directory: c.Directory,
+	options := demo.Options{For: c.For, Aggregators: c.Aggregators, Backends: c.Backends, PerS: c.PerS, Service: c.Service, Directory: c.Directory,
 		JSON: c.JSON, Every: max(c.Every, 100*time.Millisecond), Out: stdout}
 	if info, err := os.Stdout.Stat(); err == nil {
-		o.Live = info.Mode()&os.ModeCharDevice != 0
+		options.Live = info.Mode()&os.ModeCharDevice != 0
 	}
 	if c.Log != "" {
-		f, err := os.Create(c.Log)
+		file, err := os.Create(c.Log)
 		if err != nil {
 			return err
 		}
-		defer func() { err = errors.Join(err, f.Close()) }()
-		o.Log = io.Writer(f)
+		defer func() { err = errors.Join(err, file.Close()) }()
+		options.Log = io.Writer(file)
 	}
-	sum, err := demo.Run(ctx, o)
+	summary, err := demo.Run(ctx, options)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(stdout).Encode(sum)
+		return json.NewEncoder(stdout).Encode(summary)
 	}
-	sum.Print(stdout)
+	summary.Print(stdout)
 	return nil
 }
--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -18,14 +18,14 @@
 	"puffinlink.example/puffinlink/internal/tools/demo/cluster"
 )
 
-// systemDemoDuration is how long the load of the demo lasts where it is not stated.
-const systemDemoDuration = 20 * time.Second
+// clusterDemoDuration is how long the demo of the cluster scheduler generates load if --for is not set.
+const clusterDemoDuration = 20 * time.Second
 
-// errDemoFailed is the end of a demo in which something was lost, doubled or not played.
+// errDemoFailed means that the demo lost or repeated work, or did not complete. The printed summary shows the counts.
 var errDemoFailed = errors.New("the demo did not end as it should: see the counts above")
 
-// runSystem runs the demo of the cluster scheduler.
-func (c *demoCommand) runSystem(ctx context.Context) (err error) {
+// runCluster runs the demo of the cluster scheduler.
+func (c *demoCommand) runCluster(ctx context.Context) (err error) {
 	directory, remove, err := c.workDirectory()
 	if err != nil {
 		return err
@@ -38,10 +38,10 @@
 	defer func() { err = errors.Join(err, closeLog()) }()
 	options := cluster.Options{
 		For: c.For, Every: c.Every, Workers: c.Backends, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
-		Launcher: launcher{c.LogLevel}.functions(),
+		Launcher: processLauncher{c.LogLevel}.clusterLauncher(),
 	}
 	if options.For == 0 {
-		options.For = systemDemoDuration
+		options.For = clusterDemoDuration
 	}
 	if c.JSON {
 		options.Out = io.Discard
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	if err := printSystemSummary(&summary, c.JSON); err != nil {
+	if err := printClusterSummary(&summary, c.JSON); err != nil {
 		return err
 	}
 	if !summary.Good() {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-func printSystemSummary(summary *cluster.Summary, asJSON bool) error {
+func printClusterSummary(summary *cluster.Summary, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(stdout).Encode(summary)
 	}
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// workDirectory is the directory that was named, or one that is removed at the end.
+// workDirectory returns the directory that --directory names, which must be empty, or else a new temporary directory. The
+// caller calls remove at the end; it deletes only a temporary directory.
 func (c *demoCommand) workDirectory() (directory string, remove func(), err error) {
 	if c.Directory != "" {
 		entries, err := os.ReadDir(c.Directory)
@@ -77,10 +78,11 @@
 		return c.Directory, func() {}, err
 	}
 	directory, err = os.MkdirTemp("", "puffinlink-demo-")
-	// What a process that was killed still writes may be left in the system's directory for what is passing: nothing depends on it.
+	// A killed process may still write while the directory is removed, so files may remain. Nothing depends on them.
 	return directory, func() { _ = os.RemoveAll(directory) }, err
 }
 
+// openLog creates the file that --log names. Without --log, the log is discarded.
 func (c *demoCommand) openLog() (log io.Writer, closeLog func() error, err error) {
 	if c.Log == "" {
 		return io.Discard, func() error { return nil }, nil
@@ -92,15 +94,15 @@
 	return file, file.Close, nil
 }
 
-// launcher starts the processes of the demo.
-type launcher struct{ logLevel string }
+// processLauncher starts the processes of the demo.
+type processLauncher struct{ logLevel string }
 
-func (l launcher) functions() cluster.Launcher {
+func (l processLauncher) clusterLauncher() cluster.Launcher {
 	return cluster.Launcher{Coordinator: l.startCoordinator, Front: l.startFront}
 }
 
-// startCoordinator starts a coordinator as a process of its own, so that it can be killed.
-func (l launcher) startCoordinator(settingsFile string, log io.Writer) (*cluster.Process, error) {
+// startCoordinator starts a coordinator as a child process, so that the demo can kill it.
+func (l processLauncher) startCoordinator(settingsFile string, log io.Writer) (*cluster.Process, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -108,44 +110,44 @@
 	command := exec.Command(program, "coordinator", "--log-level", l.logLevel)
 	command.Env = append(os.Environ(), nodesettings.PathVariable+"="+settingsFile)
 	command.Stdout, command.Stderr = log, log
-	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // an interrupt at the terminal reaches the demo alone
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // an interrupt at the terminal reaches only the demo; the child is killed if the demo dies
 	if err := command.Start(); err != nil {
 		return nil, err
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = command.Wait() // the demo kills processes: how one ended is in its log
+		_ = command.Wait() // the exit status does not matter: the demo kills processes, and failures are in the log
 	}()
 	return &cluster.Process{
-		// Both fail only where the process has ended already, which Ended tells.
+		// Both fail only if the process has already ended, which closes Ended.
 		Kill:  func() { _ = command.Process.Kill() },
 		Stop:  func() { _ = command.Process.Signal(syscall.SIGTERM) },
 		Ended: ended,
 	}, nil
 }
 
-// startFront runs the proxy and the agent of a front machine in this process.
-func (l launcher) startFront(settingsFile, localAddress string, log io.Writer) (*cluster.Process, error) {
+// startFront runs the proxy and the agent of a front machine within this process.
+func (l processLauncher) startFront(settingsFile, localAddress string, log io.Writer) (*cluster.Process, error) {
 	settings, err := nodesettings.LoadFile(settingsFile)
 	if err != nil {
 		return nil, err
 	}
-	return l.startInside(settings, localAddress, log, runAgent, runProxy), nil
+	return l.startInProcess(settings, localAddress, log, runAgent, runProxy), nil
 }
 
-// startInside runs processes of one machine on goroutines.
-func (l launcher) startInside(settings nodesettings.Settings, localAddress string, log io.Writer, runs ...func(context.Context, *systemNode) error) *cluster.Process {
+// startInProcess runs the given processes of one machine in goroutines. If one ends, the others are stopped.
+func (l processLauncher) startInProcess(settings nodesettings.Settings, localAddress string, log io.Writer, processes ...func(context.Context, *processEnvironment) error) *cluster.Process {
 	ctx, stop := context.WithCancel(context.Background())
 	logger := l.newLog(settings.NodeName, log)
 	var running sync.WaitGroup
-	for _, run := range runs {
+	for _, run := range processes {
 		changes := make(chan nodesettings.Settings)
 		context.AfterFunc(ctx, func() { close(changes) })
 		running.Go(func() {
-			defer stop() // of the others too
-			node := &systemNode{settings: settings, changes: changes, log: logger, local: localAddress}
-			if err := run(ctx, node); err != nil {
+			defer stop() // stops the others too
+			env := &processEnvironment{settings: settings, changes: changes, log: logger, localOverride: localAddress}
+			if err := run(ctx, env); err != nil {
 				logger.Error("process failed", zap.Error(err))
 			}
 		})
@@ -158,9 +160,9 @@
 	return &cluster.Process{Kill: stop, Stop: stop, Ended: ended}
 }
 
-func (l launcher) newLog(node string, log io.Writer) *zap.Logger {
+func (l processLauncher) newLog(nodeName string, log io.Writer) *zap.Logger {
 	if log == io.Discard {
 		return zap.NewNop()
 	}
-	return newLog(zapcore.AddSync(log), l.logLevel).With(zap.String("node", node))
+	return newLog(zapcore.AddSync(log), l.logLevel).With(zap.String("node", nodeName))
 }
--- a/cmd/puffinlink/errors.go
+++ b/cmd/puffinlink/errors.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// errNoInterval says that nothing of a capture can be read.
+// errNoInterval means that a capture contains no readable interval.
 var errNoInterval = errors.New("no interval of it can be read")
 
-// errInterrupted is the end of a command that an operator has interrupted.
+// errInterrupted means that the operator interrupted the command.
 var errInterrupted = errors.New("interrupted")
 
-// notAppliedError says that a version was not held everywhere in time.
+// notAppliedError means that not all aggregators applied a contract version within the wait.
 type notAppliedError struct {
 	wait    time.Duration
 	version uint64
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("not held everywhere after %s; `puffinlink fleet held %d %s` shows how far it gets", e.wait, e.version, e.tenant)
 }
 
-// usageError says what is wrong with a command line, and what was expected.
+// usageError describes an invalid command line: what was found and what was expected.
 type usageError string
 
 func (e usageError) Error() string { return string(e) }
--- a/cmd/puffinlink/flagvalues.go
+++ b/cmd/puffinlink/flagvalues.go
@@ -8,21 +8,21 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// commaList is a flag's list: comma-separated, and the flag may be repeated.
+// commaList is a flag value that is a comma-separated list. The flag may be repeated.
 type commaList []string
 
 var _ flags.Unmarshaler = (*commaList)(nil)
 
-// UnmarshalFlag adds what one flag lists.
+// UnmarshalFlag appends the elements of one occurrence of the flag.
 func (l *commaList) UnmarshalFlag(value string) error {
 	*l = append(*l, strings.Split(value, ",")...)
 	return nil
 }
 
-// timeFlag is a flag's time, as 2026-11-30T08:00:00Z.
+// timeFlag is a flag value that is a time, for example 2026-11-30T08:00:00Z.
 type timeFlag struct{ time.Time }
 
-// UnmarshalFlag reads a time in the form of RFC 3339.
+// UnmarshalFlag parses a time in RFC 3339 format.
 func (m *timeFlag) UnmarshalFlag(value string) error {
 	at, err := time.Parse(time.RFC3339, value)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// overrideKind is what an override does.
+// overrideKind is the effect of an override.
 type overrideKind string
 
 const (
@@ -41,7 +41,7 @@
 	overridePin    overrideKind = "pin"
 )
 
-// UnmarshalFlag takes one of the kinds.
+// UnmarshalFlag accepts the names of the kinds only.
 func (k *overrideKind) UnmarshalFlag(value string) error {
 	switch kind := overrideKind(value); kind {
 	case overrideWeight, overrideEject, overridePin:
--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -16,10 +16,11 @@
 	Why      fleetWhyCommand      `command:"why" description:"Show which contract, lease and quota decide about a tenant's queries. Example: puffinlink fleet why acme reads"`
 }
 
-// changeTimeout is how long an aggregator may take to have a command accepted.
-const changeTimeout = 2 * answerTimeout
+// changeTimeout is how long to wait until the fleet accepts a command that an aggregator submits.
+const changeTimeout = 2 * responseTimeout
 
-// submitFleetChange sends a command and prints that it was accepted, as which version. The client is for further requests.
+// submitFleetChange sends a command and prints the version that it was accepted as. It returns the client for further requests
+// and that version.
 func (d *operatorConnection) submitFleetChange(ctx context.Context, command api.FleetCommand) (client *api.Client, version uint64, err error) {
 	if client, err = d.client(); err != nil {
 		return nil, 0, err
@@ -32,13 +33,14 @@
 	return client, result.Version, nil
 }
 
-// changeOptions is who says why.
+// changeOptions are the flags that state the author and the reason of a change.
 type changeOptions struct {
 	Author string `long:"author" value-name:"STRING" description:"Author of the change; the user's name unless a token names one."`
 	Reason string `long:"reason" value-name:"STRING" required:"yes" description:"Reason for the change."`
 	ID     string `long:"id" value-name:"STRING" description:"Idempotency key: a command sent again with the same key is executed once."`
 }
 
+// command returns a command for a tenant. If no author is set, it is the user who runs the program.
 func (s *changeOptions) command(tenant string) api.FleetCommand {
 	if u, err := user.Current(); s.Author == "" && err == nil {
 		s.Author = u.Username
--- a/cmd/puffinlink/fleetprogress.go
+++ b/cmd/puffinlink/fleetprogress.go
@@ -9,22 +9,22 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-// progressPollInterval is the time between two questions how far a version got.
+// progressPollInterval is the time between two requests for the progress of a version.
 const progressPollInterval = 200 * time.Millisecond
 
-// waitUntilApplied asks how far a version of the contracts got until it is held everywhere, or for as long as wait says; it asks once at the
-// least. What it returns is the last answer.
-func waitUntilApplied(ctx context.Context, client *api.Client, version uint64, tenant string, wait time.Duration) (p residency.Progress, err error) {
-	for until := time.Now().Add(wait); ; time.Sleep(progressPollInterval) {
-		p, err = client.Progress(ctx, version, tenant)
-		if err == nil && p.Applied || !time.Now().Before(until) {
-			return p, err
+// waitUntilApplied polls the progress of a version of the contracts until all aggregators apply it or wait has elapsed. It polls
+// at least once, and returns the result of the last poll, which may be an error.
+func waitUntilApplied(ctx context.Context, client *api.Client, version uint64, tenant string, wait time.Duration) (progress residency.Progress, err error) {
+	for deadline := time.Now().Add(wait); ; time.Sleep(progressPollInterval) {
+		progress, err = client.Progress(ctx, version, tenant)
+		if err == nil && progress.Applied || !time.Now().Before(deadline) {
+			return progress, err
 		}
 	}
 }
 
-func printProgress(p *residency.Progress) {
-	for _, m := range p.Nodes {
+func printProgress(progress *residency.Progress) {
+	for _, m := range progress.Nodes {
 		fmt.Fprintf(stdout, "%s: %s, tells version %d", m.Node, m.State, m.Applied)
 		if m.LeaseEndsIn > 0 {
 			fmt.Fprintf(stdout, ", refuses strict tenants in %.1f s at the latest if it hears nothing", m.LeaseEndsIn)
@@ -47,16 +47,16 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.Wait+answerTimeout+answerTimeout/2)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Wait+responseTimeout+responseTimeout/2)
 	defer cancel()
-	p, err := waitUntilApplied(ctx, client, c.Arguments.Version, c.Arguments.Tenant, c.Wait)
+	progress, err := waitUntilApplied(ctx, client, c.Arguments.Version, c.Arguments.Tenant, c.Wait)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(p)
+		return printJSON(progress)
 	}
-	fmt.Fprintf(stdout, "version %d held everywhere: %t\n", p.Version, p.Applied)
-	printProgress(&p)
+	fmt.Fprintf(stdout, "version %d held everywhere: %t\n", progress.Version, progress.Applied)
+	printProgress(&progress)
 	return nil
 }
--- a/cmd/puffinlink/fleetshow.go
+++ b/cmd/puffinlink/fleetshow.go
@@ -24,14 +24,14 @@
 	for _, m := range status.Members {
 		fmt.Fprintf(writer, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.SinceReceived)
 	}
-	for tenant, x := range status.Contracts.Contracts {
-		fmt.Fprintf(writer, "contract %s\t%s\t%s\n", tenant, strings.Join(x.Zones, " "), strings.Join(x.Indexes, " "))
+	for tenant, contract := range status.Contracts.Contracts {
+		fmt.Fprintf(writer, "contract %s\t%s\t%s\n", tenant, strings.Join(contract.Zones, " "), strings.Join(contract.Indexes, " "))
 	}
-	for tenant, q := range status.Quotas {
-		fmt.Fprintf(writer, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.PerS, q.Burst, q.MinimumShare)
+	for tenant, quota := range status.Quotas {
+		fmt.Fprintf(writer, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, quota.PerS, quota.Burst, quota.MinimumShare)
 	}
-	for _, j := range status.Outliers {
-		fmt.Fprintf(writer, "judged %s\t%.1f s ago\n", j.Backend, j.Age)
+	for _, outlier := range status.Outliers {
+		fmt.Fprintf(writer, "judged %s\t%.1f s ago\n", outlier.Backend, outlier.Age)
 	}
 	return writer.Flush()
 }
--- a/cmd/puffinlink/fleetwhy.go
+++ b/cmd/puffinlink/fleetwhy.go
@@ -18,17 +18,17 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 	defer cancel()
-	e, err := client.WhyFleet(ctx, c.Arguments.Tenant, c.Arguments.Index)
+	explanation, err := client.WhyFleet(ctx, c.Arguments.Tenant, c.Arguments.Index)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(e)
+		return printJSON(explanation)
 	}
-	fmt.Fprintf(stdout, "taken: %t\n", e.Accepted)
-	for _, line := range e.Rules {
+	fmt.Fprintf(stdout, "taken: %t\n", explanation.Accepted)
+	for _, line := range explanation.Rules {
 		fmt.Fprintln(stdout, line)
 	}
 	return nil
--- a/cmd/puffinlink/internalserver.go
+++ b/cmd/puffinlink/internalserver.go
@@ -12,30 +12,31 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Offsets from the first internal port.
+// Offsets of the agent's ports from the first internal port.
 const (
-	agentPeerOffset  = 1 // the agent's address for other agents
-	agentLocalOffset = 2 // the agent's loopback address for the proxy on the same machine
+	agentPeerPortOffset  = 1 // serves other agents
+	agentLocalPortOffset = 2 // serves the proxy on the same machine, on the loopback interface
 )
 
 const (
-	listenTimeout         = 5 * time.Second // for an address that the process before may still hold
+	listenTimeout         = 5 * time.Second // the previous process may still use the address for so long
 	listenRetryInterval   = 100 * time.Millisecond
 	internalHeaderTimeout = 5 * time.Second
-	internalIdleTimeout   = time.Minute // longer than callers keep a connection, so that they are the ones to close it
+	internalIdleTimeout   = time.Minute // longer than the idle timeout of clients, so that clients close idle connections first
 )
 
+// errNoAddress means that the settings contain no address that the process needs.
 var errNoAddress = errors.New("missing: the role has to serve it")
 
-// listen opens a listener. It tries again for a while when the address is still in use.
+// listen opens a TCP listener. It retries for listenTimeout at most, as the previous process may still use the address.
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	if address == "" {
 		return nil, errNoAddress
 	}
-	latest := time.Now().Add(listenTimeout)
+	deadline := time.Now().Add(listenTimeout)
 	for {
 		listener, err := net.Listen("tcp", address)
-		if err == nil || time.Now().After(latest) {
+		if err == nil || time.Now().After(deadline) {
 			return listener, err
 		}
 		select {
@@ -46,7 +47,7 @@
 	}
 }
 
-// serveInternal serves internal calls until the returned server is closed.
+// serveInternal serves calls between processes until the returned server is closed.
 func serveInternal(listener net.Listener, mux *transport.Mux, log *zap.Logger) *http.Server {
 	server := &http.Server{
 		Handler:           mux,
@@ -54,6 +55,6 @@
 		IdleTimeout:       internalIdleTimeout,
 		ErrorLog:          zap.NewStdLog(log),
 	}
-	go func() { _ = server.Serve(listener) }() // it ends with the server's Close or Shutdown, which its caller calls
+	go func() { _ = server.Serve(listener) }() // always returns an error: Close or Shutdown ends it
 	return server
 }
--- a/cmd/puffinlink/main.go
+++ b/cmd/puffinlink/main.go
@@ -1,4 +1,5 @@
-// Command puffinlink runs an aggregator or a process of the cluster scheduler (proxy, agent, coordinator), and has the operators' commands.
+// Command puffinlink runs an aggregator, or one of the processes of the cluster scheduler: proxy, agent or coordinator. It also
+// contains the commands with which operators inspect and control both.
 package main
 
 import (
@@ -6,7 +7,7 @@
 	"os"
 )
 
-// Exit codes, as docs/operators/overrides.md lists them.
+// Exit codes. docs/operators/overrides.md documents them.
 const (
 	exitFailed      = 1
 	exitUsage       = 2
@@ -15,15 +16,16 @@
 	exitUnreachable = 5
 )
 
-// What commands print goes here; an aggregator that serves writes its log to standard output itself.
+// stdout and stderr receive the output of commands; tests replace them. A serving aggregator writes its log directly to
+// os.Stdout instead.
 var stdout, stderr io.Writer = os.Stdout, os.Stderr
 
 func main() { os.Exit(runCommandLine(os.Args[1:])) }
 
-// runCommandLine runs a command line and tells its exit code.
+// runCommandLine runs the command that args name and returns the exit code.
 func runCommandLine(args []string) int {
-	if process, found := findSystemProcess(args); found {
-		return runSystemCommand(process, args[1:])
+	if process, found := findClusterProcess(args); found {
+		return runProcessCommand(process, args[1:])
 	}
 	if isOperation(args) {
 		return runOperationCommand(args)
--- a/cmd/puffinlink/main_test.go
+++ b/cmd/puffinlink/main_test.go
@@ -25,16 +25,17 @@
 	"puffinlink.example/puffinlink/internal/fakes"
 )
 
-const goodSettings = `{"granularityS":0.005,"azs":["a"],"models":["m"],"stats":{"how":"answers"},
+const validSettings = `{"granularityS":0.005,"azs":["a"],"models":["m"],"stats":{"how":"answers"},
 	"requestClasses":[{"name":"reads","effect":"repeatable","promiseS":1,"giveUpS":1.5,"worth":1,"lateWorth":0.1}],
 	"specifics":{"places":1,"width":1,"slices":4,"classNeed":[1]},
 	"limits":{"mostTries":2,"multiplex":100,"idleCloseS":15,"connectTimeoutS":1}}`
 
-func setConfiguration(t *testing.T, listen, discovery, searcher, settings string) {
+// setConfiguration writes a configuration file with one known backend and points LB_CONFIG at it until the test ends.
+func setConfiguration(t *testing.T, listen, discovery, backend, settings string) {
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"generation":4,"reset":true,"instances":[
 		{"instanceId":"s-1","hostPort":%q,"zone":"a","machineType":"m","cell":0,"lifecycle":"SERVING","weight":1.0,"startedAtMs":0}]},
-		"settings":%s}`, listen, discovery, searcher, settings)
+		"settings":%s}`, listen, discovery, backend, settings)
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -47,14 +48,14 @@
 
 func TestInvalidConfigurationIsReportedInOneLine(t *testing.T) {
 	for want, c := range map[string][3]string{
-		"listen":                        {"", "x:1", goodSettings},
+		"listen":                        {"", "x:1", validSettings},
 		"expected a JSON object":        {"x:1", "x:1", `7`},
-		"second step":                   {"x:1", "x:1", strings.Replace(goodSettings, `"places"`, `"secondStep":[2],"places"`, 1)},
-		"coldS is -1":                   {"x:1", "x:1", strings.Replace(goodSettings, `"granularityS"`, `"invariants":{"coldS":-1},"granularityS"`, 1)},
-		"address x: missing port":       {"x", "x:1", goodSettings},
-		`requestClasses[0].effect is "`: {"x:1", "x:1", strings.Replace(goodSettings, "repeatable", "often", 1)},
-		"requestClasses[0].repeatWindowS is -1, expected 0 or more": {"x:1", "x:1", strings.Replace(goodSettings, `"repeatable"`, `"by_key","repeatWindowS":-1`, 1)},
-		"floorByClass[0] is 0.6, expected at most classNeed, 0.5":   {"x:1", "x:1", strings.Replace(goodSettings, `"classNeed":[1]`, `"classNeed":[0.5],"floorByClass":[0.6]`, 1)},
+		"second step":                   {"x:1", "x:1", strings.Replace(validSettings, `"places"`, `"secondStep":[2],"places"`, 1)},
+		"coldS is -1":                   {"x:1", "x:1", strings.Replace(validSettings, `"granularityS"`, `"invariants":{"coldS":-1},"granularityS"`, 1)},
+		"address x: missing port":       {"x", "x:1", validSettings},
+		`requestClasses[0].effect is "`: {"x:1", "x:1", strings.Replace(validSettings, "repeatable", "often", 1)},
+		"requestClasses[0].repeatWindowS is -1, expected 0 or more": {"x:1", "x:1", strings.Replace(validSettings, `"repeatable"`, `"by_key","repeatWindowS":-1`, 1)},
+		"floorByClass[0] is 0.6, expected at most classNeed, 0.5":   {"x:1", "x:1", strings.Replace(validSettings, `"classNeed":[1]`, `"classNeed":[0.5],"floorByClass":[0.6]`, 1)},
 	} {
 		setConfiguration(t, c[0], c[1], "y:1", c[2])
 		if err := serveAggregator(""); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
@@ -62,7 +63,7 @@
 		}
 	}
 	for weight, want := range map[string]string{"0": `searcher "s-1": weight is 0, expected more than 0`, `"NaN"`: "weight of type float64"} {
-		setConfiguration(t, "x:1", "x:1", "y:1", goodSettings)
+		setConfiguration(t, "x:1", "x:1", "y:1", validSettings)
 		text, err := os.ReadFile(os.Getenv("LB_CONFIG"))
 		if err != nil {
 			t.Fatal(err)
@@ -74,73 +75,74 @@
 	}
 	t.Setenv("LB_CONFIG", "")
 	if err := serveAggregator(""); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, expected an error that names LB_CONFIG", err)
 	}
 }
 
-// TestStartLeavesTheLogAlone: connections that end with one mixer are logged while another starts, which sets nothing that they read.
-func TestStartLeavesTheLogAlone(t *testing.T) {
-	setConfiguration(t, "x", "x:1", "y:1", goodSettings) // its address stops it, after its log is there
-	begun, ended := make(chan bool), make(chan bool)
+// TestStartDoesNotRaceWithConnectionLogging runs the start of an aggregator while another one in the process logs the end of
+// connections. It guards against a start that writes to variables that the logger reads: the race detector reports it.
+func TestStartDoesNotRaceWithConnectionLogging(t *testing.T) {
+	setConfiguration(t, "x", "x:1", "y:1", validSettings) // the invalid listen address fails the start after the logger has been set up
+	logging, ended := make(chan bool), make(chan bool)
 	go func() {
 		defer close(ended)
 		log := asynclog.New(zapcore.AddSync(io.Discard))
 		for i := range 1000 {
 			log.Info("connection ended")
 			if i == 0 {
-				close(begun)
+				close(logging)
 			}
 		}
 	}()
-	<-begun
+	<-logging
 	if err := serveAggregator(""); err == nil {
-		t.Error("an address without a port was taken")
+		t.Error("serveAggregator accepted an address without a port")
 	}
 	<-ended
 }
 
-// TestServesAndStops runs the whole program against stand-ins: it serves from what was known, with the register
-// out of reach, and on SIGTERM answers what it holds before it ends.
-func TestServesAndStops(t *testing.T) {
-	peer, err := net.Listen("tcp", "127.0.0.1:0")
+// TestServesWithoutDiscoveryAndDrainsOnSIGTERM runs an aggregator against a fake backend. The aggregator serves with the backends
+// of its configuration file while discovery is not available, and on SIGTERM answers the query in flight before it ends.
+func TestServesWithoutDiscoveryAndDrainsOnSIGTERM(t *testing.T) {
+	backend, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer peer.Close()
-	asked, answer := make(chan string, 10), make(chan bool)
+	defer backend.Close()
+	subqueries, respond := make(chan string, 10), make(chan bool)
 	go func() {
-		c, err := peer.Accept()
+		c, err := backend.Accept()
 		if err != nil {
 			return
 		}
 		for in := bufio.NewReader(c); ; {
-			var head [4]byte
-			if _, err := io.ReadFull(in, head[:]); err != nil {
+			var header [4]byte
+			if _, err := io.ReadFull(in, header[:]); err != nil {
 				return
 			}
-			frame := make([]byte, binary.BigEndian.Uint32(head[:]))
+			frame := make([]byte, binary.BigEndian.Uint32(header[:]))
 			io.ReadFull(in, frame)
 			id, _, _ := strings.Cut(string(frame[1:]), " ")
-			asked <- string(frame)
-			<-answer
-			rest := "R" + id + " done 7 -\nv1"
-			c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(rest))), rest...))
+			subqueries <- string(frame)
+			<-respond
+			response := "R" + id + " done 7 -\nv1"
+			c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(response))), response...))
 		}
 	}()
-	register := httptest.NewServer(http.NotFoundHandler())
-	defer register.Close()
-	watched := make(chan string, 100)
-	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		watched <- q.URL.String()
+	discovery := httptest.NewServer(http.NotFoundHandler())
+	defer discovery.Close()
+	watches := make(chan string, 100)
+	newDiscovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		watches <- q.URL.String()
 		http.NotFound(w, q)
 	}))
-	defer moved.Close()
+	defer newDiscovery.Close()
 	listen, err := fakes.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	setConfiguration(t, listen, register.Listener.Addr().String(), peer.Addr().String(), goodSettings)
-	t.Setenv("LB_DISCOVERY", register.Listener.Addr().String())
+	setConfiguration(t, listen, discovery.Listener.Addr().String(), backend.Addr().String(), validSettings)
+	t.Setenv("LB_DISCOVERY", discovery.Listener.Addr().String())
 	ended := make(chan error, 1)
 	go func() { ended <- serveAggregator("") }()
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
@@ -152,10 +154,10 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("never up: %v", err)
+			t.Fatalf("the aggregator was not ready within a minute: %v", err)
 		}
 	}
-	ask := func(id string) chan string {
+	sendQuery := func(id string) chan string {
 		got := make(chan string, 1)
 		go func() {
 			req, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/reads", strings.NewReader(`{"targets":[{"partition":2,"share":1}],"query":"q1"}`))
@@ -179,71 +181,72 @@
 				t.Fatalf("got %q, expected %q", text, want)
 			}
 		case <-time.After(time.Minute):
-			t.Fatal("no answer")
+			t.Fatal("no response within a minute")
 		}
 	}
-	first := ask("aa")
-	expect(asked, "Saa.2 2 d=")
-	answer <- true
-	expect(first, `200 false{"whole":true,"results":[{"partition":2,"value":"v1"}]}`)
-	held := ask("bb")
-	expect(asked, "Sbb.2 2 d=")
+	firstResponse := sendQuery("aa")
+	expect(subqueries, "Saa.2 2 d=")
+	respond <- true
+	expect(firstResponse, `200 false{"whole":true,"results":[{"partition":2,"value":"v1"}]}`)
+	heldResponse := sendQuery("bb")
+	expect(subqueries, "Sbb.2 2 d=")
 	self := os.Getpid()
 	syscall.Kill(self, syscall.SIGUSR1)
-	// A file that can't be used changes nothing; a good one moves the register, also where LB_DISCOVERY stood over
-	// the file at the start, and while the mixer drains.
-	good, err := os.ReadFile(os.Getenv("LB_CONFIG"))
+	// A reload of an invalid file changes nothing. A valid one changes the address of discovery, although LB_DISCOVERY
+	// overrode the file at start, and although the aggregator drains.
+	valid, err := os.ReadFile(os.Getenv("LB_CONFIG"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	good = bytes.Replace(good, []byte(register.Listener.Addr().String()), []byte(moved.Listener.Addr().String()), 1)
-	for _, text := range []string{"{", strings.Replace(string(good), `"seed":"8c`, `"seed":"x`, 1),
-		strings.Replace(string(good), `"repeatable"`, `"by_key","repeatWindowS":-1`, 1), string(good)} {
-		if len(watched) > 0 {
-			t.Fatal("a file that is not valid was taken")
+	valid = bytes.Replace(valid, []byte(discovery.Listener.Addr().String()), []byte(newDiscovery.Listener.Addr().String()), 1)
+	for _, text := range []string{"{", strings.Replace(string(valid), `"seed":"8c`, `"seed":"x`, 1),
+		strings.Replace(string(valid), `"repeatable"`, `"by_key","repeatWindowS":-1`, 1), string(valid)} {
+		if len(watches) > 0 {
+			t.Fatal("an invalid configuration file was applied")
 		}
 		if err := os.WriteFile(os.Getenv("LB_CONFIG"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		syscall.Kill(self, syscall.SIGHUP)
-		if text == string(good) {
+		if text == string(valid) {
 			syscall.Kill(self, syscall.SIGTERM)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	expect(watched, "/discovery/hosts?stream=1&index=4")
+	expect(watches, "/discovery/hosts?stream=1&index=4")
 	select {
 	case err := <-ended:
-		t.Fatalf("ended with a lookup held: %v", err)
+		t.Fatalf("the aggregator ended with a query in flight: %v", err)
 	case <-time.After(time.Second):
 	}
-	answer <- true
-	expect(held, `200 false{"whole":true`) // the connection stays: another mixer may not be there yet
+	respond <- true
+	expect(heldResponse, `200 false{"whole":true`) // the connection stays open, as the next aggregator may not be listening yet
 	select {
 	case err := <-ended:
 		if err != nil {
 			t.Fatal(err)
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("did not end")
+		t.Fatal("the aggregator did not end within a minute")
 	}
 }
 
-// A stop while the process before still holds the address ends at once and well, whenever it comes; so does one more.
-func TestStopWhileStarting(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+// TestSIGTERMWhileStartingEndsWithoutError sends SIGTERM every 10 ms while an aggregator waits for an address that another
+// listener still uses. The start must end without an error, at whatever moment the signals arrive.
+func TestSIGTERMWhileStartingEndsWithoutError(t *testing.T) {
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	setConfiguration(t, held.Addr().String(), "127.0.0.1:1", "127.0.0.1:1", goodSettings)
-	ours := make(chan os.Signal, 1) // so that one that comes before it listens for signals ends nothing
-	signal.Notify(ours, syscall.SIGTERM)
-	defer signal.Stop(ours)
+	defer occupied.Close()
+	setConfiguration(t, occupied.Addr().String(), "127.0.0.1:1", "127.0.0.1:1", validSettings)
+	ignored := make(chan os.Signal, 1) // signals that arrive before serveAggregator handles them must not end the test process
+	signal.Notify(ignored, syscall.SIGTERM)
+	defer signal.Stop(ignored)
 	ended := make(chan error, 1)
 	go func() { ended <- serveAggregator("") }()
-	again := time.NewTicker(10 * time.Millisecond)
-	defer again.Stop()
+	ticker := time.NewTicker(10 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
 		case err := <-ended:
@@ -251,24 +254,25 @@
 				t.Fatal(err)
 			}
 			return
-		case <-again.C:
+		case <-ticker.C:
 			syscall.Kill(os.Getpid(), syscall.SIGTERM)
 		case <-time.After(time.Minute):
-			t.Fatal("it does not end")
+			t.Fatal("the aggregator did not end within a minute")
 		}
 	}
 }
 
-// What comes while it starts is kept for the mixer that runs, in its order.
-func TestSignalsWhileStartingAreKept(t *testing.T) {
+// TestSignalsWhileStartingAreQueuedInOrder checks that signals received during the start are passed on to the running aggregator,
+// in the order of their arrival.
+func TestSignalsWhileStartingAreQueuedInOrder(t *testing.T) {
 	signals := make(chan os.Signal, 16)
-	begun, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) {
+	started, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) {
 		signals <- syscall.SIGHUP
 		signals <- syscall.SIGTERM
 		<-ctx.Done()
-		return &node.Node{}, nil // it served a moment before
+		return &node.Node{}, nil // the start completed despite the cancellation
 	})
-	if begun == nil || err != nil {
+	if started == nil || err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM} {
@@ -278,28 +282,30 @@
 	}
 }
 
-// A reload in the very moment of a start: the file changes once it was read, while the mixer still waits for its address. It
-// goes by the new file once it runs, and is not ended by the signal.
-func TestReloadWhileStarting(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+// TestSIGHUPWhileStartingAppliesTheNewFile changes the configuration file and sends SIGHUP after the aggregator has read the file,
+// but while it still waits for its address. SIGHUP must not end the process, and the aggregator must apply the new file once it
+// runs.
+func TestSIGHUPWhileStartingAppliesTheNewFile(t *testing.T) {
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	watched := make(chan string, 100)
-	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		watched <- q.URL.String()
+	defer occupied.Close()
+	watches := make(chan string, 100)
+	newDiscovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		watches <- q.URL.String()
 		http.NotFound(w, q)
 	}))
-	defer moved.Close()
-	const before = "127.0.0.1:1"
-	setConfiguration(t, held.Addr().String(), before, "127.0.0.1:1", goodSettings)
+	defer newDiscovery.Close()
+	const oldDiscovery = "127.0.0.1:1"
+	setConfiguration(t, occupied.Addr().String(), oldDiscovery, "127.0.0.1:1", validSettings)
 	path := os.Getenv("LB_CONFIG")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The file is a pipe first: its text is taken only once the mixer reads it, and by then it listens for signals.
+	// The file is a named pipe at first: the write below blocks until the aggregator reads it, and by then the aggregator
+	// handles signals.
 	pipe := path + ".pipe"
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
@@ -310,7 +316,7 @@
 	if err := os.WriteFile(pipe, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	text = bytes.Replace(text, []byte(`"discovery":"`+before), []byte(`"discovery":"`+moved.Listener.Addr().String()), 1)
+	text = bytes.Replace(text, []byte(`"discovery":"`+oldDiscovery), []byte(`"discovery":"`+newDiscovery.Listener.Addr().String()), 1)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -318,16 +324,16 @@
 		t.Fatal(err)
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	held.Close()
+	occupied.Close()
 	select {
-	case got := <-watched:
+	case got := <-watches:
 		if got != "/discovery/hosts?stream=1&index=4" {
-			t.Errorf("watches %q", got)
+			t.Errorf("discovery received a request for %q", got)
 		}
 	case err := <-ended:
-		t.Fatalf("ended: %v", err)
+		t.Fatalf("the aggregator ended after SIGHUP: %v", err)
 	case <-time.After(time.Minute):
-		t.Fatal("the new file was not taken")
+		t.Fatal("the new configuration file was not applied within a minute")
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	select {
@@ -336,6 +342,6 @@
 			t.Fatal(err)
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("did not end")
+		t.Fatal("the aggregator did not end within a minute")
 	}
 }
--- a/cmd/puffinlink/metrics.go
+++ b/cmd/puffinlink/metrics.go
@@ -6,12 +6,12 @@
 	"puffinlink.example/puffinlink/internal/metrics"
 )
 
-// serveMetrics serves a process's metrics until the returned function is called; it does nothing where they are off.
-func serveMetrics(node *systemNode, collectors func() []prometheus.Collector) (stop func(), err error) {
-	if node.metrics == "" {
+// serveMetrics serves a process's metrics until stop is called. It does nothing if metrics are off.
+func serveMetrics(env *processEnvironment, collectors func() []prometheus.Collector) (stop func(), err error) {
+	if env.metricsAddress == "" {
 		return func() {}, nil
 	}
-	server, err := metrics.NewServer(node.metrics, node.log, collectors()...)
+	server, err := metrics.NewServer(env.metricsAddress, env.log, collectors()...)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/puffinlink/metrics_test.go
+++ b/cmd/puffinlink/metrics_test.go
@@ -13,18 +13,18 @@
 	"puffinlink.example/puffinlink/internal/nodesettings"
 )
 
-// readMetrics reads metrics once they are served.
+// readMetrics waits until metrics are served, and returns them.
 func readMetrics(t *testing.T, address string) string {
 	t.Helper()
 	url := "http://" + address + "/metrics"
 	requestUntilServed(t, url)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Get(url)
+	response, err := client.Get(url)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,9 +33,9 @@
 
 func TestProcessesServeMetrics(t *testing.T) {
 	cases := []struct {
-		name string
-		run  func(context.Context, *systemNode) error
-		has  []string
+		name      string
+		run       func(context.Context, *processEnvironment) error
+		wantLines []string
 	}{
 		{"agent", runAgent, []string{"puffinlink_in_contact 0", "puffinlink_known_leaders 0",
 			"# TYPE puffinlink_configuration_version gauge",
@@ -50,7 +50,7 @@
 			"# TYPE puffinlink_searcher_calls_waiting gauge"}},
 	}
 	for _, c := range cases {
-		Convey("Metrics of the "+c.name, t, func() {
+		Convey("The "+c.name+" serves its metrics", t, func() {
 			port := freePorts(t, 7)
 			settings, err := nodesettings.Parse(fmt.Appendf(nil, "nodeName=n\nipAddress=127.0.0.1\ninternalPortRange=%d,%d\n"+
 				"listenAddresses.front=127.0.0.1:%d\nlistenAddresses.readiness=127.0.0.1:%d\nlistenAddresses.control=127.0.0.1:%d\n"+
@@ -59,13 +59,13 @@
 			ctx, stop := context.WithCancel(context.Background())
 			changes := make(chan nodesettings.Settings)
 			context.AfterFunc(ctx, func() { close(changes) })
-			node := &systemNode{settings: settings, changes: changes, log: zap.NewNop(), metrics: fmt.Sprint("127.0.0.1:", port+6)}
+			env := &processEnvironment{settings: settings, changes: changes, log: zap.NewNop(), metricsAddress: fmt.Sprint("127.0.0.1:", port+6)}
 			ended := make(chan error, 1)
-			go func() { ended <- c.run(ctx, node) }()
-			text := readMetrics(t, node.metrics)
+			go func() { ended <- c.run(ctx, env) }()
+			text := readMetrics(t, env.metricsAddress)
 			stop()
 			So(<-ended, ShouldBeNil)
-			for _, line := range c.has {
+			for _, line := range c.wantLines {
 				So(text, ShouldContainSubstring, "\n"+line+"\n")
 			}
 		})
--- a/cmd/puffinlink/operationcommands.go
+++ b/cmd/puffinlink/operationcommands.go
@@ -13,19 +13,19 @@
 	"puffinlink.example/puffinlink/internal/operatorclient"
 )
 
-// serviceOption narrows a command to one service.
+// serviceOption is the flag that restricts a command to one service.
 type serviceOption struct {
 	Service string `long:"service" value-name:"NAME" description:"Only this service."`
 }
 
-func (o *serviceOption) query() url.Values { return parameters(control.ServiceParameter, o.Service) }
+func (o *serviceOption) query() url.Values { return queryValues(control.ServiceParameter, o.Service) }
 
 type statusCommand struct{ controlOptions }
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
 	var report control.Status
-	return c.show(operatorclient.Request{Method: http.MethodGet, Path: control.StatusPath}, &report, func() { printStatus(&report) })
+	return c.sendAndPrint(operatorclient.Request{Method: http.MethodGet, Path: control.StatusPath}, &report, func() { printStatus(&report) })
 }
 
 type workersCommand struct {
@@ -37,7 +37,7 @@
 func (c *workersCommand) Execute([]string) error {
 	var report control.WorkerList
 	request := operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: c.query()}
-	return c.show(request, &report, func() { printWorkers(&report) })
+	return c.sendAndPrint(request, &report, func() { printWorkers(&report) })
 }
 
 type jobsCommand struct {
@@ -50,12 +50,12 @@
 // Execute implements flags.Commander.
 func (c *jobsCommand) Execute([]string) error {
 	var report control.JobList
-	query := parameters(control.ServiceParameter, c.Service, control.StateParameter, c.State, control.LimitParameter, strconv.Itoa(c.Limit))
+	query := queryValues(control.ServiceParameter, c.Service, control.StateParameter, c.State, control.LimitParameter, strconv.Itoa(c.Limit))
 	request := operatorclient.Request{Method: http.MethodGet, Path: control.JobsPath, Query: query}
-	return c.show(request, &report, func() { printJobs(&report) })
+	return c.sendAndPrint(request, &report, func() { printJobs(&report) })
 }
 
-// jobArgument is the job that a command is about.
+// jobArgument is the positional argument of commands that act on one job.
 type jobArgument struct {
 	Arguments struct {
 		ID string `positional-arg-name:"ID" description:"The job's 16 hexadecimal digits."`
@@ -74,7 +74,7 @@
 func (c *jobCommand) Execute([]string) error {
 	var report jobreport.JobDetail
 	request := operatorclient.Request{Method: http.MethodGet, Path: c.path(), Query: c.query()}
-	return c.show(request, &report, func() { printJob(&report) })
+	return c.sendAndPrint(request, &report, func() { printJob(&report) })
 }
 
 type whyCommand struct {
@@ -87,7 +87,7 @@
 func (c *whyCommand) Execute([]string) error {
 	var report jobreport.Explanation
 	request := operatorclient.Request{Method: http.MethodGet, Path: c.path() + control.ExplainSuffix, Query: c.query()}
-	return c.show(request, &report, func() { printWhy(&report) })
+	return c.sendAndPrint(request, &report, func() { printWhy(&report) })
 }
 
 type cancelCommand struct {
@@ -100,10 +100,10 @@
 func (c *cancelCommand) Execute([]string) error {
 	var report control.CancelledJob
 	request := operatorclient.Request{Method: http.MethodDelete, Path: c.path(), Query: c.query()}
-	return c.show(request, &report, func() { fmt.Fprintf(stdout, "job %s of service %s is cancelled\n", report.ID, report.Service) })
+	return c.sendAndPrint(request, &report, func() { fmt.Fprintf(stdout, "job %s of service %s is cancelled\n", report.ID, report.Service) })
 }
 
-// drainOptions are what drain and undrain share.
+// drainOptions are the flags and arguments of drain and undrain.
 type drainOptions struct {
 	controlOptions
 	serviceOption
@@ -112,11 +112,12 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// changeDrain sends a command on the worker's drain on top of the version that is in force, so that a copy of it that arrives late, after a
-// later command, changes nothing. For a worker that no leader lists the command has no version.
+// changeDrain starts or ends the operator's drain of a worker. The request carries the worker's current drain version, so that
+// a delayed duplicate that arrives after a later command has no effect. If no leader lists the worker, the request carries no
+// version.
 func (o *drainOptions) changeDrain(method string, printReport func(report *jobreport.Worker)) error {
 	var list control.WorkerList
-	if _, err := o.call(operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: o.query()}, &list); err != nil {
+	if _, err := o.sendAndDecode(operatorclient.Request{Method: http.MethodGet, Path: control.WorkersPath, Query: o.query()}, &list); err != nil {
 		return err
 	}
 	path := control.WorkersPath + "/" + url.PathEscape(o.Arguments.ID) + control.DrainSuffix
@@ -127,7 +128,7 @@
 		}
 	}
 	var report jobreport.Worker
-	return o.show(request, &report, func() { printReport(&report) })
+	return o.sendAndPrint(request, &report, func() { printReport(&report) })
 }
 
 type drainCommand struct{ drainOptions }
--- a/cmd/puffinlink/operations.go
+++ b/cmd/puffinlink/operations.go
@@ -16,10 +16,10 @@
 	"puffinlink.example/puffinlink/internal/operatorclient"
 )
 
-// controlVariable is the environment variable that stands in for --at.
-const controlVariable = "PUFFINLINK_CONTROL"
+// controlAddressVariable is the environment variable that provides the default of --at.
+const controlAddressVariable = "PUFFINLINK_CONTROL"
 
-// operation is a command by which operators read and steer the cluster scheduler.
+// operation is a command with which operators inspect and control the cluster scheduler.
 type operation struct {
 	name        string
 	short       string
@@ -28,7 +28,7 @@
 	make        func() flags.Commander
 }
 
-// operations are the commands by the order of the help.
+// operations lists the commands in the order of the help.
 var operations = []operation{
 	{"status", "Show the nodes, the leaders and the configuration's version",
 		"Shows the node that answers, the members it receives heartbeats from, the leader of each service's jobs, and the configuration's version.",
@@ -53,7 +53,7 @@
 		"check-settings /etc/puffinlink/local.conf", func() flags.Commander { return new(checkSettingsCommand) }},
 }
 
-// operationAliases are further names of commands, which earlier builds had.
+// operationAliases maps commands to the names that they had in earlier versions.
 var operationAliases = map[string][]string{"workers": {"searchers"}}
 
 const operationUsage = "\n\nExit codes: 0 done, 1 failed or not valid, 2 command line not valid, 3 refused, 4 conflict, 5 no node gave a clear answer." +
@@ -66,7 +66,7 @@
 	Timeout time.Duration `long:"timeout" default:"10s" description:"Timeout of each request, over all addresses tried."`
 }
 
-// isOperation tells whether a command line is one of these commands.
+// isOperation reports whether a command line runs one of the operations or an alias of one.
 func isOperation(args []string) bool {
 	if len(args) == 0 {
 		return false
@@ -77,13 +77,13 @@
 	return slices.ContainsFunc(operations, isNamed)
 }
 
-// runOperationCommand runs one of these commands and tells its exit code.
+// runOperationCommand runs the operation that args name and returns the exit code.
 func runOperationCommand(args []string) int {
 	parser := flags.NewNamedParser("puffinlink", flags.HelpFlag|flags.PassDoubleDash)
 	for _, one := range operations {
 		command, err := parser.AddCommand(one.name, one.short, one.description+operationUsage+one.example, one.make())
 		if err != nil {
-			panic(err) // a mistake in the tags
+			panic(err) // the struct tags of the command are invalid
 		}
 		command.Aliases = operationAliases[one.name]
 	}
@@ -94,27 +94,28 @@
 		return command.Execute(rest)
 	}
 	_, err := parser.ParseArgs(args)
-	return endOperation(args[0], err)
+	return reportOperationResult(args[0], err)
 }
 
-// endOperation prints an error and tells its exit code.
-func endOperation(name string, err error) int {
-	var usage *flags.Error
+// reportOperationResult prints the help or error that a command ended with and returns the exit code.
+func reportOperationResult(name string, err error) int {
+	var flagError *flags.Error
 	switch {
 	case err == nil:
 		return 0
 	case flags.WroteHelp(err):
 		fmt.Fprintln(stdout, err)
 		return 0
-	case errors.As(err, &usage):
+	case errors.As(err, &flagError):
 		fmt.Fprintf(stderr, "puffinlink %s: %v; see puffinlink %s --help\n", name, err, name)
 		return exitUsage
 	}
 	fmt.Fprintf(stderr, "puffinlink %s: %v\n", name, err)
-	return operationCode(err)
+	return operationExitCode(err)
 }
 
-func operationCode(err error) int {
+// operationExitCode returns the exit code for an error of a request.
+func operationExitCode(err error) int {
 	var refused *operatorclient.RefusedError
 	var unreachable *operatorclient.UnreachableError
 	switch {
@@ -128,18 +129,19 @@
 	return exitRefused
 }
 
-// call sends a request and reads the answer into a report.
-func (o *controlOptions) call(request operatorclient.Request, report any) ([]byte, error) {
-	answer, err := o.send(request)
+// sendAndDecode sends a request and decodes the JSON response into report. It returns the response's body.
+func (o *controlOptions) sendAndDecode(request operatorclient.Request, report any) ([]byte, error) {
+	response, err := o.send(request)
 	if err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(answer.Body, report); err != nil {
-		return nil, fmt.Errorf("the answer of %s cannot be read: %w; compare the versions of the program", answer.Address, err)
+	if err := json.Unmarshal(response.Body, report); err != nil {
+		return nil, fmt.Errorf("the answer of %s cannot be read: %w; compare the versions of the program", response.Address, err)
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
+// send sends a request to the nodes of --at, tried in turn.
 func (o *controlOptions) send(request operatorclient.Request) (operatorclient.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), o.Timeout)
 	defer cancel()
@@ -148,9 +150,10 @@
 	return client.Do(ctx, request)
 }
 
-// show sends a request and prints the answer, as JSON or by a function that reads the report.
-func (o *controlOptions) show(request operatorclient.Request, report any, printReport func()) error {
-	body, err := o.call(request, report)
+// sendAndPrint sends a request and decodes the response into report. It prints the response as JSON if --json is set, and
+// calls printReport otherwise.
+func (o *controlOptions) sendAndPrint(request operatorclient.Request, report any, printReport func()) error {
+	body, err := o.sendAndDecode(request, report)
 	if err != nil {
 		return err
 	}
@@ -166,8 +169,8 @@
 	return nil
 }
 
-// parameters makes a query of those that are set.
-func parameters(pairs ...string) url.Values {
+// queryValues builds a query from pairs of names and values, and skips pairs whose value is empty.
+func queryValues(pairs ...string) url.Values {
 	query := url.Values{}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if pairs[i+1] != "" {
--- a/cmd/puffinlink/operations_test.go
+++ b/cmd/puffinlink/operations_test.go
@@ -13,13 +13,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestOperationCommandLines(t *testing.T) {
-	t.Setenv(controlVariable, "")
-	os.Unsetenv(controlVariable)
+func TestOperationCommandLinesReturnExitCodeAndMessage(t *testing.T) {
+	t.Setenv(controlAddressVariable, "")
+	os.Unsetenv(controlAddressVariable)
 	cases := []struct {
-		args string
-		code int
-		says string
+		args       string
+		code       int
+		wantOutput string
 	}{
 		{"status --help", 0, "Example: puffinlink status --at"},
 		{"jobs -h", 0, "--limit"},
@@ -33,22 +33,22 @@
 		{"check-settings", exitUsage, "FILE"},
 	}
 	for _, c := range cases {
-		Convey(c.args+" says what it should", t, func() {
+		Convey(c.args+" returns the exit code and prints the message", t, func() {
 			code, out := runForTest(t, strings.Fields(c.args)...)
 			So(code, ShouldEqual, c.code)
-			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.says)
+			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.wantOutput)
 		})
 	}
-	Convey("The address may come from the environment", t, func() {
-		t.Setenv(controlVariable, "127.0.0.1:1,127.0.0.1:2")
+	Convey("The environment variable provides the addresses", t, func() {
+		t.Setenv(controlAddressVariable, "127.0.0.1:1,127.0.0.1:2")
 		code, out := runForTest(t, "status", "--timeout", "10ms")
 		So(code, ShouldEqual, exitUnreachable)
 		So(out, ShouldContainSubstring, "127.0.0.1:2: ")
 	})
 }
 
-func TestCheckSettings(t *testing.T) {
-	Convey("A good file is called good, and in a bad one each key at fault is named with what it wants", t, func() {
+func TestCheckSettingsReportsInvalidKeys(t *testing.T) {
+	Convey("A valid file is accepted, and the error of an invalid file names the key and the expected value", t, func() {
 		path := filepath.Join(t.TempDir(), "local.conf")
 		good := "nodeName=core-1\nmachineClass=core\nserves=control\nipAddress=10.1.0.12\ninternalPortRange=7660,7675\n"
 		So(os.WriteFile(path, []byte(good), 0o600), ShouldBeNil)
@@ -62,90 +62,90 @@
 	})
 }
 
-// fakeControl plays a mixer: the configuration and one answer for all other paths.
-type fakeControl struct {
-	version int
-	body    string
-	status  int    // of all answers but those to reads of the configuration; 200 if 0
-	text    string // of the same
-	orders  []string
+// fakeControlServer serves a node's control address: it returns a configuration, and one fixed response for all other requests.
+type fakeControlServer struct {
+	version       int
+	configuration string
+	status        int    // status of the fixed response; 200 if 0
+	response      string // body of the fixed response
+	requests      []string
 }
 
-func (c *fakeControl) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *fakeControlServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/configuration" && r.Method == http.MethodGet {
 		if c.version == 0 {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
 		w.Header().Set("ETag", fmt.Sprintf("%q", fmt.Sprint(c.version)))
-		io.WriteString(w, c.body)
+		io.WriteString(w, c.configuration)
 		return
 	}
-	c.orders = append(c.orders, r.Method+" "+r.URL.RequestURI()+" "+r.Header.Get("If-Match"))
+	c.requests = append(c.requests, r.Method+" "+r.URL.RequestURI()+" "+r.Header.Get("If-Match"))
 	if c.status != 0 {
 		w.WriteHeader(c.status)
 	}
-	io.WriteString(w, c.text)
+	io.WriteString(w, c.response)
 }
 
-// serve serves the stub until the Convey scope ends, and returns its address.
-func (c *fakeControl) serve() string {
+// serve starts the server, which runs until the Convey scope ends, and returns its address.
+func (c *fakeControlServer) serve() string {
 	server := httptest.NewServer(c)
 	Reset(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestApply(t *testing.T) {
-	Convey("Given a configuration's file and a mixer", t, func() {
+func TestApplySendsTheBaseVersionAndReportsRefusals(t *testing.T) {
+	Convey("Given a configuration file and a node", t, func() {
 		path := filepath.Join(t.TempDir(), "configuration.json")
 		So(os.WriteFile(path, []byte(testConfigurationText), 0o600), ShouldBeNil)
-		stub := &fakeControl{version: 5, body: "another"}
-		at := stub.serve()
+		server := &fakeControlServer{version: 5, configuration: "another"}
+		address := server.serve()
 
-		Convey("it builds on the version in force", func() {
-			code, out := runForTest(t, "apply", path, "--at", at)
+		Convey("the request is based on the version in force", func() {
+			code, out := runForTest(t, "apply", path, "--at", address)
 			So(code, ShouldEqual, 0)
 			So(out, ShouldContainSubstring, "version 7 is in force; it was built on version 5")
-			So(stub.orders, ShouldResemble, []string{"PUT /-/configuration 5"})
+			So(server.requests, ShouldResemble, []string{"PUT /-/configuration 5"})
 		})
-		Convey("or on none, or on the one that is named", func() {
-			stub.version = 0
-			runForTest(t, "apply", path, "--at", at)
-			runForTest(t, "apply", path, "--at", at, "--if-match", "3")
-			So(stub.orders, ShouldResemble, []string{"PUT /-/configuration 0", "PUT /-/configuration 3"})
+		Convey("the request is based on version 0 if there is none, or on --if-match", func() {
+			server.version = 0
+			runForTest(t, "apply", path, "--at", address)
+			runForTest(t, "apply", path, "--at", address, "--if-match", "3")
+			So(server.requests, ShouldResemble, []string{"PUT /-/configuration 0", "PUT /-/configuration 3"})
 		})
-		Convey("the very same configuration is not sent again", func() {
-			stub.body = testConfigurationText
-			code, out := runForTest(t, "apply", path, "--at", at, "--json")
+		Convey("a configuration that is already in force is not sent", func() {
+			server.configuration = testConfigurationText
+			code, out := runForTest(t, "apply", path, "--at", address, "--json")
 			So(code, ShouldEqual, 0)
 			So(out, ShouldContainSubstring, `{"version":7,"builtOn":"5","changed":false}`)
-			So(stub.orders, ShouldBeEmpty)
+			So(server.requests, ShouldBeEmpty)
 		})
-		Convey("a conflict is told with the version that is current", func() {
-			stub.status, stub.text = http.StatusPreconditionFailed, `{"error":"version 9 is current; read it"}`
-			code, out := runForTest(t, "apply", path, "--at", at)
+		Convey("a conflict is reported with the current version", func() {
+			server.status, server.response = http.StatusPreconditionFailed, `{"error":"version 9 is current; read it"}`
+			code, out := runForTest(t, "apply", path, "--at", address)
 			So(code, ShouldEqual, exitConflict)
 			So(out, ShouldContainSubstring, "conflict: it was built on version 5: version 9 is current")
 		})
-		Convey("a refusal is told", func() {
-			stub.status, stub.text = http.StatusBadRequest, `{"error":"invalid configuration: version: is too low"}`
-			code, out := runForTest(t, "apply", path, "--at", at)
+		Convey("a refusal is reported", func() {
+			server.status, server.response = http.StatusBadRequest, `{"error":"invalid configuration: version: is too low"}`
+			code, out := runForTest(t, "apply", path, "--at", address)
 			So(code, ShouldEqual, exitRefused)
 			So(out, ShouldContainSubstring, "version: is too low")
 		})
-		Convey("what is not valid is not sent; key and remedy are told", func() {
+		Convey("an invalid configuration is not sent, and the error names the key and the remedy", func() {
 			bad := strings.Replace(testConfigurationText, `"timeoutMs":3000`, `"timeoutMs":0`, 1)
 			So(os.WriteFile(path, []byte(bad), 0o600), ShouldBeNil)
-			code, out := runForTest(t, "apply", path, "--at", at)
+			code, out := runForTest(t, "apply", path, "--at", address)
 			So(code, ShouldEqual, exitFailed)
 			So(out, ShouldContainSubstring, "routes[0].timeoutMs: is 0; set it above 0")
-			So(stub.orders, ShouldBeEmpty)
+			So(server.requests, ShouldBeEmpty)
 		})
 	})
 }
 
-func TestOperationsSendRequests(t *testing.T) {
-	cases := []struct{ args, orders, answer, says string }{
+func TestOperationsSendRequestsAndPrintResponses(t *testing.T) {
+	cases := []struct{ args, wantRequests, response, wantOutput string }{
 		{"searchers --service a", "GET /-/searchers?service=a ", `{"searchers":[{"id":"i-1","service":"a","state":"resting","window":4,"latencyMs":12.4}]}`, "i-1 a resting"},
 		{"workers --service a", "GET /-/searchers?service=a ", `{"searchers":[{"id":"i-1","service":"a","state":"resting","window":4,"latencyMs":12.4}]}`, "i-1 a resting"},
 		{"jobs --state queued --limit 5", "GET /-/jobs?limit=5&state=queued ", `{"jobs":[{"id":"00000000000000aa","state":"queued","tasks":{"waiting":3}}],"total":9}`, "1 of 9"},
@@ -157,41 +157,41 @@
 		{"status", "GET /-/status ", `{"mixer":{"name":"core-1"},"groups":[{"service":"a","error":"no leader is known at the moment"}]}`, "no leader is known"},
 	}
 	for _, c := range cases {
-		Convey("puffinlink "+c.args+" asks and prints", t, func() {
-			stub := &fakeControl{text: c.answer}
-			at := stub.serve()
-			code, out := runForTest(t, append(strings.Fields(c.args), "--at", at)...)
+		Convey("puffinlink "+c.args+" sends the request and prints the response", t, func() {
+			server := &fakeControlServer{response: c.response}
+			address := server.serve()
+			code, out := runForTest(t, append(strings.Fields(c.args), "--at", address)...)
 			So(code, ShouldEqual, 0)
-			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.says)
-			So(stub.orders, ShouldResemble, strings.Split(c.orders, ";"))
-			code, out = runForTest(t, append(strings.Fields(c.args), "--json", "--at", at)...)
+			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.wantOutput)
+			So(server.requests, ShouldResemble, strings.Split(c.wantRequests, ";"))
+			code, out = runForTest(t, append(strings.Fields(c.args), "--json", "--at", address)...)
 			So(code, ShouldEqual, 0)
-			So(strings.Join(strings.Fields(out), ""), ShouldEqual, strings.Join(strings.Fields(c.answer), ""))
+			So(strings.Join(strings.Fields(out), ""), ShouldEqual, strings.Join(strings.Fields(c.response), ""))
 		})
 	}
-	Convey("The status tells the part that a mixer has among the replicas", t, func() {
-		for answer, says := range map[string]string{
+	Convey("The status shows the state of the node as a replica", t, func() {
+		for response, wantOutput := range map[string]string{
 			`{"mixer":{"address":"a:1"},"rebuilt":true,"view":{"version":1,"members":["a:1"]}}`:  "its disk is complete",
 			`{"mixer":{"address":"a:1"},"rebuilt":false,"view":{"version":1,"members":["a:1"]}}`: "its disk is being rebuilt",
 			`{"mixer":{"address":"a:1"},"rebuilt":false,"view":{"version":2,"members":["b:1"]}}`: "stands by as no member of the view",
 			`{"mixer":{"address":"a:1"},"rebuilt":true,"view":{}}`:                               "its disk is complete",
 		} {
-			stub := &fakeControl{text: answer}
-			_, out := runForTest(t, "status", "--at", stub.serve())
-			So(out, ShouldContainSubstring, says)
+			server := &fakeControlServer{response: response}
+			_, out := runForTest(t, "status", "--at", server.serve())
+			So(out, ShouldContainSubstring, wantOutput)
 		}
 	})
-	Convey("Refusals have exit codes of their own", t, func() {
+	Convey("The exit codes distinguish refusals from conflicts", t, func() {
 		for status, code := range map[int]int{404: exitRefused, 400: exitRefused, 409: exitConflict} {
-			stub := &fakeControl{status: status, text: `{"error":"no"}`}
-			got, out := runForTest(t, "cancel", "00000000000000aa", "--at", stub.serve())
+			server := &fakeControlServer{status: status, response: `{"error":"no"}`}
+			got, out := runForTest(t, "cancel", "00000000000000aa", "--at", server.serve())
 			So(got, ShouldEqual, code)
 			So(out, ShouldContainSubstring, "puffinlink cancel: no")
 		}
 	})
-	Convey("An answer that is not one is told", t, func() {
-		stub := &fakeControl{text: "<html>"}
-		code, out := runForTest(t, "status", "--at", stub.serve())
+	Convey("A response that is not JSON is reported", t, func() {
+		server := &fakeControlServer{response: "<html>"}
+		code, out := runForTest(t, "status", "--at", server.serve())
 		So(code, ShouldEqual, exitFailed)
 		So(out, ShouldContainSubstring, "cannot be read")
 	})
--- a/cmd/puffinlink/operationsoutput.go
+++ b/cmd/puffinlink/operationsoutput.go
@@ -13,7 +13,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// printTable prints rows of columns on standard output; the first row has the names.
+// printTable prints rows in aligned columns on standard output. The first row contains the column names.
 func printTable(rows [][]string) { writeTable(stdout, rows) }
 
 // writeTable writes rows in aligned columns.
@@ -25,24 +25,24 @@
 	writer.Flush()
 }
 
-func printStatus(s *control.Status) {
-	fmt.Fprintf(stdout, "mixer %s (%s, zone %s): up %v, %s, contact to a majority: %s\n", s.Node.Name, s.Node.Address, orDash(s.Node.Zone),
-		milliseconds(s.UptimeMS).Round(time.Second), replicaRole(s), yesNo(s.InContact))
-	fmt.Fprintf(stdout, "configuration: version %d\n", s.ConfigurationVersion)
-	fmt.Fprintf(stdout, "view of the replicas: version %d, %s\n", s.View.Version, strings.Join(s.View.Members, " "))
-	fmt.Fprintf(stdout, "agents: %s\n\n", orDash(strings.Join(s.Agents, " ")))
+func printStatus(status *control.Status) {
+	fmt.Fprintf(stdout, "mixer %s (%s, zone %s): up %v, %s, contact to a majority: %s\n", status.Node.Name, status.Node.Address, orDash(status.Node.Zone),
+		millisecondsToDuration(status.UptimeMS).Round(time.Second), replicaRole(status), yesNo(status.InContact))
+	fmt.Fprintf(stdout, "configuration: version %d\n", status.ConfigurationVersion)
+	fmt.Fprintf(stdout, "view of the replicas: version %d, %s\n", status.View.Version, strings.Join(status.View.Members, " "))
+	fmt.Fprintf(stdout, "agents: %s\n\n", orDash(strings.Join(status.Agents, " ")))
 	rows := [][]string{{"MEMBER", "ALIVE", "VOTES", "HEARD"}}
-	for _, member := range s.Members {
-		heard := "never"
+	for _, member := range status.Members {
+		lastContact := "never"
 		if member.Contacted {
-			heard = milliseconds(member.SinceContactMS).String() + " ago"
+			lastContact = millisecondsToDuration(member.SinceContactMS).String() + " ago"
 		}
-		rows = append(rows, []string{member.Address, yesNo(member.Alive), yesNo(member.Ready), heard})
+		rows = append(rows, []string{member.Address, yesNo(member.Alive), yesNo(member.Ready), lastContact})
 	}
 	printTable(rows)
 	fmt.Fprintln(stdout)
 	rows = [][]string{{"SERVICE", "LEADER", "EPOCH", "QUEUED", "RUNNING", "ENDED", "WAITING-TASKS", "RUNS", "SEARCHERS"}}
-	for _, group := range s.Groups {
+	for _, group := range status.Groups {
 		row := []string{group.Service, orDash(group.Leader), fmt.Sprint(group.Term)}
 		if group.Summary == nil {
 			rows = append(rows, append(row, "("+group.Error+")"))
@@ -55,25 +55,25 @@
 	printTable(rows)
 }
 
-// replicaRole is the role of the responding node among the replicas.
-func replicaRole(s *control.Status) string {
+// replicaRole describes the state of the responding node as a replica of the control state.
+func replicaRole(status *control.Status) string {
 	switch {
-	case s.View.Version > 0 && !slices.Contains(s.View.Members, s.Node.Address):
+	case status.View.Version > 0 && !slices.Contains(status.View.Members, status.Node.Address):
 		return "stands by as no member of the view"
-	case !s.Rebuilt:
+	case !status.Rebuilt:
 		return "its disk is being rebuilt"
 	}
 	return "its disk is complete"
 }
 
-func printWorkers(s *control.WorkerList) {
+func printWorkers(workers *control.WorkerList) {
 	rows := [][]string{{"SEARCHER", "SERVICE", "STATE", "ZONE", "RACK", "RUNS", "WINDOW", "LATENCY", "FAULTS", "FREE", "CAPACITY"}}
-	for _, one := range s.Workers {
+	for _, one := range workers.Workers {
 		rows = append(rows, []string{one.ID, one.Service, string(one.State), orDash(one.Zone), orDash(one.Rack), fmt.Sprint(one.Attempts), fmt.Sprint(one.Window),
-			choose(one.LatencyMS == 0, "-", fmt.Sprintf("%.0fms", one.LatencyMS)), fmt.Sprintf("%.0f%%", 100*one.FailureRate), resources(one.Free), resources(one.Capacity)})
+			choose(one.LatencyMS == 0, "-", fmt.Sprintf("%.0fms", one.LatencyMS)), fmt.Sprintf("%.0f%%", 100*one.FailureRate), formatResources(one.Free), formatResources(one.Capacity)})
 	}
 	printTable(rows)
-	printUnanswered(s.Unanswered)
+	printUnanswered(workers.Unanswered)
 }
 
 func printJobs(jobs *control.JobList) {
@@ -85,7 +85,7 @@
 			rows = append(rows, append(row, "-", "-", "-", "-"))
 			continue
 		}
-		rows = append(rows, append(row, counts(one.Tasks)...))
+		rows = append(rows, append(row, taskCountColumns(one.Tasks)...))
 	}
 	printTable(rows)
 	if len(jobs.Jobs) < jobs.Total {
@@ -94,59 +94,60 @@
 	printUnanswered(jobs.Unanswered)
 }
 
-func printJob(j *jobreport.JobDetail) {
-	fmt.Fprintf(stdout, "job %s of service %s: %s\n", j.ID, j.Service, j.State)
-	if j.State.Final() {
-		fmt.Fprintf(stdout, "ended: %s\n", formatUnixMilliseconds(j.EndedMS))
+func printJob(detail *jobreport.JobDetail) {
+	fmt.Fprintf(stdout, "job %s of service %s: %s\n", detail.ID, detail.Service, detail.State)
+	if detail.State.Final() {
+		fmt.Fprintf(stdout, "ended: %s\n", formatUnixMilliseconds(detail.EndedMS))
 		return
 	}
-	fmt.Fprintf(stdout, "route %s, priority %d, at most %d attempts a task; repetitions complete: %d of %d\n", j.Route, j.Priority, j.MaxAttempts, j.CompleteRepetitions, j.Repetitions)
-	if j.NextDueMS != 0 {
-		fmt.Fprintf(stdout, "next repetition: %s\n", formatUnixMilliseconds(j.NextDueMS))
+	fmt.Fprintf(stdout, "route %s, priority %d, at most %d attempts a task; repetitions complete: %d of %d\n", detail.Route, detail.Priority, detail.MaxAttempts, detail.CompleteRepetitions, detail.Repetitions)
+	if detail.NextDueMS != 0 {
+		fmt.Fprintf(stdout, "next repetition: %s\n", formatUnixMilliseconds(detail.NextDueMS))
 	}
 	fmt.Fprintln(stdout)
 	rows := [][]string{{"REPETITION", "STAGE", "KIND", "REQUEST", "BLOCKED", "WAITING", "RUNNING", "DONE"}}
-	for _, stage := range j.Stages {
-		row := []string{fmt.Sprint(stage.Repetition), fmt.Sprint(stage.Stage), choose(stage.Gang, "gang", "tasks"), resources(stage.Request)}
-		rows = append(rows, append(row, counts(stage.Tasks)...))
+	for _, stage := range detail.Stages {
+		row := []string{fmt.Sprint(stage.Repetition), fmt.Sprint(stage.Stage), choose(stage.Gang, "gang", "tasks"), formatResources(stage.Request)}
+		rows = append(rows, append(row, taskCountColumns(stage.Tasks)...))
 	}
 	printTable(rows)
-	if len(j.Attempts) > 0 {
+	if len(detail.Attempts) > 0 {
 		fmt.Fprintln(stdout)
-		printAttempts(j.Attempts)
+		printAttempts(detail.Attempts)
 	}
-	for _, failure := range j.Failures {
+	for _, failure := range detail.Failures {
 		fmt.Fprintf(stdout, "task %s has failed %d times (runs %v)\n", failure.Task, len(failure.Attempts), failure.Attempts)
 	}
-	if j.Truncated {
+	if detail.Truncated {
 		fmt.Fprintln(stdout, "the lists are cut off")
 	}
 }
 
-func printAttempts(runs []jobreport.Attempt) {
+func printAttempts(attempts []jobreport.Attempt) {
 	rows := [][]string{{"TASK", "RUN", "SEARCHER", "AGE", "PROGRESS", "STATE"}}
-	for _, run := range runs {
-		state := choose(run.Confirmed, "running", "ordered")
-		if run.Stopping {
+	for _, attempt := range attempts {
+		state := choose(attempt.Confirmed, "running", "ordered")
+		if attempt.Stopping {
 			state = "stopping"
 		}
-		rows = append(rows, []string{run.Task, fmt.Sprint(run.Number), run.Worker, milliseconds(run.AgeMS).String(), fmt.Sprintf("%d%%", run.Percent), state})
+		rows = append(rows, []string{attempt.Task, fmt.Sprint(attempt.Number), attempt.Worker, millisecondsToDuration(attempt.AgeMS).String(), fmt.Sprintf("%d%%", attempt.Percent), state})
 	}
 	printTable(rows)
 }
 
+// printUnanswered warns on standard error of services whose leader gave no response, so that they are missing from the output.
 func printUnanswered(list []control.UnansweredService) {
 	for _, one := range list {
 		fmt.Fprintf(stderr, "service %s is missing above: %s\n", one.Service, one.Error)
 	}
 }
 
-func counts(c jobreport.TaskCounts) []string {
+func taskCountColumns(c jobreport.TaskCounts) []string {
 	return []string{fmt.Sprint(c.Blocked), fmt.Sprint(c.Waiting), fmt.Sprint(c.Running), fmt.Sprint(c.Done)}
 }
 
-// resources prints cores, memory and accelerators.
-func resources(r job.Resources) string {
+// formatResources formats cores, memory and accelerators.
+func formatResources(r job.Resources) string {
 	text := fmt.Sprintf("%.1f cores %d MB", float64(r.Processors)/1000, r.MemoryMB)
 	if r.Accelerators != 0 {
 		text += fmt.Sprintf(" %d acc", r.Accelerators)
@@ -154,7 +155,9 @@
 	return text
 }
 
-func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
+func millisecondsToDuration(count int64) time.Duration {
+	return time.Duration(count) * time.Millisecond
+}
 
 func formatUnixMilliseconds(milliseconds int64) string {
 	return time.UnixMilli(milliseconds).UTC().Format(time.RFC3339)
@@ -164,9 +167,9 @@
 
 func yesNo(yes bool) string { return choose(yes, "yes", "no") }
 
-func choose(yes bool, this, other string) string {
-	if yes {
-		return this
+func choose(condition bool, ifTrue, ifFalse string) string {
+	if condition {
+		return ifTrue
 	}
-	return other
+	return ifFalse
 }
--- a/cmd/puffinlink/operatorclient.go
+++ b/cmd/puffinlink/operatorclient.go
@@ -14,10 +14,10 @@
 	"puffinlink.example/puffinlink/internal/operators/override"
 )
 
-// answerTimeout is how long an aggregator may take for an answer; a command that waits for a disk takes longest.
-const answerTimeout = 10 * time.Second
+// responseTimeout is how long to wait for an aggregator's response. Commands that wait for a disk write take longest.
+const responseTimeout = 10 * time.Second
 
-// operatorConnection has the flags that address an aggregator's operators' listener and authenticate to it.
+// operatorConnection are the flags that name an aggregator's listener for operators and authenticate to it.
 type operatorConnection struct {
 	At        string `long:"at" value-name:"ADDRESS" required:"yes" env:"PUFFINLINK_OPERATORS" description:"Address of the operators' listener: unix:/PATH or HOST:PORT."`
 	TokenFile string `long:"token-file" value-name:"FILE" description:"File that contains the token; the variable PUFFINLINK_TOKEN is the alternative."`
@@ -36,18 +36,18 @@
 	return api.NewClient(d.At, token)
 }
 
-func (d *operatorConnection) get(path string, into any) error {
+func (d *operatorConnection) get(path string, result any) error {
 	c, err := d.client()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 	defer cancel()
-	return c.Get(ctx, path, into)
+	return c.Get(ctx, path, result)
 }
 
-// exitCode is the exit code of an error.
-func exitCode(err error) int {
+// aggregatorExitCode returns the exit code for an error of one of the aggregator's commands.
+func aggregatorExitCode(err error) int {
 	e := (*api.Error)(nil)
 	switch {
 	case errors.As(err, &e) && (e.Code == string(override.Conflict) || e.Code == string(override.KeyReused)):
@@ -67,7 +67,7 @@
 	return enc.Encode(v)
 }
 
-// table prints rows under a head, whose columns are separated by spaces.
-func table(out io.Writer, head string, rows [][]string) {
-	writeTable(out, append([][]string{strings.Split(head, " ")}, rows...))
+// writeTableWithHeader writes a header and rows in aligned columns. Spaces separate the column names in header.
+func writeTableWithHeader(out io.Writer, header string, rows [][]string) {
+	writeTable(out, append([][]string{strings.Split(header, " ")}, rows...))
 }
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -22,36 +22,37 @@
 	Why     overrideWhyCommand     `command:"why" description:"Explain why a shard's subqueries do or do not go to a backend. Example: puffinlink override why 7 reads s-12"`
 }
 
-// describeOverride says in a few words what an override does.
-func describeOverride(o *api.Override) (target, does string) {
+// describeOverride returns the backend or @location that an override applies to, and a short description of its effect.
+func describeOverride(o *api.Override) (target, effect string) {
 	target = o.Backend
 	if o.Location != "" {
 		target = "@" + o.Location
 	}
 	switch {
 	case o.Kind == "weight":
-		does = fmt.Sprintf("weight %.3g", o.Weight)
+		effect = fmt.Sprintf("weight %.3g", o.Weight)
 	case o.Kind == "pin" && o.From != nil && o.To != nil:
-		does = fmt.Sprintf("pin %d-%d", *o.From, *o.To)
+		effect = fmt.Sprintf("pin %d-%d", *o.From, *o.To)
 		if o.Strict {
-			does += " strict"
+			effect += " strict"
 		}
 	default:
-		does = o.Kind
+		effect = o.Kind
 	}
 	if o.Index != "" {
-		does += " of " + o.Index
+		effect += " of " + o.Index
 	}
-	return target, does
+	return target, effect
 }
 
-// sendOverride sends a command, for the present revision where none is stated; it goes again where the connection broke, under one key.
+// sendOverride sends a command and prints the resulting change. The command is based on revision, or on the current one if
+// revision is negative. If the connection fails, the command is sent once more with the same idempotency key.
 func (d *operatorConnection) sendOverride(command api.Command, revision int64) error {
 	client, err := d.client()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 	defer cancel()
 	if revision >= 0 {
 		r := uint64(revision)
@@ -82,14 +83,14 @@
 	return nil
 }
 
-func printChange(out io.Writer, c *api.Change) {
-	target, does := describeOverride(&c.Override)
-	at := time.UnixMilli(int64(1000 * c.At)).Format(time.DateTime)
-	line := fmt.Sprintf("%s  revision %d: override %d %s: %s %s, by %s: %s", at, c.Revision, c.Override.ID, c.What, target, does, c.Author, c.Reason)
-	for _, f := range c.Forced {
+func printChange(out io.Writer, change *api.Change) {
+	target, effect := describeOverride(&change.Override)
+	at := time.UnixMilli(int64(1000 * change.At)).Format(time.DateTime)
+	line := fmt.Sprintf("%s  revision %d: override %d %s: %s %s, by %s: %s", at, change.Revision, change.Override.ID, change.What, target, effect, change.Author, change.Reason)
+	for _, f := range change.Forced {
 		line += "; forced over " + f
 	}
-	if c.Again {
+	if change.Again {
 		line += " (it had acted before)"
 	}
 	fmt.Fprintln(out, line)
--- a/cmd/puffinlink/overridelist.go
+++ b/cmd/puffinlink/overridelist.go
@@ -8,8 +8,9 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-func formatRemaining(s float64) string {
-	return time.Duration(s * float64(time.Second)).Round(time.Second).String()
+// formatRemaining formats a remaining time in seconds, rounded to whole seconds.
+func formatRemaining(seconds float64) string {
+	return time.Duration(seconds * float64(time.Second)).Round(time.Second).String()
 }
 
 type overrideListCommand struct{ operatorConnection }
@@ -26,21 +27,21 @@
 	rows := [][]string{}
 	for i := range view.Overrides {
 		o := &view.Overrides[i]
-		target, does := describeOverride(o)
-		rows = append(rows, []string{strconv.FormatUint(o.ID, 10), target, does, formatRemaining(o.EndsIn), o.Author, o.Reason, o.State})
+		target, effect := describeOverride(o)
+		rows = append(rows, []string{strconv.FormatUint(o.ID, 10), target, effect, formatRemaining(o.EndsIn), o.Author, o.Reason, o.State})
 	}
-	table(stdout, "ID TARGET DOES ENDS-IN AUTHOR REASON STATE", rows)
+	writeTableWithHeader(stdout, "ID TARGET DOES ENDS-IN AUTHOR REASON STATE", rows)
 	if len(view.Recoveries) > 0 {
 		rows = rows[:0]
-		for _, returning := range view.Recoveries {
+		for _, recovery := range view.Recoveries {
 			shard := "all"
-			if returning.Shard != nil {
-				shard = strconv.Itoa(*returning.Shard)
+			if recovery.Shard != nil {
+				shard = strconv.Itoa(*recovery.Shard)
 			}
-			rows = append(rows, []string{returning.Backend, shard, returning.Index, fmt.Sprintf("%.0f%%", 100*returning.Level), fmt.Sprintf("%.0f%%", 100*returning.Desired)})
+			rows = append(rows, []string{recovery.Backend, shard, recovery.Index, fmt.Sprintf("%.0f%%", 100*recovery.Level), fmt.Sprintf("%.0f%%", 100*recovery.Desired)})
 		}
 		fmt.Fprintln(stdout)
-		table(stdout, "RETURNING SHARD INDEX NOW UP-TO", rows)
+		writeTableWithHeader(stdout, "RETURNING SHARD INDEX NOW UP-TO", rows)
 	}
 	return nil
 }
--- a/cmd/puffinlink/overrideset.go
+++ b/cmd/puffinlink/overrideset.go
@@ -27,9 +27,9 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// shardRange reads "7" or "7-9".
-func shardRange(s string) (from, to int, err error) {
-	first, last, isRange := strings.Cut(s, "-")
+// parseShardRange parses a shard or a range of shards, for example "7" or "7-9".
+func parseShardRange(text string) (from, to int, err error) {
+	first, last, isRange := strings.Cut(text, "-")
 	if !isRange {
 		last = first
 	}
@@ -38,7 +38,7 @@
 		to, err = strconv.Atoi(last)
 	}
 	if err != nil {
-		return 0, 0, usageErrorf("shards are %q, expected one as 7 or a range as 7-9", s)
+		return 0, 0, usageErrorf("shards are %q, expected one as 7 or a range as 7-9", text)
 	}
 	return from, to, nil
 }
@@ -46,14 +46,14 @@
 func (c *overrideSetCommand) Execute([]string) error {
 	command := api.Command{Kind: string(c.Arguments.Kind), Index: c.Index, Weight: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
 		For: c.For.Seconds(), UntilRestart: c.UntilRestart, Force: c.Force, Key: c.Key}
-	if location, is := strings.CutPrefix(c.Arguments.Target, "@"); is {
+	if location, isLocation := strings.CutPrefix(c.Arguments.Target, "@"); isLocation {
 		command.Location = location
 	} else {
 		command.Backend = c.Arguments.Target
 	}
 	if c.Shards != "" {
 		var err error
-		if command.From, command.To, err = shardRange(c.Shards); err != nil {
+		if command.From, command.To, err = parseShardRange(c.Shards); err != nil {
 			return err
 		}
 	} else if c.Arguments.Kind == overridePin {
--- a/cmd/puffinlink/overridewhy.go
+++ b/cmd/puffinlink/overridewhy.go
@@ -42,6 +42,6 @@
 		}
 		rows = append(rows, []string{rule.Rule, acts, by, rule.Text})
 	}
-	table(stdout, "RULE STATE OVERRIDE WHY", rows)
+	writeTableWithHeader(stdout, "RULE STATE OVERRIDE WHY", rows)
 	return nil
 }
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -16,7 +16,7 @@
 	Validate planValidateCommand `command:"prove" description:"Compare the planner's predictions with measurements on this machine. Example: puffinlink plan prove --seconds 10"`
 }
 
-// planOptions is what a plan is made of.
+// planOptions are the flags and arguments of the commands that plan for a capture.
 type planOptions struct {
 	Capture   string  `long:"capture" value-name:"STRING" required:"yes" description:"A capture: a file, or a directory of them."`
 	Mean      bool    `long:"mean" description:"Plan for the capture's mean load instead of its busiest interval."`
@@ -28,14 +28,15 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// planInput is a fleet and the load that a plan is made for.
+// planInput is a fleet and the load that it is planned for.
 type planInput struct {
 	fleet plan.Site
 	load  plan.Workload
 	notes []string // assumptions and gaps that the report prints
 }
 
-// load reads the fleet's description and the capture, fills what the description leaves out from the capture, and scales the load.
+// load reads the fleet's description and the capture, takes values that are missing in the description from the capture, and
+// scales the load.
 func (p *planOptions) load() (input planInput, err error) {
 	if input.fleet, err = planfile.ReadFile(p.Arguments.Fleet); err != nil {
 		return input, err
@@ -66,7 +67,7 @@
 	return input, nil
 }
 
-// peakQueriesPerSecond is the most queries per second that a capture saw.
+// peakQueriesPerSecond returns the highest rate of queries among the intervals of a capture.
 func peakQueriesPerSecond(c capture.Capture) (most float64) {
 	for i := range c.Intervals {
 		n := 0.0
--- a/cmd/puffinlink/planbuy.go
+++ b/cmd/puffinlink/planbuy.go
@@ -44,13 +44,13 @@
 	for i, offer := range offers {
 		rows = append(rows, []string{offer.Location, strconv.Itoa(purchase.Counts[i]), fmt.Sprintf("%.4g", offer.Price)})
 	}
-	table(stdout, "LOCATION SEARCHERS PRICE-EACH", rows)
+	writeTableWithHeader(stdout, "LOCATION SEARCHERS PRICE-EACH", rows)
 	fmt.Fprintf(stdout, "price %.4g; no purchase costs less than %.4g\n", purchase.Price, purchase.Bound)
 	return nil
 }
 
-// offers are the backends that can be bought: in each location one like its first. A backend's cores can be used up to the share usable
-// before the goals break.
+// offers returns the backends that can be bought: for each location, a copy of its first backend. usableShare is the
+// utilization of cores up to which the goals are met.
 func (c *planBuyCommand) offers(fleet *plan.Site, usable float64) []plan.Offer {
 	var offers []plan.Offer
 	for _, location := range fleet.Locations {
--- a/cmd/puffinlink/plancompare.go
+++ b/cmd/puffinlink/plancompare.go
@@ -14,7 +14,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// side is one side of a comparison.
+// planComparison contains the results for one of the fleets that are compared.
 type planComparison struct {
 	Fleet            string  `json:"fleet"`
 	QueriesPerSecond float64 `json:"lookups_per_s"`
@@ -23,14 +23,14 @@
 	P50              float64 `json:"p50_s"`
 	P99              float64 `json:"p99_s"`
 	Use              float64 `json:"use_of_hottest"`
-	Breaks           float64 `json:"breaks_at_per_s"`
-	Worst            string  `json:"worst_location"`
+	BreakingLoad     float64 `json:"breaks_at_per_s"`
+	WorstLocation    string  `json:"worst_location"`
 	WorstInTime      float64 `json:"in_time_with_it_lost"`
 	Price            float64 `json:"price"`
 	Note             string  `json:"note,omitempty"`
 }
 
-// evaluate plays one side of a comparison: the fleet as it is, with each location lost, and at its breaking load.
+// evaluate emulates one of the fleets that are compared: with all backends, with each location lost, and up to its breaking load.
 func (p *planOptions) evaluate() (result planComparison, err error) {
 	input, err := p.load()
 	if err != nil {
@@ -45,16 +45,16 @@
 		result.Price += backend.Price
 	}
 	for _, location := range input.fleet.Locations {
-		left, _ := input.fleet.Without(location)
-		if len(left.Backends) == 0 || len(left.Backends) == len(input.fleet.Backends) {
+		remaining, _ := input.fleet.Without(location)
+		if len(remaining.Backends) == 0 || len(remaining.Backends) == len(input.fleet.Backends) {
 			continue
 		}
-		if lost := plan.Emulate(&left, &input.load, p.Seed, 0); lost.ValueShare <= result.WorstInTime {
-			result.Worst, result.WorstInTime = location, lost.ValueShare
+		if outcomeWithout := plan.Emulate(&remaining, &input.load, p.Seed, 0); outcomeWithout.ValueShare <= result.WorstInTime {
+			result.WorstLocation, result.WorstInTime = location, outcomeWithout.ValueShare
 		}
 	}
 	breaks, err := plan.FindBreakingLoad(&input.fleet, &input.load, p.Seed, nil)
-	if result.Breaks = breaks.PerS; err != nil {
+	if result.BreakingLoad = breaks.PerS; err != nil {
 		result.Note = err.Error()
 	}
 	return result, nil
@@ -79,10 +79,10 @@
 	}
 	rows := [][]string{}
 	for _, side := range sides {
-		rows = append(rows, []string{side.Fleet, fmt.Sprintf("%.1f", side.QueriesPerSecond), fmt.Sprintf("%.3f", side.InTime), fmt.Sprintf("%.3f", side.Nacked), formatMilliseconds(side.P50), formatMilliseconds(side.P99),
-			fmt.Sprintf("%.0f%%", 100*side.Use), fmt.Sprintf("%.0f", side.Breaks), fmt.Sprintf("%s %.3f", side.Worst, side.WorstInTime), fmt.Sprintf("%.4g", side.Price)})
+		rows = append(rows, []string{side.Fleet, fmt.Sprintf("%.1f", side.QueriesPerSecond), fmt.Sprintf("%.3f", side.InTime), fmt.Sprintf("%.3f", side.Nacked), formatSecondsAsMilliseconds(side.P50), formatSecondsAsMilliseconds(side.P99),
+			fmt.Sprintf("%.0f%%", 100*side.Use), fmt.Sprintf("%.0f", side.BreakingLoad), fmt.Sprintf("%s %.3f", side.WorstLocation, side.WorstInTime), fmt.Sprintf("%.4g", side.Price)})
 	}
-	table(stdout, "FLEET LOOKUPS/S IN-TIME NACKED P50 P99 USE BREAKS-AT WORST-LOCATION-LOST PRICE", rows)
+	writeTableWithHeader(stdout, "FLEET LOOKUPS/S IN-TIME NACKED P50 P99 USE BREAKS-AT WORST-LOCATION-LOST PRICE", rows)
 	for _, side := range sides {
 		if side.Note != "" {
 			fmt.Fprintln(stdout, "note:", side.Fleet+":", side.Note)
--- a/cmd/puffinlink/planreport.go
+++ b/cmd/puffinlink/planreport.go
@@ -12,32 +12,32 @@
 
 type planReportCommand struct{ planOptions }
 
-// planReport is the report as JSON.
+// planReport is the report that the command prints with --json.
 type planReport struct {
 	QueriesPerSecond float64           `json:"lookups_per_s"`
 	Notes            []string          `json:"notes"`
 	Limits           []plan.Limit      `json:"limits"`
-	Breaks           plan.BreakingLoad `json:"breaks"`
+	BreakingLoad     plan.BreakingLoad `json:"breaks"`
 	WhatIfs          []whatIfRow       `json:"what_ifs"`
-	Recovers         bool              `json:"recovers_from_burst"` // of burstFactor times the load
-	LeaveAt          float64           `json:"leave_at_per_s"`      // else the load to go down to
+	Recovers         bool              `json:"recovers_from_burst"` // whether the goals are met again after a burst of burstFactor times the load
+	RecoveryLoad     float64           `json:"leave_at_per_s"`      // if not, the load at which they are met again
 }
 
-// burstFactor is how many times the load the burst is from which a plan tells whether a fleet recovers: month end against a
-// usual day.
+// burstFactor is the factor between the planned load and the burst after which the report checks whether the fleet recovers. It
+// is that of the month end against a usual day.
 const burstFactor = 3
 
 type whatIfRow struct {
-	Name     string  `json:"name"`
-	InTime   float64 `json:"share_of_gain_in_time"`
-	Nacked   float64 `json:"nacked"`
-	Aborted  float64 `json:"aborted"`
-	P50      float64 `json:"p50_s"`
-	P99      float64 `json:"p99_s"`
-	Hottest  string  `json:"hottest"`
-	Use      float64 `json:"use"`
-	Lost     []int   `json:"shards_lost"`
-	KeepsAll bool    `json:"keeps_goals"`
+	Name       string  `json:"name"`
+	InTime     float64 `json:"share_of_gain_in_time"`
+	Nacked     float64 `json:"nacked"`
+	Aborted    float64 `json:"aborted"`
+	P50        float64 `json:"p50_s"`
+	P99        float64 `json:"p99_s"`
+	Hottest    string  `json:"hottest"`
+	Use        float64 `json:"use"`
+	Lost       []int   `json:"shards_lost"`
+	MeetsGoals bool    `json:"keeps_goals"`
 }
 
 // Execute implements flags.Commander.
@@ -52,9 +52,9 @@
 	if err := c.addWhatIfs(ctx, &report, &input); err != nil {
 		return err
 	}
-	report.Recovers, report.LeaveAt = plan.Recovers(&input.fleet, &input.load, burstFactor, c.Seed)
+	report.Recovers, report.RecoveryLoad = plan.Recovers(&input.fleet, &input.load, burstFactor, c.Seed)
 	var breakErr error
-	report.Breaks, breakErr = plan.FindBreakingLoad(&input.fleet, &input.load, c.Seed, c.breakProgress(ctx))
+	report.BreakingLoad, breakErr = plan.FindBreakingLoad(&input.fleet, &input.load, c.Seed, c.breakProgress(ctx))
 	if c.JSON {
 		return printJSON(report)
 	}
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// addWhatIfs emulates the fleet as it is and each fault, and adds a row for each, and the limits of the fleet as it is.
+// addWhatIfs emulates the unchanged fleet and each fault, and adds a row for each to the report. It also adds the limits of the
+// unchanged fleet.
 func (c *planReportCommand) addWhatIfs(ctx context.Context, report *planReport, input *planInput) error {
 	for _, whatIf := range plan.WhatIfs(&input.fleet, &input.load) {
 		if ctx.Err() != nil {
@@ -73,20 +74,21 @@
 		if whatIf.Name == "as it is" {
 			report.Limits = outcome.Limits(&input.fleet)
 		}
-		keeps, _ := outcome.MeetsGoals(&whatIf.Site)
+		meetsGoals, _ := outcome.MeetsGoals(&whatIf.Site)
 		report.WhatIfs = append(report.WhatIfs, whatIfRow{
 			Name: whatIf.Name, InTime: outcome.ValueShare, Nacked: outcome.Nacked, Aborted: outcome.Aborted, P50: outcome.P50, P99: outcome.P99,
-			Hottest: whatIf.Site.Backends[outcome.Hottest].Name, Use: outcome.Use[outcome.Hottest], Lost: whatIf.Lost, KeepsAll: keeps,
+			Hottest: whatIf.Site.Backends[outcome.Hottest].Name, Use: outcome.Use[outcome.Hottest], Lost: whatIf.Lost, MeetsGoals: meetsGoals,
 		})
 	}
 	return nil
 }
 
-// breakProgress reports how far the search for the breaking load got. An interrupt ends the process there, as the search takes no context.
-func (c *planReportCommand) breakProgress(ctx context.Context) func(done, of int) {
-	return func(done, of int) {
+// breakProgress returns a function that prints the progress of the search for the breaking load. The function exits the process
+// after an interrupt, as the search accepts no context.
+func (c *planReportCommand) breakProgress(ctx context.Context) func(done, total int) {
+	return func(done, total int) {
 		if !c.JSON {
-			fmt.Fprintf(stderr, "\rlooking for where it breaks: %d of %d at most", done, of)
+			fmt.Fprintf(stderr, "\rlooking for where it breaks: %d of %d at most", done, total)
 		}
 		if ctx.Err() != nil {
 			fmt.Fprintln(stderr, "\ninterrupted")
@@ -95,7 +97,7 @@
 	}
 }
 
-// printPlanReport prints a report as text; breakErr says why no breaking load was found.
+// printPlanReport prints a report as text. If breakErr is not nil, it explains why no breaking load was found.
 func printPlanReport(report *planReport, breakErr error) {
 	fmt.Fprintf(stdout, "%.1f lookups a second\n", report.QueriesPerSecond)
 	printNotes(report.Notes)
@@ -112,7 +114,7 @@
 		fmt.Fprintln(stdout, "note:", breakErr)
 		return
 	}
-	breaks := &report.Breaks
+	breaks := &report.BreakingLoad
 	fmt.Fprintf(stdout, "goals break at %.0f to %.0f lookups a second, %.2f times this load, first that of %s; nearest its limit there: %s of %s (margin %.2f)\n",
 		breaks.PerS, breaks.Fails, breaks.PerS/report.QueriesPerSecond, breaks.Index, breaks.First.What, breaks.First.Where, breaks.First.Margin)
 }
@@ -121,8 +123,8 @@
 	switch {
 	case report.Recovers:
 		fmt.Fprintf(stdout, "after a burst of %d times this load the goals are kept again\n", burstFactor)
-	case report.LeaveAt > 0:
-		fmt.Fprintf(stdout, "after a burst of %d times this load the goals stay broken until it goes down to %.0f lookups a second\n", burstFactor, report.LeaveAt)
+	case report.RecoveryLoad > 0:
+		fmt.Fprintf(stdout, "after a burst of %d times this load the goals stay broken until it goes down to %.0f lookups a second\n", burstFactor, report.RecoveryLoad)
 	default:
 		fmt.Fprintf(stdout, "after a burst of %d times this load the goals stay broken down to a tenth of it\n", burstFactor)
 	}
@@ -133,14 +135,14 @@
 	for _, limit := range limits {
 		rows = append(rows, []string{limit.What, limit.Where, fmt.Sprintf("%.3g", limit.Used), fmt.Sprintf("%.3g", limit.Max), fmt.Sprintf("%.2f", limit.Margin)})
 	}
-	table(stdout, "LIMIT WHERE USED MOST MARGIN", rows)
+	writeTableWithHeader(stdout, "LIMIT WHERE USED MOST MARGIN", rows)
 }
 
 func printWhatIfs(whatIfs []whatIfRow) {
 	rows := [][]string{}
 	for _, row := range whatIfs {
-		rows = append(rows, []string{row.Name, fmt.Sprintf("%.3f", row.InTime), fmt.Sprintf("%.3f", row.Nacked), fmt.Sprintf("%.3f", row.Aborted), formatMilliseconds(row.P50),
-			formatMilliseconds(row.P99), fmt.Sprintf("%s %.0f%%", row.Hottest, 100*row.Use), strconv.Itoa(len(row.Lost)), yesNo(row.KeepsAll)})
+		rows = append(rows, []string{row.Name, fmt.Sprintf("%.3f", row.InTime), fmt.Sprintf("%.3f", row.Nacked), fmt.Sprintf("%.3f", row.Aborted), formatSecondsAsMilliseconds(row.P50),
+			formatSecondsAsMilliseconds(row.P99), fmt.Sprintf("%s %.0f%%", row.Hottest, 100*row.Use), strconv.Itoa(len(row.Lost)), yesNo(row.MeetsGoals)})
 	}
-	table(stdout, "WHAT-IF IN-TIME NACKED ABORTED P50 P99 HOTTEST SHARDS-LOST KEEPS-GOALS", rows)
+	writeTableWithHeader(stdout, "WHAT-IF IN-TIME NACKED ABORTED P50 P99 HOTTEST SHARDS-LOST KEEPS-GOALS", rows)
 }
--- a/cmd/puffinlink/proxy.go
+++ b/cmd/puffinlink/proxy.go
@@ -11,19 +11,19 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Shares of the proxy's resources.
+// Division of the proxy's memory and file descriptors.
 const (
-	connectionMemory   = 64 << 10 // bytes of the memory limit for each client's connection
-	otherDescriptors   = 400      // descriptors that are not for clients' connections
-	minConnections     = 64
-	bodyMemoryDivisor  = 8 // one part in so many of the memory limit holds request bodies
-	bytesInMegabyte    = 1 << 20
-	maxConnectionShare = 0.9 // of the descriptors left
+	connectionMemoryBytes     = 64 << 10 // bytes of the memory limit reserved for each client connection
+	reservedDescriptors       = 400      // file descriptors reserved for everything but client connections
+	minConnections            = 64
+	bodyMemoryDivisor         = 8 // request bodies may use the memory limit divided by this
+	bytesPerMegabyte          = 1 << 20
+	connectionDescriptorShare = 0.9 // share of the unreserved file descriptors used for client connections
 )
 
-// runProxy serves clients until the context ends.
-func runProxy(ctx context.Context, node *systemNode) error {
-	settings := node.settings
+// runProxy runs a proxy, which serves clients, until ctx ends.
+func runProxy(ctx context.Context, env *processEnvironment) error {
+	settings := env.settings
 	front, err := listen(ctx, settings.Listen.Front)
 	if err != nil {
 		return fmt.Errorf("listenAddresses.front: %w", err)
@@ -36,20 +36,20 @@
 	caller := transport.NewClientFor(settings.Cluster)
 	defer caller.Close()
 	var requests *proxy.RequestMetrics
-	if node.metrics != "" {
+	if env.metricsAddress != "" {
 		requests = proxy.NewRequestMetrics()
 	}
 	server := proxy.New(proxy.Config{
 		Requests:       requests,
-		AgentAddress:   node.localAddress(),
+		AgentAddress:   env.localAddress(),
 		Caller:         caller,
 		BuildRouter:    buildRouter,
 		GracePeriod:    settings.Bounds.GracePeriod,
 		MaxConnections: maxConnections(settings.Limits),
-		MaxBodyBytes:   settings.Limits.MemoryMB * bytesInMegabyte / bodyMemoryDivisor,
-		Log:            node.log,
+		MaxBodyBytes:   settings.Limits.MemoryMB * bytesPerMegabyte / bodyMemoryDivisor,
+		Log:            env.log,
 	})
-	stopMetrics, err := serveMetrics(node, server.Metrics)
+	stopMetrics, err := serveMetrics(env, server.Metrics)
 	if err != nil {
 		front.Close()
 		readiness.Close()
@@ -57,7 +57,7 @@
 	}
 	defer stopMetrics()
 	go func() {
-		for settings := range node.changes {
+		for settings := range env.changes {
 			setMemoryLimit(settings)
 			server.SetGracePeriod(settings.Bounds.GracePeriod)
 		}
@@ -66,17 +66,18 @@
 	return nil
 }
 
-// maxConnections is how many clients' connections the limits bear.
+// maxConnections returns how many client connections the limits on memory and file descriptors allow. It returns
+// minConnections at least.
 func maxConnections(limits nodesettings.Limits) int {
-	byDescriptors := int(maxConnectionShare * float64(limits.FileDescriptors-otherDescriptors))
-	byMemory := int(limits.MemoryMB * bytesInMegabyte / connectionMemory)
+	byDescriptors := int(connectionDescriptorShare * float64(limits.FileDescriptors-reservedDescriptors))
+	byMemory := int(limits.MemoryMB * bytesPerMegabyte / connectionMemoryBytes)
 	return max(minConnections, min(byDescriptors, byMemory))
 }
 
-// configurationRouter adapts a table of the configuration for the proxy.
+// configurationRouter adapts the routing table of a configuration to proxy.Router.
 type configurationRouter struct{ table *configuration.RoutingTable }
 
-// buildRouter reads a configuration as the operator sent it.
+// buildRouter parses a configuration, in the form in which the operator sent it, and returns its router.
 func buildRouter(raw []byte) (proxy.Router, error) {
 	parsed, err := configuration.Parse(raw)
 	if err != nil {
@@ -91,7 +92,7 @@
 	if !ok {
 		return proxy.Route{}, "", false
 	}
-	service, _ := r.table.Service(found.Service) // the check of a configuration lets no unknown service through
+	service, _ := r.table.Service(found.Service) // always found: Parse rejects routes to unknown services
 	queue := jobapi.Queue{
 		Route:           found.Name,
 		Service:         found.Service,
--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -19,11 +19,14 @@
 )
 
 const (
-	// heapShare of the memory limit is the soft limit of Go's heap: stacks, the kernel's part and files come on top.
-	heapShare = 0.6
-	// heapGrowthPercent lets the heap grow to so many percent beyond what lives, as what lives is small: fewer collections.
-	heapGrowthPercent = 400
-	// logQueueLines may wait for whoever reads the log: those of all connections that an aggregator may have, ending at once.
+	// aggregatorMemoryShare is the share of an aggregator's memory limit that is used as the Go runtime's soft memory limit.
+	// Kernel memory and files need the rest.
+	aggregatorMemoryShare = 0.6
+	// aggregatorGCPercent is an aggregator's GOGC value. The live heap is small, so it may grow by several times its size
+	// between collections.
+	aggregatorGCPercent = 400
+	// logQueueLines is how many log lines may wait until the reader of standard output accepts them. The queue has room for one
+	// line for each connection that an aggregator may have, as all may end at once.
 	logQueueLines = 1024
 )
 
@@ -33,21 +36,21 @@
 
 func (s *serveCommand) Execute([]string) error { return serveAggregator(s.Operator) }
 
-// limitRuntime keeps Go within the machine's share.
-func limitRuntime(c node.Config) {
-	if c.Limits.Cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(math.Floor(c.Limits.Cores))))
+// limitRuntime configures the Go runtime for the configured limits on cores and memory.
+func limitRuntime(configuration node.Config) {
+	if configuration.Limits.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(math.Floor(configuration.Limits.Cores))))
 	}
-	if c.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(heapShare * c.Limits.MemoryMB * (1 << 20)))
-		debug.SetGCPercent(heapGrowthPercent)
+	if configuration.Limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(aggregatorMemoryShare * configuration.Limits.MemoryMB * (1 << 20)))
+		debug.SetGCPercent(aggregatorGCPercent)
 	}
 }
 
-// reloadConfiguration reads the config file anew. All of it has to be valid, but only discovery changes under a running aggregator.
-// LB_DISCOVERY stands over the file at the start alone: a new file is meant to change it.
+// reloadConfiguration reads the config file again. The whole file must be valid, but only the discovery address is applied to
+// a running aggregator. LB_DISCOVERY overrides the file only at start, so that a reload can change the address.
 func reloadConfiguration(n *node.Node) error {
-	c, _, err := node.Read(func(name string) string {
+	configuration, _, err := node.Read(func(name string) string {
 		if name == "LB_DISCOVERY" {
 			return ""
 		}
@@ -56,25 +59,26 @@
 	if err != nil {
 		return err
 	}
-	return n.Reload(c)
+	return n.Reload(configuration)
 }
 
-// startInterruptibly starts an aggregator, which may take a while. A signal to stop ends that; one that comes as it is done, and all others, are kept for
-// the aggregator that runs.
-func startInterruptibly(signals chan os.Signal, begin func(context.Context) (*node.Node, error)) (n *node.Node, err error) {
+// startInterruptibly starts an aggregator, which may take several seconds. SIGTERM and SIGINT cancel the context of start. All
+// signals received meanwhile are sent to the channel again before startInterruptibly returns, so that an aggregator that has
+// started handles them.
+func startInterruptibly(signals chan os.Signal, start func(context.Context) (*node.Node, error)) (n *node.Node, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	go func() {
-		defer close(begun)
-		n, err = begin(ctx)
+		defer close(started)
+		n, err = start(ctx)
 	}()
-	var kept []os.Signal
+	var received []os.Signal
 	defer func() {
-		for _, s := range kept {
+		for _, s := range received {
 			select {
 			case signals <- s:
-			default: // as many wait already
+			default: // the channel is full
 			}
 		}
 	}()
@@ -84,8 +88,8 @@
 			if s == syscall.SIGTERM || s == syscall.SIGINT {
 				cancel()
 			}
-			kept = append(kept, s)
-		case <-begun:
+			received = append(received, s)
+		case <-started:
 			return n, err
 		}
 	}
@@ -99,21 +103,21 @@
 	if err != nil {
 		return err
 	}
-	file := operatorfile.Defaults()
+	operatorSettings := operatorfile.Defaults()
 	if operatorFile != "" {
-		if file, err = operatorfile.Read(operatorFile); err != nil {
+		if operatorSettings, err = operatorfile.Read(operatorFile); err != nil {
 			return err
 		}
 	}
 	limitRuntime(configuration)
-	// Whoever reads the log must not hold up the aggregator: lines that find no room are dropped and counted.
+	// A slow reader of the log must not block the aggregator: lines that do not fit into the queue are dropped and counted.
 	count := counters.New()
 	logWriter := asynclog.NewWriter(os.Stdout, logQueueLines, func() { count.Add("log", "dropped", 1) })
 	defer logWriter.Close()
 	log := asynclog.New(logWriter).With(zap.String("mixer", configuration.Name))
 
 	aggregator, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) {
-		return node.Start(ctx, configuration, settings, file, log, count)
+		return node.Start(ctx, configuration, settings, operatorSettings, log, count)
 	})
 	if errors.Is(err, context.Canceled) {
 		log.Info("stopped before serving")
--- a/cmd/puffinlink/system.go
+++ b/cmd/puffinlink/system.go
@@ -15,44 +15,45 @@
 	"puffinlink.example/puffinlink/internal/nodesettings"
 )
 
-// systemMemoryShare of a process's memory limit is the soft limit of the Go runtime; what sockets hold comes on top.
-const systemMemoryShare = 0.7
+// processMemoryShare is the share of a process's memory limit that is used as the Go runtime's soft memory limit. Socket
+// buffers in the kernel need part of the rest.
+const processMemoryShare = 0.7
 
-// systemProcess is one process of the cluster scheduler, started by its sub-command.
-type systemProcess struct {
+// clusterProcess is a process of the cluster scheduler and the subcommand that starts it.
+type clusterProcess struct {
 	name        string
 	short       string
 	description string
-	run         func(ctx context.Context, node *systemNode) error
+	run         func(ctx context.Context, node *processEnvironment) error
 }
 
-// systemNode is what a process of the cluster scheduler starts with.
-type systemNode struct {
-	settings nodesettings.Settings
-	changes  <-chan nodesettings.Settings // newer settings
-	log      *zap.Logger
-	metrics  string // address of the metrics, host:port; empty for none
-	// local is the loopback address, host:port, at which the agent and the proxy of one machine meet; empty for the
-	// standard one. It differs where several machines share a loopback.
-	local string
+// processEnvironment contains the settings, the log and the addresses that a process of the cluster scheduler runs with.
+type processEnvironment struct {
+	settings       nodesettings.Settings
+	changes        <-chan nodesettings.Settings // receives the settings after each change
+	log            *zap.Logger
+	metricsAddress string // address that serves metrics, host:port; empty if metrics are off
+	// localOverride replaces the loopback address, host:port, at which the proxy reaches the agent of its machine. It is empty
+	// unless several emulated machines share a loopback interface, as in the demo.
+	localOverride string
 }
 
-// localAddress is where the agent and the proxy of this machine meet.
-func (n *systemNode) localAddress() string {
-	if n.local != "" {
-		return n.local
+// localAddress returns the loopback address at which the proxy reaches the agent of its machine.
+func (n *processEnvironment) localAddress() string {
+	if n.localOverride != "" {
+		return n.localOverride
 	}
-	return n.settings.LoopbackAddress(agentLocalOffset)
+	return n.settings.LoopbackAddress(agentLocalPortOffset)
 }
 
-// systemOptions are the flags of the sub-commands.
-type systemOptions struct {
+// processOptions are the flags of the subcommands that start a process of the cluster scheduler.
+type processOptions struct {
 	LogLevel string `long:"log-level" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"Minimum level of logged lines."`
 	Metrics  string `long:"metrics" value-name:"ADDRESS" description:"Serve metrics for Prometheus at this address, host:port, under /metrics; off if it is not given."`
 }
 
-// systemProcesses are the processes by the order of the help.
-var systemProcesses = []systemProcess{
+// clusterProcesses lists the processes in the order of the help.
+var clusterProcesses = []clusterProcess{
 	{
 		name:        "proxy",
 		short:       "Serve clients on a front machine",
@@ -73,27 +74,27 @@
 	},
 }
 
-const systemUsage = "\n\nThe settings file is the one that the environment variable " + nodesettings.PathVariable + " names; it is read again on SIGHUP and when it " +
+const processUsage = "\n\nThe settings file is the one that the environment variable " + nodesettings.PathVariable + " names; it is read again on SIGHUP and when it " +
 	"changes. SIGTERM stops the process in order. Exit codes: 0 stopped in order, 1 failed, 2 command line or settings not valid." +
 	"\n\nExample: " + nodesettings.PathVariable + "=/etc/puffinlink/local.conf puffinlink "
 
-// findSystemProcess tells which process of the cluster scheduler a command line starts.
-func findSystemProcess(args []string) (systemProcess, bool) {
+// findClusterProcess returns the process of the cluster scheduler that a command line starts, if it starts one.
+func findClusterProcess(args []string) (clusterProcess, bool) {
 	if len(args) == 0 {
-		return systemProcess{}, false
+		return clusterProcess{}, false
 	}
-	for _, process := range systemProcesses {
+	for _, process := range clusterProcesses {
 		if process.name == args[0] {
 			return process, true
 		}
 	}
-	return systemProcess{}, false
+	return clusterProcess{}, false
 }
 
-// runSystemCommand runs a process of the cluster scheduler and tells its exit code.
-func runSystemCommand(process systemProcess, args []string) int {
-	var options systemOptions
-	if code, done := parseSystemFlags(process, args, &options); done {
+// runProcessCommand parses the flags of a process's subcommand, loads the settings and runs the process. It returns the exit code.
+func runProcessCommand(process clusterProcess, args []string) int {
+	var options processOptions
+	if code, done := parseProcessFlags(process, args, &options); done {
 		return code
 	}
 	settings, err := nodesettings.Load()
@@ -101,21 +102,22 @@
 		fmt.Fprintln(stderr, "puffinlink:", err)
 		return exitUsage
 	}
-	log := newSystemLog(options.LogLevel, process.name, settings.NodeName)
-	if err := runSystemProcess(process, settings, &options, log); err != nil {
+	log := newProcessLog(options.LogLevel, process.name, settings.NodeName)
+	if err := runClusterProcess(process, settings, &options, log); err != nil {
 		log.Error("process failed", zap.Error(err))
 		return exitFailed
 	}
 	return 0
 }
 
-// parseSystemFlags reads the flags of a sub-command; done means that the command ends with the code.
-func parseSystemFlags(process systemProcess, args []string, options *systemOptions) (code int, done bool) {
+// parseProcessFlags parses the flags of a process's subcommand. If done is true, help or an error was printed and the program
+// exits with code.
+func parseProcessFlags(process clusterProcess, args []string, options *processOptions) (code int, done bool) {
 	parser := flags.NewNamedParser("puffinlink "+process.name, flags.HelpFlag)
 	parser.ShortDescription = process.short
-	parser.LongDescription = process.description + systemUsage + process.name
+	parser.LongDescription = process.description + processUsage + process.name
 	if _, err := parser.AddGroup("Options", "", options); err != nil {
-		panic(err) // a mistake in the tags above
+		panic(err) // the struct tags of processOptions are invalid
 	}
 	rest, err := parser.ParseArgs(args)
 	if flags.WroteHelp(err) {
@@ -132,46 +134,47 @@
 	return 0, false
 }
 
-// newSystemLog makes the log of a process, on standard output.
-func newSystemLog(level, process, node string) *zap.Logger {
-	return newLog(zapcore.AddSync(stdout), level).With(zap.String("node", node), zap.String("process", process))
+// newProcessLog returns the logger of a process. It writes to standard output.
+func newProcessLog(level, process, nodeName string) *zap.Logger {
+	return newLog(zapcore.AddSync(stdout), level).With(zap.String("node", nodeName), zap.String("process", process))
 }
 
-// newLog makes a log of JSON lines.
+// newLog returns a logger that writes JSON lines.
 func newLog(out zapcore.WriteSyncer, level string) *zap.Logger {
-	least, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
-		least = zapcore.InfoLevel // the flag's choices are all levels
+		minLevel = zapcore.InfoLevel // unreachable: each choice of --log-level is a level
 	}
-	configuration := zap.NewProductionEncoderConfig()
-	configuration.EncodeTime = zapcore.ISO8601TimeEncoder
-	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(configuration), zapcore.Lock(out), least))
+	encoderConfig := zap.NewProductionEncoderConfig()
+	encoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig), zapcore.Lock(out), minLevel))
 }
 
-// runSystemProcess runs a process until it fails or is told to stop by a signal.
-func runSystemProcess(process systemProcess, settings nodesettings.Settings, options *systemOptions, log *zap.Logger) error {
+// runClusterProcess runs a process until it fails or SIGTERM or an interrupt stops it. SIGHUP reloads the settings.
+func runClusterProcess(process clusterProcess, settings nodesettings.Settings, options *processOptions, log *zap.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	setMemoryLimit(settings)
-	watching, stopWatching := context.WithCancel(context.Background())
+	watchCtx, stopWatching := context.WithCancel(context.Background())
 	defer stopWatching()
-	node := &systemNode{
-		metrics:  options.Metrics,
-		settings: settings,
-		changes:  nodesettings.Watch(watching, os.Getenv(nodesettings.PathVariable), settings, reload, log),
-		log:      log,
+	env := &processEnvironment{
+		metricsAddress: options.Metrics,
+		settings:       settings,
+		changes:        nodesettings.Watch(watchCtx, os.Getenv(nodesettings.PathVariable), settings, reload, log),
+		log:            log,
 	}
 	log.Info("process starts", zap.Bool("firstStart", settings.FirstStart), zap.String("zone", settings.Zone))
-	if err := process.run(ctx, node); err != nil {
+	if err := process.run(ctx, env); err != nil {
 		return fmt.Errorf("%s: %w", process.name, err)
 	}
 	log.Info("process ends")
 	return nil
 }
 
+// setMemoryLimit sets the Go runtime's soft memory limit from the settings.
 func setMemoryLimit(settings nodesettings.Settings) {
-	debug.SetMemoryLimit(int64(systemMemoryShare * float64(settings.Limits.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(processMemoryShare * float64(settings.Limits.MemoryMB<<20)))
 }
--- a/cmd/puffinlink/system_test.go
+++ b/cmd/puffinlink/system_test.go
@@ -20,11 +20,11 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-func TestSystemCommandLines(t *testing.T) {
+func TestProcessCommandLinesReturnExitCodeAndMessage(t *testing.T) {
 	cases := []struct {
-		args string
-		code int
-		says string
+		args       string
+		code       int
+		wantOutput string
 	}{
 		{"proxy --help", 0, "Serves the clients of a front machine"},
 		{"agent -h", 0, "Keeps the link from a front machine"},
@@ -35,14 +35,14 @@
 		{"coordinator", exitUsage, nodesettings.PathVariable + " is not set"},
 	}
 	for _, c := range cases {
-		Convey(c.args+" says what it should", t, func() {
+		Convey(c.args+" returns the exit code and prints the message", t, func() {
 			t.Setenv(nodesettings.PathVariable, "")
 			code, out := runForTest(t, strings.Fields(c.args)...)
 			So(code, ShouldEqual, c.code)
-			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.says)
+			So(strings.Join(strings.Fields(out), " "), ShouldContainSubstring, c.wantOutput)
 		})
 	}
-	Convey("Settings that are not valid name the key", t, func() {
+	Convey("The error of invalid settings names the key", t, func() {
 		path := filepath.Join(t.TempDir(), "local.conf")
 		So(os.WriteFile(path, []byte("nodeName=n\nipAddress=10.1.0.12\n"), 0o600), ShouldBeNil)
 		t.Setenv(nodesettings.PathVariable, path)
@@ -50,7 +50,7 @@
 		So(code, ShouldEqual, exitUsage)
 		So(out, ShouldContainSubstring, "internalPortRange=: missing")
 	})
-	Convey("A process whose role does not serve clients fails, and its log tells why", t, func() {
+	Convey("A proxy without an address for clients fails and logs the reason", t, func() {
 		path := filepath.Join(t.TempDir(), "local.conf")
 		So(os.WriteFile(path, []byte("nodeName=n\nipAddress=127.0.0.1\ninternalPortRange=7660,7675\n"), 0o600), ShouldBeNil)
 		t.Setenv(nodesettings.PathVariable, path)
@@ -70,8 +70,8 @@
 	"services":[{"name":"huvo11a","healthCheckPath":"/health","maxConnections":64,"protocol":"h1","guards":true}],
 	"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-func TestRouterOfAConfiguration(t *testing.T) {
-	Convey("Routes and limits are the configuration's", t, func() {
+func TestRouterMatchesTheConfiguration(t *testing.T) {
+	Convey("The router returns the routes and limits of the configuration", t, func() {
 		router, err := buildRouter([]byte(testConfigurationText))
 		So(err, ShouldBeNil)
 		route, rest, ok := router.Match("Ficu95.example:8144", "/lohu930/5c0e7a21d94b36f8")
@@ -94,15 +94,15 @@
 	})
 }
 
-func TestMaxConnections(t *testing.T) {
-	Convey("Connections are bounded by descriptors and by memory", t, func() {
+func TestMaxConnectionsIsBoundedByDescriptorsAndMemory(t *testing.T) {
+	Convey("The number of connections is bounded by file descriptors and by memory", t, func() {
 		So(maxConnections(nodesettings.Limits{FileDescriptors: 4100, MemoryMB: 284}), ShouldEqual, 3330)
 		So(maxConnections(nodesettings.Limits{FileDescriptors: 4100, MemoryMB: 184}), ShouldEqual, 2944)
 		So(maxConnections(nodesettings.Limits{FileDescriptors: 100, MemoryMB: 184}), ShouldEqual, minConnections)
 	})
 }
 
-// freePorts finds a range of ports on the loopback that are free now.
+// freePorts returns the first of count successive loopback ports that are currently free.
 func freePorts(t *testing.T, count int) int {
 	t.Helper()
 	for range 100 {
@@ -112,15 +112,15 @@
 		}
 		port := first.Addr().(*net.TCPAddr).Port
 		first.Close()
-		if port+count <= 65535 && allFree(port, count) {
+		if port+count <= 65535 && allPortsFree(port, count) {
 			return port
 		}
 	}
-	t.Fatal("no free ports")
+	t.Fatal("found no range of free ports")
 	return 0
 }
 
-func allFree(port, count int) bool {
+func allPortsFree(port, count int) bool {
 	for i := range count {
 		listener, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", port+i))
 		if err != nil {
@@ -131,9 +131,9 @@
 	return true
 }
 
-// TestFrontProcesses runs the agent and the proxy of one machine, without a core: the proxy serves but is not ready, and
-// both stop in order.
-func TestFrontProcesses(t *testing.T) {
+// TestAgentAndProxyStartAndStopWithoutCoordinator runs the agent and the proxy of one machine without a coordinator. The proxy
+// responds, but reports that it is not ready, and both processes stop without an error.
+func TestAgentAndProxyStartAndStopWithoutCoordinator(t *testing.T) {
 	Convey("The proxy and the agent start and stop", t, func() {
 		port := freePorts(t, 5)
 		settings, err := nodesettings.Parse(fmt.Appendf(nil, "nodeName=n\nipAddress=127.0.0.1\ninternalPortRange=%d,%d\n"+
@@ -141,14 +141,14 @@
 			port, port+2, port+3, port+4))
 		So(err, ShouldBeNil)
 		ctx, stop := context.WithCancel(context.Background())
-		node := func() *systemNode {
+		newEnvironment := func() *processEnvironment {
 			changes := make(chan nodesettings.Settings)
 			context.AfterFunc(ctx, func() { close(changes) })
-			return &systemNode{settings: settings, changes: changes, log: zap.NewNop()}
+			return &processEnvironment{settings: settings, changes: changes, log: zap.NewNop()}
 		}
 		ended := make(chan error, 2)
-		go func() { ended <- runAgent(ctx, node()) }()
-		go func() { ended <- runProxy(ctx, node()) }()
+		go func() { ended <- runAgent(ctx, newEnvironment()) }()
+		go func() { ended <- runProxy(ctx, newEnvironment()) }()
 		status, retryAfter := requestUntilServed(t, fmt.Sprintf("http://127.0.0.1:%d/lohu930/", port+3))
 		So(status, ShouldEqual, http.StatusServiceUnavailable)
 		So(retryAfter, ShouldEqual, "1")
@@ -160,44 +160,44 @@
 	})
 }
 
-// requestUntilServed asks until a connection comes up.
+// requestUntilServed repeats a request until a connection succeeds, for a minute at most.
 func requestUntilServed(t *testing.T, url string) (status int, retryAfter string) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	for late := time.Now().Add(time.Minute); time.Now().Before(late); {
-		answer, err := client.Get(url)
+	for deadline := time.Now().Add(time.Minute); time.Now().Before(deadline); {
+		response, err := client.Get(url)
 		if err != nil {
 			continue
 		}
-		defer answer.Body.Close()
-		io.Copy(io.Discard, answer.Body)
-		return answer.StatusCode, answer.Header.Get("Retry-After")
+		defer response.Body.Close()
+		io.Copy(io.Discard, response.Body)
+		return response.StatusCode, response.Header.Get("Retry-After")
 	}
-	t.Fatal("not served: " + url)
+	t.Fatal("no connection within a minute: " + url)
 	return 0, ""
 }
 
-func TestListenWaitsForAnAddress(t *testing.T) {
-	Convey("An address that is in use is taken once it is free", t, func() {
-		held, err := net.Listen("tcp", "127.0.0.1:0")
+func TestListenRetriesWhileTheAddressIsInUse(t *testing.T) {
+	Convey("listen succeeds once an address that is in use becomes free", t, func() {
+		occupied, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		time.AfterFunc(listenRetryInterval, func() { held.Close() })
-		listener, err := listen(context.Background(), held.Addr().String())
+		time.AfterFunc(listenRetryInterval, func() { occupied.Close() })
+		listener, err := listen(context.Background(), occupied.Addr().String())
 		So(err, ShouldBeNil)
 		listener.Close()
 	})
-	Convey("A stop ends the wait", t, func() {
-		held, err := net.Listen("tcp", "127.0.0.1:0")
+	Convey("The end of the context ends the wait, and an empty address is an error", t, func() {
+		occupied, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		defer held.Close()
+		defer occupied.Close()
 		ctx, stop := context.WithCancel(context.Background())
 		stop()
-		_, err = listen(ctx, held.Addr().String())
+		_, err = listen(ctx, occupied.Addr().String())
 		So(err, ShouldNotBeNil)
 		_, err = listen(ctx, "")
 		So(err, ShouldEqual, errNoAddress)
 	})
-	Convey("Internal calls are served", t, func() {
+	Convey("serveInternal serves calls", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		mux := transport.NewMux()
--- a/cmd/puffinlink/token.go
+++ b/cmd/puffinlink/token.go
@@ -39,6 +39,7 @@
 	return err
 }
 
+// tokenEntry is an element of operators.tokens in the operator's file.
 type tokenEntry struct {
 	Name string `json:"name"`
 	Role string `json:"role"`
--- a/cmd/puffinlink/whyoutput.go
+++ b/cmd/puffinlink/whyoutput.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/jobs/jobreport"
 )
 
-// reasonTexts say why tasks wait.
+// reasonTexts maps the reasons for which tasks wait to texts for operators.
 var reasonTexts = map[jobreport.Reason]string{
 	jobreport.ReasonDependsOn:    "earlier stages are not complete",
 	jobreport.ReasonNotDue:       "the repetition is not due yet",
@@ -18,7 +18,7 @@
 	jobreport.ReasonQueueOrder:   "searchers could take it; its turn has not come",
 }
 
-// causeTexts say what rules a worker out.
+// causeTexts maps the causes for which workers are excluded to texts for operators.
 var causeTexts = map[jobreport.Cause]string{
 	jobreport.CauseMissingLabel:     "lack the label",
 	jobreport.CauseTotalCapacity:    "are too small even when empty",
@@ -35,39 +35,39 @@
 	jobreport.CauseOther:            "are ruled out by something else",
 }
 
-func printWhy(why *jobreport.Explanation) {
-	if len(why.WaitingStages) == 0 {
-		fmt.Fprintf(stdout, "job %s is %s; nothing of it waits\n", why.ID, why.State)
+func printWhy(explanation *jobreport.Explanation) {
+	if len(explanation.WaitingStages) == 0 {
+		fmt.Fprintf(stdout, "job %s is %s; nothing of it waits\n", explanation.ID, explanation.State)
 		return
 	}
-	fmt.Fprintf(stdout, "job %s is %s\n", why.ID, why.State)
-	for i := range why.WaitingStages {
-		printWaiting(&why.WaitingStages[i])
+	fmt.Fprintf(stdout, "job %s is %s\n", explanation.ID, explanation.State)
+	for i := range explanation.WaitingStages {
+		printWaiting(&explanation.WaitingStages[i])
 	}
-	if why.Truncated {
+	if explanation.Truncated {
 		fmt.Fprintln(stdout, "further stages wait")
 	}
 }
 
-func printWaiting(w *jobreport.WaitingStage) {
-	if w.Reason == jobreport.ReasonNotDue {
-		fmt.Fprintf(stdout, "repetition %d: not due until %s\n", w.Repetition, formatUnixMilliseconds(w.DueMS))
+func printWaiting(stage *jobreport.WaitingStage) {
+	if stage.Reason == jobreport.ReasonNotDue {
+		fmt.Fprintf(stdout, "repetition %d: not due until %s\n", stage.Repetition, formatUnixMilliseconds(stage.DueMS))
 		return
 	}
-	fmt.Fprintf(stdout, "repetition %d, stage %d: waiting tasks %d, each of %s: %s\n", w.Repetition, w.Stage, w.Tasks, resources(w.Request), reasonTexts[w.Reason])
-	if w.Reason == jobreport.ReasonDependsOn {
-		fmt.Fprintf(stdout, "  not complete: stages %v\n", w.DependsOn)
+	fmt.Fprintf(stdout, "repetition %d, stage %d: waiting tasks %d, each of %s: %s\n", stage.Repetition, stage.Stage, stage.Tasks, formatResources(stage.Request), reasonTexts[stage.Reason])
+	if stage.Reason == jobreport.ReasonDependsOn {
+		fmt.Fprintf(stdout, "  not complete: stages %v\n", stage.DependsOn)
 		return
 	}
-	fmt.Fprintf(stdout, "  waiting for %v; stages that come first: %d\n", milliseconds(w.WaitMS), w.StagesAhead)
-	if len(w.OpenWorkers) > 0 {
-		fmt.Fprintf(stdout, "  could take one: %s\n", strings.Join(w.OpenWorkers, " "))
+	fmt.Fprintf(stdout, "  waiting for %v; stages that come first: %d\n", millisecondsToDuration(stage.WaitMS), stage.StagesAhead)
+	if len(stage.OpenWorkers) > 0 {
+		fmt.Fprintf(stdout, "  could take one: %s\n", strings.Join(stage.OpenWorkers, " "))
 	}
-	if w.Reason == jobreport.ReasonNoWorker && len(w.Exclusions) == 0 {
+	if stage.Reason == jobreport.ReasonNoWorker && len(stage.Exclusions) == 0 {
 		fmt.Fprintln(stdout, "  no searcher of the service is known: look at the platform's list")
 	}
-	for _, ruled := range w.Exclusions {
-		more := choose(ruled.Count > len(ruled.Workers), " ...", "")
-		fmt.Fprintf(stdout, "  %d %s (%s): %s%s\n", ruled.Count, causeTexts[ruled.Cause], ruled.Cause, strings.Join(ruled.Workers, " "), more)
+	for _, exclusion := range stage.Exclusions {
+		more := choose(exclusion.Count > len(exclusion.Workers), " ...", "")
+		fmt.Fprintf(stdout, "  %d %s (%s): %s%s\n", exclusion.Count, causeTexts[exclusion.Cause], exclusion.Cause, strings.Join(exclusion.Workers, " "), more)
 	}
 }
--- a/cmd/puffinlink/wire_test.go
+++ b/cmd/puffinlink/wire_test.go
@@ -9,11 +9,11 @@
 	"puffinlink.example/puffinlink/internal/tools/demo/cluster"
 )
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the constants that users and scripts depend on.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: defaultCommand, Want: "serve"},
-		goldentest.Constant{Have: controlVariable, Want: "PUFFINLINK_CONTROL"},
+		goldentest.Constant{Have: controlAddressVariable, Want: "PUFFINLINK_CONTROL"},
 		goldentest.Constant{Have: exitFailed, Want: 1},
 		goldentest.Constant{Have: exitUsage, Want: 2},
 		goldentest.Constant{Have: exitRefused, Want: 3},
@@ -22,10 +22,10 @@
 	)
 }
 
-// TestWireForms pins what commands print with --json, and the files that they read.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles checks the format of what commands print with --json and of the files that they read.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
-		goldentest.Form{Name: "applied", Value: new(applied)},
+		goldentest.Form{Name: "applied", Value: new(applyResult)},
 		goldentest.Form{Name: "plan report", Value: new(planReport)},
 		goldentest.Form{Name: "plan side", Value: new(planComparison)},
 		goldentest.Form{Name: "synth file", Value: new(synthFile)},
