--- a/cmd/puffinlink/aggregatorcommands.go
+++ b/cmd/puffinlink/aggregatorcommands.go
@@ -74,10 +74,10 @@
 // setDescriptions splits the descriptions from the struct tags: the help of a command shows the whole text, and lists of
 // commands show the text without the example.
 func setDescriptions(commands []*flags.Command) {
-	for _, one := range commands {
-		one.LongDescription = one.ShortDescription
-		one.ShortDescription, _, _ = strings.Cut(one.LongDescription, exampleSeparator)
-		setDescriptions(one.Commands())
+	for _, command := range commands {
+		command.LongDescription = command.ShortDescription
+		command.ShortDescription, _, _ = strings.Cut(command.LongDescription, exampleSeparator)
+		setDescriptions(command.Commands())
 	}
 }
 
@@ -138,8 +138,8 @@
 		fmt.Fprintf(rows, "  %s\t%s\n", process.name, process.short)
 	}
 	writeHeading(rows, "Operators of the cluster scheduler")
-	for _, one := range operations {
-		fmt.Fprintf(rows, "  %s\t%s. Example: puffinlink %s\n", one.name, one.short, one.example)
+	for _, op := range operations {
+		fmt.Fprintf(rows, "  %s\t%s. Example: puffinlink %s\n", op.name, op.short, op.example)
 	}
 	writeHeading(rows, "Aggregator, and both")
 	writeCommands(rows, "  ", parser.Commands())
@@ -155,11 +155,11 @@
 
 // writeCommands writes a row for each command without subcommands, and descends into the others.
 func writeCommands(rows io.Writer, prefix string, commands []*flags.Command) {
-	for _, one := range commands {
-		if subcommands := one.Commands(); len(subcommands) > 0 {
-			writeCommands(rows, prefix+one.Name+" ", subcommands)
+	for _, command := range commands {
+		if subcommands := command.Commands(); len(subcommands) > 0 {
+			writeCommands(rows, prefix+command.Name+" ", subcommands)
 			continue
 		}
-		fmt.Fprintf(rows, "%s%s\t%s\n", prefix, one.Name, one.LongDescription)
+		fmt.Fprintf(rows, "%s%s\t%s\n", prefix, command.Name, command.LongDescription)
 	}
 }
--- a/cmd/puffinlink/aggregatorcommands_test.go
+++ b/cmd/puffinlink/aggregatorcommands_test.go
@@ -78,8 +78,8 @@
 		for _, process := range clusterProcesses {
 			So(out, ShouldContainSubstring, "\n  "+process.name+" ")
 		}
-		for _, one := range operations {
-			So(out, ShouldContainSubstring, "\n  "+one.name+" ")
+		for _, op := range operations {
+			So(out, ShouldContainSubstring, "\n  "+op.name+" ")
 		}
 		So(strings.Index(out, "\n  coordinator "), ShouldBeLessThan, strings.Index(out, "\n  status "))
 		So(strings.Index(out, "\n  check-settings "), ShouldBeLessThan, strings.Index(out, "\n  serve "))
--- a/cmd/puffinlink/captureshow.go
+++ b/cmd/puffinlink/captureshow.go
@@ -20,16 +20,16 @@
 }
 
 func (s *captureShowCommand) Execute([]string) error {
-	c, err := openCapture(s.Arguments.Path)
+	captured, err := openCapture(s.Arguments.Path)
 	if err != nil {
 		return err
 	}
-	summary := c.Sum()
+	summary := captured.Sum()
 	if s.JSON {
 		return printJSON(summary)
 	}
-	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(c.Intervals), formatUnixSeconds(summary.At), formatUnixSeconds(summary.At+summary.Span), strings.Join(summary.Aggregators, ", "))
-	for _, gap := range c.Gaps() {
+	fmt.Fprintf(stdout, "%d intervals from %s to %s, of mixers %s\n", len(captured.Intervals), formatUnixSeconds(summary.At), formatUnixSeconds(summary.At+summary.Span), strings.Join(summary.Aggregators, ", "))
+	for _, gap := range captured.Gaps() {
 		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", formatUnixSeconds(gap.From), formatUnixSeconds(gap.To))
 	}
 	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", summary.InFlight.Mean, summary.InFlight.Most, summary.CallsInFlight.Mean, summary.CallsInFlight.Most)
@@ -41,14 +41,14 @@
 	}
 	writeTableWithHeader(stdout, "INDEX CUSTOMER LOOKUPS A-SECOND PARTS RESENT SATISFIED LATE NACKED ABORTED GONE FULL", rows)
 	rows = rows[:0]
-	for _, x := range summary.Indexes {
-		rows = append(rows, []string{x.Index, format(x.Latency.Count()), formatSecondsAsMilliseconds(x.Latency.Quantile(0.5)), formatSecondsAsMilliseconds(x.Latency.Quantile(0.99)), formatSecondsAsMilliseconds(x.Latency.Quantile(1))})
+	for _, index := range summary.Indexes {
+		rows = append(rows, []string{index.Index, format(index.Latency.Count()), formatSecondsAsMilliseconds(index.Latency.Quantile(0.5)), formatSecondsAsMilliseconds(index.Latency.Quantile(0.99)), formatSecondsAsMilliseconds(index.Latency.Quantile(1))})
 	}
 	fmt.Fprintln(stdout)
 	writeTableWithHeader(stdout, "INDEX ANSWERED P50 P99 MOST", rows)
 	rows = rows[:0]
-	for _, x := range summary.Backends {
-		rows = append(rows, []string{x.Backend, x.Location, x.Index, format(x.Calls), format(x.Failed), format(x.Rejected), formatSecondsAsMilliseconds(x.Latency.Quantile(0.5)), formatSecondsAsMilliseconds(x.Latency.Quantile(0.99)), formatSecondsAsMilliseconds(x.Alone.Mean())})
+	for _, backend := range summary.Backends {
+		rows = append(rows, []string{backend.Backend, backend.Location, backend.Index, format(backend.Calls), format(backend.Failed), format(backend.Rejected), formatSecondsAsMilliseconds(backend.Latency.Quantile(0.5)), formatSecondsAsMilliseconds(backend.Latency.Quantile(0.99)), formatSecondsAsMilliseconds(backend.Alone.Mean())})
 	}
 	fmt.Fprintln(stdout)
 	writeTableWithHeader(stdout, "SEARCHER LOCATION INDEX CALLS FAILED TURNED-AWAY P50 P99 ALONE", rows)
--- a/cmd/puffinlink/demosystem_test.go
+++ b/cmd/puffinlink/demosystem_test.go
@@ -36,14 +36,14 @@
 }
 
 // Write implements io.Writer.
-func (p *demoOutput) Write(line []byte) (int, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.text.Write(line)
-	if startedAttempts.MatchString(p.text.String()) {
-		_, flags, _ := strings.Cut(p.text.String(), "operators reach it at: ")
+func (o *demoOutput) Write(line []byte) (int, error) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.text.Write(line)
+	if startedAttempts.MatchString(o.text.String()) {
+		_, flags, _ := strings.Cut(o.text.String(), "operators reach it at: ")
 		flags, _, _ = strings.Cut(flags, "\n")
-		p.once.Do(func() { p.operatorFlags <- flags })
+		o.once.Do(func() { o.operatorFlags <- flags })
 	}
 	return len(line), nil
 }
--- a/cmd/puffinlink/fleetprogress.go
+++ b/cmd/puffinlink/fleetprogress.go
@@ -24,10 +24,10 @@
 }
 
 func printProgress(progress *residency.Progress) {
-	for _, m := range progress.Nodes {
-		fmt.Fprintf(stdout, "%s: %s, tells version %d", m.Node, m.State, m.Applied)
-		if m.LeaseEndsIn > 0 {
-			fmt.Fprintf(stdout, ", refuses strict tenants in %.1f s at the latest if it hears nothing", m.LeaseEndsIn)
+	for _, node := range progress.Nodes {
+		fmt.Fprintf(stdout, "%s: %s, tells version %d", node.Node, node.State, node.Applied)
+		if node.LeaseEndsIn > 0 {
+			fmt.Fprintf(stdout, ", refuses strict tenants in %.1f s at the latest if it hears nothing", node.LeaseEndsIn)
 		}
 		fmt.Fprintln(stdout)
 	}
--- a/cmd/puffinlink/fleetshow.go
+++ b/cmd/puffinlink/fleetshow.go
@@ -21,8 +21,8 @@
 	fmt.Fprintf(stdout, "%s: open %t, hears nothing %t, leader %s, contracts of version %d sure for %.1f s, quotas of version %d\n",
 		status.Node, status.Open, status.Isolated, status.Leader, status.Contracts.Version, status.ContractsConfirmedFor, status.QuotasVersion)
 	writer := tabwriter.NewWriter(stdout, 0, 8, 2, ' ', 0)
-	for _, m := range status.Members {
-		fmt.Fprintf(writer, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.SinceReceived)
+	for _, member := range status.Members {
+		fmt.Fprintf(writer, "%s\t%s\theard %.1f s ago\n", member.Node, member.Status, member.SinceReceived)
 	}
 	for tenant, contract := range status.Contracts.Contracts {
 		fmt.Fprintf(writer, "contract %s\t%s\t%s\n", tenant, strings.Join(contract.Zones, " "), strings.Join(contract.Indexes, " "))
--- a/cmd/puffinlink/main_test.go
+++ b/cmd/puffinlink/main_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestInvalidConfigurationIsReportedInOneLine(t *testing.T) {
-	for want, c := range map[string][3]string{
+	for want, test := range map[string][3]string{
 		"listen":                        {"", "x:1", validSettings},
 		"expected a JSON object":        {"x:1", "x:1", `7`},
 		"second step":                   {"x:1", "x:1", strings.Replace(validSettings, `"places"`, `"secondStep":[2],"places"`, 1)},
@@ -57,7 +57,7 @@
 		"requestClasses[0].repeatWindowS is -1, expected 0 or more": {"x:1", "x:1", strings.Replace(validSettings, `"repeatable"`, `"by_key","repeatWindowS":-1`, 1)},
 		"floorByClass[0] is 0.6, expected at most classNeed, 0.5":   {"x:1", "x:1", strings.Replace(validSettings, `"classNeed":[1]`, `"classNeed":[0.5],"floorByClass":[0.6]`, 1)},
 	} {
-		setConfiguration(t, c[0], c[1], "y:1", c[2])
+		setConfiguration(t, test[0], test[1], "y:1", test[2])
 		if err := serveAggregator(""); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("got %v, expected %q", err, want)
 		}
--- a/cmd/puffinlink/operations.go
+++ b/cmd/puffinlink/operations.go
@@ -56,6 +56,7 @@
 // operationAliases maps commands to the names that they had in earlier versions.
 var operationAliases = map[string][]string{"workers": {"searchers"}}
 
+// operationUsage ends the help of each command. The command's example follows it.
 const operationUsage = "\n\nExit codes: 0 done, 1 failed or not valid, 2 command line not valid, 3 refused, 4 conflict, 5 no node gave a clear answer." +
 	"\n\nExample: puffinlink "
 
@@ -71,8 +72,8 @@
 	if len(args) == 0 {
 		return false
 	}
-	isNamed := func(one operation) bool {
-		return one.name == args[0] || slices.Contains(operationAliases[one.name], args[0])
+	isNamed := func(op operation) bool {
+		return op.name == args[0] || slices.Contains(operationAliases[op.name], args[0])
 	}
 	return slices.ContainsFunc(operations, isNamed)
 }
@@ -80,12 +81,12 @@
 // runOperationCommand runs the operation that args name and returns the exit code.
 func runOperationCommand(args []string) int {
 	parser := flags.NewNamedParser("puffinlink", flags.HelpFlag|flags.PassDoubleDash)
-	for _, one := range operations {
-		command, err := parser.AddCommand(one.name, one.short, one.description+operationUsage+one.example, one.make())
+	for _, op := range operations {
+		command, err := parser.AddCommand(op.name, op.short, op.description+operationUsage+op.example, op.make())
 		if err != nil {
 			panic(err) // the struct tags of the command are invalid
 		}
-		command.Aliases = operationAliases[one.name]
+		command.Aliases = operationAliases[op.name]
 	}
 	parser.CommandHandler = func(command flags.Commander, rest []string) error {
 		if len(rest) > 0 {
--- a/cmd/puffinlink/operationsoutput.go
+++ b/cmd/puffinlink/operationsoutput.go
@@ -68,9 +68,9 @@
 
 func printWorkers(workers *control.WorkerList) {
 	rows := [][]string{{"SEARCHER", "SERVICE", "STATE", "ZONE", "RACK", "RUNS", "WINDOW", "LATENCY", "FAULTS", "FREE", "CAPACITY"}}
-	for _, one := range workers.Workers {
-		rows = append(rows, []string{one.ID, one.Service, string(one.State), orDash(one.Zone), orDash(one.Rack), fmt.Sprint(one.Attempts), fmt.Sprint(one.Window),
-			choose(one.LatencyMS == 0, "-", fmt.Sprintf("%.0fms", one.LatencyMS)), fmt.Sprintf("%.0f%%", 100*one.FailureRate), formatResources(one.Free), formatResources(one.Capacity)})
+	for _, worker := range workers.Workers {
+		rows = append(rows, []string{worker.ID, worker.Service, string(worker.State), orDash(worker.Zone), orDash(worker.Rack), fmt.Sprint(worker.Attempts), fmt.Sprint(worker.Window),
+			choose(worker.LatencyMS == 0, "-", fmt.Sprintf("%.0fms", worker.LatencyMS)), fmt.Sprintf("%.0f%%", 100*worker.FailureRate), formatResources(worker.Free), formatResources(worker.Capacity)})
 	}
 	printTable(rows)
 	printUnanswered(workers.Unanswered)
@@ -78,14 +78,14 @@
 
 func printJobs(jobs *control.JobList) {
 	rows := [][]string{{"JOB", "SERVICE", "ROUTE", "PRIORITY", "STATE", "BLOCKED", "WAITING", "RUNNING", "DONE"}}
-	for _, one := range jobs.Jobs {
-		row := []string{string(one.ID), orDash(one.Service), orDash(one.Route), fmt.Sprint(one.Priority), string(one.State)}
-		if one.State.Final() {
+	for _, summary := range jobs.Jobs {
+		row := []string{string(summary.ID), orDash(summary.Service), orDash(summary.Route), fmt.Sprint(summary.Priority), string(summary.State)}
+		if summary.State.Final() {
 			row[3] = "-"
 			rows = append(rows, append(row, "-", "-", "-", "-"))
 			continue
 		}
-		rows = append(rows, append(row, taskCountColumns(one.Tasks)...))
+		rows = append(rows, append(row, taskCountColumns(summary.Tasks)...))
 	}
 	printTable(rows)
 	if len(jobs.Jobs) < jobs.Total {
@@ -137,8 +137,8 @@
 
 // printUnanswered warns on standard error of services whose leader gave no response, so that they are missing from the output.
 func printUnanswered(list []control.UnansweredService) {
-	for _, one := range list {
-		fmt.Fprintf(stderr, "service %s is missing above: %s\n", one.Service, one.Error)
+	for _, service := range list {
+		fmt.Fprintf(stderr, "service %s is missing above: %s\n", service.Service, service.Error)
 	}
 }
 
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -71,8 +71,8 @@
 func peakQueriesPerSecond(c capture.Capture) (most float64) {
 	for i := range c.Intervals {
 		n := 0.0
-		for _, l := range c.Intervals[i].Loads {
-			n += float64(l.Queries)
+		for _, load := range c.Intervals[i].Loads {
+			n += float64(load.Queries)
 		}
 		most = math.Max(most, n/c.Intervals[i].Span)
 	}
--- a/cmd/puffinlink/planreport.go
+++ b/cmd/puffinlink/planreport.go
@@ -27,6 +27,7 @@
 // is that of the month end against a usual day.
 const burstFactor = 3
 
+// whatIfRow is the result of emulating the unchanged fleet or one fault.
 type whatIfRow struct {
 	Name       string  `json:"name"`
 	InTime     float64 `json:"share_of_gain_in_time"`
--- a/cmd/puffinlink/serve.go
+++ b/cmd/puffinlink/serve.go
@@ -111,13 +111,13 @@
 	}
 	limitRuntime(configuration)
 	// A slow reader of the log must not block the aggregator: lines that do not fit into the queue are dropped and counted.
-	count := counters.New()
-	logWriter := asynclog.NewWriter(os.Stdout, logQueueLines, func() { count.Add("log", "dropped", 1) })
+	eventCounters := counters.New()
+	logWriter := asynclog.NewWriter(os.Stdout, logQueueLines, func() { eventCounters.Add("log", "dropped", 1) })
 	defer logWriter.Close()
 	log := asynclog.New(logWriter).With(zap.String("mixer", configuration.Name))
 
 	aggregator, err := startInterruptibly(signals, func(ctx context.Context) (*node.Node, error) {
-		return node.Start(ctx, configuration, settings, operatorSettings, log, count)
+		return node.Start(ctx, configuration, settings, operatorSettings, log, eventCounters)
 	})
 	if errors.Is(err, context.Canceled) {
 		log.Info("stopped before serving")
@@ -130,7 +130,7 @@
 		case s := <-signals:
 			switch s {
 			case syscall.SIGUSR1:
-				log.Info("counters", zap.Inline(count))
+				log.Info("counters", zap.Inline(eventCounters))
 			case syscall.SIGHUP:
 				if err := reloadConfiguration(aggregator); err != nil {
 					log.Error("configuration file rejected", zap.String("text", err.Error()))
@@ -145,6 +145,6 @@
 		}
 	}
 	aggregator.Stop()
-	log.Info("counters", zap.Inline(count))
+	log.Info("counters", zap.Inline(eventCounters))
 	return nil
 }
--- a/cmd/puffinlink/system.go
+++ b/cmd/puffinlink/system.go
@@ -24,7 +24,7 @@
 	name        string
 	short       string
 	description string
-	run         func(ctx context.Context, node *processEnvironment) error
+	run         func(ctx context.Context, env *processEnvironment) error
 }
 
 // processEnvironment contains the settings, the log and the addresses that a process of the cluster scheduler runs with.
@@ -39,11 +39,11 @@
 }
 
 // localAddress returns the loopback address at which the proxy reaches the agent of its machine.
-func (n *processEnvironment) localAddress() string {
-	if n.localOverride != "" {
-		return n.localOverride
+func (e *processEnvironment) localAddress() string {
+	if e.localOverride != "" {
+		return e.localOverride
 	}
-	return n.settings.LoopbackAddress(agentLocalPortOffset)
+	return e.settings.LoopbackAddress(agentLocalPortOffset)
 }
 
 // processOptions are the flags of the subcommands that start a process of the cluster scheduler.
@@ -74,6 +74,7 @@
 	},
 }
 
+// processUsage ends the help of each process's subcommand. The name of the process follows it.
 const processUsage = "\n\nThe settings file is the one that the environment variable " + nodesettings.PathVariable + " names; it is read again on SIGHUP and when it " +
 	"changes. SIGTERM stops the process in order. Exit codes: 0 stopped in order, 1 failed, 2 command line or settings not valid." +
 	"\n\nExample: " + nodesettings.PathVariable + "=/etc/puffinlink/local.conf puffinlink "
