--- a/cmd/puffinlink/fleetshow.go
+++ b/cmd/puffinlink/fleetshow.go
@@ -21,17 +21,17 @@
 	fmt.Fprintf(stdout, "%s: open %t, hears nothing %t, leader %s, contracts of version %d sure for %.1f s, quotas of version %d\n",
 		status.Node, status.Open, status.Isolated, status.Leader, status.Contracts.Version, status.ContractsConfirmedFor, status.QuotasVersion)
 	writer := tabwriter.NewWriter(stdout, 0, 8, 2, ' ', 0)
-	for _, m := range status.Members {
-		fmt.Fprintf(writer, "%s\t%s\theard %.1f s ago\n", m.Node, m.Status, m.SinceReceived)
+	for _, member := range status.Members {
+		fmt.Fprintf(writer, "%s\t%s\theard %.1f s ago\n", member.Node, member.Status, member.SinceReceived)
 	}
-	for tenant, x := range status.Contracts.Contracts {
-		fmt.Fprintf(writer, "contract %s\t%s\t%s\n", tenant, strings.Join(x.Zones, " "), strings.Join(x.Indexes, " "))
+	for tenant, contract := range status.Contracts.Contracts {
+		fmt.Fprintf(writer, "contract %s\t%s\t%s\n", tenant, strings.Join(contract.Zones, " "), strings.Join(contract.Indexes, " "))
 	}
-	for tenant, q := range status.Quotas {
-		fmt.Fprintf(writer, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, q.Rate, q.Burst, q.MinimumShare)
+	for tenant, quota := range status.Quotas {
+		fmt.Fprintf(writer, "quota %s\t%g a second\tburst %g, floors %g\n", tenant, quota.Rate, quota.Burst, quota.MinimumShare)
 	}
-	for _, j := range status.Outliers {
-		fmt.Fprintf(writer, "judged %s\t%.1f s ago\n", j.Backend, j.Age)
+	for _, outlier := range status.Outliers {
+		fmt.Fprintf(writer, "judged %s\t%.1f s ago\n", outlier.Backend, outlier.Age)
 	}
 	return writer.Flush()
 }
