--- a/internal/aggregatorstore/overrides.go
+++ b/internal/aggregatorstore/overrides.go
@@ -149,7 +149,7 @@
 // applyChange adds or removes the override that a change is about.
 func applyChange(active *bolt.Bucket, change *override.Change) error {
 	id := encodeUint64(uint64(change.Override.ID))
-	if change.What != override.WasSet {
+	if change.Kind != override.SetByOperator {
 		return active.Delete(id)
 	}
 	record, err := seal(&change.Override)
--- a/internal/aggregatorstore/overrides_test.go
+++ b/internal/aggregatorstore/overrides_test.go
@@ -42,10 +42,10 @@
 
 // change is the n-th of an endless history: each override is set, and cleared eight changes later.
 func change(n uint64) override.Change {
-	c := override.Change{Revision: override.Revision(n), What: override.WasSet, Author: "ann", Reason: strings.Repeat("r", int(n%150)),
-		Override: override.Override{ID: override.Revision(n), Spec: override.Spec{Kind: override.Out, Backend: fmt.Sprint("s-", n), End: 1e12}}}
+	c := override.Change{Revision: override.Revision(n), Kind: override.SetByOperator, Author: "ann", Reason: strings.Repeat("r", int(n%150)),
+		Override: override.Override{ID: override.Revision(n), Spec: override.Spec{Kind: override.OutOfService, Backend: fmt.Sprint("s-", n), ExpiresAt: 1e12}}}
 	if n > 8 && n%2 == 0 {
-		c.What, c.Override.ID = override.WasCleared, override.Revision(n-8-n%4/2)
+		c.Kind, c.Override.ID = override.ClearedByOperator, override.Revision(n-8-n%4/2)
 	}
 	return c
 }
@@ -54,7 +54,7 @@
 func activeAfter(n uint64) map[override.Revision]bool {
 	list := map[override.Revision]bool{}
 	for i := uint64(1); i <= n; i++ {
-		if c := change(i); c.What == override.WasSet {
+		if c := change(i); c.Kind == override.SetByOperator {
 			list[c.Override.ID] = true
 		} else {
 			delete(list, c.Override.ID)
--- a/internal/aggregatorstore/stored_test.go
+++ b/internal/aggregatorstore/stored_test.go
@@ -22,28 +22,28 @@
 
 // storedActive are overrides of all kinds, by the changes that set them.
 var storedActive = []override.Override{
-	{ID: 1, Since: 1000.5, Spec: override.Spec{Kind: override.Weight, Location: "north", Index: "reads", Factor: 0.25, Author: "ann", Reason: "slow", End: 5000}},
-	{ID: 2, Since: 1001, Started: 900.25, Spec: override.Spec{Kind: override.Out, Backend: "s-1", Author: "bob", Reason: "ill", End: 6000, UntilRestart: true}},
-	{ID: 4, Since: 1003, Spec: override.Spec{Kind: override.Pin, Backend: "s-2", From: 3, To: 70000, Strict: true, Author: "ann", Reason: "hot", End: 7000}},
+	{ID: 1, SetAt: 1000.5, Spec: override.Spec{Kind: override.Weight, Location: "north", Index: "reads", Factor: 0.25, Author: "ann", Reason: "slow", ExpiresAt: 5000}},
+	{ID: 2, SetAt: 1001, BackendStartedAt: 900.25, Spec: override.Spec{Kind: override.OutOfService, Backend: "s-1", Author: "bob", Reason: "ill", ExpiresAt: 6000, UntilRestart: true}},
+	{ID: 4, SetAt: 1003, Spec: override.Spec{Kind: override.Pin, Backend: "s-2", From: 3, To: 70000, Strict: true, Author: "ann", Reason: "hot", ExpiresAt: 7000}},
 }
 
 // storedChanges are all changes that were made, of all kinds.
 func storedChanges() []override.Change {
 	set := func(revision override.Revision, active override.Override, key override.Key) override.Change {
-		return override.Change{Revision: revision, At: active.Since, What: override.WasSet, Override: active, Author: active.Author, Reason: active.Reason,
+		return override.Change{Revision: revision, ChangedAt: active.SetAt, Kind: override.SetByOperator, Override: active, Author: active.Author, Reason: active.Reason,
 			Key: key, Digest: 0xfedcba9876543210, Forced: nil}
 	}
-	short := override.Override{ID: 3, Since: 1002, Spec: override.Spec{Kind: override.Out, Location: "south", Author: "bob", Reason: "works", End: 1004}}
-	cleared := override.Override{ID: 6, Since: 1005, Spec: override.Spec{Kind: override.Weight, Backend: "s-3", Factor: 1, Author: "ann", Reason: "try", End: 9000}}
-	restarted := override.Override{ID: 7, Since: 1006, Started: 7, Spec: override.Spec{Kind: override.Out, Backend: "s-4", Author: "ann", End: 9000, UntilRestart: true}}
+	short := override.Override{ID: 3, SetAt: 1002, Spec: override.Spec{Kind: override.OutOfService, Location: "south", Author: "bob", Reason: "works", ExpiresAt: 1004}}
+	cleared := override.Override{ID: 6, SetAt: 1005, Spec: override.Spec{Kind: override.Weight, Backend: "s-3", Factor: 1, Author: "ann", Reason: "try", ExpiresAt: 9000}}
+	restarted := override.Override{ID: 7, SetAt: 1006, BackendStartedAt: 7, Spec: override.Spec{Kind: override.OutOfService, Backend: "s-4", Author: "ann", ExpiresAt: 9000, UntilRestart: true}}
 	forced := set(2, storedActive[1], "k-2")
 	forced.Forced = []string{"last_holder", "shard_capacity"}
 	return []override.Change{
 		set(1, storedActive[0], "k-1"), forced, set(3, short, ""), set(4, storedActive[2], "k-4"),
-		{Revision: 5, At: 1004, What: override.HasEnded, Override: short},
+		{Revision: 5, ChangedAt: 1004, Kind: override.Expired, Override: short},
 		set(6, cleared, "k-6"), set(7, restarted, "k-7"),
-		{Revision: 8, At: 1007, What: override.WasCleared, Override: cleared, Author: "bob", Reason: "done", Key: "k-8", Digest: 1},
-		{Revision: 9, At: 1008, What: override.HasRestarted, Override: restarted},
+		{Revision: 8, ChangedAt: 1007, Kind: override.ClearedByOperator, Override: cleared, Author: "bob", Reason: "done", Key: "k-8", Digest: 1},
+		{Revision: 9, ChangedAt: 1008, Kind: override.EndedByRestart, Override: restarted},
 	}
 }
 
--- a/internal/operators/api/handlers.go
+++ b/internal/operators/api/handlers.go
@@ -44,7 +44,7 @@
 	}
 	list := []Change{}
 	for _, c := range s.controller.History(most) {
-		list = append(list, changed(&c, c.At))
+		list = append(list, changed(&c, c.ChangedAt))
 	}
 	reply(w, http.StatusOK, list)
 }
@@ -60,9 +60,9 @@
 		s.refused(w, err)
 		return
 	}
-	out := Why{Goes: e.Goes, Share: e.Share, Rules: []Rule{}}
-	for _, l := range e.Lines {
-		out.Rules = append(out.Rules, Rule{l.Rule, l.Acts, uint64(l.By), l.Text})
+	out := Why{Goes: e.Routed, Share: e.Share, Rules: []Rule{}}
+	for _, l := range e.Rules {
+		out.Rules = append(out.Rules, Rule{l.Rule, l.Decides, uint64(l.OverrideID), l.Text})
 	}
 	reply(w, http.StatusOK, out)
 }
@@ -107,7 +107,7 @@
 			s.refused(w, res.Err)
 			return
 		}
-		out := changed(&res.Change, res.Change.At)
+		out := changed(&res.Change, res.Change.ChangedAt)
 		out.Again = res.Repeated
 		reply(w, http.StatusOK, out)
 	case <-s.controller.Ended():
@@ -141,7 +141,7 @@
 				return
 			}
 			out.SetWriteDeadline(time.Now().Add(connectionWait))
-			if enc.Encode(changed(&c, c.At)) != nil {
+			if enc.Encode(changed(&c, c.ChangedAt)) != nil {
 				return
 			}
 		case <-tick.C:
--- a/internal/operators/api/wire.go
+++ b/internal/operators/api/wire.go
@@ -104,8 +104,8 @@
 
 func shown(o *override.Override, now float64) Override {
 	w := Override{ID: uint64(o.ID), Kind: o.Kind.String(), Backend: o.Backend, Location: o.Location, Index: o.Index,
-		Weight: o.Factor, Strict: o.Strict, Author: o.Author, Reason: o.Reason, Since: o.Since, Ends: o.End,
-		EndsIn: math.Round(10*max(0, o.End-now)) / 10, UntilRestart: o.UntilRestart}
+		Weight: o.Factor, Strict: o.Strict, Author: o.Author, Reason: o.Reason, Since: o.SetAt, Ends: o.ExpiresAt,
+		EndsIn: math.Round(10*max(0, o.ExpiresAt-now)) / 10, UntilRestart: o.UntilRestart}
 	if o.Kind == override.Pin {
 		from, to := int(o.From), int(o.To)
 		w.From, w.To = &from, &to
@@ -114,7 +114,7 @@
 }
 
 func changed(c *override.Change, now float64) Change {
-	return Change{Revision: uint64(c.Revision), At: c.At, What: c.What.String(), Author: c.Author, Reason: c.Reason,
+	return Change{Revision: uint64(c.Revision), At: c.ChangedAt, What: c.Kind.String(), Author: c.Author, Reason: c.Reason,
 		Forced: c.Forced, Override: shown(&c.Override, now)}
 }
 
@@ -123,7 +123,7 @@
 	if c.Revision == nil {
 		return override.Command{}, invalid("expected revision, of what the command was made for")
 	}
-	out := override.Command{Key: override.Key(c.Key), For: override.Revision(*c.Revision), Force: c.Force}
+	out := override.Command{Key: override.Key(c.Key), ExpectedRevision: override.Revision(*c.Revision), Force: c.Force}
 	if len(c.Key) > 64 {
 		return out, invalid("key has %d bytes, expected 64 at most", len(c.Key))
 	}
@@ -131,13 +131,13 @@
 		out.Op, out.ID, out.Author, out.Reason = override.Clear, override.Revision(c.Clear), c.Author, c.Reason
 		return out, nil
 	}
-	kind, err := override.KindOf(c.Kind)
+	kind, err := override.ParseKind(c.Kind)
 	if err != nil {
 		return out, err
 	}
 	out.Spec = override.Spec{Kind: kind, Backend: c.Backend, Location: c.Location, From: policy.ShardID(c.From),
 		To: policy.ShardID(c.To), Index: c.Index, Factor: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
 		UntilRestart: c.UntilRestart}
-	out.Lasts = c.For
+	out.Duration = c.For
 	return out, nil
 }
--- a/internal/operators/controller/controller.go
+++ b/internal/operators/controller/controller.go
@@ -181,7 +181,7 @@
 		if messages, on = c.process(messages); !on {
 			return
 		}
-		if next := c.table.Next(c.Now()); math.IsInf(next, 1) {
+		if next := c.table.NextDeadline(c.Now()); math.IsInf(next, 1) {
 			timer.Reset(time.Hour)
 		} else {
 			timer.Reset(time.Duration(max(0, next-c.Now()) * float64(time.Second)))
@@ -198,7 +198,7 @@
 		}
 		c.receive(&messages[i])
 	}
-	c.storeEnded(c.table.Due(c.Now()))
+	c.storeEnded(c.table.Expire(c.Now()))
 	c.patch()
 	return messages, true
 }
@@ -235,7 +235,7 @@
 	members := make([]override.Member, len(e.Entries))
 	for i, r := range e.Entries {
 		members[i] = override.Member{Name: e.Names[i].Backend, ID: r.Backend, Location: e.Names[i].Location, Cell: r.Cell,
-			Phase: r.Phase, Share: r.Share, Started: r.StartedAt}
+			Phase: r.Phase, Share: r.Share, StartedAt: r.StartedAt}
 	}
 	c.storeEnded(c.table.UpdateMembership(c.Now(), e.List != policy.ListPatch, members))
 	if patch := c.table.Patch(c.Now()); patch != nil {
--- a/internal/operators/controller/controller_test.go
+++ b/internal/operators/controller/controller_test.go
@@ -64,7 +64,7 @@
 }
 
 func out(revision override.Revision) override.Command {
-	return override.Command{For: revision, Spec: override.Spec{Kind: override.Out, Backend: "s-0", Author: "ann", Reason: "slow", End: float64(time.Now().Unix() + 60)}}
+	return override.Command{ExpectedRevision: revision, Spec: override.Spec{Kind: override.OutOfService, Backend: "s-0", Author: "ann", Reason: "slow", ExpiresAt: float64(time.Now().Unix() + 60)}}
 }
 
 // While a disk keeps a command waiting, the list goes on to the module; what the disk refuses does not hold.
@@ -138,7 +138,7 @@
 	for n := override.Revision(0); n < recent+watcherLag+10; n++ {
 		c := out(n)
 		if n%2 == 1 {
-			c = override.Command{For: n, Op: override.Clear, ID: n, Author: "ann", Reason: "done"}
+			c = override.Command{ExpectedRevision: n, Op: override.Clear, ID: n, Author: "ann", Reason: "done"}
 		}
 		if res := <-r.Do(c); res.Err != nil {
 			t.Fatal(n, res.Err)
--- a/internal/operators/controller/watcher.go
+++ b/internal/operators/controller/watcher.go
@@ -34,11 +34,11 @@
 func (c *Controller) Unwatch(w *Watcher) { c.in.Put(message{kind: unwatched, watcher: w}) }
 
 func (c *Controller) notify(change override.Change) {
-	c.count.Add("overrides", change.What.String(), 1)
+	c.count.Add("overrides", change.Kind.String(), 1)
 	o := &change.Override
 	c.log.Info("override",
 		zap.Uint64("revision", uint64(change.Revision)),
-		zap.String("what", change.What.String()),
+		zap.String("what", change.Kind.String()),
 		zap.Uint64("override", uint64(o.ID)),
 		zap.Stringer("kind", o.Kind),
 		zap.String("searcher", o.Backend),
--- a/internal/operators/override/capacity.go
+++ b/internal/operators/override/capacity.go
@@ -6,41 +6,41 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// capacity checks what an out or a weight leaves of the shards and locations that it concerns. It returns the worst
-// refusal of each code, the gravest code first.
-func (t *Table) capacity(o *Override) (list []*Refusal) {
-	check := capacityCheck{table: t, proposed: o, concerned: t.concernedMembers(o), worst: map[Code]capacityLoss{}}
+// checkCapacity checks how much capacity a proposed weight or out-of-service override leaves to each shard and location
+// that it affects. It returns at most one refusal for each code, that of the largest loss. The most serious code is first.
+func (t *Table) checkCapacity(proposed *Override) (refusals []*Refusal) {
+	check := capacityCheck{table: t, proposed: proposed, affected: t.affectedMembers(proposed), worst: map[Code]capacityLoss{}}
 	firstShards, locations := map[policy.ShardID]bool{}, map[string]bool{}
-	for _, target := range check.concerned {
+	for _, target := range check.affected {
 		locations[target.Location] = true
-		for j := range min(t.limits.Width, t.limits.Cells) { // shards that begin at these cells
-			firstShards[policy.ShardID(((int(target.Cell)-j)%t.limits.Cells+t.limits.Cells)%t.limits.Cells)] = true
+		for offset := range min(t.limits.Width, t.limits.Cells) { // the lowest of the shards that start at this cell; the others have the same replicas
+			firstShards[policy.ShardID(((int(target.Cell)-offset)%t.limits.Cells+t.limits.Cells)%t.limits.Cells)] = true
 		}
 	}
-	for number := range t.limits.Indexes {
-		index := policy.IndexID(number)
-		if !t.covers(o, index) {
+	for indexNumber := range t.limits.Indexes {
+		index := policy.IndexID(indexNumber)
+		if !t.coversIndex(proposed, index) {
 			continue
 		}
 		for shard := range firstShards {
-			if int(shard) < t.limits.Shards { // else no shard begins there
-				check.shard(shard, index)
+			if int(shard) < t.limits.Shards { // a layout may have more cells than shards
+				check.checkShard(shard, index)
 			}
 		}
 		for name := range locations {
-			check.location(name, index)
+			check.checkLocation(name, index)
 		}
 	}
 	for _, code := range []Code{LastReplica, ShardCapacity, LocationCapacity} {
 		if loss, found := check.worst[code]; found {
-			list = append(list, &Refusal{code, loss.text})
+			refusals = append(refusals, &Refusal{code, loss.text})
 		}
 	}
-	return list
+	return refusals
 }
 
-// concernedMembers are the backends, by name, that an override of a backend or a location concerns.
-func (t *Table) concernedMembers(o *Override) map[string]*member {
+// affectedMembers returns, by name, the backends that an override of a backend or location affects.
+func (t *Table) affectedMembers(o *Override) map[string]*member {
 	if o.Backend != "" {
 		return map[string]*member{o.Backend: t.members[o.Backend]}
 	}
@@ -51,72 +51,74 @@
 	return concerned
 }
 
-// capacityCheck finds the largest loss of capacity, by code, that a proposed override would bring about.
+// capacityCheck finds the largest loss of capacity that a proposed override would cause, by refusal code.
 type capacityCheck struct {
-	table     *Table
-	proposed  *Override
-	concerned map[string]*member
-	worst     map[Code]capacityLoss
+	table    *Table
+	proposed *Override
+	affected map[string]*member
+	worst    map[Code]capacityLoss
 }
 
-// capacityLoss is the share of a shard's or a location's capacity that would be lost, and the text of its refusal.
+// capacityLoss is the share of a shard's or location's capacity that would be lost, with the text of the refusal.
 type capacityLoss struct {
 	share float64
 	text  string
 }
 
-// shard checks the replicas of one shard of an index.
-func (c *capacityCheck) shard(shard policy.ShardID, index policy.IndexID) {
-	var sum tally
-	c.table.forEachReplica(shard, func(m *member) { c.add(&sum, m, index) })
-	if sum.servingBefore > 0 && sum.servingAfter == 0 {
+// checkShard checks the capacity that is left to one shard of an index.
+func (c *capacityCheck) checkShard(shard policy.ShardID, index policy.IndexID) {
+	var tally capacityTally
+	c.table.forEachReplica(shard, func(m *member) { c.add(&tally, m, index) })
+	if tally.servingBefore > 0 && tally.servingAfter == 0 {
 		c.worst[LastReplica] = capacityLoss{1, fmt.Sprintf("nobody who serves would be left for shard %d of index %q",
 			shard, c.table.limits.Indexes[index])}
 	}
-	c.record(&sum, ShardCapacity, c.table.limits.MaxShardLoss, index, "shard", shard)
+	c.record(&tally, ShardCapacity, c.table.limits.MaxShardLoss, index, "shard", shard)
 }
 
-// location checks the backends of one location for an index.
-func (c *capacityCheck) location(name string, index policy.IndexID) {
-	var sum tally
+// checkLocation checks the capacity that is left to one location for an index.
+func (c *capacityCheck) checkLocation(name string, index policy.IndexID) {
+	var tally capacityTally
 	for _, m := range c.table.locations[name].members {
-		c.add(&sum, m, index)
+		c.add(&tally, m, index)
 	}
-	c.record(&sum, LocationCapacity, c.table.limits.MaxLocationLoss, index, "location", name)
+	c.record(&tally, LocationCapacity, c.table.limits.MaxLocationLoss, index, "location", name)
 }
 
-// add sums a backend that serves, with its share of an index before the proposed override and after it.
-func (c *capacityCheck) add(sum *tally, m *member, index policy.IndexID) {
+// add adds a backend to the sums, with its weight for an index without and with the proposed override. Backends that are
+// not ready are skipped.
+func (c *capacityCheck) add(tally *capacityTally, m *member, index policy.IndexID) {
 	if m.Phase != policy.Ready {
 		return
 	}
-	before, _ := c.table.target(m, index, nil)
+	before, _ := c.table.targetWeight(m, index, nil)
 	after := before
-	if c.concerned[m.Name] != nil {
-		after, _ = c.table.target(m, index, c.proposed)
+	if c.affected[m.Name] != nil {
+		after, _ = c.table.targetWeight(m, index, c.proposed)
 	}
-	sum.add(size(m), before, after)
+	tally.add(relativeCapacity(m), before, after)
 }
 
-// record notes a loss over the limit, if the proposed override adds to it and no larger one of its code is known.
-func (c *capacityCheck) record(sum *tally, code Code, limit float64, index policy.IndexID, what string, id any) {
-	if lost := sum.lostShare(); sum.worse && lost > limit+1e-9 && lost > c.worst[code].share {
+// record keeps a loss that exceeds the limit, if the proposed override increases the loss and no larger loss with the same
+// code was found.
+func (c *capacityCheck) record(tally *capacityTally, code Code, limit float64, index policy.IndexID, scope string, scopeID any) {
+	if lost := tally.lostShare(); tally.reduced && lost > limit+1e-9 && lost > c.worst[code].share {
 		c.worst[code] = capacityLoss{lost, fmt.Sprintf("%.0f%% of %s %v for index %q would be gone by overrides, at most %.0f%% may be",
-			100*lost, what, id, c.table.limits.Indexes[index], 100*limit)}
+			100*lost, scope, scopeID, c.table.limits.Indexes[index], 100*limit)}
 	}
 }
 
-// tally sums the capacity of some backends that serve.
-type tally struct {
-	all, retained               float64
-	servingBefore, servingAfter int // backends that take anything before, and after
-	worse                       bool
+// capacityTally sums the capacity of a group of ready backends.
+type capacityTally struct {
+	total, retained             float64
+	servingBefore, servingAfter int // backends with a weight above 0 without and with the proposed override
+	reduced                     bool
 }
 
-func (t *tally) add(size, before, after float64) {
-	t.all += size
-	t.retained += size * after
-	t.worse = t.worse || after < before
+func (t *capacityTally) add(capacity, before, after float64) {
+	t.total += capacity
+	t.retained += capacity * after
+	t.reduced = t.reduced || after < before
 	if before > 0 {
 		t.servingBefore++
 	}
@@ -125,16 +127,16 @@
 	}
 }
 
-// lostShare is the share of the capacity that overrides take, 0 to 1.
-func (t *tally) lostShare() float64 {
-	if t.all == 0 {
+// lostShare returns the share of the capacity that overrides remove, from 0 to 1.
+func (t *capacityTally) lostShare() float64 {
+	if t.total == 0 {
 		return 0
 	}
-	return 1 - t.retained/t.all
+	return 1 - t.retained/t.total
 }
 
-// size is a backend's capacity against others'.
-func size(m *member) float64 {
+// relativeCapacity returns a backend's capacity relative to the others, 1 if the list does not state it.
+func relativeCapacity(m *member) float64 {
 	if m.Share > 0 {
 		return m.Share
 	}
--- a/internal/operators/override/ends.go
+++ b/internal/operators/override/ends.go
@@ -5,49 +5,49 @@
 	"math"
 )
 
-// end ends an override by itself.
-func (t *Table) end(now float64, o *Override, what What, why string) Change {
-	c := Change{Revision: t.revision + 1, At: now, What: what, Override: *o, Author: o.Author, Reason: why}
-	t.Apply(c)
-	return c
+// endOverride ends an override that no operator cleared, and returns the change.
+func (t *Table) endOverride(now float64, o *Override, what ChangeKind, reason string) Change {
+	change := Change{Revision: t.revision + 1, ChangedAt: now, Kind: what, Override: *o, Author: o.Author, Reason: reason}
+	t.Apply(change)
+	return change
 }
 
-// Due ends the overrides whose end has come, and returns the changes, to be stored.
-func (t *Table) Due(now float64) (ended []Change) {
-	for len(t.ends) > 0 && (t.ends[0].End <= now || t.live[t.ends[0].ID] != t.ends[0]) {
-		o := t.ends[0]
-		heap.Pop(&t.ends)
+// Expire ends the overrides that have expired. It returns the changes, which the caller must store.
+func (t *Table) Expire(now float64) (ended []Change) {
+	for len(t.expiries) > 0 && (t.expiries[0].ExpiresAt <= now || t.live[t.expiries[0].ID] != t.expiries[0]) {
+		o := t.expiries[0]
+		heap.Pop(&t.expiries)
 		if t.live[o.ID] == o {
-			ended = append(ended, t.end(now, o, HasEnded, "its time is over"))
+			ended = append(ended, t.endOverride(now, o, Expired, "its time is over"))
 		}
 	}
 	return ended
 }
 
-// Next tells when Due and Patch have something to do, whatever else happens; +Inf for never.
-func (t *Table) Next(now float64) float64 {
+// NextDeadline returns the time at which Expire or Patch has to be called next if nothing else happens, or +Inf.
+func (t *Table) NextDeadline(now float64) float64 {
 	next := math.Inf(1)
-	if len(t.ends) > 0 {
-		next = t.ends[0].End
+	if len(t.expiries) > 0 {
+		next = t.expiries[0].ExpiresAt
 	}
 	if len(t.recovering)+len(t.changingPins) > 0 {
-		next = min(next, now+recoveryStep)
+		next = min(next, now+recoveryInterval)
 	}
 	return next
 }
 
-// ends is a heap of overrides by their end.
-type ends []*Override
+// expiryHeap is a min-heap of overrides ordered by expiry time.
+type expiryHeap []*Override
 
-func (e ends) Len() int { return len(e) }
+func (e expiryHeap) Len() int { return len(e) }
 
-func (e ends) Less(i, j int) bool { return e[i].End < e[j].End }
+func (e expiryHeap) Less(i, j int) bool { return e[i].ExpiresAt < e[j].ExpiresAt }
 
-func (e ends) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e expiryHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-func (e *ends) Push(x any) { *e = append(*e, x.(*Override)) } //nolint:forcetypeassert // heap.Interface takes any, and only overrides are pushed
+func (e *expiryHeap) Push(x any) { *e = append(*e, x.(*Override)) } //nolint:forcetypeassert // heap.Interface takes any, and only overrides are pushed
 
-func (e *ends) Pop() any {
+func (e *expiryHeap) Pop() any {
 	last := len(*e) - 1
 	o := (*e)[last]
 	(*e)[last] = nil
--- a/internal/operators/override/members.go
+++ b/internal/operators/override/members.go
@@ -9,9 +9,9 @@
 func (t *Table) member(name string) *member {
 	m := t.members[name]
 	if m == nil {
-		m = &member{Member: Member{Name: name, Phase: policy.Removed}, levels: make([]share, len(t.limits.Indexes))}
+		m = &member{Member: Member{Name: name, Phase: policy.Removed}, levels: make([]memberLevel, len(t.limits.Indexes))}
 		for k := range m.levels {
-			m.levels[k] = share{level{1, 1}, 1}
+			m.levels[k] = memberLevel{recoveryLevel{1, 1}, 1}
 		}
 		t.members[name] = m
 	}
@@ -19,16 +19,16 @@
 }
 
 func (t *Table) location(name string) *location {
-	p := t.locations[name]
-	if p == nil {
-		p = &location{members: map[string]*member{}}
-		t.locations[name] = p
+	l := t.locations[name]
+	if l == nil {
+		l = &location{members: map[string]*member{}}
+		t.locations[name] = l
 	}
-	return p
+	return l
 }
 
-// UpdateMembership takes what the list says: all of it, or what changed. It tells which overrides ended by a backend's restart;
-// they have ended already.
+// UpdateMembership applies a membership list, or the changed entries of one if complete is false. It ends the overrides
+// whose backend has restarted and returns these changes, which the caller must store.
 func (t *Table) UpdateMembership(now float64, complete bool, entries []Member) (ended []Change) {
 	if complete {
 		named := make(map[string]bool, len(entries))
@@ -47,76 +47,77 @@
 	return ended
 }
 
-// unlist takes a backend off the list. Its overrides stand and wait for its name.
+// unlist marks a backend as missing from the membership list. Its overrides stay live and apply again if a backend with
+// the same name is listed.
 func (t *Table) unlist(m *member) {
-	m.drained = m.Phase == policy.Draining && len(m.pins) > 0
+	m.removedWhileDraining = m.Phase == policy.Draining && len(m.pins) > 0
 	m.listed, m.Phase = false, policy.Removed
-	t.listed--
+	t.listedCount--
 	t.removeFromIndexes(m)
-	t.touchMember(m)
+	t.markMemberDirty(m)
 }
 
 func (t *Table) removeFromIndexes(m *member) {
-	delete(t.byCell[m.Cell], m.Name)
+	delete(t.membersByCell[m.Cell], m.Name)
 	delete(t.location(m.Location).members, m.Name)
 }
 
 func (t *Table) updateMember(now float64, entry *Member) (ended []Change) {
-	known := t.members[entry.Name]
+	m := t.members[entry.Name]
 	if entry.Phase == policy.Removed {
-		if known != nil && known.listed {
-			t.unlist(known)
+		if m != nil && m.listed {
+			t.unlist(m)
 		}
 		return nil
 	}
-	known = t.member(entry.Name)
-	if known.listed && known.Member == *entry {
+	m = t.member(entry.Name)
+	if m.listed && m.Member == *entry {
 		return nil
 	}
-	if known.listed {
-		t.removeFromIndexes(known)
+	if m.listed {
+		t.removeFromIndexes(m)
 	} else {
-		t.listed++
+		t.listedCount++
 	}
-	if known.ID != entry.ID { // the module knows nothing of this number
-		for k := range known.levels {
-			known.levels[k].notified = 1
+	if m.ID != entry.ID { // the decision module has no overrides for the new ID
+		for k := range m.levels {
+			m.levels[k].notified = 1
 		}
 	}
-	known.Member, known.listed, known.drained = *entry, true, false
-	if t.byCell[known.Cell] == nil {
-		t.byCell[known.Cell] = map[string]*member{}
+	m.Member, m.listed, m.removedWhileDraining = *entry, true, false
+	if t.membersByCell[m.Cell] == nil {
+		t.membersByCell[m.Cell] = map[string]*member{}
 	}
-	t.byCell[known.Cell][known.Name] = known
-	t.location(known.Location).members[known.Name] = known
-	for _, o := range slices.Concat(known.own, known.pins) {
-		if o.UntilRestart && entry.Started > o.Started {
-			ended = append(ended, t.end(now, o, HasRestarted, "its searcher has started anew"))
+	t.membersByCell[m.Cell][m.Name] = m
+	t.location(m.Location).members[m.Name] = m
+	for _, o := range slices.Concat(m.overrides, m.pins) {
+		if o.UntilRestart && entry.StartedAt > o.BackendStartedAt {
+			ended = append(ended, t.endOverride(now, o, EndedByRestart, "its searcher has started anew"))
 		}
 	}
-	t.touchMember(known)
+	t.markMemberDirty(m)
 	return ended
 }
 
-// dropUnused drops a name that nothing concerns any more.
+// dropUnused deletes a member that is not listed, has no overrides and is not recovering.
 func (t *Table) dropUnused(m *member) {
-	if m.listed || len(m.own)+len(m.pins) > 0 || t.recovering[m] {
+	if m.listed || len(m.overrides)+len(m.pins) > 0 || t.recovering[m] {
 		return
 	}
 	delete(t.members, m.Name)
 }
 
-// forEachReplica lists the listed backends that hold a shard.
-func (t *Table) forEachReplica(s policy.ShardID, each func(*member)) {
-	for j := range min(t.limits.Width, t.limits.Cells) {
-		for _, m := range t.byCell[policy.CellID((int(s)+j)%t.limits.Cells)] {
-			each(m)
+// forEachReplica calls a function for each listed backend that holds a replica of a shard.
+func (t *Table) forEachReplica(shard policy.ShardID, visit func(*member)) {
+	for offset := range min(t.limits.Width, t.limits.Cells) {
+		for _, m := range t.membersByCell[policy.CellID((int(shard)+offset)%t.limits.Cells)] {
+			visit(m)
 		}
 	}
 }
 
-// isReplica tells whether a backend holds a shard.
-func (t *Table) isReplica(m *member, s policy.ShardID) bool {
-	behind := (int(m.Cell) - int(s)) % t.limits.Cells
-	return m.listed && (behind+t.limits.Cells)%t.limits.Cells < t.limits.Width
+// isReplica reports whether a backend is listed and holds a replica of a shard.
+func (t *Table) isReplica(m *member, shard policy.ShardID) bool {
+	cellOffset := (int(m.Cell) - int(shard)) % t.limits.Cells
+	return m.listed && (cellOffset+t.limits.Cells)%t.limits.Cells < t.limits.Width
 }
--- a/internal/operators/override/patch.go
+++ b/internal/operators/override/patch.go
@@ -8,21 +8,21 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Patch tells the decision module what has changed by now, nil for nothing. What comes back moves on by the time since
-// the last call.
+// Patch returns the updates for the decision module since the last call, or nil if there are none. It first advances the
+// gradual recoveries by the time since the last call.
 func (t *Table) Patch(now float64) *policy.Overrides {
 	var patch policy.Overrides
 	dt := max(0, now-t.advancedAt)
 	t.advancedAt = now
-	t.advance(min(dt, 1)) // a late caller is no reason for a blow
+	t.advanceRecoveries(min(dt, 1)) // a late call must not cause a sudden jump in load
 	t.updateDesired()
 	for _, name := range slices.Sorted(maps.Keys(t.dirtyMembers)) {
 		t.notifyMember(t.dirtyMembers[name], &patch)
 	}
-	for _, at := range slices.SortedFunc(maps.Keys(t.dirtyPins), func(x, y pinKey) int {
+	for _, key := range slices.SortedFunc(maps.Keys(t.dirtyPins), func(x, y pinKey) int {
 		return cmp.Or(cmp.Compare(x.shard, y.shard), cmp.Compare(x.index, y.index))
 	}) {
-		t.notifyPin(at, &patch)
+		t.notifyPin(key, &patch)
 	}
 	clear(t.dirtyMembers)
 	clear(t.dirtyPins)
@@ -32,91 +32,92 @@
 	return &patch
 }
 
-// updateDesired works out anew what is wanted where something was touched.
+// updateDesired recomputes the desired levels of all members and pins that are marked dirty.
 func (t *Table) updateDesired() {
 	for _, m := range t.dirtyMembers {
 		for k := range m.levels {
-			l := &m.levels[k]
-			l.desired, _ = t.target(m, policy.IndexID(k), nil)
-			if l.current >= l.desired {
-				l.current = l.desired
+			level := &m.levels[k]
+			level.desired, _ = t.targetWeight(m, policy.IndexID(k), nil)
+			if level.current >= level.desired {
+				level.current = level.desired
 			} else {
-				l.current = max(l.current, min(leastLevel, l.desired))
+				level.current = max(level.current, min(minRecoveryLevel, level.desired))
 				t.recovering[m] = true
 			}
 		}
 	}
-	for at := range t.dirtyPins {
-		t.updateDesiredPin(at)
+	for key := range t.dirtyPins {
+		t.updateDesiredPin(key)
 	}
 }
 
-// updateDesiredPin: a pin takes its shard at once; one that ended lets go of it bit by bit, as its siblings come back. One that
-// is suspended lets go at once, and comes back bit by bit.
-func (t *Table) updateDesiredPin(at pinKey) {
-	pin, why := t.pinOf(at)
-	state := t.pinnedShards[at]
+// updateDesiredPin recomputes the state of one pinned shard. A new pin takes full effect at once. A pin that ended releases
+// the shard gradually, so that the load returns gradually to the other replicas. A pin that is suspended releases the
+// shard at once, and recovers gradually when the suspension ends.
+func (t *Table) updateDesiredPin(key pinKey) {
+	pin, suspendedBecause := t.effectivePin(key)
+	state := t.pinStates[key]
 	switch {
 	case pin == nil && state == nil:
 		return
 	case state == nil:
 		state = &pinState{}
-		t.pinnedShards[at] = state
+		t.pinStates[key] = state
 		state.current = 1
 	}
 	switch {
 	case pin == nil:
 		state.desired = 0
-		target := t.members[state.to]
-		if target == nil || !target.listed || target.Phase != policy.Ready || target.ID != state.id {
+		target := t.members[state.backend]
+		if target == nil || !target.listed || target.Phase != policy.Ready || target.ID != state.backendID {
 			state.current = 0
 		}
-		state.strict, state.by = false, 0
-	case why != "":
+		state.strict, state.pinID = false, 0
+	case suspendedBecause != "":
 		state.desired, state.current = 0, 0
-		state.to, state.strict, state.by = pin.Backend, pin.Strict, pin.ID
+		state.backend, state.strict, state.pinID = pin.Backend, pin.Strict, pin.ID
 	default:
 		target := t.member(pin.Backend)
 		switch {
-		case pin.ID > state.by: // as told by its operator, at once
+		case pin.ID > state.pinID: // a newer pin, which takes effect at once
 			state.current = 1
-		case state.by != pin.ID && state.to != pin.Backend: // the one above it has ended
+		case state.pinID != pin.ID && state.backend != pin.Backend: // the pin that had priority has ended
 			state.current = 0
 		}
-		state.to, state.id, state.strict, state.by, state.desired = pin.Backend, target.ID, pin.Strict, pin.ID, 1
+		state.backend, state.backendID, state.strict, state.pinID, state.desired = pin.Backend, target.ID, pin.Strict, pin.ID, 1
 		if !target.listed {
-			state.id, state.current = noBackend, 1
+			state.backendID, state.current = unassignedBackendID, 1
 		}
 	}
 	if state.current != state.desired {
-		t.changingPins[at] = true
+		t.changingPins[key] = true
 	}
 }
 
-// advance lets what comes back come back by so many seconds: each by its ramp, and all together by no more than their share
-// of the fleet, or of the shards, in a second.
-func (t *Table) advance(dt float64) {
+// advanceRecoveries advances all gradual recoveries by dt seconds. Each recovery is limited by SlowStart. All recoveries
+// together are limited by RecoveryRate, as a share of the listed backends or of all shards of all indexes.
+func (t *Table) advanceRecoveries(dt float64) {
 	if dt == 0 {
 		return
 	}
-	step := t.step(dt, t.listed, len(t.recovering))
-	for target := range t.recovering {
-		done := true
-		for k := range target.levels {
-			levelOfIndex := &target.levels[k]
+	step := t.recoveryStepSize(dt, t.listedCount, len(t.recovering))
+	for m := range t.recovering {
+		recovered := true
+		for k := range m.levels {
+			levelOfIndex := &m.levels[k]
 			if levelOfIndex.current < levelOfIndex.desired {
 				levelOfIndex.current = min(levelOfIndex.desired, levelOfIndex.current+step)
-				done = done && levelOfIndex.current == levelOfIndex.desired
+				recovered = recovered && levelOfIndex.current == levelOfIndex.desired
 			}
 		}
-		t.dirtyMembers[target.Name] = target
-		if done {
-			delete(t.recovering, target)
+		t.dirtyMembers[m.Name] = m
+		if recovered {
+			delete(t.recovering, m)
 		}
 	}
-	step = t.step(dt, t.limits.Shards*len(t.limits.Indexes), len(t.changingPins))
+	step = t.recoveryStepSize(dt, t.limits.Shards*len(t.limits.Indexes), len(t.changingPins))
 	for key := range t.changingPins {
-		state := t.pinnedShards[key]
+		state := t.pinStates[key]
 		if state == nil {
 			delete(t.changingPins, key)
 			continue
@@ -133,13 +134,14 @@
 	}
 }
 
-// step is by how much each of some that come back together moves in dt seconds, of all that there are.
-func (t *Table) step(dt float64, all, moving int) float64 {
-	if moving == 0 {
+// recoveryStepSize returns by how much each of moving concurrent recoveries advances in dt seconds. The total is the
+// number of backends or shards that RecoveryRate refers to.
+func (t *Table) recoveryStepSize(dt float64, total, recoveries int) float64 {
+	if recoveries == 0 {
 		return 0
 	}
-	each := 1 / max(t.limits.SlowStart, recoveryStep)
-	return dt * min(each, max(t.limits.RecoveryRate*float64(all), each)/float64(moving))
+	single := 1 / max(t.limits.SlowStart, recoveryInterval)
+	return dt * min(single, max(t.limits.RecoveryRate*float64(total), single)/float64(recoveries))
 }
 
 func (t *Table) notifyMember(m *member, patch *policy.Overrides) {
@@ -148,34 +150,34 @@
 		return
 	}
 	for k := range m.levels {
-		l := &m.levels[k]
-		if l.current == l.notified {
+		level := &m.levels[k]
+		if level.current == level.notified {
 			continue
 		}
-		l.notified = l.current
-		w := policy.BackendOverride{Backend: m.ID, Index: policy.IndexID(k), Weight: l.current}
-		if l.current == 0 {
-			w.Excluded, w.Weight = true, 1
+		level.notified = level.current
+		update := policy.BackendOverride{Backend: m.ID, Index: policy.IndexID(k), Weight: level.current}
+		if level.current == 0 {
+			update.Excluded, update.Weight = true, 1
 		}
-		patch.Backends = append(patch.Backends, w)
+		patch.Backends = append(patch.Backends, update)
 	}
 }
 
-func (t *Table) notifyPin(at pinKey, patch *policy.Overrides) {
-	state := t.pinnedShards[at]
+func (t *Table) notifyPin(key pinKey, patch *policy.Overrides) {
+	state := t.pinStates[key]
 	if state == nil {
 		return
 	}
-	update := policy.PinOverride{Shard: at.shard, Index: at.index}
+	update := policy.PinOverride{Shard: key.shard, Index: key.index}
 	if state.current > 0 {
-		update.Backend, update.Strict, update.Share = state.id, state.strict, state.current
+		update.Backend, update.Strict, update.Share = state.backendID, state.strict, state.current
 	}
 	if update != state.notified && (update.Backend != 0 || state.notified.Backend != 0) {
 		patch.Pins = append(patch.Pins, update)
 	}
 	state.notified = update
-	if o, _ := t.pinOf(at); o == nil && state.current == 0 {
-		delete(t.pinnedShards, at)
-		delete(t.changingPins, at)
+	if o, _ := t.effectivePin(key); o == nil && state.current == 0 {
+		delete(t.pinStates, key)
+		delete(t.changingPins, key)
 	}
 }
--- a/internal/operators/override/table.go
+++ b/internal/operators/override/table.go
@@ -8,53 +8,55 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// keysRemembered is how many commands are remembered by their keys: far more than are sent while a sender still tries again.
-const keysRemembered = 4096
+// maxRememberedKeys is the number of idempotency keys that are remembered. It is far more than the number of commands that
+// arrive while a sender still retries.
+const maxRememberedKeys = 4096
 
-// noBackend is a number that no backend has: what is pinned to it strictly goes nowhere.
-const noBackend = ^policy.BackendID(0)
+// unassignedBackendID is an ID that no backend has. A shard with a strict pin to it is refused everywhere.
+const unassignedBackendID = ^policy.BackendID(0)
 
-// member lives while the list names a backend, and on while an override or a return concerns its name.
+// member is the state of a backend name. It exists while the membership list contains the name, while an override refers to
+// the name, and while the backend recovers.
 type member struct {
 	Member
-	listed  bool
-	drained bool // it left as one that drained, while a pin to it held
-	levels  []share
-	own     []*Override // by backend: weights and outs
-	pins    []*Override
+	listed               bool
+	removedWhileDraining bool // it left the list while draining, and a pin to it was live
+	levels               []memberLevel
+	overrides            []*Override // weight and out-of-service overrides of this backend
+	pins                 []*Override
 }
 
-// level is how much of its usual part calls a backend may have of an index, or a pinned backend of a shard: it
-// falls at once to what is wanted and rises by steps.
-type level struct {
+// recoveryLevel is the share of its usual subqueries that a backend receives for an index, or the share of a shard's
+// subqueries that go to the backend of a pin. A backend's level drops to the desired value at once and rises in steps.
+type recoveryLevel struct {
 	current, desired float64
 }
 
-// share is a backend's level of an index, and the level of which the module was last notified.
-type share struct {
-	level
+// memberLevel is a backend's level for an index, and the level that was last sent to the decision module.
+type memberLevel struct {
+	recoveryLevel
 	notified float64
 }
 
-// location lives as the table does.
+// location is the state of a location name. It is never deleted.
 type location struct {
-	own     []*Override
-	members map[string]*member
+	overrides []*Override
+	members   map[string]*member
 }
 
-// pinKey is a shard of an index that is pinned, or was a moment ago.
+// pinKey identifies a shard of an index whose pin is live or being released.
 type pinKey struct {
 	shard policy.ShardID
 	index policy.IndexID
 }
 
 type pinState struct {
-	level
-	to       string   // whose it is, or was while it wanes
-	by       Revision // the pin that holds
-	id       policy.BackendID
-	strict   bool
-	notified policy.PinOverride
+	recoveryLevel
+	backend   string   // the backend that the shard is pinned to, or is being released from
+	pinID     Revision // the pin with priority; 0 after the last one has ended
+	backendID policy.BackendID
+	strict    bool
+	notified  policy.PinOverride
 }
 
 type keyedChange struct {
@@ -62,22 +64,22 @@
 	change Change
 }
 
-// Table is what one aggregator knows of overrides. One goroutine alone uses it.
+// Table holds the overrides of one aggregator and the membership that they apply to. It is not safe for concurrent use.
 type Table struct {
-	limits       Limits
-	indexes      map[string]policy.IndexID
-	revision     Revision
-	live         map[Revision]*Override
-	ends         ends
-	pinned       int // shards of all pins
-	members      map[string]*member
-	byCell       map[policy.CellID]map[string]*member
-	locations    map[string]*location
-	byShard      map[policy.ShardID][]*Override
-	pinnedShards map[pinKey]*pinState
-	keys         map[Key]keyedChange
-	keyOrder     []Key
-	listed       int
+	limits           Limits
+	indexes          map[string]policy.IndexID
+	revision         Revision
+	live             map[Revision]*Override
+	expiries         expiryHeap
+	pinnedShardCount int // sum over all pins of their numbers of shards
+	members          map[string]*member
+	membersByCell    map[policy.CellID]map[string]*member
+	locations        map[string]*location
+	pinsByShard      map[policy.ShardID][]*Override
+	pinStates        map[pinKey]*pinState
+	changesByKey     map[Key]keyedChange
+	keyOrder         []Key
+	listedCount      int
 
 	dirtyMembers map[string]*member
 	dirtyPins    map[pinKey]bool
@@ -86,24 +88,25 @@
 	advancedAt   float64
 }
 
-// New makes an empty table.
-func New(lim Limits) *Table {
-	lim.Cells, lim.Width = max(1, lim.Cells), max(1, lim.Width)
-	t := &Table{limits: lim, indexes: map[string]policy.IndexID{}, live: map[Revision]*Override{}, members: map[string]*member{},
-		byCell: map[policy.CellID]map[string]*member{}, locations: map[string]*location{}, byShard: map[policy.ShardID][]*Override{},
-		pinnedShards: map[pinKey]*pinState{}, keys: map[Key]keyedChange{}, dirtyMembers: map[string]*member{}, dirtyPins: map[pinKey]bool{},
+// New returns an empty table.
+func New(limits Limits) *Table {
+	limits.Cells, limits.Width = max(1, limits.Cells), max(1, limits.Width)
+	t := &Table{limits: limits, indexes: map[string]policy.IndexID{}, live: map[Revision]*Override{}, members: map[string]*member{},
+		membersByCell: map[policy.CellID]map[string]*member{}, locations: map[string]*location{}, pinsByShard: map[policy.ShardID][]*Override{},
+		pinStates: map[pinKey]*pinState{}, changesByKey: map[Key]keyedChange{}, dirtyMembers: map[string]*member{}, dirtyPins: map[pinKey]bool{},
 		recovering: map[*member]bool{}, changingPins: map[pinKey]bool{}}
-	for i, name := range lim.Indexes {
+	for i, name := range limits.Indexes {
 		t.indexes[name] = policy.IndexID(i)
 	}
 	return t
 }
 
-// Revision is that of the last change.
+// Revision returns the revision of the last change that was applied or reserved.
 func (t *Table) Revision() Revision { return t.revision }
 
-// Restore takes what was stored before a restart: the revision then, and the live overrides. What has ended meanwhile is left
-// out, and returned as changes to be stored. It comes before the first list.
+// Restore loads the revision, the live overrides and the changes with keys that were stored before a restart. It must be
+// called before the first UpdateMembership. It ends the overrides that have expired since, and returns these changes,
+// which the caller must store.
 func (t *Table) Restore(now float64, revision Revision, live []Override, keys []Change) (ended []Change) {
 	t.revision = revision
 	for _, c := range keys {
@@ -112,32 +115,33 @@
 	for _, o := range live {
 		t.insert(&o)
 	}
-	return t.Due(now)
+	return t.Expire(now)
 }
 
 func (t *Table) remember(c Change) {
 	if c.Key == "" {
 		return
 	}
-	if _, known := t.keys[c.Key]; !known {
+	if _, known := t.changesByKey[c.Key]; !known {
 		t.keyOrder = append(t.keyOrder, c.Key)
 	}
-	t.keys[c.Key] = keyedChange{c.Digest, c}
-	if len(t.keyOrder) > keysRemembered {
-		delete(t.keys, t.keyOrder[0])
+	t.changesByKey[c.Key] = keyedChange{c.Digest, c}
+	if len(t.keyOrder) > maxRememberedKeys {
+		delete(t.changesByKey, t.keyOrder[0])
 		t.keyOrder = t.keyOrder[1:]
 	}
 }
 
-// Reserve sets the revision of a decided change aside while it is being stored: whatever ends meanwhile gets a later one,
-// and any other command is made for another revision. One that can't be stored leaves a gap.
+// Reserve reserves the revision of a decided change while the change is being stored. An override that ends meanwhile gets
+// a later revision, and any other command that expects the previous revision conflicts. If the change cannot be stored,
+// its revision remains unused.
 func (t *Table) Reserve(c Change) { t.revision = max(t.revision, c.Revision) }
 
-// Apply takes a change that was decided by this table and stored since.
+// Apply makes a change effective that this table decided and the caller has stored.
 func (t *Table) Apply(c Change) {
 	t.revision = max(t.revision, c.Revision)
 	t.remember(c)
-	if c.What == WasSet {
+	if c.Kind == SetByOperator {
 		o := c.Override
 		t.insert(&o)
 	} else if o := t.live[c.Override.ID]; o != nil {
@@ -147,91 +151,92 @@
 
 func (t *Table) insert(o *Override) {
 	t.live[o.ID] = o
-	heap.Push(&t.ends, o)
+	heap.Push(&t.expiries, o)
 	switch {
 	case o.Kind == Pin:
 		m := t.member(o.Backend)
 		m.pins = append(m.pins, o)
 		for s := o.From; s <= o.To; s++ {
-			t.byShard[s] = append(t.byShard[s], o)
-			t.pinned++
+			t.pinsByShard[s] = append(t.pinsByShard[s], o)
+			t.pinnedShardCount++
 		}
 	case o.Backend != "":
 		m := t.member(o.Backend)
-		m.own = append(m.own, o)
+		m.overrides = append(m.overrides, o)
 	default:
-		p := t.location(o.Location)
-		p.own = append(p.own, o)
+		l := t.location(o.Location)
+		l.overrides = append(l.overrides, o)
 	}
-	t.touch(o)
+	t.markDirty(o)
 }
 
 func (t *Table) remove(removed *Override) {
 	delete(t.live, removed.ID)
-	if len(t.ends) > 2*len(t.live)+64 { // those that were cleared are not kept until their end
-		t.ends = slices.DeleteFunc(t.ends, func(e *Override) bool { return t.live[e.ID] != e })
-		heap.Init(&t.ends)
+	if len(t.expiries) > 2*len(t.live)+64 { // cleared overrides must not occupy the heap until they would have expired
+		t.expiries = slices.DeleteFunc(t.expiries, func(e *Override) bool { return t.live[e.ID] != e })
+		heap.Init(&t.expiries)
 	}
 	isRemoved := func(x *Override) bool { return x == removed }
 	switch {
 	case removed.Kind == Pin:
 		m := t.member(removed.Backend)
 		m.pins = slices.DeleteFunc(m.pins, isRemoved)
-		m.drained = m.drained && len(m.pins) > 0
+		m.removedWhileDraining = m.removedWhileDraining && len(m.pins) > 0
 		for s := removed.From; s <= removed.To; s++ {
-			if t.byShard[s] = slices.DeleteFunc(t.byShard[s], isRemoved); len(t.byShard[s]) == 0 {
-				delete(t.byShard, s)
+			if t.pinsByShard[s] = slices.DeleteFunc(t.pinsByShard[s], isRemoved); len(t.pinsByShard[s]) == 0 {
+				delete(t.pinsByShard, s)
 			}
-			t.pinned--
+			t.pinnedShardCount--
 		}
 	case removed.Backend != "":
 		m := t.member(removed.Backend)
-		m.own = slices.DeleteFunc(m.own, isRemoved)
+		m.overrides = slices.DeleteFunc(m.overrides, isRemoved)
 	default:
-		p := t.location(removed.Location)
-		p.own = slices.DeleteFunc(p.own, isRemoved)
+		l := t.location(removed.Location)
+		l.overrides = slices.DeleteFunc(l.overrides, isRemoved)
 	}
-	t.touch(removed)
+	t.markDirty(removed)
 }
 
-// touch marks what an override concerns, so that a change costs by that.
-func (t *Table) touch(o *Override) {
+// markDirty marks the members or pins that an override affects. The next Patch recomputes only these, so the cost of a
+// change does not depend on the number of overrides.
+func (t *Table) markDirty(o *Override) {
 	switch {
 	case o.Kind == Pin:
-		t.touchPin(o)
+		t.markPinDirty(o)
 	case o.Backend != "":
-		t.touchMember(t.member(o.Backend))
+		t.markMemberDirty(t.member(o.Backend))
 	default:
 		for _, m := range t.location(o.Location).members {
-			t.touchMember(m)
+			t.markMemberDirty(m)
 		}
 	}
 }
 
-func (t *Table) touchPin(o *Override) {
+func (t *Table) markPinDirty(o *Override) {
 	for s := o.From; s <= o.To; s++ {
 		for k := range t.limits.Indexes {
-			if k := policy.IndexID(k); t.covers(o, k) {
+			if k := policy.IndexID(k); t.coversIndex(o, k) {
 				t.dirtyPins[pinKey{s, k}] = true
 			}
 		}
 	}
 }
 
-// touchMember marks a backend, and the pins that hang on whether it serves.
-func (t *Table) touchMember(m *member) {
+// markMemberDirty marks a backend, and the pins to it, whose state depends on whether it serves.
+func (t *Table) markMemberDirty(m *member) {
 	t.dirtyMembers[m.Name] = m
 	for _, o := range m.pins {
-		t.touchPin(o)
+		t.markPinDirty(o)
 	}
 }
 
-// covers tells whether an override concerns an index.
-func (t *Table) covers(o *Override, k policy.IndexID) bool {
-	return o.Index == "" || t.indexes[o.Index] == k
+// coversIndex reports whether an override applies to an index.
+func (t *Table) coversIndex(o *Override, index policy.IndexID) bool {
+	return o.Index == "" || t.indexes[o.Index] == index
 }
 
-// LiveOverrides lists what holds, oldest first.
+// LiveOverrides returns the live overrides, oldest first.
 func (t *Table) LiveOverrides() []Override {
 	list := make([]Override, 0, len(t.live))
 	for _, o := range t.live {
--- a/internal/operators/override/view.go
+++ b/internal/operators/override/view.go
@@ -10,39 +10,40 @@
 )
 
 const (
-	// recoveryStep is how often a return goes on: short against the ramp, and few patches a second.
-	recoveryStep = 0.25
-	// leastLevel is the level from which a return begins, and the least that a weight tells the module: some part calls
-	// must go there or nothing is learnt of it.
-	leastLevel = 0.05
+	// recoveryInterval is the time between two steps of a recovery, in seconds. It is short compared to SlowStart, and
+	// causes few patches per second.
+	recoveryInterval = 0.25
+	// minRecoveryLevel is the level at which a recovery starts. The backend must receive some subqueries, or the decision
+	// module learns nothing about its latency and load.
+	minRecoveryLevel = 0.05
 )
 
-// Status is an override as it is shown.
+// Status is a live override with its state, as operators see it.
 type Status struct {
 	Override
-	State string // "acts", or why it does not everywhere
+	State string // "acts", or why it is not in effect everywhere
 }
 
-// Status shows what holds, oldest first.
+// Status returns the live overrides with their states, oldest first.
 func (t *Table) Status() []Status {
 	live := t.LiveOverrides()
 	list := make([]Status, len(live))
 	for i := range live {
-		list[i] = Status{live[i], t.state(t.live[live[i].ID])}
+		list[i] = Status{live[i], t.describe(t.live[live[i].ID])}
 	}
 	return list
 }
 
-// state tells whether an override acts, or what stands above it.
-func (t *Table) state(o *Override) string {
+// describe returns "acts" if an override is in effect everywhere, or the reason why it is not.
+func (t *Table) describe(o *Override) string {
 	if o.Kind == Pin {
-		return t.pinStates(o)
+		return t.describePin(o)
 	}
-	list := t.location(o.Location).own
+	candidates := t.location(o.Location).overrides
 	if o.Backend != "" {
 		m := t.member(o.Backend)
 		defer t.dropUnused(m)
-		list = m.own
+		candidates = m.overrides
 		if !m.listed {
 			return "waits: the list does not name its searcher"
 		}
@@ -52,77 +53,77 @@
 	} else if len(t.location(o.Location).members) == 0 {
 		return "waits: no listed searcher stands there"
 	}
-	acts := 0
-	var above *Override
+	active := 0
+	var winner *Override
 	covered := 0
 	for k := range t.limits.Indexes {
 		k := policy.IndexID(k)
-		if !t.covers(o, k) {
+		if !t.coversIndex(o, k) {
 			continue
 		}
 		covered++
-		by := t.strongest(list, o.Kind, k, nil)
-		if out := t.strongest(list, Out, k, nil); o.Kind == Weight && out != nil {
-			by = out
+		by := t.effective(candidates, o.Kind, k, nil)
+		if outOfService := t.effective(candidates, OutOfService, k, nil); o.Kind == Weight && outOfService != nil {
+			by = outOfService
 		}
 		if by == o {
-			acts++
+			active++
 		} else {
-			above = by
+			winner = by
 		}
 	}
-	return describeState(acts, covered, above, "")
+	return describeState(active, covered, winner, "")
 }
 
-func (t *Table) pinStates(o *Override) string {
-	acts, covered := 0, 0
-	var above *Override
-	hindered := ""
+func (t *Table) describePin(o *Override) string {
+	active, covered := 0, 0
+	var winner *Override
+	obstacle := ""
 	for s := o.From; s <= o.To; s++ {
 		for k := range t.limits.Indexes {
 			k := policy.IndexID(k)
-			if !t.covers(o, k) {
+			if !t.coversIndex(o, k) {
 				continue
 			}
 			covered++
-			switch by, why := t.pinOf(pinKey{s, k}); {
+			switch by, suspendedBecause := t.effectivePin(pinKey{s, k}); {
 			case by != o:
-				above = by
-			case why != "":
-				hindered = why
+				winner = by
+			case suspendedBecause != "":
+				obstacle = suspendedBecause
 			default:
-				acts++
+				active++
 			}
 		}
 	}
-	return describeState(acts, covered, above, hindered)
+	return describeState(active, covered, winner, obstacle)
 }
 
-func describeState(acts, of int, above *Override, hindered string) string {
+func describeState(active, total int, winner *Override, obstacle string) string {
 	switch {
-	case acts == of:
+	case active == total:
 		return "acts"
-	case hindered != "" && acts == 0:
-		return hindered
-	case hindered != "":
-		return fmt.Sprintf("acts in part, else %s", hindered)
-	case acts > 0:
-		return fmt.Sprintf("acts in part: override %d stands above it elsewhere", above.ID)
+	case obstacle != "" && active == 0:
+		return obstacle
+	case obstacle != "":
+		return fmt.Sprintf("acts in part, else %s", obstacle)
+	case active > 0:
+		return fmt.Sprintf("acts in part: override %d stands above it elsewhere", winner.ID)
 	}
-	return fmt.Sprintf("suspended: override %d stands above it", above.ID)
+	return fmt.Sprintf("suspended: override %d stands above it", winner.ID)
 }
 
-// Recovery is a backend that comes back, or a shard that a pin lets go.
+// Recovery is a gradual change in progress: a backend whose level rises, or a pin that gains or releases a shard.
 type Recovery struct {
 	Backend string
-	Shard   policy.ShardID // of a pin
+	Shard   policy.ShardID // set if Pin is true
 	Pin     bool
 	Index   string
-	Level   float64 // share of its usual part calls now
+	Level   float64 // share of its usual subqueries that it receives now
 	Desired float64
 }
 
-// Recoveries lists what comes back at present.
+// Recoveries returns the recoveries in progress, sorted by backend, index and shard.
 func (t *Table) Recoveries() (list []Recovery) {
 	for m := range t.recovering {
 		for k, l := range m.levels {
@@ -131,9 +132,9 @@
 			}
 		}
 	}
-	for at := range t.changingPins {
-		if p := t.pinnedShards[at]; p != nil && p.current != p.desired {
-			list = append(list, Recovery{Backend: p.to, Shard: at.shard, Pin: true, Index: t.limits.Indexes[at.index], Level: p.current, Desired: p.desired})
+	for key := range t.changingPins {
+		if pin := t.pinStates[key]; pin != nil && pin.current != pin.desired {
+			list = append(list, Recovery{Backend: pin.backend, Shard: key.shard, Pin: true, Index: t.limits.Indexes[key.index], Level: pin.current, Desired: pin.desired})
 		}
 	}
 	slices.SortFunc(list, func(x, y Recovery) int {
@@ -142,68 +143,69 @@
 	return list
 }
 
-// Line is one row of the precedence as it stands for a shard, an index and a backend.
-type Line struct {
-	Rule string
-	Acts bool // it decides; those below it are suspended
-	By   Revision
-	Text string
+// RuleResult is the result of one precedence rule for a shard, an index and a backend.
+type RuleResult struct {
+	Rule       string
+	Decides    bool // true for the rule that decides; the rules below it are suspended
+	OverrideID Revision
+	Text       string
 }
 
-// Explanation says why parts of a shard go to a backend or not, as far as overrides and the list decide.
+// Explanation states whether subqueries of a shard are routed to a backend, and why, as far as overrides and membership
+// determine it.
 type Explanation struct {
-	Goes  bool
-	Share float64 // of its usual part calls
-	Lines []Line
+	Routed bool
+	Share  float64 // of its usual subqueries
+	Rules  []RuleResult
 }
 
-// Explain asks the precedence row by row. Its error is a *Refusal.
-func (t *Table) Explain(s policy.ShardID, index, backend string) (e Explanation, err error) {
-	k, known := t.indexes[index]
+// Explain evaluates all precedence rules for a shard, an index and a backend. Its error is a *Refusal.
+func (t *Table) Explain(shard policy.ShardID, index, backend string) (e Explanation, err error) {
+	indexID, indexKnown := t.indexes[index]
 	m := t.members[backend]
 	switch {
-	case !known:
+	case !indexKnown:
 		return e, refuse(Invalid, "index %q is not one of %q", index, t.limits.Indexes)
-	case s < 0 || int(s) >= t.limits.Shards:
-		return e, refuse(Invalid, "shard %d, expected one from 0 to %d", s, t.limits.Shards-1)
+	case shard < 0 || int(shard) >= t.limits.Shards:
+		return e, refuse(Invalid, "shard %d, expected one from 0 to %d", shard, t.limits.Shards-1)
 	case m == nil:
 		return e, refuse(Unknown, "neither the list nor an override names %q", backend)
-	case m.listed && !t.isReplica(m, s):
-		return Explanation{Lines: []Line{{"layout", true, 0, "it does not hold the shard"}}}, nil
+	case m.listed && !t.isReplica(m, shard):
+		return Explanation{Rules: []RuleResult{{"layout", true, 0, "it does not hold the shard"}}}, nil
 	}
-	e.Goes, e.Share = true, 1
-	acted := false
+	e.Routed, e.Share = true, 1
+	decided := false
 	for _, row := range precedence {
-		c := row.asks(t, m, s, k)
-		if c == nil {
+		result := row.evaluate(t, m, shard, indexID)
+		if result == nil {
 			continue
 		}
-		line := Line{Rule: row.rule, Acts: !acted, Text: c.text}
-		if c.by != nil {
-			line.By = c.by.ID
+		ruleResult := RuleResult{Rule: row.rule, Decides: !decided, Text: result.explanation}
+		if result.override != nil {
+			ruleResult.OverrideID = result.override.ID
 		}
-		e.Lines = append(e.Lines, line)
-		if acted {
+		e.Rules = append(e.Rules, ruleResult)
+		if decided {
 			continue
 		}
-		acted = true
+		decided = true
 		switch row.rule {
 		case "list", "out":
-			e.Goes, e.Share = false, 0
+			e.Routed, e.Share = false, 0
 		case "pin":
-			if e.Goes = c.by.Backend == backend; !e.Goes {
+			if e.Routed = result.override.Backend == backend; !e.Routed {
 				e.Share = 0
 			}
 		case "weight":
-			e.Share, _ = t.target(m, k, nil)
+			e.Share, _ = t.targetWeight(m, indexID, nil)
 		}
 	}
-	if l := m.levels[k]; e.Goes && l.current < l.desired && !acted {
-		e.Share = math.Min(e.Share, l.current)
-		e.Lines = append(e.Lines, Line{"return", true, 0, fmt.Sprintf("it comes back by steps and is at %.0f%%", 100*l.current)})
+	if level := m.levels[indexID]; e.Routed && level.current < level.desired && !decided {
+		e.Share = math.Min(e.Share, level.current)
+		e.Rules = append(e.Rules, RuleResult{"return", true, 0, fmt.Sprintf("it comes back by steps and is at %.0f%%", 100*level.current)})
 	}
-	if !acted && len(e.Lines) == 0 {
-		e.Lines = append(e.Lines, Line{"none", true, 0, "nothing overrides it: the decision module weighs latency and load alone"})
+	if !decided && len(e.Rules) == 0 {
+		e.Rules = append(e.Rules, RuleResult{"none", true, 0, "nothing overrides it: the decision module weighs latency and load alone"})
 	}
 	return e, nil
 }
