--- a/internal/aggregatorstore/doc.go
+++ b/internal/aggregatorstore/doc.go
@@ -1,7 +1,10 @@
-// Package aggregatorstore keeps an aggregator's state on disk, in embedded databases (go.etcd.io/bbolt, a copy-on-write B+ tree):
-// OverrideStore the operators' overrides with an audit trail of their changes, and Log the fleet's values and the log of its
-// consensus. It decides nothing. What is saved is on disk once its transaction is, and never in part.
+// Package aggregatorstore stores an aggregator's state on disk, in embedded databases (go.etcd.io/bbolt, a copy-on-write B+
+// tree). OverrideStore stores the operators' overrides and an audit trail of their changes. Log stores named values and the
+// consensus log of the fleet.
 //
-// Each record is behind a checksum of its own. A file is checked before the library opens it (pages.go), and read as a whole; one
-// that is corrupt is renamed, and a new one made in its place.
+// Every save is one transaction, so it is written as a whole or not at all. A save is on disk when its callback reports
+// success. Each record has its own checksum. When a file is opened, its pages are checked first (pages.go), before the
+// library reads them, and then its records are read. A corrupt file is renamed and replaced by a new one.
+//
+// The package makes no decisions about the data that it stores.
 package aggregatorstore
--- a/internal/aggregatorstore/errors.go
+++ b/internal/aggregatorstore/errors.go
@@ -2,25 +2,25 @@
 
 import "fmt"
 
-// versionError says that a file is of another version than this package reads.
+// versionError reports a file whose format version this package does not support.
 type versionError struct{ found, expected uint64 }
 
 func (e versionError) Error() string {
 	return fmt.Sprintf("is of version %d, expected %d", e.found, e.expected)
 }
 
-// panicError is a panic of the file's library or of a fault in mapped memory.
+// panicError is a recovered panic of the database library, or of a fault in mapped memory.
 type panicError struct{ value any }
 
 func (e panicError) Error() string { return fmt.Sprint(e.value) }
 
-// Unwrap gives the error that the panic was raised with, if it was one.
+// Unwrap returns the panic's value if that is an error.
 func (e panicError) Unwrap() error {
 	err, _ := e.value.(error)
 	return err
 }
 
-// contentsError says what does not fit together in a file.
+// contentsError describes an inconsistency in the contents of a file.
 type contentsError string
 
 func (e contentsError) Error() string { return string(e) }
@@ -29,10 +29,10 @@
 	return contentsError(fmt.Sprintf(format, arguments...))
 }
 
-// corruptError says that a file is there and can be read, and not be trusted.
+// corruptError reports a file that can be read but has invalid contents.
 type corruptError struct{ err error }
 
 func (e *corruptError) Error() string { return "spoilt: " + e.err.Error() }
 
-// Unwrap gives what is wrong with the file.
+// Unwrap returns the error that describes the corruption.
 func (e *corruptError) Unwrap() error { return e.err }
--- a/internal/aggregatorstore/file.go
+++ b/internal/aggregatorstore/file.go
@@ -16,28 +16,30 @@
 	"puffinlink.example/puffinlink/internal/eventqueue"
 )
 
-// lockTimeout is how long the process before may still use the file: the longest that a stopping aggregator takes.
+// lockTimeout is how long to wait for a previous process to release the file. It is the longest time that an aggregator
+// takes to stop.
 const lockTimeout = 10 * time.Second
 
-// Names that both files have.
+// Names that both database files use.
 var (
 	bucketMeta = []byte("meta")
 	keyVersion = []byte("version")
 )
 
-// writeRequest is a transaction to run, or, without one, the end of the writer.
+// writeRequest is a transaction to run. A request without a write function stops the writer.
 type writeRequest struct {
 	write func(*bolt.Tx) error
 	done  func(error)
 }
 
-// fileWriter owns an open file. Its goroutine runs the transactions, so that nobody else waits for the disk.
+// fileWriter owns an open database file. It runs the transactions on a goroutine of its own, so that callers do not wait for
+// the disk.
 type fileWriter struct {
 	db       *bolt.DB
-	lock     *os.File // excludes other processes from the directory; nil where it was not taken
+	lock     *os.File // excludes other processes from the directory; nil if it is not held
 	requests *eventqueue.Queue[writeRequest]
 	stopped  chan struct{}
-	failure  error // why nothing is written any more, as where no file could be opened
+	failure  error // fails every write, for example because the file could not be opened
 	logger   *zap.Logger
 }
 
@@ -45,13 +47,13 @@
 	return &fileWriter{requests: eventqueue.New[writeRequest](), stopped: make(chan struct{}), logger: logger}
 }
 
-// save runs a transaction, all of it or nothing, and calls done once it is on disk or has failed. It does not block; done is
-// called from another goroutine, in the order of the calls.
+// save runs a transaction as a whole or not at all. It calls done when the transaction is on disk or has failed. It does not
+// block. The done functions are called from another goroutine, in the order of the calls to save.
 func (w *fileWriter) save(write func(*bolt.Tx) error, done func(error)) {
 	w.requests.Put(writeRequest{write: write, done: done})
 }
 
-// Stop ends the writer after all that was saved before, and closes the file.
+// Stop waits for all previous saves, stops the writer and closes the file.
 func (w *fileWriter) Stop() {
 	w.requests.Put(writeRequest{})
 	<-w.stopped
@@ -73,7 +75,7 @@
 	}
 }
 
-// write runs a transaction. A panic of the library says that the file has become corrupt: from then on nothing is written.
+// write runs a transaction. If the library panics, the file has become corrupt, and all later writes fail.
 func (w *fileWriter) write(transaction func(*bolt.Tx) error) (err error) {
 	if w.failure != nil {
 		return w.failure
@@ -89,10 +91,10 @@
 
 func (w *fileWriter) close() {
 	closeFile(w.db, w.logger)
-	_ = w.lock.Close() // which holds nothing but the lock, and is nil where there is none
+	_ = w.lock.Close() // the file has no data to lose, and Close of a nil file does no harm
 }
 
-// closeFile closes a file where there is one. What was written is on the disk by then: each transaction waits for that.
+// closeFile closes a file unless it is nil. An error loses no data, because each transaction has waited for the disk.
 func closeFile(db *bolt.DB, logger *zap.Logger) {
 	if db == nil {
 		return
@@ -102,7 +104,7 @@
 	}
 }
 
-// lockDirectory makes the directory where there is none, and takes its lock, which it waits for.
+// lockDirectory creates the directory if it does not exist, and locks it. It waits for the lock, at most for the given time.
 func lockDirectory(dir, name string, wait time.Duration) (*os.File, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -111,20 +113,20 @@
 	if err != nil {
 		return nil, err
 	}
-	for until := time.Now().Add(wait); ; time.Sleep(lockTimeout / 200) {
+	for deadline := time.Now().Add(wait); ; time.Sleep(lockTimeout / 200) {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return f, nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			_ = f.Close() // nothing was written
 			return nil, fmt.Errorf("%s: another process has held it for %s: %w", dir, wait, err)
 		}
 	}
 }
 
-// openOrQuarantine opens a file and reads all of it. A corrupt one is renamed to quarantined, and a new one is made. The error
-// names the file.
+// openOrQuarantine opens a file and reads its records. If the file is corrupt, it is renamed to the returned path, and a new
+// file is created.
 func openOrQuarantine(path string, logger *zap.Logger, prepare, read func(*bolt.Tx) error) (db *bolt.DB, quarantined string, err error) {
 	if db, err = openFile(path, prepare, read); err == nil {
 		return db, "", nil
@@ -143,8 +145,9 @@
 	return db, quarantined, nil
 }
 
-// openFile opens one file and reads all of it; prepare fills a new one. The error is a corruptError where the file can be read and
-// not be trusted; a fault in mapped memory, as where the file was cut off, is one too.
+// openFile opens a file and reads its records with read. If the file is new, it calls prepare to create the buckets instead.
+// The error is a corruptError if the file can be read but has invalid contents. This includes a fault in mapped memory, which
+// occurs if the file was truncated.
 func openFile(path string, prepare, read func(*bolt.Tx) error) (db *bolt.DB, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -153,8 +156,8 @@
 		}
 		if err != nil && db != nil {
 			func() {
-				defer func() { _ = recover() }() // the file is given up
-				_ = db.Close()                   // the error that is returned is the cause
+				defer func() { _ = recover() }() // Close may panic on a corrupt file
+				_ = db.Close()                   // err, the cause, is returned instead
 			}()
 			db = nil
 		}
@@ -169,21 +172,21 @@
 	case err != nil:
 		return db, err
 	}
-	// Nothing is written before all is read: a quarantined file is as it was found.
-	fresh := false
+	// Nothing is written before everything was read, so a quarantined file is unmodified.
+	isNew := false
 	err = db.View(func(tx *bolt.Tx) error {
-		if fresh = tx.Bucket(bucketMeta) == nil; fresh {
+		if isNew = tx.Bucket(bucketMeta) == nil; isNew {
 			return nil
 		}
 		return read(tx)
 	})
-	if err == nil && fresh {
+	if err == nil && isNew {
 		err = db.Update(prepare)
 	}
 	return db, err
 }
 
-// createBuckets makes the buckets of a new file, and states its version.
+// createBuckets creates the buckets of a new file and stores its format version.
 func createBuckets(tx *bolt.Tx, version uint64, names ...[]byte) error {
 	for _, name := range append([][]byte{bucketMeta}, names...) {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
--- a/internal/aggregatorstore/log.go
+++ b/internal/aggregatorstore/log.go
@@ -21,34 +21,34 @@
 	keyID        = []byte("id")
 )
 
-// Entry is one of the log.
+// Entry is an entry of the log.
 type Entry struct {
 	Index uint64
 	Data  []byte
 }
 
-// LogContents is what a file contained when it was opened.
+// LogContents holds the contents of a log file when it was opened.
 type LogContents struct {
-	ID          uint64 // drawn when the file was made, never 0
+	ID          uint64 // random, chosen when the file was created; never 0
 	Values      map[string][]byte
-	Entries     []Entry // in the order of their indexes, without a gap
-	Quarantined string  // to what a corrupt file was renamed, "" for none
+	Entries     []Entry // in the order of their indexes, without gaps
+	Quarantined string  // path that a corrupt file was renamed to, "" if none
 }
 
-// LogSave is saved as a whole, or not at all.
-type LogSave struct {
-	Values     map[string][]byte // replace those of the same name
+// LogUpdate is a set of modifications that is saved as a whole or not at all.
+type LogUpdate struct {
+	Values     map[string][]byte // replace the values of the same names
 	TruncateTo uint64            // entries up to this index are deleted
-	Entries    []Entry           // replace all entries from the first one's index on
+	Entries    []Entry           // replace all entries from the index of the first one
 }
 
-// Log saves values by name, and a log of entries by index: bytes whose meaning is the fleet's. Its methods may be called from
-// any goroutine.
+// Log stores values by name and log entries by index. The fleet defines the meaning of their bytes. Its methods may be called
+// from any goroutine.
 type Log struct{ *fileWriter }
 
-// OpenLog opens the file in a directory, or makes it, and waits so long for another process that has the directory. A corrupt
-// file is renamed, and a new one with another ID made, as if the directory were lost. The Log is nil where there is an error; one
-// about the version of the file is a versionError.
+// OpenLog opens the log file in a directory, or creates it. If another process has locked the directory, it waits for the
+// given time. A corrupt file is renamed and replaced by a new one with another ID, as if the directory had been lost. The Log is
+// nil if there is an error. The error is a versionError if the file has an unsupported version.
 func OpenLog(dir string, wait time.Duration, logger *zap.Logger) (*Log, LogContents, error) {
 	l, contents := &Log{newFileWriter(logger)}, LogContents{}
 	var err error
@@ -75,7 +75,7 @@
 	}
 	id := make([]byte, 8)
 	rand.Read(id)
-	id[7] |= 1 // not 0
+	id[7] |= 1 // an ID is never 0
 	return tx.Bucket(bucketMeta).Put(keyID, id)
 }
 
@@ -84,7 +84,7 @@
 	meta, values, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketValues), tx.Bucket(bucketLog)
 	switch {
 	case meta == nil || values == nil || entries == nil || len(meta.Get(keyID)) != 8:
-		return &corruptError{invalidContents("no number, or a bucket is missing")}
+		return &corruptError{invalidContents("the ID or a bucket is missing")}
 	case decodeUint64(meta.Get(keyVersion)) != logVersion:
 		return versionError{decodeUint64(meta.Get(keyVersion)), logVersion}
 	}
@@ -108,13 +108,13 @@
 	})
 }
 
-// Save saves values and entries, all or none, and calls done once they are on disk or have failed. It does not block; done is
-// called from another goroutine, in the order of the calls.
-func (l *Log) Save(save LogSave, done func(error)) {
+// Save saves all modifications of an update or none. It calls done when they are on disk or have failed. It does not block.
+// The done functions are called from another goroutine, in the order of the calls to Save.
+func (l *Log) Save(save LogUpdate, done func(error)) {
 	l.save(func(tx *bolt.Tx) error { return writeLog(tx, &save) }, done)
 }
 
-func writeLog(tx *bolt.Tx, save *LogSave) error {
+func writeLog(tx *bolt.Tx, save *LogUpdate) error {
 	values, entries := tx.Bucket(bucketValues), tx.Bucket(bucketLog)
 	for name, value := range save.Values {
 		if err := values.Put([]byte(name), addChecksum(value)); err != nil {
--- a/internal/aggregatorstore/log_test.go
+++ b/internal/aggregatorstore/log_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// A file that is refused is released: the next process gets the same error, and not that of a lock which the first has left.
+// A refused file must be released. Otherwise the next attempt fails on the lock instead of reporting the version.
 func TestLogOfAnotherVersionIsRefusedAndReleased(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := OpenLog(dir, time.Second, zap.NewNop())
@@ -30,13 +30,14 @@
 	}
 	for range 2 {
 		_, _, err := OpenLog(dir, time.Second, zap.NewNop())
-		if of := (versionError{}); !errors.As(err, &of) || of.found != logVersion+1 {
+		if wrongVersion := (versionError{}); !errors.As(err, &wrongVersion) || wrongVersion.found != logVersion+1 {
 			t.Fatalf("got %v", err)
 		}
 	}
 }
 
-// A log with a record that fails its checksum is renamed as it is, which the contents say, and a new one with another ID made.
+// A log with a record that fails its checksum is renamed without modification and replaced by a new one with another ID. The
+// contents state the new name.
 func TestLogWithACorruptRecordIsQuarantined(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, logName)
@@ -45,7 +46,7 @@
 		t.Fatal(err)
 	}
 	saved := make(chan error, 1)
-	l.Save(LogSave{Values: map[string][]byte{"name": []byte("value")}, Entries: []Entry{{Index: 1, Data: []byte("entry")}}}, func(err error) { saved <- err })
+	l.Save(LogUpdate{Values: map[string][]byte{"name": []byte("value")}, Entries: []Entry{{Index: 1, Data: []byte("entry")}}}, func(err error) { saved <- err })
 	if err := <-saved; err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +56,7 @@
 		t.Fatal(err)
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
-		return tx.Bucket(bucketLog).Put(encodeUint64(2), []byte("no checksum of this"))
+		return tx.Bucket(bucketLog).Put(encodeUint64(2), []byte("data without a checksum"))
 	})
 	if err := errors.Join(err, db.Close()); err != nil {
 		t.Fatal(err)
--- a/internal/aggregatorstore/overrides.go
+++ b/internal/aggregatorstore/overrides.go
@@ -14,34 +14,35 @@
 const (
 	overridesFileName = "overrides.db"
 	overridesLockName = "overrides.lock"
-	// overridesVersion is of the records' form. A file of a later version is refused, and stays as it is.
+	// overridesVersion is the version of the record format. A file with another version is refused and left unmodified.
 	overridesVersion = 1
-	// maxAuditRecords is the length of the audit trail: years of what operators send, in some 50 MB.
+	// maxAuditRecords is the maximum length of the audit trail. It covers years of operators' commands and takes about
+	// 50 MB.
 	maxAuditRecords = 100_000
-	// MaxRecent is how many records of the audit trail are read when the file is opened.
-	MaxRecent = 1000
+	// MaxRecentChanges is how many of the latest changes are read from the audit trail when the file is opened.
+	MaxRecentChanges = 1000
 )
 
 var (
-	bucketActive = []byte("held")
-	bucketAudit  = []byte("audit")
-	keyRevision  = []byte("revision")
-	keyAudited   = []byte("audited") // how many records the audit trail has
+	bucketActive  = []byte("held")
+	bucketAudit   = []byte("audit")
+	keyRevision   = []byte("revision")
+	keyAuditCount = []byte("audited") // number of records in the audit trail
 )
 
-// OverrideContents is what a file contained when it was opened.
+// OverrideContents holds the contents of an overrides file when it was opened.
 type OverrideContents struct {
 	Revision    override.Revision // of the last change
 	Active      []override.Override
-	Recent      []override.Change // the last MaxRecent, oldest first
-	Quarantined string            // to what a corrupt file was renamed, "" for none
+	Recent      []override.Change // the last MaxRecentChanges changes, oldest first
+	Quarantined string            // path that a corrupt file was renamed to, "" if none
 }
 
-// OverrideStore saves the overrides. Its methods may be called from any goroutine.
+// OverrideStore stores the overrides. Its methods may be called from any goroutine.
 type OverrideStore struct{ *fileWriter }
 
-// OpenOverrides opens the file in a directory, or makes it. A corrupt one is renamed, and a new one made. The error says why
-// nothing can be saved there; the OverrideStore, which is never nil, then fails every Save with it.
+// OpenOverrides opens the overrides file in a directory, or creates it. A corrupt file is renamed and replaced by a new one.
+// The OverrideStore is never nil. If there is an error, every Save fails with it.
 func OpenOverrides(dir string, logger *zap.Logger) (s *OverrideStore, contents OverrideContents, err error) {
 	return openOverridesWithin(dir, lockTimeout, logger)
 }
@@ -57,7 +58,7 @@
 	}
 	quarantined := ""
 	s.db, quarantined, err = openOrQuarantine(filepath.Join(dir, overridesFileName), logger, createOverrideBuckets, contents.read)
-	if quarantined != "" || err != nil { // what was read before the fault does not count
+	if quarantined != "" || err != nil { // discard what was read before the error
 		contents = OverrideContents{Quarantined: quarantined}
 	}
 	return s, contents, err
@@ -70,18 +71,18 @@
 func (c *OverrideContents) read(tx *bolt.Tx) error {
 	switch version := tx.Bucket(bucketMeta).Get(keyVersion); {
 	case len(version) != 8 || tx.Bucket(bucketActive) == nil || tx.Bucket(bucketAudit) == nil:
-		return &corruptError{invalidContents("no version, or a bucket is missing")}
+		return &corruptError{invalidContents("the version or a bucket is missing")}
 	case decodeUint64(version) != overridesVersion:
 		return versionError{decodeUint64(version), overridesVersion}
 	}
 	c.Revision = override.Revision(decodeUint64(tx.Bucket(bucketMeta).Get(keyRevision)))
 	err := tx.Bucket(bucketActive).ForEach(func(id, record []byte) error {
 		var active override.Override
-		if err := unseal(record, &active); err != nil {
+		if err := decodeRecord(record, &active); err != nil {
 			return err
 		}
 		if decodeUint64(id) != uint64(active.ID) {
-			return &corruptError{invalidContents("override %d stands under %d", active.ID, decodeUint64(id))}
+			return &corruptError{invalidContents("override %d is stored under key %d", active.ID, decodeUint64(id))}
 		}
 		c.Active = append(c.Active, active)
 		return nil
@@ -90,39 +91,39 @@
 		return err
 	}
 	cursor := tx.Bucket(bucketAudit).Cursor()
-	for key, record := cursor.Last(); key != nil && len(c.Recent) < MaxRecent; key, record = cursor.Prev() {
+	for key, record := cursor.Last(); key != nil && len(c.Recent) < MaxRecentChanges; key, record = cursor.Prev() {
 		var change override.Change
-		if err := unseal(record, &change); err != nil {
+		if err := decodeRecord(record, &change); err != nil {
 			return err
 		}
 		if decodeUint64(key) != uint64(change.Revision) {
-			return &corruptError{invalidContents("revision %d stands under %d", change.Revision, decodeUint64(key))}
+			return &corruptError{invalidContents("revision %d is stored under key %d", change.Revision, decodeUint64(key))}
 		}
 		c.Recent = append(c.Recent, change)
 	}
 	slices.Reverse(c.Recent)
 	if n := len(c.Recent); n > 0 && c.Recent[n-1].Revision != c.Revision {
-		return &corruptError{invalidContents("revision is %d, the last change %d", c.Revision, c.Recent[n-1].Revision)}
+		return &corruptError{invalidContents("the revision is %d, but that of the last change is %d", c.Revision, c.Recent[n-1].Revision)}
 	}
 	return nil
 }
 
-// Save saves changes, all or none, and calls done once they are on disk or have failed. It does not block; done is called from
-// another goroutine, in the order of the calls.
+// Save saves all changes or none. It calls done when they are on disk or have failed. It does not block. The done functions are
+// called from another goroutine, in the order of the calls to Save.
 func (s *OverrideStore) Save(changes []override.Change, done func(error)) {
 	s.save(func(tx *bolt.Tx) error { return writeChanges(tx, changes) }, done)
 }
 
 func writeChanges(tx *bolt.Tx, changes []override.Change) error {
 	meta, active, audit := tx.Bucket(bucketMeta), tx.Bucket(bucketActive), tx.Bucket(bucketAudit)
-	audited := decodeUint64(meta.Get(keyAudited))
+	audited := decodeUint64(meta.Get(keyAuditCount))
 	last := decodeUint64(meta.Get(keyRevision))
 	for i := range changes {
 		change := &changes[i]
 		if err := applyChange(active, change); err != nil {
 			return err
 		}
-		record, err := seal(change)
+		record, err := encodeRecord(change)
 		if err != nil {
 			return err
 		}
@@ -140,19 +141,19 @@
 			return err
 		}
 	}
-	if err := meta.Put(keyAudited, encodeUint64(audited)); err != nil {
+	if err := meta.Put(keyAuditCount, encodeUint64(audited)); err != nil {
 		return err
 	}
 	return meta.Put(keyRevision, encodeUint64(last))
 }
 
-// applyChange adds or removes the override that a change is about.
+// applyChange stores the override that a change sets, or deletes the one that it ends.
 func applyChange(active *bolt.Bucket, change *override.Change) error {
 	id := encodeUint64(uint64(change.Override.ID))
 	if change.Kind != override.SetByOperator {
 		return active.Delete(id)
 	}
-	record, err := seal(&change.Override)
+	record, err := encodeRecord(&change.Override)
 	if err != nil {
 		return err
 	}
--- a/internal/aggregatorstore/pages.go
+++ b/internal/aggregatorstore/pages.go
@@ -9,51 +9,51 @@
 	"os"
 )
 
-// The library's own check of a file runs in a goroutine of its own, and a cycle of pages ends the process there: a corrupt file would
-// keep an aggregator from starting. So the pages are checked here before the library reads them, by the layout that bbolt
-// documents (go.etcd.io/bbolt, page.go and node.go). The contents of records are checked by their checksums.
+// The pages are checked here before the library reads them. The library's own check runs on a separate goroutine, where a
+// cycle of pages terminates the process, so a corrupt file would prevent an aggregator from starting. The layout is the one
+// that bbolt documents (go.etcd.io/bbolt, page.go and node.go). The contents of records are protected by their checksums.
 const (
-	pageHeaderSize    = 16
-	bucketHeaderSize  = 16 // of a bucket in an element: its root page and a sequence
-	elementSize       = 16
-	branchPage        = 0x01
-	leafPage          = 0x02
-	freePage          = 0x10
-	bucketLeaf        = 0x01
-	magic             = 0xED0CDAED
-	layoutVersion     = 2
-	metaSize          = 64 // from the magic number to the end of the checksum
-	maxDepth          = 32 // far deeper than a tree of a hundred thousand records
-	freelistNotStored = ^uint64(0)
+	pageHeaderSize     = 16
+	bucketHeaderSize   = 16 // of the value of a bucket element: root page and sequence
+	elementSize        = 16
+	branchPage         = 0x01
+	leafPage           = 0x02
+	freePage           = 0x10
+	bucketLeafFlag     = 0x01
+	bboltMagic         = 0xED0CDAED
+	bboltLayoutVersion = 2
+	metaSize           = 64 // bytes from the magic number to the end of the checksum
+	maxDepth           = 32 // levels; far more than a tree of a hundred thousand records has
+	freelistNotStored  = ^uint64(0)
 )
 
-var native = binary.NativeEndian
+var byteOrder = binary.NativeEndian
 
-// pageReader reads the pages of one file.
+// pageReader reads and checks the pages of one file.
 type pageReader struct {
 	file      io.ReaderAt
 	fileSize  int64
-	pageSize  uint64 // bytes of one
-	pageCount uint64 // pages in use, by the meta page
+	pageSize  uint64 // in bytes
+	pageCount uint64 // according to the meta page
 	reached   map[uint64]bool
 }
 
-// page is one with the pages that it overflows into.
+// page is a page together with its overflow pages.
 type page struct {
 	data         []byte
 	flags, count uint16
 }
 
-// newPage reads the header of a page, or of a bucket that is inline in an element.
+// newPage reads the header of a page, or of the page of an inline bucket.
 func newPage(data []byte) page {
-	return page{data, native.Uint16(data[8:]), native.Uint16(data[10:])}
+	return page{data, byteOrder.Uint16(data[8:]), byteOrder.Uint16(data[10:])}
 }
 
-// metaPage is what a meta page says.
+// metaPage holds the fields of a meta page.
 type metaPage struct{ pageSize, root, freelist, pageCount, transaction uint64 }
 
-// validatePages checks a file's pages; a file that is empty or missing is valid. The error is a corruptError where the pages
-// contradict each other.
+// validatePages checks the pages of a file. An empty or missing file is valid. The error is a corruptError if the pages are
+// invalid or inconsistent.
 func validatePages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -61,7 +61,7 @@
 	} else if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	info, err := f.Stat()
 	if err != nil || info.Size() == 0 {
 		return err
@@ -81,62 +81,62 @@
 	return nil
 }
 
-// readMeta finds the later of the two meta pages that are valid.
-func (p *pageReader) readMeta() (last metaPage, err error) {
-	size := uint64(os.Getpagesize())
+// readMeta returns the valid meta page with the latest transaction.
+func (p *pageReader) readMeta() (latest metaPage, err error) {
+	pageSize := uint64(os.Getpagesize())
 	for i := range uint64(2) {
-		b := make([]byte, pageHeaderSize+metaSize)
-		if _, err := p.file.ReadAt(b, int64(i*size)); err != nil {
-			return last, invalidContents("cut off in meta page %d", i)
+		data := make([]byte, pageHeaderSize+metaSize)
+		if _, err := p.file.ReadAt(data, int64(i*pageSize)); err != nil {
+			return latest, invalidContents("the file ends in meta page %d", i)
 		}
-		b = b[pageHeaderSize:]
-		sum := fnv.New64a()
-		sum.Write(b[:metaSize-8])
-		m := metaPage{uint64(native.Uint32(b[8:])), native.Uint64(b[16:]), native.Uint64(b[32:]), native.Uint64(b[40:]), native.Uint64(b[48:])}
-		if native.Uint32(b) != magic || native.Uint32(b[4:]) != layoutVersion || native.Uint64(b[56:]) != sum.Sum64() {
+		data = data[pageHeaderSize:]
+		checksum := fnv.New64a()
+		checksum.Write(data[:metaSize-8])
+		m := metaPage{uint64(byteOrder.Uint32(data[8:])), byteOrder.Uint64(data[16:]), byteOrder.Uint64(data[32:]), byteOrder.Uint64(data[40:]), byteOrder.Uint64(data[48:])}
+		if byteOrder.Uint32(data) != bboltMagic || byteOrder.Uint32(data[4:]) != bboltLayoutVersion || byteOrder.Uint64(data[56:]) != checksum.Sum64() {
 			continue
 		}
-		if m.pageSize != size {
-			return last, invalidContents("pages of %d bytes, expected %d", m.pageSize, size)
+		if m.pageSize != pageSize {
+			return latest, invalidContents("the page size is %d bytes, expected %d", m.pageSize, pageSize)
 		}
-		if last.pageSize == 0 || m.transaction > last.transaction {
-			last = m
+		if latest.pageSize == 0 || m.transaction > latest.transaction {
+			latest = m
 		}
 	}
-	if last.pageSize == 0 {
-		return last, invalidContents("no meta page is good")
+	if latest.pageSize == 0 {
+		return latest, invalidContents("no meta page is valid")
 	}
-	return last, nil
+	return latest, nil
 }
 
-// readPage reads a page with those that it overflows into. None of them may have been reached before.
+// readPage reads a page and its overflow pages. It fails if one of them was read before.
 func (p *pageReader) readPage(id uint64) (page, error) {
 	header := make([]byte, pageHeaderSize)
 	if id < 2 || id >= p.pageCount || int64((id+1)*p.pageSize) > p.fileSize {
-		return page{}, invalidContents("page %d is beyond the %d there are", id, p.pageCount)
+		return page{}, invalidContents("page %d is out of range, the file has %d pages", id, p.pageCount)
 	}
 	if _, err := p.file.ReadAt(header, int64(id*p.pageSize)); err != nil {
 		return page{}, err
 	}
-	over := uint64(native.Uint32(header[12:]))
-	if native.Uint64(header) != id || over >= p.pageCount || id+over >= p.pageCount || int64((id+over+1)*p.pageSize) > p.fileSize {
-		return page{}, invalidContents("page %d calls itself %d, with %d more", id, native.Uint64(header), over)
+	overflowCount := uint64(byteOrder.Uint32(header[12:]))
+	if byteOrder.Uint64(header) != id || overflowCount >= p.pageCount || id+overflowCount >= p.pageCount || int64((id+overflowCount+1)*p.pageSize) > p.fileSize {
+		return page{}, invalidContents("page %d has ID %d and %d overflow pages", id, byteOrder.Uint64(header), overflowCount)
 	}
-	for i := id; i <= id+over; i++ {
+	for i := id; i <= id+overflowCount; i++ {
 		if p.reached[i] {
-			return page{}, invalidContents("page %d is led to twice", i)
+			return page{}, invalidContents("page %d is referenced twice", i)
 		}
 		p.reached[i] = true
 	}
-	data := make([]byte, (1+over)*p.pageSize)
+	data := make([]byte, (1+overflowCount)*p.pageSize)
 	_, err := p.file.ReadAt(data, int64(id*p.pageSize))
 	return newPage(data), err
 }
 
-// checkTree checks a page and all below it.
+// checkTree checks a page and all pages below it.
 func (p *pageReader) checkTree(id uint64, depth int) error {
 	if depth > maxDepth {
-		return invalidContents("page %d lies deeper than %d", id, maxDepth)
+		return invalidContents("page %d is more than %d levels deep", id, maxDepth)
 	}
 	tree, err := p.readPage(id)
 	if err != nil {
@@ -145,31 +145,31 @@
 	return p.checkElements(tree, id, depth)
 }
 
-// checkElements checks a page's elements, and the pages that they lead to.
+// checkElements checks the elements of a page and the pages that they refer to.
 func (p *pageReader) checkElements(tree page, id uint64, depth int) error {
 	if tree.flags != branchPage && tree.flags != leafPage || tree.flags == branchPage && tree.count == 0 {
-		return invalidContents("page %d is of kind %#x with %d elements", id, tree.flags, tree.count)
+		return invalidContents("page %d has flags %#x and %d elements", id, tree.flags, tree.count)
 	}
 	var previous []byte
 	for i := range int(tree.count) {
 		offset := pageHeaderSize + i*elementSize
 		if offset+elementSize > len(tree.data) {
-			return invalidContents("page %d has %d elements", id, tree.count)
+			return invalidContents("page %d is too small for its %d elements", id, tree.count)
 		}
 		element := tree.data[offset:]
 		var key []byte
 		var err error
 		if tree.flags == branchPage {
-			key, err = slice(tree.data, uint64(offset), uint64(native.Uint32(element)), uint64(native.Uint32(element[4:])))
+			key, err = slice(tree.data, uint64(offset), uint64(byteOrder.Uint32(element)), uint64(byteOrder.Uint32(element[4:])))
 		} else {
-			key, err = slice(tree.data, uint64(offset), uint64(native.Uint32(element[4:])), uint64(native.Uint32(element[8:])))
+			key, err = slice(tree.data, uint64(offset), uint64(byteOrder.Uint32(element[4:])), uint64(byteOrder.Uint32(element[8:])))
 		}
 		if err != nil || i > 0 && bytes.Compare(previous, key) >= 0 {
-			return invalidContents("page %d, element %d: a key out of order or place", id, i)
+			return invalidContents("page %d, element %d: the key is out of order or out of bounds", id, i)
 		}
 		previous = key
 		if tree.flags == branchPage {
-			err = p.checkTree(native.Uint64(element[8:]), depth+1)
+			err = p.checkTree(byteOrder.Uint64(element[8:]), depth+1)
 		} else {
 			err = p.checkLeaf(tree.data, offset, id, i, depth)
 		}
@@ -180,64 +180,64 @@
 	return nil
 }
 
-// checkLeaf checks a leaf element's value, and, where that is a bucket, the bucket's pages.
+// checkLeaf checks the value of a leaf element. If the value is a bucket, it also checks the bucket's pages.
 func (p *pageReader) checkLeaf(data []byte, offset int, id uint64, i, depth int) error {
 	element := data[offset:]
-	position, keySize, valueSize := uint64(native.Uint32(element[4:])), uint64(native.Uint32(element[8:])), uint64(native.Uint32(element[12:]))
+	position, keySize, valueSize := uint64(byteOrder.Uint32(element[4:])), uint64(byteOrder.Uint32(element[8:])), uint64(byteOrder.Uint32(element[12:]))
 	value, err := slice(data, uint64(offset), position+keySize, valueSize)
 	if err != nil {
-		return invalidContents("page %d, element %d: a value out of place", id, i)
+		return invalidContents("page %d, element %d: the value is out of bounds", id, i)
 	}
-	if native.Uint32(element)&bucketLeaf == 0 {
+	if byteOrder.Uint32(element)&bucketLeafFlag == 0 {
 		return nil
 	}
 	if len(value) < bucketHeaderSize {
 		return invalidContents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
 	}
-	switch root := native.Uint64(value); {
+	switch root := byteOrder.Uint64(value); {
 	case root != 0:
 		return p.checkTree(root, depth+1)
 	case len(value) < bucketHeaderSize+pageHeaderSize:
 		return invalidContents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
-	default: // small enough to be inline in its own element
+	default: // a small bucket is stored inline in its element
 		return p.checkElements(newPage(value[bucketHeaderSize:]), id, depth+1)
 	}
 }
 
-// slice is so many bytes at a position relative to an element.
-func slice(b []byte, at, pos, size uint64) ([]byte, error) {
-	if from := at + pos; from+size <= uint64(len(b)) {
-		return b[from : from+size], nil
+// slice returns size bytes at a position relative to an element of a page.
+func slice(data []byte, elementOffset, position, size uint64) ([]byte, error) {
+	if start := elementOffset + position; start+size <= uint64(len(data)) {
+		return data[start : start+size], nil
 	}
 	return nil, io.ErrUnexpectedEOF
 }
 
-// checkFreelist checks that no page is both free and in use.
+// checkFreelist checks that the free pages are in range, listed once and not in use.
 func (p *pageReader) checkFreelist(id uint64) error {
 	if id == freelistNotStored {
 		return nil
 	}
-	list, err := p.readPage(id)
+	freelist, err := p.readPage(id)
 	if err != nil {
 		return err
 	}
-	if list.flags != freePage {
-		return invalidContents("page %d is of kind %#x, expected the list of free ones", id, list.flags)
+	if freelist.flags != freePage {
+		return invalidContents("page %d has flags %#x, expected the freelist", id, freelist.flags)
 	}
-	b := list.data
-	n, from := uint64(list.count), uint64(pageHeaderSize)
-	if list.count == 0xFFFF {
-		n, from = native.Uint64(b[pageHeaderSize:]), pageHeaderSize+8
+	data := freelist.data
+	freeCount, start := uint64(freelist.count), uint64(pageHeaderSize)
+	if freelist.count == 0xFFFF {
+		freeCount, start = byteOrder.Uint64(data[pageHeaderSize:]), pageHeaderSize+8
 	}
-	if n > uint64(len(b))/8 || from+8*n > uint64(len(b)) {
-		return invalidContents("page %d lists %d free ones", id, n)
+	if freeCount > uint64(len(data))/8 || start+8*freeCount > uint64(len(data)) {
+		return invalidContents("page %d is too small for a freelist of %d pages", id, freeCount)
 	}
-	for i := range n {
-		f := native.Uint64(b[from+8*i:])
-		if f < 2 || f >= p.pageCount || p.reached[f] {
-			return invalidContents("page %d is free and in use", f)
+	for i := range freeCount {
+		freeID := byteOrder.Uint64(data[start+8*i:])
+		if freeID < 2 || freeID >= p.pageCount || p.reached[freeID] {
+			return invalidContents("free page %d is out of range, in use or listed twice", freeID)
 		}
-		p.reached[f] = true
+		p.reached[freeID] = true
 	}
 	return nil
 }
--- a/internal/aggregatorstore/records.go
+++ b/internal/aggregatorstore/records.go
@@ -11,7 +11,7 @@
 
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// decodeUint64 is 0 for what is no number.
+// decodeUint64 decodes a number that encodeUint64 encoded. It returns 0 if the length is wrong.
 func decodeUint64(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
@@ -19,10 +19,10 @@
 	return binary.BigEndian.Uint64(b)
 }
 
-// addChecksum puts data behind its checksum: XXH3, big endian.
+// addChecksum prepends the data's XXH3 checksum in big-endian byte order.
 func addChecksum(data []byte) []byte { return append(encodeUint64(xxh3.Hash(data)), data...) }
 
-// verifyChecksum is a copy of the data behind a checksum. The error is a corruptError.
+// verifyChecksum verifies the checksum of a record and returns a copy of its data. The error is a corruptError.
 func verifyChecksum(record []byte) ([]byte, error) {
 	if len(record) < checksumSize || xxh3.Hash(record[checksumSize:]) != binary.BigEndian.Uint64(record) {
 		return nil, &corruptError{invalidContents("a record's checksum is wrong")}
@@ -30,8 +30,8 @@
 	return append([]byte{}, record[checksumSize:]...), nil
 }
 
-// seal encodes a value as JSON behind a checksum; unseal decodes it.
-func seal(value any) ([]byte, error) {
+// encodeRecord encodes a value as JSON and prepends a checksum.
+func encodeRecord(value any) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
@@ -39,8 +39,8 @@
 	return addChecksum(text), nil
 }
 
-// unseal decodes what seal encoded. The error is a corruptError.
-func unseal(record []byte, value any) error {
+// decodeRecord decodes a record that encodeRecord encoded. The error is a corruptError.
+func decodeRecord(record []byte, value any) error {
 	text, err := verifyChecksum(record)
 	if err != nil {
 		return err
--- a/internal/aggregatorstore/stored_test.go
+++ b/internal/aggregatorstore/stored_test.go
@@ -16,18 +16,18 @@
 const (
 	storedOverrides = "testdata/overrides"
 	storedLog       = "testdata/log"
-	storedDump      = "testdata/overrides.json" // the records' texts, by bucket and key
-	updateVariable  = "GOLDEN_UPDATE"           // set to 1, the stored data is made anew
+	storedDump      = "testdata/overrides.json" // the records as JSON, by bucket and key
+	updateVariable  = "GOLDEN_UPDATE"           // the value 1 regenerates the stored data
 )
 
-// storedActive are overrides of all kinds, by the changes that set them.
+// storedActive are the active overrides of the stored data, one of each kind.
 var storedActive = []override.Override{
 	{ID: 1, SetAt: 1000.5, Spec: override.Spec{Kind: override.Weight, Location: "north", Index: "reads", Factor: 0.25, Author: "ann", Reason: "slow", ExpiresAt: 5000}},
 	{ID: 2, SetAt: 1001, BackendStartedAt: 900.25, Spec: override.Spec{Kind: override.OutOfService, Backend: "s-1", Author: "bob", Reason: "ill", ExpiresAt: 6000, UntilRestart: true}},
 	{ID: 4, SetAt: 1003, Spec: override.Spec{Kind: override.Pin, Backend: "s-2", From: 3, To: 70000, Strict: true, Author: "ann", Reason: "hot", ExpiresAt: 7000}},
 }
 
-// storedChanges are all changes that were made, of all kinds.
+// storedChanges returns all changes of the stored data, with every kind of change.
 func storedChanges() []override.Change {
 	set := func(revision override.Revision, active override.Override, key override.Key) override.Change {
 		return override.Change{Revision: revision, ChangedAt: active.SetAt, Kind: override.SetByOperator, Override: active, Author: active.Author, Reason: active.Reason,
@@ -47,7 +47,7 @@
 	}
 }
 
-// storedLogContents are what the log holds.
+// storedLogContents are the contents of the stored log.
 var storedLogContents = LogContents{
 	Values:  map[string][]byte{"tables": {0xa1, 1, 2}, "empty": {}, "hard": []byte("second")},
 	Entries: []Entry{{3, []byte("three")}, {4, []byte("four, again")}, {5, []byte{}}},
@@ -60,8 +60,8 @@
 		t.Fatal(err)
 	}
 	changes := storedChanges()
-	for _, part := range [][]override.Change{changes[:2], changes[2:]} {
-		if err := saveNow(s, part...); err != nil {
+	for _, batch := range [][]override.Change{changes[:2], changes[2:]} {
+		if err := saveNow(s, batch...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, save := range []LogSave{
+	for _, save := range []LogUpdate{
 		{Values: map[string][]byte{"hard": []byte("first"), "tables": {0xa1, 1, 2}}, Entries: []Entry{{1, []byte("one")}, {2, []byte("two")}, {3, []byte("three")}}},
 		{TruncateTo: 2, Entries: []Entry{{4, []byte("four")}}},
 		{Values: map[string][]byte{"hard": []byte("second"), "empty": {}}, Entries: storedLogContents.Entries[1:]},
@@ -91,7 +91,7 @@
 	l.Stop()
 }
 
-// dumpOverrides is all records of a file as JSON texts.
+// dumpOverrides returns all records of a file as JSON.
 func dumpOverrides(t *testing.T, folder string) string {
 	db, err := bolt.Open(folder+"/"+overridesFileName, 0o600, &bolt.Options{ReadOnly: true})
 	if err != nil {
@@ -126,7 +126,7 @@
 	return string(text) + "\n"
 }
 
-func TestReadsStoredDataOfOverrides(t *testing.T) {
+func TestStoredOverridesAreReadAndWrittenAsBefore(t *testing.T) {
 	if os.Getenv(updateVariable) == "1" {
 		makeStoredOverrides(t)
 	}
@@ -134,18 +134,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	Convey("Given the overrides that an earlier build saved", t, func() {
+	Convey("Given overrides that an earlier build saved", t, func() {
 		folder := t.TempDir()
 		So(os.CopyFS(folder, os.DirFS(storedOverrides)), ShouldBeNil)
 		So(dumpOverrides(t, folder), ShouldEqual, string(golden))
 
 		Convey("all overrides and all changes are read", func() {
-			s, kept, err := OpenOverrides(folder, zap.NewNop())
+			s, contents, err := OpenOverrides(folder, zap.NewNop())
 			So(err, ShouldBeNil)
 			defer s.Stop()
-			So(kept, ShouldResemble, OverrideContents{Revision: 9, Active: storedActive, Recent: storedChanges()})
+			So(contents, ShouldResemble, OverrideContents{Revision: 9, Active: storedActive, Recent: storedChanges()})
 		})
-		Convey("this build writes the same, so that the earlier one can read it", func() {
+		Convey("this build writes the same records, so that the earlier build can read them", func() {
 			other := t.TempDir()
 			s, _, err := OpenOverrides(other, zap.NewNop())
 			So(err, ShouldBeNil)
@@ -156,19 +156,19 @@
 	})
 }
 
-func TestReadsStoredDataOfTheLog(t *testing.T) {
+func TestStoredLogIsReadAsBefore(t *testing.T) {
 	if os.Getenv(updateVariable) == "1" {
 		makeStoredLog(t)
 	}
 	Convey("Given a log that an earlier build saved, all of it is read", t, func() {
 		folder := t.TempDir()
 		So(os.CopyFS(folder, os.DirFS(storedLog)), ShouldBeNil)
-		l, kept, err := OpenLog(folder, time.Second, zap.NewNop())
+		l, contents, err := OpenLog(folder, time.Second, zap.NewNop())
 		So(err, ShouldBeNil)
 		defer l.Stop()
-		So(kept.ID, ShouldNotEqual, 0)
+		So(contents.ID, ShouldNotEqual, 0)
 		want := storedLogContents
-		want.ID = kept.ID // drawn
-		So(kept, ShouldResemble, want)
+		want.ID = contents.ID // chosen at random
+		So(contents, ShouldResemble, want)
 	})
 }
--- a/internal/aggregatorstore/wire_test.go
+++ b/internal/aggregatorstore/wire_test.go
@@ -7,8 +7,8 @@
 	"puffinlink.example/puffinlink/internal/operators/override"
 )
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged guards the names and versions that are stored on disk.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: logName, Want: "fleet.db"},
 		goldentest.Constant{Have: logLockName, Want: "fleet.lock"},
@@ -19,7 +19,7 @@
 		goldentest.Constant{Have: string(bucketAudit), Want: "audit"},
 		goldentest.Constant{Have: string(keyVersion), Want: "version"},
 		goldentest.Constant{Have: string(keyRevision), Want: "revision"},
-		goldentest.Constant{Have: string(keyAudited), Want: "audited"},
+		goldentest.Constant{Have: string(keyAuditCount), Want: "audited"},
 		goldentest.Constant{Have: string(bucketValues), Want: "values"},
 		goldentest.Constant{Have: string(bucketLog), Want: "log"},
 		goldentest.Constant{Have: string(keyID), Want: "id"},
@@ -28,11 +28,11 @@
 	)
 }
 
-// TestWireForms pins a record of the audit trail, behind its checksum.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles guards the format of a record of the audit trail, with its checksum.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	codec := goldentest.JSON
 	codec.Name, codec.Text = "sealed", false
-	codec.Encode = seal
-	codec.Decode = unseal
+	codec.Encode = encodeRecord
+	codec.Decode = decodeRecord
 	goldentest.Check(t, codec, goldentest.Form{Name: "change", Value: new(override.Change)})
 }
--- a/internal/controlplane/fleet/stored.go
+++ b/internal/controlplane/fleet/stored.go
@@ -63,7 +63,7 @@
 		return
 	}
 	record := encode(tablesRecord{f.sealer.Incarnation(), f.tables.contracts, f.tables.quotas, quotas, f.tables.received})
-	f.store.Save(aggregatorstore.LogSave{Values: map[string][]byte{valueTables: record}},
+	f.store.Save(aggregatorstore.LogUpdate{Values: map[string][]byte{valueTables: record}},
 		func(err error) { f.events.Put(event{kind: tablesWritten, err: err, quotas: quotas}) })
 }
 
@@ -93,7 +93,7 @@
 }
 
 // encodeSave encodes a voter's save for the store.
-func encodeSave(save *consensus.Save) (encoded aggregatorstore.LogSave, err error) {
+func encodeSave(save *consensus.Save) (encoded aggregatorstore.LogUpdate, err error) {
 	encoded.Values = map[string][]byte{}
 	if save.Hard != nil {
 		if encoded.Values[valueHard], err = proto.Marshal(save.Hard); err != nil {
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -111,7 +111,7 @@
 	return log, contents
 }
 
-func saveNow(t *testing.T, log *aggregatorstore.Log, save aggregatorstore.LogSave) {
+func saveNow(t *testing.T, log *aggregatorstore.Log, save aggregatorstore.LogUpdate) {
 	t.Helper()
 	saved := make(chan error, 1)
 	log.Save(save, func(err error) { saved <- err })
@@ -140,13 +140,13 @@
 	t.Helper()
 	os.RemoveAll(storedFolder)
 	log, _ := openStoredLog(t, storedFolder)
-	saveNow(t, log, aggregatorstore.LogSave{Entries: []aggregatorstore.Entry{{Index: 7, Data: []byte("cut off")}, {Index: 8, Data: []byte("replaced")}}})
+	saveNow(t, log, aggregatorstore.LogUpdate{Entries: []aggregatorstore.Entry{{Index: 7, Data: []byte("cut off")}, {Index: 8, Data: []byte("replaced")}}})
 	out, err := encodeSave(storedSave())
 	if err != nil {
 		t.Fatal(err)
 	}
 	saveNow(t, log, out)
-	saveNow(t, log, aggregatorstore.LogSave{Values: map[string][]byte{valueTables: canonical(&storedTables)}})
+	saveNow(t, log, aggregatorstore.LogUpdate{Values: map[string][]byte{valueTables: canonical(&storedTables)}})
 	log.Stop()
 	log, contents := openStoredLog(t, storedFolder)
 	log.Stop()
