--- a/internal/operators/api/handlers.go
+++ b/internal/operators/api/handlers.go
@@ -102,7 +102,7 @@
 		return
 	}
 	select {
-	case res := <-s.controller.Do(do):
+	case res := <-s.controller.Submit(do):
 		if res.Err != nil {
 			s.refused(w, res.Err)
 			return
@@ -110,7 +110,7 @@
 		out := changed(&res.Change, res.Change.ChangedAt)
 		out.Again = res.Repeated
 		reply(w, http.StatusOK, out)
-	case <-s.controller.Ended():
+	case <-s.controller.Done():
 		s.fail(w, http.StatusServiceUnavailable, "stopping", "the mixer stops; whether the command was kept shows at its next start")
 	}
 }
--- a/internal/operators/controller/watcher.go
+++ b/internal/operators/controller/watcher.go
@@ -8,19 +8,20 @@
 	"puffinlink.example/puffinlink/internal/operators/override"
 )
 
-// Watcher hears of changes. Its channel closes when it has fallen too far behind, or with the controller.
+// Watcher receives changes. Its channel is closed when the watcher lags too far behind, when it is removed, or when the
+// controller stops.
 type Watcher struct {
 	C      chan override.Change
 	closed bool
 }
 
-// Watch tells the changes after a revision that are still in memory, and all that come.
-func (c *Controller) Watch(from override.Revision) *Watcher {
-	w := &Watcher{C: make(chan override.Change, recent+watcherLag)}
-	if !c.request(func(c *Controller) {
-		for _, c := range c.recent[max(0, len(c.recent)-recent):] {
-			if c.Revision > from {
-				w.C <- c
+// Watch returns a watcher that receives all future changes, preceded by the recent changes after the given revision.
+func (c *Controller) Watch(after override.Revision) *Watcher {
+	w := &Watcher{C: make(chan override.Change, maxRecentChanges+maxWatcherLag)}
+	if !c.call(func(c *Controller) {
+		for _, change := range c.recentChanges[max(0, len(c.recentChanges)-maxRecentChanges):] {
+			if change.Revision > after {
+				w.C <- change
 			}
 		}
 		c.watchers = append(c.watchers, w)
@@ -30,13 +31,13 @@
 	return w
 }
 
-// Unwatch lets a watcher go.
-func (c *Controller) Unwatch(w *Watcher) { c.in.Put(message{kind: unwatched, watcher: w}) }
+// Unwatch removes a watcher.
+func (c *Controller) Unwatch(w *Watcher) { c.inbox.Put(message{kind: watcherRemoved, watcher: w}) }
 
-func (c *Controller) notify(change override.Change) {
-	c.count.Add("overrides", change.Kind.String(), 1)
+func (c *Controller) publish(change override.Change) {
+	c.counters.Add("overrides", change.Kind.String(), 1)
 	o := &change.Override
-	c.log.Info("override",
+	c.logger.Info("override",
 		zap.Uint64("revision", uint64(change.Revision)),
 		zap.String("what", change.Kind.String()),
 		zap.Uint64("override", uint64(o.ID)),
@@ -47,22 +48,22 @@
 		zap.String("author", change.Author),
 		zap.String("text", change.Reason),
 		zap.Strings("forced", change.Forced))
-	if c.recent = append(c.recent, change); len(c.recent) > 2*recent {
-		c.recent = slices.Clone(c.recent[recent:])
+	if c.recentChanges = append(c.recentChanges, change); len(c.recentChanges) > 2*maxRecentChanges {
+		c.recentChanges = slices.Clone(c.recentChanges[maxRecentChanges:])
 	}
 	for _, w := range slices.Clone(c.watchers) {
 		select {
 		case w.C <- change:
 		default:
-			c.drop(w)
+			c.removeWatcher(w)
 		}
 	}
 }
 
-func (c *Controller) drop(w *Watcher) {
+func (c *Controller) removeWatcher(w *Watcher) {
 	if !w.closed {
 		w.closed = true
 		close(w.C)
 	}
-	c.watchers = slices.DeleteFunc(c.watchers, func(o *Watcher) bool { return o == w })
+	c.watchers = slices.DeleteFunc(c.watchers, func(other *Watcher) bool { return other == w })
 }
--- a/internal/operators/override/override_test.go
+++ b/internal/operators/override/override_test.go
@@ -511,7 +511,7 @@
 	table.Expire(100)
 	table.Patch(100)
 	inService, elapsed := totalLevel(), 0.0
-	if inService > 100+200*minRecoveryLevel {
+	if inService > 100+200*initialRecoveryLevel {
 		t.Fatalf("%g of 300 are in service at the first step", inService)
 	}
 	for now := 100 + recoveryInterval; len(table.recovering) > 0; now += recoveryInterval {
--- a/internal/operators/override/patch.go
+++ b/internal/operators/override/patch.go
@@ -41,7 +41,7 @@
 			if level.current >= level.desired {
 				level.current = level.desired
 			} else {
-				level.current = max(level.current, min(minRecoveryLevel, level.desired))
+				level.current = max(level.current, min(initialRecoveryLevel, level.desired))
 				t.recovering[m] = true
 			}
 		}
--- a/internal/operators/override/view.go
+++ b/internal/operators/override/view.go
@@ -15,7 +15,7 @@
 	recoveryInterval = 0.25
 	// minRecoveryLevel is the level at which a recovery starts. The backend must receive some subqueries, or the decision
 	// module learns nothing about its latency and load.
-	minRecoveryLevel = 0.05
+	initialRecoveryLevel = 0.05
 )
 
 // Status is a live override with its state, as operators see it.
