--- a/internal/operators/override/capacity.go
+++ b/internal/operators/override/capacity.go
@@ -44,11 +44,11 @@
 	if o.Backend != "" {
 		return map[string]*member{o.Backend: t.members[o.Backend]}
 	}
-	concerned := map[string]*member{}
+	affected := map[string]*member{}
 	for name, m := range t.locations[o.Location].members {
-		concerned[name] = m
+		affected[name] = m
 	}
-	return concerned
+	return affected
 }
 
 // capacityCheck finds the largest loss of capacity that a proposed override would cause, by refusal code.
--- a/internal/operators/override/ends.go
+++ b/internal/operators/override/ends.go
@@ -6,8 +6,8 @@
 )
 
 // endOverride ends an override that no operator cleared, and returns the change.
-func (t *Table) endOverride(now float64, o *Override, what ChangeKind, reason string) Change {
-	change := Change{Revision: t.revision + 1, ChangedAt: now, Kind: what, Override: *o, Author: o.Author, Reason: reason}
+func (t *Table) endOverride(now float64, o *Override, kind ChangeKind, reason string) Change {
+	change := Change{Revision: t.revision + 1, ChangedAt: now, Kind: kind, Override: *o, Author: o.Author, Reason: reason}
 	t.Apply(change)
 	return change
 }
--- a/internal/operators/override/members.go
+++ b/internal/operators/override/members.go
@@ -53,11 +53,11 @@
 	m.removedWhileDraining = m.Phase == policy.Draining && len(m.pins) > 0
 	m.listed, m.Phase = false, policy.Removed
 	t.listedCount--
-	t.removeFromIndexes(m)
+	t.removeFromLookups(m)
 	t.markMemberDirty(m)
 }
 
-func (t *Table) removeFromIndexes(m *member) {
+func (t *Table) removeFromLookups(m *member) {
 	delete(t.membersByCell[m.Cell], m.Name)
 	delete(t.location(m.Location).members, m.Name)
 }
@@ -75,7 +75,7 @@
 		return nil
 	}
 	if m.listed {
-		t.removeFromIndexes(m)
+		t.removeFromLookups(m)
 	} else {
 		t.listedCount++
 	}
--- a/internal/operators/override/override.go
+++ b/internal/operators/override/override.go
@@ -70,7 +70,7 @@
 	Strict       bool           `json:"Strict"`   // Pin: subqueries are refused, not sent to other replicas, while the backend is down
 	Author       string         `json:"Author"`
 	Reason       string         `json:"Reason"`
-	ExpiresAt    float64        `json:"End"`          // when it expires
+	ExpiresAt    float64        `json:"End"`
 	UntilRestart bool           `json:"UntilRestart"` // it also ends when its backend restarts
 }
 
@@ -118,7 +118,7 @@
 var changeKindNames = [...]string{"set", "cleared", "ended", "restarted"}
 
 // String returns the name of the kind of change, as operators see it and as counters use it.
-func (w ChangeKind) String() string { return changeKindNames[w] }
+func (k ChangeKind) String() string { return changeKindNames[k] }
 
 // Change is the change of one revision, as it is stored and as watchers receive it.
 type Change struct {
@@ -181,8 +181,8 @@
 type Limits struct {
 	Indexes         []string `json:"Indexes"`
 	Shards          int      `json:"Shards"`
-	Cells           int      `json:"Cells"`
-	Width           int      `json:"Width"`
+	Cells           int      `json:"Cells"`     // cells of the layout
+	Width           int      `json:"Width"`     // consecutive cells that hold the replicas of a shard
 	MaxDuration     float64  `json:"MostTime"`  // longest time until an override expires
 	MaxOverrides    int      `json:"Most"`      // live overrides
 	MaxPins         int      `json:"MostPins"`  // pinned shards, counted once for each pin that covers them
--- a/internal/operators/override/patch.go
+++ b/internal/operators/override/patch.go
@@ -104,10 +104,10 @@
 	for m := range t.recovering {
 		recovered := true
 		for k := range m.levels {
-			levelOfIndex := &m.levels[k]
-			if levelOfIndex.current < levelOfIndex.desired {
-				levelOfIndex.current = min(levelOfIndex.desired, levelOfIndex.current+step)
-				recovered = recovered && levelOfIndex.current == levelOfIndex.desired
+			level := &m.levels[k]
+			if level.current < level.desired {
+				level.current = min(level.desired, level.current+step)
+				recovered = recovered && level.current == level.desired
 			}
 		}
 		t.dirtyMembers[m.Name] = m
@@ -134,8 +134,8 @@
 	}
 }
 
-// recoveryStepSize returns by how much each of moving concurrent recoveries advances in dt seconds. The total is the
-// number of backends or shards that RecoveryRate refers to.
+// recoveryStepSize returns by how much each recovery advances in dt seconds, given the number of concurrent recoveries. The
+// total is the number of backends or shards that RecoveryRate refers to.
 func (t *Table) recoveryStepSize(dt float64, total, recoveries int) float64 {
 	if recoveries == 0 {
 		return 0
--- a/internal/operators/override/precedence.go
+++ b/internal/operators/override/precedence.go
@@ -20,7 +20,7 @@
 //   - A pin wins over weights, because weights distribute load among several backends.
 var precedence = []struct {
 	rule     string
-	evaluate func(t *Table, m *member, s policy.ShardID, k policy.IndexID) *decision
+	evaluate func(t *Table, m *member, shard policy.ShardID, index policy.IndexID) *decision
 }{
 	{"list", (*Table).decideByMembership},
 	{"out", (*Table).decideByOutOfService},
--- a/internal/operators/override/table.go
+++ b/internal/operators/override/table.go
@@ -81,10 +81,10 @@
 	keyOrder         []Key
 	listedCount      int
 
-	dirtyMembers map[string]*member
-	dirtyPins    map[pinKey]bool
-	recovering   map[*member]bool
-	changingPins map[pinKey]bool
+	dirtyMembers map[string]*member // to be recomputed by the next Patch
+	dirtyPins    map[pinKey]bool    // to be recomputed by the next Patch
+	recovering   map[*member]bool   // members with a level below the desired one
+	changingPins map[pinKey]bool    // pins whose level differs from the desired one
 	advancedAt   float64
 }
 
@@ -107,9 +107,9 @@
 // Restore loads the revision, the live overrides and the changes with keys that were stored before a restart. It must be
 // called before the first UpdateMembership. It ends the overrides that have expired since, and returns these changes,
 // which the caller must store.
-func (t *Table) Restore(now float64, revision Revision, live []Override, keys []Change) (ended []Change) {
+func (t *Table) Restore(now float64, revision Revision, live []Override, changes []Change) (ended []Change) {
 	t.revision = revision
-	for _, c := range keys {
+	for _, c := range changes {
 		t.remember(c)
 	}
 	for _, o := range live {
--- a/internal/operators/override/view.go
+++ b/internal/operators/override/view.go
@@ -13,7 +13,7 @@
 	// recoveryInterval is the time between two steps of a recovery, in seconds. It is short compared to SlowStart, and
 	// causes few patches per second.
 	recoveryInterval = 0.25
-	// minRecoveryLevel is the level at which a recovery starts. The backend must receive some subqueries, or the decision
+	// initialRecoveryLevel is the level at which a recovery starts. The backend must receive some subqueries, or the decision
 	// module learns nothing about its latency and load.
 	initialRecoveryLevel = 0.05
 )
