--- a/internal/aggregatorstore/file.go
+++ b/internal/aggregatorstore/file.go
@@ -126,7 +126,7 @@
 }
 
 // openOrQuarantine opens a file and reads its records. If the file is corrupt, it is renamed to the returned path, and a new
-// file is created.
+// file is created. The error includes the path of the file.
 func openOrQuarantine(path string, logger *zap.Logger, prepare, read func(*bolt.Tx) error) (db *bolt.DB, quarantined string, err error) {
 	if db, err = openFile(path, prepare, read); err == nil {
 		return db, "", nil
--- a/internal/aggregatorstore/pages.go
+++ b/internal/aggregatorstore/pages.go
@@ -16,9 +16,9 @@
 	pageHeaderSize     = 16
 	bucketHeaderSize   = 16 // of the value of a bucket element: root page and sequence
 	elementSize        = 16
-	branchPage         = 0x01
-	leafPage           = 0x02
-	freePage           = 0x10
+	branchPageFlag     = 0x01
+	leafPageFlag       = 0x02
+	freelistPageFlag   = 0x10
 	bucketLeafFlag     = 0x01
 	bboltMagic         = 0xED0CDAED
 	bboltLayoutVersion = 2
@@ -147,7 +147,7 @@
 
 // checkElements checks the elements of a page and the pages that they refer to.
 func (p *pageReader) checkElements(tree page, id uint64, depth int) error {
-	if tree.flags != branchPage && tree.flags != leafPage || tree.flags == branchPage && tree.count == 0 {
+	if tree.flags != branchPageFlag && tree.flags != leafPageFlag || tree.flags == branchPageFlag && tree.count == 0 {
 		return invalidContents("page %d has flags %#x and %d elements", id, tree.flags, tree.count)
 	}
 	var previous []byte
@@ -159,7 +159,7 @@
 		element := tree.data[offset:]
 		var key []byte
 		var err error
-		if tree.flags == branchPage {
+		if tree.flags == branchPageFlag {
 			key, err = slice(tree.data, uint64(offset), uint64(byteOrder.Uint32(element)), uint64(byteOrder.Uint32(element[4:])))
 		} else {
 			key, err = slice(tree.data, uint64(offset), uint64(byteOrder.Uint32(element[4:])), uint64(byteOrder.Uint32(element[8:])))
@@ -168,7 +168,7 @@
 			return invalidContents("page %d, element %d: the key is out of order or out of bounds", id, i)
 		}
 		previous = key
-		if tree.flags == branchPage {
+		if tree.flags == branchPageFlag {
 			err = p.checkTree(byteOrder.Uint64(element[8:]), depth+1)
 		} else {
 			err = p.checkLeaf(tree.data, offset, id, i, depth)
@@ -192,13 +192,13 @@
 		return nil
 	}
 	if len(value) < bucketHeaderSize {
-		return invalidContents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
+		return invalidContents("page %d, element %d: the bucket has only %d bytes", id, i, len(value))
 	}
 	switch root := byteOrder.Uint64(value); {
 	case root != 0:
 		return p.checkTree(root, depth+1)
 	case len(value) < bucketHeaderSize+pageHeaderSize:
-		return invalidContents("page %d, element %d: a bucket of %d bytes", id, i, len(value))
+		return invalidContents("page %d, element %d: the bucket has only %d bytes", id, i, len(value))
 	default: // a small bucket is stored inline in its element
 		return p.checkElements(newPage(value[bucketHeaderSize:]), id, depth+1)
 	}
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	if freelist.flags != freePage {
+	if freelist.flags != freelistPageFlag {
 		return invalidContents("page %d has flags %#x, expected the freelist", id, freelist.flags)
 	}
 	data := freelist.data
