--- a/cmd/puffinlink/captureshow.go
+++ b/cmd/puffinlink/captureshow.go
@@ -31,7 +31,7 @@
 	for _, hole := range c.Gaps() {
 		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", formatSeconds(hole.From), formatSeconds(hole.To))
 	}
-	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", sum.InFlight.Mean, sum.InFlight.Most, sum.CallsInFlight.Mean, sum.CallsInFlight.Most)
+	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", sum.InFlight.Mean, sum.InFlight.Peak, sum.CallsInFlight.Mean, sum.CallsInFlight.Peak)
 	rows := [][]string{}
 	format := func(v int64) string { return strconv.FormatInt(v, 10) }
 	for _, load := range sum.Loads {
--- a/cmd/puffinlink/capturesynth.go
+++ b/cmd/puffinlink/capturesynth.go
@@ -50,18 +50,18 @@
 	if err := jsonc.Decode(text, &file); err != nil {
 		return fmt.Errorf("%s:%w", m.Arguments.File, err)
 	}
-	synth := capture.Synth{For: file.LastsS, Span: file.IntervalS, PerS: file.QueriesPerSecond, Shards: file.Shards, Skew: file.Skew, Day: file.Day, MonthEnd: file.MonthEndFactor, Seed: file.Seed}
+	synth := capture.SyntheticLoad{Duration: file.LastsS, Span: file.IntervalS, QueriesPerSecond: file.QueriesPerSecond, Shards: file.Shards, Skew: file.Skew, DayFactors: file.Day, MonthEndFactor: file.MonthEndFactor, Seed: file.Seed}
 	if !file.Begins.IsZero() {
-		synth.At = float64(file.Begins.UnixMilli()) / 1000
+		synth.Start = float64(file.Begins.UnixMilli()) / 1000
 	}
 	for _, index := range file.Indexes {
-		synth.Indexes = append(synth.Indexes, capture.SynthIndex{Index: index.Index, Customer: index.Customer, Share: index.Share, Parts: index.Parts, Hint: index.HintS})
+		synth.Indexes = append(synth.Indexes, capture.SyntheticIndex{Index: index.Index, Customer: index.Customer, Share: index.Share, Parts: index.Parts, Hint: index.HintS})
 	}
 	for _, burst := range file.Bursts {
-		synth.Bursts = append(synth.Bursts, capture.Burst{From: burst.FromS, For: burst.ForS, Factor: burst.Factor})
+		synth.Bursts = append(synth.Bursts, capture.Burst{From: burst.FromS, Duration: burst.ForS, Factor: burst.Factor})
 	}
 	var c capture.Capture
-	if err := synth.Make(func(i *capture.Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
+	if err := synth.Generate(func(i *capture.Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
 		return fmt.Errorf("%s: %w", m.Arguments.File, err)
 	}
 	return capture.Save(m.Out, c)
--- a/cmd/puffinlink/fleet.go
+++ b/cmd/puffinlink/fleet.go
@@ -24,7 +24,7 @@
 	if client, err = d.client(); err != nil {
 		return nil, 0, err
 	}
-	result, err := client.Change(ctx, command)
+	result, err := client.SendFleetCommand(ctx, command)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/cmd/puffinlink/fleetcontract.go
+++ b/cmd/puffinlink/fleetcontract.go
@@ -24,7 +24,7 @@
 func (c *fleetContractCommand) Execute([]string) error {
 	command := c.command(c.Arguments.Tenant)
 	if command.Clear = "contract"; !c.Clear {
-		command.Clear, command.Contract = "", &api.Contract{Zones: c.Zones, AggregatorsToo: c.AggregatorsToo, Indexes: c.Indexes}
+		command.Clear, command.Contract = "", &api.Contract{Zones: c.Zones, IncludeAggregators: c.AggregatorsToo, Indexes: c.Indexes}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout+c.Wait)
 	defer cancel()
--- a/cmd/puffinlink/fleetquota.go
+++ b/cmd/puffinlink/fleetquota.go
@@ -21,7 +21,7 @@
 func (c *fleetQuotaCommand) Execute([]string) error {
 	command := c.command(c.Arguments.Tenant)
 	if command.Clear = "quota"; !c.Clear {
-		command.Clear, command.Quota = "", &api.Quota{PerS: c.PerS, Burst: c.Burst, Floor: c.FloorShare}
+		command.Clear, command.Quota = "", &api.Quota{QueriesPerSecond: c.PerS, Burst: c.Burst, MinimumShare: c.FloorShare}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
--- a/cmd/puffinlink/fleetwhy.go
+++ b/cmd/puffinlink/fleetwhy.go
@@ -20,7 +20,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
-	e, err := client.WhyFleet(ctx, c.Arguments.Tenant, c.Arguments.Index)
+	e, err := client.ExplainFleet(ctx, c.Arguments.Tenant, c.Arguments.Index)
 	if err != nil {
 		return err
 	}
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -85,11 +85,11 @@
 func printChange(out io.Writer, c *api.Change) {
 	target, does := describeOverride(&c.Override)
 	at := time.UnixMilli(int64(1000 * c.At)).Format(time.DateTime)
-	line := fmt.Sprintf("%s  revision %d: override %d %s: %s %s, by %s: %s", at, c.Revision, c.Override.ID, c.What, target, does, c.Author, c.Reason)
+	line := fmt.Sprintf("%s  revision %d: override %d %s: %s %s, by %s: %s", at, c.Revision, c.Override.ID, c.Action, target, does, c.Author, c.Reason)
 	for _, f := range c.Forced {
 		line += "; forced over " + f
 	}
-	if c.Again {
+	if c.Repeated {
 		line += " (it had acted before)"
 	}
 	fmt.Fprintln(out, line)
--- a/cmd/puffinlink/overridewhy.go
+++ b/cmd/puffinlink/overridewhy.go
@@ -18,7 +18,7 @@
 }
 
 func (c *overrideWhyCommand) Execute([]string) error {
-	var why api.Why
+	var why api.Explanation
 	query := url.Values{"shard": {strconv.Itoa(c.Arguments.Shard)}, "index": {c.Arguments.Index}, "searcher": {c.Arguments.Searcher}}
 	if err := c.get("/v1/why?"+query.Encode(), &why); err != nil {
 		return err
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -9,7 +9,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-var recorderNames = capture.Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
+var recorderNames = capture.Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, SoftDeadlines: []float64{1, 1}, Shards: 8}
 
 // What the actor tells a recorder is what came and what became of it.
 func TestRecorderCapturesTheLoad(t *testing.T) {
@@ -39,7 +39,7 @@
 	for _, s := range sum.Backends {
 		calls, alone = calls+s.Calls, alone+s.Alone.Count()
 	}
-	if calls != 3 || alone == 0 || sum.InFlight.Most != 2 {
+	if calls != 3 || alone == 0 || sum.InFlight.Peak != 2 {
 		t.Fatalf("%d calls, %d alone, held %+v", calls, alone, sum.InFlight)
 	}
 }
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -277,7 +277,7 @@
 		if s.FileTables.Contracts == nil {
 			s.FileTables.Contracts = map[residency.Tenant]residency.Contract{}
 		}
-		s.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, Own: t.Own, Indexes: t.Indexes}
+		s.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, Own: t.IncludeAggregators, Indexes: t.Indexes}
 		s.Lines[fleet.ContractLine(tenant)] = t.Line
 	}
 	for _, t := range file.Quotas.Tenants {
@@ -297,14 +297,14 @@
 
 // startCapture lets the aggregator count its load into files.
 func (n *Node) startCapture(name string, set settings.Settings, file operatorfile.Capture) (err error) {
-	n.captures, err = capture.NewWriter(capture.Store{Directory: file.Directory, MostBytes: file.MostBytes,
-		MostAge: time.Duration(file.MostAge * float64(time.Second))}, n.log, n.counters)
+	n.captures, err = capture.NewWriter(capture.StoreConfig{Directory: file.Directory, MaxBytes: file.MaxBytes,
+		MaxAge: time.Duration(file.MaxAge * float64(time.Second))}, n.log, n.counters)
 	if err != nil {
 		return err
 	}
 	names := capture.Names{Indexes: set.Net.Indexes, Customers: set.Net.Customers, Shards: set.Net.Shards}
 	for _, x := range set.Indexes {
-		names.Soft = append(names.Soft, x.Soft)
+		names.SoftDeadlines = append(names.SoftDeadlines, x.Soft)
 	}
 	n.aggregator.Capture(capture.New(name, names, file.Interval), n.captures.Put)
 	return nil
--- a/internal/jsonc/errors.go
+++ b/internal/jsonc/errors.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// SyntaxError says where a text is not JSON, beginning with a space and the line.
+// SyntaxError reports the line at which a text is not valid JSON, and what was found there.
 type SyntaxError string
 
-// Error is the line and what was found there.
+// Error implements the error interface. The text begins with a space, so that it can follow a file name and a colon.
 func (e SyntaxError) Error() string { return " " + string(e) }
 
-// TypeError is a value of another type than its field's.
+// TypeError reports a value whose type does not match that of its field.
 type TypeError struct{ Field, Found, Expected string }
 
-// Error names the field, what was found and what was expected.
+// Error implements the error interface.
 func (e TypeError) Error() string {
 	return fmt.Sprintf("%s is a %s, expected %s", e.Field, e.Found, e.Expected)
 }
 
-// UnknownKeyError is a key, in quotes, that there is no field for.
+// UnknownKeyError reports a key that has no field. Its value is the key in quotes.
 type UnknownKeyError string
 
-// Error names the key.
+// Error implements the error interface.
 func (e UnknownKeyError) Error() string { return string(e) + " is not known" }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics serves a process's metrics to Prometheus by HTTP, at an address of their own. Operators' dashboards rely on the
-// names, labels and values of the metrics. (The aggregator logs its counts instead; see package counters.)
+// Package metrics serves the metrics of a process to Prometheus over HTTP, at a separate address. Operators' dashboards rely on
+// the names, labels and values of the metrics. The aggregator does not use this package: it logs its counters instead (see
+// package counters).
 package metrics
 
 import (
@@ -14,24 +15,25 @@
 	"go.uber.org/zap"
 )
 
-// Path is the path of the metrics.
+// Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
+// Limits of the HTTP server.
 const (
 	headerTimeout        = 5 * time.Second
 	writeTimeout         = 10 * time.Second
 	idleTimeout          = time.Minute
-	maxConcurrentScrapes = 2 // scrapes at the same time
+	maxConcurrentScrapes = 2
 )
 
-// Server serves one registry.
+// Server serves the metrics of one registry.
 type Server struct {
 	registry *prometheus.Registry
 	listener net.Listener
 	http     *http.Server
 }
 
-// NewServer listens at an address and serves the collectors, with those of the Go runtime and of the process.
+// NewServer listens at an address and serves the additional collectors and those of the Go runtime and of the process.
 func NewServer(address string, log *zap.Logger, additional ...prometheus.Collector) (*Server, error) {
 	registry := prometheus.NewRegistry()
 	all := append([]prometheus.Collector{
@@ -51,28 +53,28 @@
 	server := &Server{registry: registry, listener: listener, http: &http.Server{
 		Handler: mux, ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, ErrorLog: zap.NewStdLog(log),
 	}}
-	go func() { _ = server.http.Serve(listener) }() // until Close
+	go func() { _ = server.http.Serve(listener) }() // returns when the server is closed
 	log.Info("metrics are served", zap.Stringer("address", listener.Addr()))
 	return server, nil
 }
 
-// Address is where the server listens, host:port.
+// Address returns the address at which the server listens, host:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Close stops the server.
 func (s *Server) Close() { s.http.Close() }
 
-// Gauge is a metric whose value is computed at each scrape.
+// Gauge returns a metric whose value is computed at each scrape.
 func Gauge(name, help string, value func() float64) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
 }
 
-// BoolGauge is a Gauge that is 1 for true and 0 for false.
+// BoolGauge returns a Gauge that is 1 for true and 0 for false.
 func BoolGauge(name, help string, value func() bool) prometheus.Collector {
 	return Gauge(name, help, func() float64 { return BoolValue(value()) })
 }
 
-// BoolValue is 1 for true and 0 for false.
+// BoolValue returns 1 for true and 0 for false.
 func BoolValue(value bool) float64 {
 	if value {
 		return 1
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -31,7 +31,7 @@
 			return answer.StatusCode, string(text)
 		}
 
-		Convey("a scrape has their values of that moment, and the metrics of the process", func() {
+		Convey("a scrape returns their current values and the metrics of the process", func() {
 			status, text := read(Path)
 			So(status, ShouldEqual, http.StatusOK)
 			So(text, ShouldContainSubstring, "\ntest_value 3\n")
@@ -45,11 +45,11 @@
 			status, _ := read("/")
 			So(status, ShouldEqual, http.StatusNotFound)
 		})
-		Convey("an address in use is an error with a remedy", func() {
+		Convey("an address in use is an error that names --metrics", func() {
 			_, err := NewServer(server.Address(), zap.NewNop())
 			So(err.Error(), ShouldContainSubstring, "--metrics")
 		})
-		Convey("one name twice is an error", func() {
+		Convey("registering a name twice is an error", func() {
 			twice := BoolGauge("test_flag", "A flag.", func() bool { return true })
 			_, err := NewServer("127.0.0.1:0", zap.NewNop(), twice, twice)
 			So(err, ShouldNotBeNil)
--- a/internal/metrics/wire_test.go
+++ b/internal/metrics/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireConstants pins the constants that leave the process.
-func TestWireConstants(t *testing.T) {
+// TestWireConstantsAreUnchanged checks the constants that other programs rely on.
+func TestWireConstantsAreUnchanged(t *testing.T) {
 	goldentest.CheckConstants(t,
 		goldentest.Constant{Have: Path, Want: "/metrics"},
 	)
--- a/internal/nodesettings/connectionbudget.go
+++ b/internal/nodesettings/connectionbudget.go
@@ -1,13 +1,13 @@
 package nodesettings
 
-// File descriptors of a process that are not for connections.
+// Numbers of file descriptors of a process that are not available for connections.
 const (
-	reservedForFiles   = 200 // which the platform uses for files outside of the data directory
+	reservedForFiles   = 200 // used by the platform for files outside the data directory
 	reservedForProcess = 16  // files in the data directory, listeners and the log
 )
 
-// Shares of a coordinator's connections, in percent. They add up to 100: a user that stays within its share never takes a
-// connection of another.
+// Shares of a coordinator's connections, in percent. They add up to 100, so that connections for one purpose never use up
+// those for another.
 const (
 	workersPercent   = 70 // to workers
 	nodesPercent     = 22 // from other nodes: core peers, agents, proxies
@@ -15,27 +15,27 @@
 	outboundPercent  = 5 // to other nodes and the platform
 	allPercent       = 100
 
-	corePeersPercentOfNodes = 25 // of the nodes' share, which agents and proxies never fill
-	minConnections          = 4  // of each share
+	corePeersPercentOfNodes = 25 // part of the nodes' share that agents and proxies cannot use
+	minConnections          = 4  // minimum of each share
 )
 
-// Rates of new connections to workers and of polls of idle workers, for a whole processor core. A new connection takes about
-// 0.25 ms of a core, a poll 0.08 ms.
+// Rates of new connections to workers and of polls of idle workers, for one processor core. A new connection takes about
+// 0.25 ms of processor time, a poll about 0.08 ms.
 const (
 	dialsPerSecondPerCore = 1000
 	pollsPerSecondPerCore = 1200
 )
 
-// ConnectionBudget is how many connections a coordinator may have open for each purpose.
+// ConnectionBudget holds the numbers of connections that a coordinator may have open for each purpose.
 type ConnectionBudget struct {
 	Workers   int // to workers
 	Nodes     int // from other nodes
-	CorePeers int // of these, reserved for other core nodes
+	CorePeers int // part of Nodes that is reserved for other core nodes
 	Operators int // from operators and the platform
 	Outbound  int // to other nodes and the platform
 }
 
-// ConnectionBudget divides the descriptors of a coordinator's process.
+// ConnectionBudget divides the file descriptors of a coordinator's process among the purposes.
 func (l *Limits) ConnectionBudget() ConnectionBudget {
 	all := l.FileDescriptors - reservedForFiles - reservedForProcess
 	connections := func(percent int) int { return max(minConnections, all*percent/allPercent) }
@@ -46,8 +46,8 @@
 	}
 }
 
-// DialsPerSecond is how many connections to workers a coordinator may open per second on average.
+// DialsPerSecond returns the average number of connections to workers that a coordinator may open per second.
 func (l *Limits) DialsPerSecond() float64 { return dialsPerSecondPerCore * l.ProcessorShare }
 
-// PollsPerSecond is how many polls of idle workers a coordinator may make per second.
+// PollsPerSecond returns the number of polls of idle workers that a coordinator may make per second.
 func (l *Limits) PollsPerSecond() float64 { return pollsPerSecondPerCore * l.ProcessorShare }
--- a/internal/nodesettings/connectionbudget_test.go
+++ b/internal/nodesettings/connectionbudget_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestConnectionBudget(t *testing.T) {
-	convey.Convey("The shares are never more than the sockets that a process may have", t, func() {
+	convey.Convey("The sum of the shares never exceeds the available descriptors", t, func() {
 		for _, descriptors := range []int{300, 512, 1000, 1024, 4096, 4100, 65536} {
 			limits := Limits{FileDescriptors: descriptors}
 			b := limits.ConnectionBudget()
--- a/internal/nodesettings/parse.go
+++ b/internal/nodesettings/parse.go
@@ -15,20 +15,21 @@
 	"github.com/magiconair/properties"
 )
 
-// Struct tags of Settings.
+// Keys of the struct tags of Settings.
 const (
 	keyTag     = "property"
 	unitTag    = "unit"
 	defaultTag = "default"
 )
 
+// zonePrefix begins the keys that state the region of a zone, as in zones.NAME.
 const zonePrefix = "zones."
 
-// KeyError says what is wrong with the value of one key.
+// KeyError reports an invalid value of one key.
 type KeyError struct {
 	Key   string
 	Value string
-	Cause error // says what is expected, and so the remedy
+	Cause error // says what value is expected
 }
 
 // Error implements the error interface.
@@ -37,7 +38,7 @@
 // Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Cause }
 
-// Load reads the settings file that the environment names.
+// Load reads and validates the settings file at the path in the environment variable PathVariable.
 func Load() (Settings, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
@@ -46,7 +47,7 @@
 	return LoadFile(path)
 }
 
-// LoadFile reads and checks a settings file.
+// LoadFile reads and validates a settings file.
 func LoadFile(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -59,10 +60,10 @@
 	return settings, nil
 }
 
-// Parse reads and checks the content of a settings file. Unknown keys are skipped. The error joins a *KeyError for each invalid
-// value, first of those that cannot be read, and only without any of them of those that break a rule.
+// Parse parses and validates the content of a settings file. Unknown keys are ignored. The error joins a *KeyError for each
+// invalid value. Values are validated only if all of them can be parsed.
 func Parse(content []byte) (Settings, error) {
-	// Values are taken literally: ${...} is not expanded.
+	// Values are literal: ${...} is not expanded.
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	values, err := loader.LoadBytes(content)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return settings, nil
 }
 
-// fill sets the tagged fields of a struct, and of the untagged structs in it, from the values.
+// fill sets the tagged fields of a struct from the values. It descends into struct fields without a tag.
 func fill(target reflect.Value, values *properties.Properties) error {
 	var problems []error
 	for i := range target.NumField() {
@@ -106,7 +107,7 @@
 	return errors.Join(problems...)
 }
 
-// text is the value of a key without surrounding space; the fallback where it is absent or empty.
+// text returns the value of a key without surrounding space, or the fallback if the value is absent or empty.
 func text(values *properties.Properties, key, fallback string) string {
 	value, _ := values.Get(key)
 	if value = strings.TrimSpace(value); value != "" {
@@ -115,6 +116,7 @@
 	return fallback
 }
 
+// set parses a value and assigns it to a field. The unit applies to durations.
 func set(field reflect.Value, value, unit string) error {
 	if custom, ok := field.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return custom.UnmarshalText([]byte(value))
@@ -141,6 +143,7 @@
 	return nil
 }
 
+// splitList splits a comma-separated list and drops empty items.
 func splitList(value string) []string {
 	var items []string
 	for _, item := range strings.Split(value, ",") {
@@ -154,7 +157,7 @@
 func setBool(field reflect.Value, value string) error {
 	parsed, err := strconv.ParseBool(value)
 	if err != nil {
-		return want("want true or false")
+		return expectation("want true or false")
 	}
 	field.SetBool(parsed)
 	return nil
@@ -163,7 +166,7 @@
 func setInteger(field reflect.Value, value string) error {
 	parsed, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
-		return want("want a whole number")
+		return expectation("want a whole number")
 	}
 	field.SetInt(parsed)
 	return nil
@@ -181,14 +184,15 @@
 func parseNumber(value string) (float64, error) {
 	parsed, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(parsed) || math.IsInf(parsed, 0) {
-		return 0, want("want a number")
+		return 0, expectation("want a number")
 	}
 	return parsed, nil
 }
 
-// maxDuration is the longest time that a setting may have; time.Duration overflows soon above it.
+// maxDuration is the longest duration that a setting may have, 100 years. time.Duration overflows at about 292 years.
 const maxDuration = 100 * 365 * 24 * time.Hour
 
+// parseDuration parses a number of seconds if the unit is "s", and of milliseconds otherwise.
 func parseDuration(value, unit string) (time.Duration, error) {
 	number, err := parseNumber(value)
 	if err != nil {
@@ -200,20 +204,21 @@
 	}
 	nanoseconds := number * float64(scale)
 	if math.Abs(nanoseconds) > float64(maxDuration) {
-		return 0, want("want a time of at most %v", maxDuration)
+		return 0, expectation("want a time of at most %v", maxDuration)
 	}
 	return time.Duration(math.Round(nanoseconds)), nil
 }
 
 var validate = newValidator()
 
-// newValidator makes a validator that names fields by their keys.
+// newValidator returns a validator that reports fields by their keys.
 func newValidator() *validator.Validate {
 	checker := validator.New(validator.WithRequiredStructEnabled())
 	checker.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get(keyTag) })
 	return checker
 }
 
+// check validates the settings and returns a *KeyError for each violation.
 func check(settings *Settings, values *properties.Properties) error {
 	err := validate.Struct(settings)
 	var found validator.ValidationErrors
@@ -228,7 +233,7 @@
 	return errors.Join(problems...)
 }
 
-// remedy says what a value has to be.
+// remedy returns the text that says what a value has to be.
 func remedy(violation validator.FieldError) string {
 	switch violation.Tag() {
 	case "required":
--- a/internal/nodesettings/ports.go
+++ b/internal/nodesettings/ports.go
@@ -5,21 +5,22 @@
 	"strings"
 )
 
+// highestPort is the highest TCP port.
 const highestPort = 65535
 
-// minimumPorts is how many internal ports the processes of one machine use.
+// minimumPorts is the number of internal ports that the processes of one machine use.
 const minimumPorts = 3
 
-// PortRange is the range of ports for the internal protocol, both ends included.
+// PortRange is the range of ports for the internal protocol, including both ends.
 type PortRange struct {
 	First, Last int
 }
 
-// UnmarshalText reads FIRST,LAST.
+// UnmarshalText parses a range of the form FIRST,LAST.
 func (r *PortRange) UnmarshalText(text []byte) error {
 	firstText, lastText, found := strings.Cut(string(text), ",")
 	if !found {
-		return want("want two ports, as in 7660,7675")
+		return expectation("want two ports, as in 7660,7675")
 	}
 	first, err := parsePort(firstText)
 	if err != nil {
@@ -30,7 +31,7 @@
 		return err
 	}
 	if last-first+1 < minimumPorts {
-		return want("%d to %d are fewer than %d ports", first, last, minimumPorts)
+		return expectation("%d to %d are fewer than %d ports", first, last, minimumPorts)
 	}
 	*r = PortRange{First: first, Last: last}
 	return nil
@@ -39,7 +40,7 @@
 func parsePort(text string) (int, error) {
 	port, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || port < 1 || port > highestPort {
-		return 0, want("%q is not a port, want 1 to %d", text, highestPort)
+		return 0, expectation("%q is not a port, want 1 to %d", text, highestPort)
 	}
 	return port, nil
 }
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -1,6 +1,6 @@
-// Package nodesettings reads the settings file of one process: which node it is, where it listens, which limits its machine has,
-// and the bounds of the deployment. The file has key=value lines; operators' documentation describes the keys. Load reads it
-// once, and Watch follows its changes.
+// Package nodesettings reads the settings file of a process. The file states the identity of the node, its addresses, the
+// limits of its machine and the time limits of the deployment, in key=value lines. The operators' documentation describes the
+// keys. Load reads the file once, and Watch reports its changes. An invalid file is never applied.
 package nodesettings
 
 import (
@@ -12,16 +12,16 @@
 // PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "PUFFINLINK_BOOT"
 
-// What a role may serve to callers from outside.
+// Kinds of external callers that a role may serve.
 const (
 	ServesFront   = "front"
 	ServesControl = "control"
 )
 
-// Settings are the known keys of the settings file. The property tag is the key, the unit tag the unit of a time that is given as
-// a number, and the default tag the value of a key that is absent or empty.
+// Settings holds the known keys of the settings file. The property tag is the key. The unit tag is the unit of a duration that
+// is stated as a number. The default tag is the value for a key that is absent or empty.
 type Settings struct {
-	Cluster         string   `property:"puffinlink.cluster" default:"puffinlink"` // calls of other clusters are rejected
+	Cluster         string   `property:"puffinlink.cluster" default:"puffinlink"` // calls from other clusters are rejected
 	NodeName        string   `property:"nodeName" validate:"required"`
 	Role            string   `property:"role"`
 	MachineClass    string   `property:"machineClass"`
@@ -45,11 +45,12 @@
 	Commands        string `property:"commands" default:"invocation"`
 	CloudAPI        CloudAPI
 
-	// Zones is the region of each zone, from the keys zones.NAME.
+	// Zones maps each zone to its region, from the keys zones.NAME.
 	Zones map[string]string
 }
 
-// Listen has the addresses, host:port, at which the role serves callers from outside; empty where it does not.
+// Listen holds the addresses, host:port, at which the role serves external callers. An address is empty if the role does not
+// serve that kind of caller.
 type Listen struct {
 	Front     string `property:"listenAddresses.front" validate:"omitempty,hostname_port"`
 	Readiness string `property:"listenAddresses.readiness" validate:"omitempty,hostname_port"`
@@ -66,14 +67,14 @@
 	DiskMB            int64   `property:"limits.diskMb" validate:"gte=0"`
 }
 
-// FaultTolerance is how many of each may fail at the same time.
+// FaultTolerance holds the numbers of machines, zones and regions that may fail at the same time.
 type FaultTolerance struct {
 	Machines int `property:"faultTolerance.machines" validate:"gte=0"`
 	Zones    int `property:"faultTolerance.zones" validate:"gte=0"`
 	Regions  int `property:"faultTolerance.regions" validate:"gte=0"`
 }
 
-// Bounds are the time limits and factors that the deployment guarantees or demands.
+// Bounds holds the time limits and factors that the deployment guarantees or requires.
 type Bounds struct {
 	SeedLag            time.Duration `property:"bounds.seedLagS" unit:"s" default:"3" validate:"gte=0"`
 	AddressReuse       time.Duration `property:"bounds.addressReuseS" unit:"s" default:"2" validate:"gte=0"`
@@ -100,15 +101,15 @@
 	Restore            time.Duration `property:"bounds.restore_ms" unit:"ms" default:"250" validate:"gte=0"`
 }
 
-// CloudAPI says how the platform's list of workers is reached.
+// CloudAPI configures the access to the platform's list of workers.
 type CloudAPI struct {
 	Address  string        `property:"cloudApi.address" validate:"omitempty,hostname_port"`
-	RatePerS float64       `property:"cloudApi.ratePerS" default:"10" validate:"gt=0"` // calls a second of all nodes together
+	RatePerS float64       `property:"cloudApi.ratePerS" default:"10" validate:"gt=0"` // calls per second of all nodes together
 	Duties   []string      `property:"cloudApi.duties"`
 	MaxLag   time.Duration `property:"cloudApi.maxLagMs" unit:"ms" default:"1000" validate:"gte=0"`
 }
 
-// ServesTo tells whether the role serves the kind of caller.
+// ServesTo reports whether the role serves a kind of external caller.
 func (s *Settings) ServesTo(kind string) bool {
 	for _, served := range s.Serves {
 		if served == kind {
@@ -118,17 +119,18 @@
 	return false
 }
 
-// InternalAddress is this machine's address, host:port, at an offset from the first internal port.
+// InternalAddress returns this machine's address, host:port, at an offset from the first internal port.
 func (s *Settings) InternalAddress(offset int) string {
 	return net.JoinHostPort(s.IPAddress, strconv.Itoa(s.InternalPorts.First+offset))
 }
 
-// LoopbackAddress is the loopback address, host:port, at an offset from the first internal port.
+// LoopbackAddress returns the loopback address, host:port, at an offset from the first internal port.
 func (s *Settings) LoopbackAddress(offset int) string {
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(s.InternalPorts.First+offset))
 }
 
-// SeedInternalAddresses are the seed nodes' addresses, host:port, at the first internal port. Ports are the same on all machines.
+// SeedInternalAddresses returns the seed nodes' addresses, host:port, at the first internal port. The internal ports are the
+// same on all machines.
 func (s *Settings) SeedInternalAddresses() []string {
 	addresses := make([]string, 0, len(s.SeedNodes))
 	for _, seed := range s.SeedNodes {
--- a/internal/nodesettings/settings_test.go
+++ b/internal/nodesettings/settings_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-const good = `nodeName=front-hal-nord-1
+const validSettings = `nodeName=front-hal-nord-1
 role=my-front
 machineClass=front
 serves=front
@@ -53,11 +53,11 @@
 later.key=${HOME} # not a comment
 `
 
-func with(line string) string { return good + line + "\n" }
+func withLine(line string) string { return validSettings + line + "\n" }
 
 func TestParse(t *testing.T) {
 	Convey("The known keys are read", t, func() {
-		s, err := Parse([]byte(good))
+		s, err := Parse([]byte(validSettings))
 		So(err, ShouldBeNil)
 		So(s.NodeName, ShouldEqual, "front-hal-nord-1")
 		So(s.Serves, ShouldResemble, []string{"front"})
@@ -78,7 +78,7 @@
 		So(s.CloudAPI.Duties, ShouldBeEmpty)
 	})
 	Convey("Keys that are absent or empty have their defaults", t, func() {
-		s, err := Parse([]byte(with("heartbeatIntervalMs=")))
+		s, err := Parse([]byte(withLine("heartbeatIntervalMs=")))
 		So(err, ShouldBeNil)
 		So(s.Bounds.HoldMax, ShouldEqual, 6*time.Second)
 		So(s.Heartbeat, ShouldEqual, 1500*time.Millisecond)
@@ -86,12 +86,12 @@
 		So(s.DataDirectory, ShouldBeEmpty)
 	})
 	Convey("Values are taken literally", t, func() {
-		s, err := Parse([]byte(with("dataDirectory=/data/${nodeName}=a:b#c")))
+		s, err := Parse([]byte(withLine("dataDirectory=/data/${nodeName}=a:b#c")))
 		So(err, ShouldBeNil)
 		So(s.DataDirectory, ShouldEqual, "/data/${nodeName}=a:b#c")
 	})
 	Convey("The last of two lines for a key wins", t, func() {
-		s, err := Parse([]byte(with("zone=another")))
+		s, err := Parse([]byte(withLine("zone=another")))
 		So(err, ShouldBeNil)
 		So(s.Zone, ShouldEqual, "another")
 	})
@@ -99,7 +99,7 @@
 
 func TestAddresses(t *testing.T) {
 	Convey("Internal addresses have internal ports", t, func() {
-		s, err := Parse([]byte(good))
+		s, err := Parse([]byte(validSettings))
 		So(err, ShouldBeNil)
 		So(s.InternalAddress(0), ShouldEqual, "10.1.0.12:7660")
 		So(s.InternalAddress(2), ShouldEqual, "10.1.0.12:7662")
@@ -128,7 +128,7 @@
 	}
 	for line, want := range cases {
 		Convey(line+" is rejected with the key and the remedy", t, func() {
-			_, err := Parse([]byte(with(line)))
+			_, err := Parse([]byte(withLine(line)))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldEqual, want)
 			var violation *KeyError
@@ -136,7 +136,7 @@
 		})
 	}
 	Convey("All invalid values are reported at once", t, func() {
-		_, err := Parse([]byte(with("firstStart=perhaps\nlimits.memoryMb=many")))
+		_, err := Parse([]byte(withLine("firstStart=perhaps\nlimits.memoryMb=many")))
 		So(err.Error(), ShouldContainSubstring, "firstStart")
 		So(err.Error(), ShouldContainSubstring, "limits.memoryMb")
 	})
@@ -145,7 +145,7 @@
 func TestLoad(t *testing.T) {
 	Convey("The environment names the file", t, func() {
 		path := filepath.Join(t.TempDir(), "local.conf")
-		So(os.WriteFile(path, []byte(good), 0o600), ShouldBeNil)
+		So(os.WriteFile(path, []byte(validSettings), 0o600), ShouldBeNil)
 		t.Setenv(PathVariable, path)
 		s, err := Load()
 		So(err, ShouldBeNil)
@@ -164,7 +164,7 @@
 		Convey("A changed file gives new settings, and an invalid one changes nothing", t, func() {
 			path := filepath.Join(t.TempDir(), "local.conf")
 			write := func(content string) { So(os.WriteFile(path, []byte(content), 0o600), ShouldBeNil) }
-			write(good)
+			write(validSettings)
 			current, err := LoadFile(path)
 			So(err, ShouldBeNil)
 			core, lines := observer.New(zap.InfoLevel)
@@ -178,27 +178,27 @@
 			}
 			quiet()
 
-			write(with("zone=second"))
+			write(withLine("zone=second"))
 			begun := time.Now()
 			So((<-changes).Zone, ShouldEqual, "second")
 			So(time.Since(begun), ShouldBeLessThanOrEqualTo, pollInterval)
 
-			write(with("zone=third\nfirstStart=perhaps"))
+			write(withLine("zone=third\nfirstStart=perhaps"))
 			quiet()
 			So(lines.FilterMessageSnippet("settings file rejected").Len(), ShouldEqual, 1)
 			So(os.Remove(path), ShouldBeNil)
 			quiet()
 
 			begun = time.Now()
-			write(with("zone=fourth"))
+			write(withLine("zone=fourth"))
 			reload <- syscall.SIGHUP
 			So((<-changes).Zone, ShouldEqual, "fourth")
 			So(time.Since(begun), ShouldEqual, 0)
 
-			write(with("zone=fifth"))
+			write(withLine("zone=fifth"))
 			reload <- syscall.SIGHUP
 			synctest.Wait()
-			write(with("zone=sixth"))
+			write(withLine("zone=sixth"))
 			reload <- syscall.SIGHUP
 			synctest.Wait()
 			So((<-changes).Zone, ShouldEqual, "sixth")
@@ -212,16 +212,16 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("a=${a}\nb=\\u00\n")
-	f.Add(strings.ReplaceAll(good, "=", ":"))
+	f.Add(strings.ReplaceAll(validSettings, "=", ":"))
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse([]byte(text))
 		if err != nil {
 			return
 		}
 		if s.NodeName == "" || s.InternalPorts.Last < s.InternalPorts.First || s.Bounds.GracePeriod <= 0 || s.Limits.MemoryMB <= 0 {
-			t.Errorf("taken as %+v", s)
+			t.Errorf("invalid settings were accepted: %+v", s)
 		}
 		if len(s.SeedInternalAddresses()) != len(s.SeedNodes) {
 			t.Errorf("seeds %v, addresses %v", s.SeedNodes, s.SeedInternalAddresses())
--- a/internal/nodesettings/watch.go
+++ b/internal/nodesettings/watch.go
@@ -10,12 +10,12 @@
 	"go.uber.org/zap"
 )
 
-// pollInterval is how often the file is compared with its last content.
+// pollInterval is the interval at which the file is compared with its last content.
 const pollInterval = time.Second
 
-// Watch follows a settings file: it reads the file each second and at each signal on reload, and sends settings that differ from
-// the current ones, which they then replace. A file that cannot be read or is invalid is logged once, and the current settings
-// stay in force. A slow receiver gets the newest settings only. The channel is closed once the context has ended.
+// Watch reads a settings file every second and at each signal on reload. It sends the settings if they differ from the current
+// ones, and makes them the current ones. A file that cannot be read or is invalid is logged once, and the current settings
+// stay in force. A slow receiver gets only the newest settings. The channel is closed when the context ends.
 func Watch(ctx context.Context, path string, current Settings, reload <-chan os.Signal, log *zap.Logger) <-chan Settings {
 	watcher := &watcher{path: path, log: log, current: current, changes: make(chan Settings, 1)}
 	go watcher.run(ctx, reload)
@@ -26,8 +26,8 @@
 	path        string
 	log         *zap.Logger
 	current     Settings
-	content     []byte // the last that was read, valid or not
-	lastFailure string // text of the last error, so that it is logged once
+	content     []byte // last content that was read, valid or not
+	lastFailure string // text of the last error, so that it is logged only once
 	changes     chan Settings
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// reload reads the file, and sends its settings if they are new and valid.
+// reload reads the file and sends its settings if they are valid and have changed.
 func (w *watcher) reload() {
 	content, err := os.ReadFile(w.path)
 	if err != nil {
@@ -71,17 +71,17 @@
 	w.send(settings)
 }
 
-// logOnce logs an error, unless it is that of the last reading.
+// logOnce logs an error, unless it is the same as the last one.
 func (w *watcher) logOnce(err error) {
 	if err.Error() == w.lastFailure {
 		return
 	}
 	w.lastFailure = err.Error()
-	// Operators' pages name this event.
+	// The operators' documentation names this message.
 	w.log.Error("settings file rejected; the previous settings stay in force", zap.String("path", w.path), zap.Error(err))
 }
 
-// send sends settings, in place of those that have not been received yet.
+// send sends settings. They replace those that have not been received yet.
 func (w *watcher) send(settings Settings) {
 	select {
 	case <-w.changes:
--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -25,59 +25,62 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
+// fixture is a server with a controller of four backends, and a client that is connected to it.
 type fixture struct {
 	*testing.T
 	*Server
 	address string
 	client  *Client
-	box     *eventqueue.Queue[aggregator.Event]
+	events  *eventqueue.Queue[aggregator.Event]
 }
 
-func newFixture(t *testing.T, set operatorfile.Operators, token string) *fixture {
-	lim := override.Defaults()
-	lim.Indexes, lim.Shards, lim.Cells, lim.Width = []string{"reads"}, 4, 2, 2
-	r := &fixture{T: t, box: eventqueue.New[aggregator.Event]()}
-	d := controller.New(lim, r.box, nil, "", zap.NewNop(), counters.New())
+func newFixture(t *testing.T, settings operatorfile.Operators, token string) *fixture {
+	limits := override.Defaults()
+	limits.Indexes, limits.Shards, limits.Cells, limits.Width = []string{"reads"}, 4, 2, 2
+	r := &fixture{T: t, events: eventqueue.New[aggregator.Event]()}
+	overrides := controller.New(limits, r.events, nil, "", zap.NewNop(), counters.New())
 	list := aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}}
 	for i := range 4 {
 		list.Entries = append(list.Entries, policy.Entry{Backend: policy.BackendID(i + 1), Cell: policy.CellID(i % 2)})
 		list.Addresses, list.Names = append(list.Addresses, "x:1"), append(list.Names, aggregator.Name{Backend: fmt.Sprint("s-", i), Location: "north"})
 	}
-	d.Put(list)
-	d.ProcessPending()
-	go d.Run()
+	overrides.Put(list)
+	overrides.ProcessPending()
+	go overrides.Run()
 	var err error
-	if r.Server, err = New("n1", set, d, nil, zap.NewNop(), counters.New()); err != nil {
+	if r.Server, err = New("n1", settings, overrides, nil, zap.NewNop(), counters.New()); err != nil {
 		t.Fatal(err)
 	}
-	if set.Listen == "" {
-		dir, err := os.MkdirTemp("", "pl") // a socket's path is short
+	if settings.Listen == "" {
+		dir, err := os.MkdirTemp("", "pl") // the path of a socket has to be short
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { os.RemoveAll(dir) })
-		set.Listen = "unix:" + filepath.Join(dir, "s")
+		settings.Listen = "unix:" + filepath.Join(dir, "s")
 	}
-	l, err := Listen(set.Listen)
+	l, err := Listen(settings.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.address = set.Listen; !strings.HasPrefix(r.address, "unix:") {
+	if r.address = settings.Listen; !strings.HasPrefix(r.address, "unix:") {
 		r.address = l.Addr().String()
 	}
 	go r.Serve(l)
-	t.Cleanup(func() { r.Stop(); d.Stop() })
+	t.Cleanup(func() { r.Stop(); overrides.Stop() })
 	if r.client, err = NewClient(r.address, token); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
+// get requests a path and returns the code of the error, or "".
 func (r *fixture) get(path string, into any) string {
-	return code(r.client.Get(context.Background(), path, into))
+	return errorCode(r.client.Get(context.Background(), path, into))
 }
 
-func code(err error) string {
+// errorCode returns the code of a response, the text of any other error, and "" without an error.
+func errorCode(err error) string {
 	if e := (*Error)(nil); errors.As(err, &e) {
 		return e.Code
 	} else if err != nil {
@@ -86,13 +89,13 @@
 	return ""
 }
 
-func (r *fixture) send(revision uint64, c Command) (Change, string) {
+func (r *fixture) sendCommand(revision uint64, c Command) (Change, string) {
 	c.Revision = &revision
 	made, err := r.client.Send(context.Background(), c)
-	return made, code(err)
+	return made, errorCode(err)
 }
 
-func TestSetShowExplainAndClear(t *testing.T) {
+func TestOverrideIsSetShownExplainedAndCleared(t *testing.T) {
 	r := newFixture(t, operatorfile.Operators{}, "")
 	info, err := os.Stat(strings.TrimPrefix(r.address, "unix:"))
 	if err != nil || info.Mode().Perm() != 0o600 {
@@ -103,27 +106,27 @@
 	defer cancel()
 	go r.client.Watch(ctx, 0, func(c Change) error { changes <- c; return nil })
 	c := Command{Key: "k", Kind: "pin", Backend: "s-0", From: 1, To: 2, Author: "ann", Reason: "slow", For: 60}
-	made, why := r.send(0, c)
+	made, why := r.sendCommand(0, c)
 	if why != "" || made.Revision != 1 || made.Override.Kind != "pin" || *made.Override.From != 1 {
-		t.Fatalf("got %+v, %s", made, why)
+		t.Fatalf("set: got %+v, %s", made, why)
 	}
-	if again, why := r.send(0, c); why != "" || !again.Again || again.Revision != 1 {
+	if again, why := r.sendCommand(0, c); why != "" || !again.Repeated || again.Revision != 1 {
 		t.Fatalf("sent twice: %+v, %s", again, why)
 	}
 	for want, c := range map[string]Command{"conflict": {Kind: "out", Backend: "s-1", Author: "ann", Reason: "x", For: 5},
 		"invalid": {Kind: "none"}} {
-		if _, why := r.send(0, c); why != want {
+		if _, why := r.sendCommand(0, c); why != want {
 			t.Errorf("got %s, expected %s", why, want)
 		}
 	}
-	if _, why := r.send(1, Command{Kind: "out", Location: "north", Author: "ann", Reason: "x", For: 5}); why != "last_holder" {
-		t.Errorf("got %s", why)
+	if _, why := r.sendCommand(1, Command{Kind: "out", Location: "north", Author: "ann", Reason: "x", For: 5}); why != "last_holder" {
+		t.Errorf("override of the last backends: got %s, expected last_holder", why)
 	}
 	var v View
 	if why := r.get("/v1/overrides", &v); why != "" || len(v.Overrides) != 1 || v.Overrides[0].State != "acts" || v.Storage != "memory" || v.Overrides[0].EndsIn > 60 {
 		t.Fatalf("got %+v, %s", v, why)
 	}
-	var w Why
+	var w Explanation
 	if why := r.get("/v1/why?shard=1&index=reads&searcher=s-1", &w); why != "" || w.Goes || w.Rules[0].Rule != "pin" || w.Rules[0].Override != 1 {
 		t.Fatalf("got %+v, %s", w, why)
 	}
@@ -133,29 +136,29 @@
 			t.Errorf("%s: got %s, expected %s", path, got, want)
 		}
 	}
-	if _, why := r.send(1, Command{Clear: 1, Author: "bob", Reason: "done"}); why != "" {
+	if _, why := r.sendCommand(1, Command{Clear: 1, Author: "bob", Reason: "done"}); why != "" {
 		t.Fatal(why)
 	}
 	var list []Change
-	if why := r.get("/v1/history", &list); why != "" || len(list) != 2 || list[1].What != "cleared" || list[1].Author != "bob" {
+	if why := r.get("/v1/history", &list); why != "" || len(list) != 2 || list[1].Action != "cleared" || list[1].Author != "bob" {
 		t.Fatalf("got %+v, %s", list, why)
 	}
 	for want := range uint64(2) {
 		select {
 		case c := <-changes:
 			if c.Revision != want+1 {
-				t.Fatalf("watched %+v", c)
+				t.Fatalf("watch returned %+v, expected revision %d", c, want+1)
 			}
 		case <-time.After(time.Minute):
-			t.Fatal("nothing watched")
+			t.Fatal("watch returned no change within a minute")
 		}
 	}
 }
 
-func TestTokensAndRoles(t *testing.T) {
+func TestTokenDeterminesAuthorAndRole(t *testing.T) {
 	dir := t.TempDir()
 	keyFile := filepath.Join(dir, "key")
-	key := []byte(strings.Repeat("k", keyBytes))
+	key := []byte(strings.Repeat("k", tokenBytes))
 	os.WriteFile(keyFile, []byte(hex.EncodeToString(key)+"\n"), 0o644)
 	set := operatorfile.Operators{Listen: "127.0.0.1:0", KeyFile: keyFile}
 	tokens := map[string]string{}
@@ -168,7 +171,7 @@
 		set.Tokens = append(set.Tokens, operatorfile.Token{Name: name, Write: name == "writer", Hash: hash})
 	}
 	if _, err := New("n1", set, nil, nil, zap.NewNop(), counters.New()); err == nil || !strings.Contains(err.Error(), "0600") {
-		t.Fatalf("a key that all may read: %v", err)
+		t.Fatalf("key file that others may read: got %v, expected an error", err)
 	}
 	os.Chmod(keyFile, 0o600)
 	r := newFixture(t, set, tokens["reader"])
@@ -177,53 +180,54 @@
 		t.Fatal(why)
 	}
 	out := Command{Kind: "out", Backend: "s-0", Author: "somebody else", Reason: "slow", For: 9}
-	if _, why := r.send(0, out); why != "role" {
-		t.Fatalf("a reader writes: %s", why)
+	if _, why := r.sendCommand(0, out); why != "role" {
+		t.Fatalf("command with a read token: got %s, expected role", why)
 	}
 	for _, token := range []string{"", "x", tokens["writer"] + "0", strings.ToUpper(tokens["writer"])} {
 		r.client.token = token
 		if why := r.get("/v1/overrides", &v); why != "token" {
-			t.Errorf("token %q: %s", token, why)
+			t.Errorf("token %q: got %s, expected token", token, why)
 		}
 	}
 	r.client.token = tokens["writer"]
-	if made, why := r.send(0, out); why != "" || made.Author != "writer" {
-		t.Fatalf("got %+v, %s", made, why)
+	if made, why := r.sendCommand(0, out); why != "" || made.Author != "writer" {
+		t.Fatalf("command with a write token: got %+v, %s", made, why)
 	}
 }
 
-// Rude operators get an end, and the controller goes on at once.
-func TestRudeOperators(t *testing.T) {
+// Clients that send half a request, or none, hold all connections but one. Another client must still be served, and the
+// stalled connections must be closed after the timeout. Large bodies and requests above the rate limit are rejected.
+func TestStalledConnectionsAreClosedAndRequestsAreLimited(t *testing.T) {
 	r := newFixture(t, operatorfile.Operators{}, "")
 	path := strings.TrimPrefix(r.address, "unix:")
-	var rude []net.Conn
-	for range mostConnections - 1 { // all connections but one say half a request, or nothing
+	var stalled []net.Conn
+	for range maxConnections - 1 { // each second one sends half a request, the others nothing
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if len(rude)%2 == 0 {
+		if len(stalled)%2 == 0 {
 			io.WriteString(c, "POST /v1/overrides HTTP/1.1\r\nContent-Le")
 		}
-		rude = append(rude, c)
+		stalled = append(stalled, c)
 	}
 	var v View
 	if why := r.get("/v1/overrides", &v); why != "" {
 		t.Fatal(why)
 	}
-	for _, c := range rude { // each is ended in time
+	for _, c := range stalled { // the server closes each of them
 		c.SetReadDeadline(time.Now().Add(time.Minute))
 		if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatal("a line that says half a request is kept")
+			t.Fatal("a stalled connection was not closed within a minute")
 		}
 	}
 	r.client.http.CloseIdleConnections()
-	large := Command{Kind: "out", Backend: strings.Repeat("s", mostBody), Reason: "x", For: 9}
-	if _, why := r.send(0, large); why != "invalid" {
-		t.Errorf("a body of %d bytes: %s", mostBody, why)
+	large := Command{Kind: "out", Backend: strings.Repeat("s", maxBodyBytes), Reason: "x", For: 9}
+	if _, why := r.sendCommand(0, large); why != "invalid" {
+		t.Errorf("command with a field of %d bytes: got %s, expected invalid", maxBodyBytes, why)
 	}
-	r.limit = rate.NewLimiter(0, 3)
+	r.limiter = rate.NewLimiter(0, 3)
 	got := map[string]int{}
 	for range 10 {
 		got[r.get("/v1/overrides", &v)]++
@@ -233,13 +237,13 @@
 	}
 }
 
-func TestASocketLeftBehindIsReplacedAndOneInUseIsNot(t *testing.T) {
+func TestStaleSocketIsReplacedAndSocketInUseIsNot(t *testing.T) {
 	r := newFixture(t, operatorfile.Operators{}, "")
 	if _, err := Listen(r.address); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Fatalf("got %v", err)
 	}
 	var v View
-	r.get("/v1/overrides", &v) // it serves, or closing it would come too early to be heard
+	r.get("/v1/overrides", &v) // wait until Serve runs; closing the server earlier would have no effect
 	r.http.Close()
 	l, err := Listen(r.address)
 	if err != nil {
@@ -247,6 +251,6 @@
 	}
 	l.Close()
 	if _, err := Listen("unix:/nowhere/at/all/s"); err == nil {
-		t.Fatal("a directory that is not there")
+		t.Fatal("listening in a missing directory succeeded")
 	}
 }
--- a/internal/operators/api/auth.go
+++ b/internal/operators/api/auth.go
@@ -12,19 +12,20 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// keyBytes is the length of a token's secret and of its hash.
-const keyBytes = 32
+// tokenBytes is the length in bytes of a token's secret and of its hash.
+const tokenBytes = 32
 
-// NewToken makes a token and its hash under a key.
+// NewToken generates a random token and returns it with its keyed hash. Both are in hex.
 func NewToken(key []byte) (token, hash string, err error) {
-	secret := make([]byte, keyBytes)
+	secret := make([]byte, tokenBytes)
 	rand.Read(secret)
 	token = hex.EncodeToString(secret)
-	sum, err := hashed(key, token)
+	sum, err := hashToken(key, token)
 	return token, hex.EncodeToString(sum), err
 }
 
-func hashed(key []byte, token string) ([]byte, error) {
+// hashToken returns the keyed BLAKE3 hash of a token.
+func hashToken(key []byte, token string) ([]byte, error) {
 	h, err := blake3.NewKeyed(key)
 	if err != nil {
 		return nil, err
@@ -33,53 +34,55 @@
 	return h.Sum(nil), nil
 }
 
-// door knows who may come in.
-type door struct {
+// authenticator checks the bearer tokens of requests against the hashes in the operator's file.
+type authenticator struct {
 	key    []byte
 	tokens []operatorfile.Token
 	hashes [][]byte
 }
 
-func newDoor(set operatorfile.Operators) (*door, error) {
-	d := &door{tokens: set.Tokens}
-	if len(set.Tokens) == 0 {
-		return d, nil
+// newAuthenticator reads the key file and decodes the token hashes. Without tokens it needs no key file.
+func newAuthenticator(settings operatorfile.Operators) (*authenticator, error) {
+	auth := &authenticator{tokens: settings.Tokens}
+	if len(settings.Tokens) == 0 {
+		return auth, nil
 	}
 	var err error
-	if d.key, err = operatorfile.ReadKey(set.KeyFile); err != nil {
+	if auth.key, err = operatorfile.ReadKey(settings.KeyFile); err != nil {
 		return nil, err
 	}
-	for _, t := range set.Tokens {
+	for _, t := range settings.Tokens {
 		hash, err := hex.DecodeString(t.Hash)
-		if err != nil || len(hash) != keyBytes {
-			return nil, invalid("token %q: expected a hash of %d hex digits", t.Name, 2*keyBytes)
+		if err != nil || len(hash) != tokenBytes {
+			return nil, invalid("token %q: expected a hash of %d hex digits", t.Name, 2*tokenBytes)
 		}
-		d.hashes = append(d.hashes, hash)
+		auth.hashes = append(auth.hashes, hash)
 	}
-	return d, nil
+	return auth, nil
 }
 
-var errNoToken = errors.New("expected Authorization: Bearer and a token that is known")
+var errUnknownToken = errors.New("expected Authorization: Bearer and a token that is known")
 
-// who tells whose a token is. All hashes are compared, each in constant time, so that nothing is told by how long it
-// takes. Where there are no tokens the socket's mode is the lock, and whoever opens it may write.
-func (d *door) who(header string) (name string, write bool, err error) {
-	if len(d.tokens) == 0 {
+// authenticate returns the name and the role of the token in an Authorization header. It compares the token's hash with
+// every known hash, each in constant time, so that the response time reveals nothing about the hashes. Without
+// configured tokens, only the socket's file mode restricts access, and each caller may write.
+func (a *authenticator) authenticate(header string) (name string, mayWrite bool, err error) {
+	if len(a.tokens) == 0 {
 		return "", true, nil
 	}
 	token, bearer := strings.CutPrefix(header, "Bearer ")
-	sum, err := hashed(d.key, token)
+	sum, err := hashToken(a.key, token)
 	if err != nil {
 		return "", false, err
 	}
 	found := -1
-	for i, hash := range d.hashes {
+	for i, hash := range a.hashes {
 		if subtle.ConstantTimeCompare(sum, hash) == 1 {
 			found = i
 		}
 	}
 	if !bearer || found < 0 {
-		return "", false, errNoToken
+		return "", false, errUnknownToken
 	}
-	return d.tokens[found].Name, d.tokens[found].Write, nil
+	return a.tokens[found].Name, a.tokens[found].Write, nil
 }
--- a/internal/operators/api/client.go
+++ b/internal/operators/api/client.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// Client speaks with one aggregator's listener.
+// Client sends requests to the operators' listener of one aggregator.
 type Client struct {
 	http  *http.Client
 	token string
 }
 
-// NewClient makes a client for a listener's address, as the operator's file states it.
+// NewClient returns a client for a listener's address, which has the form of operators.listen in the operator's file.
 func NewClient(address, token string) (*Client, error) {
 	path, unix := strings.CutPrefix(address, "unix:")
 	if !unix {
@@ -34,15 +34,16 @@
 	return &Client{&http.Client{Transport: &http.Transport{DialContext: dial}}, token}, nil
 }
 
-// Error is an answer that is none.
+// Error is a response with a status other than 200.
 type Error struct {
 	Status int
 	Failure
 }
 
-// Error returns what is wrong, for a person.
+// Error implements the error interface.
 func (e *Error) Error() string { return e.Code + ": " + e.Text }
 
+// do sends a request and returns the response if its status is 200. Any other status is returned as an *Error.
 func (c *Client) do(ctx context.Context, method, path string, body io.Reader) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://mixer"+path, body)
 	if err != nil {
@@ -57,13 +58,13 @@
 	}
 	defer res.Body.Close()
 	e := &Error{Status: res.StatusCode}
-	if json.NewDecoder(io.LimitReader(res.Body, mostBody)).Decode(&e.Failure) != nil {
+	if json.NewDecoder(io.LimitReader(res.Body, maxBodyBytes)).Decode(&e.Failure) != nil {
 		e.Code, e.Text = "status", res.Status
 	}
 	return nil, e
 }
 
-// Get reads what a path answers.
+// Get requests a path and decodes the JSON body of the response into a value.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
 	res, err := c.do(ctx, http.MethodGet, path, nil)
 	if err != nil {
@@ -73,19 +74,19 @@
 	return json.NewDecoder(res.Body).Decode(into)
 }
 
-// Send sends a command.
-func (c *Client) Send(ctx context.Context, command Command) (made Change, err error) {
-	err = c.post(ctx, "/v1/overrides", command, &made)
-	return made, err
+// Send submits a command that sets or clears an override, and returns the change that it made.
+func (c *Client) Send(ctx context.Context, command Command) (change Change, err error) {
+	err = c.post(ctx, "/v1/overrides", command, &change)
+	return change, err
 }
 
-// post sends a command to a path and reads what it answers.
+// post sends a command to a path and decodes the JSON body of the response into a value.
 func (c *Client) post(ctx context.Context, path string, command, into any) error {
-	text, err := json.Marshal(command)
+	encoded, err := json.Marshal(command)
 	if err != nil {
 		return err
 	}
-	res, err := c.do(ctx, http.MethodPost, path, strings.NewReader(string(text)))
+	res, err := c.do(ctx, http.MethodPost, path, strings.NewReader(string(encoded)))
 	if err != nil {
 		return err
 	}
@@ -93,7 +94,7 @@
 	return json.NewDecoder(res.Body).Decode(into)
 }
 
-// Watch calls each for every change after a revision, until the connection ends.
+// Watch calls each for every change after a revision. It returns when the connection ends or each returns an error.
 func (c *Client) Watch(ctx context.Context, from uint64, each func(Change) error) error {
 	res, err := c.do(ctx, http.MethodGet, "/v1/changes?from="+strconv.FormatUint(from, 10), nil)
 	if err != nil {
--- a/internal/operators/api/errors.go
+++ b/internal/operators/api/errors.go
@@ -5,15 +5,16 @@
 	"fmt"
 )
 
-// ErrInUse is the error of Listen where another process serves the socket.
+// ErrInUse is returned by Listen if another process serves the socket.
 var ErrInUse = errors.New("another process listens there")
 
-// ValidationError says what is wrong with a command or a token, and what was expected.
+// ValidationError describes an invalid command or token and says what was expected.
 type ValidationError string
 
-// Error returns what is wrong, for a person.
+// Error implements the error interface.
 func (e ValidationError) Error() string { return string(e) }
 
+// invalid returns a ValidationError with a formatted text.
 func invalid(format string, arguments ...any) error {
 	return ValidationError(fmt.Sprintf(format, arguments...))
 }
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -16,9 +16,9 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/residency"
 )
 
-// FleetCommand sets or clears one tenant's contract or quota, for all aggregators.
+// FleetCommand sets or clears the contract or the quota of one tenant, for all aggregators.
 type FleetCommand struct {
-	ID       string    `json:"id,omitempty"` // the same command sent again acts once
+	ID       string    `json:"id,omitempty"` // identifies the command, so that a repeated request is applied only once
 	Author   string    `json:"author"`
 	Reason   string    `json:"reason"`
 	Tenant   string    `json:"tenant"`
@@ -27,32 +27,32 @@
 	Clear    string    `json:"clear,omitempty"` // "contract" or "quota"
 }
 
-// Contract keeps a tenant's queries inside zones.
+// Contract restricts a tenant's queries to zones.
 type Contract struct {
-	Zones          []string `json:"zones"`
-	AggregatorsToo bool     `json:"mixers_too,omitempty"`
-	Indexes        []string `json:"indexes,omitempty"`
+	Zones              []string `json:"zones"`
+	IncludeAggregators bool     `json:"mixers_too,omitempty"`
+	Indexes            []string `json:"indexes,omitempty"`
 }
 
-// Quota is a tenant's over all aggregators.
+// Quota limits the rate of a tenant's queries over all aggregators together.
 type Quota struct {
-	PerS  float64 `json:"per_s"`
-	Burst float64 `json:"burst"`
-	Floor float64 `json:"floor_share"`
+	QueriesPerSecond float64 `json:"per_s"`
+	Burst            float64 `json:"burst"`
+	MinimumShare     float64 `json:"floor_share"`
 }
 
-// command checks a command and puts it into the fleet's terms.
-func (c *FleetCommand) command() (out consensus.Command, err error) {
+// toConsensusCommand validates the command and converts it for the consensus log. It generates an ID if there is none.
+func (c *FleetCommand) toConsensusCommand() (out consensus.Command, err error) {
 	if c.ID == "" {
 		id := make([]byte, 16)
 		rand.Read(id)
 		c.ID = hex.EncodeToString(id)
 	}
 	out = consensus.Command{ID: consensus.CommandID(c.ID), Author: c.Author, Reason: c.Reason}
-	set := 0
-	for _, is := range []bool{c.Contract != nil, c.Quota != nil, c.Clear != ""} {
-		if is {
-			set++
+	operations := 0
+	for _, present := range []bool{c.Contract != nil, c.Quota != nil, c.Clear != ""} {
+		if present {
+			operations++
 		}
 	}
 	switch {
@@ -60,13 +60,13 @@
 		return out, invalid("id, author or reason is too long, expected at most 128, 64 and 512 bytes")
 	case c.Author == "" || c.Reason == "":
 		return out, invalid("expected author and reason")
-	case c.Tenant == "" || set != 1:
+	case c.Tenant == "" || operations != 1:
 		return out, invalid("expected a tenant, and one of contract, quota and clear")
 	case c.Contract != nil:
 		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant),
-			Contract: &residency.Contract{Zones: c.Contract.Zones, Own: c.Contract.AggregatorsToo, Indexes: c.Contract.Indexes}}
+			Contract: &residency.Contract{Zones: c.Contract.Zones, Own: c.Contract.IncludeAggregators, Indexes: c.Contract.Indexes}}
 	case c.Quota != nil:
-		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{PerS: c.Quota.PerS, Burst: c.Quota.Burst, MinimumShare: c.Quota.Floor}}
+		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{PerS: c.Quota.QueriesPerSecond, Burst: c.Quota.Burst, MinimumShare: c.Quota.MinimumShare}}
 	case c.Clear == "contract":
 		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant)}
 	case c.Clear == "quota":
@@ -77,78 +77,78 @@
 	return out, nil
 }
 
-// patient gives an answer that waits for a majority longer than others have.
-func (s *Server) patient(w http.ResponseWriter) {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(2 * slowAnswer))
+// extendWriteDeadline doubles the time to write the response, for handlers that wait for a majority of the fleet.
+func (s *Server) extendWriteDeadline(w http.ResponseWriter) {
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(2 * responseWriteTimeout))
 }
 
-// serveFleet serves the fleet's part of the listener, where there is a fleet.
-func (s *Server) serveFleet(mux *http.ServeMux) {
-	mux.HandleFunc("GET /v1/fleet", s.read(s.showFleet))
-	mux.HandleFunc("GET /v1/fleet/held", s.read(s.progressFleet))
-	mux.HandleFunc("GET /v1/fleet/why", s.read(s.whyFleet))
-	mux.HandleFunc("POST /v1/fleet", s.guarded(true, s.commandFleet))
+// registerFleetHandlers registers the handlers for fleet requests. It is called only if the aggregator belongs to a fleet.
+func (s *Server) registerFleetHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("GET /v1/fleet", s.readOnly(s.fleetStatus))
+	mux.HandleFunc("GET /v1/fleet/held", s.readOnly(s.contractProgress))
+	mux.HandleFunc("GET /v1/fleet/why", s.readOnly(s.explainFleet))
+	mux.HandleFunc("POST /v1/fleet", s.authorized(true, s.submitFleetCommand))
 }
 
-// fleetFails answers where nobody that may know does.
-func (s *Server) fleetFails(w http.ResponseWriter, err error) {
+// failUnavailable answers a fleet request that failed, usually because no leader can be reached.
+func (s *Server) failUnavailable(w http.ResponseWriter, err error) {
 	s.fail(w, http.StatusServiceUnavailable, "no_leader", err.Error())
 }
 
-func (s *Server) showFleet(w http.ResponseWriter, _ *http.Request, _ string) {
-	shown, err := s.fleet.Status()
+func (s *Server) fleetStatus(w http.ResponseWriter, _ *http.Request, _ string) {
+	status, err := s.fleet.Status()
 	if err != nil {
-		s.fleetFails(w, err)
+		s.failUnavailable(w, err)
 		return
 	}
-	reply(w, http.StatusOK, shown)
+	reply(w, http.StatusOK, status)
 }
 
-func (s *Server) progressFleet(w http.ResponseWriter, r *http.Request, _ string) {
+func (s *Server) contractProgress(w http.ResponseWriter, r *http.Request, _ string) {
 	version, err := strconv.ParseUint(r.FormValue("version"), 10, 64)
 	if err != nil {
 		s.fail(w, http.StatusBadRequest, "invalid", "version is "+strconv.Quote(r.FormValue("version"))+", expected that of a contract")
 		return
 	}
-	s.patient(w)
-	p, err := s.fleet.Progress(residency.Version(version), quota.Tenant(r.FormValue("tenant")))
+	s.extendWriteDeadline(w)
+	progress, err := s.fleet.Progress(residency.Version(version), quota.Tenant(r.FormValue("tenant")))
 	if err != nil {
-		s.fleetFails(w, err)
+		s.failUnavailable(w, err)
 		return
 	}
-	reply(w, http.StatusOK, p)
+	reply(w, http.StatusOK, progress)
 }
 
-func (s *Server) whyFleet(w http.ResponseWriter, r *http.Request, _ string) {
-	e, err := s.fleet.Explain(quota.Tenant(r.FormValue("tenant")), r.FormValue("index"))
+func (s *Server) explainFleet(w http.ResponseWriter, r *http.Request, _ string) {
+	explanation, err := s.fleet.Explain(quota.Tenant(r.FormValue("tenant")), r.FormValue("index"))
 	if err != nil {
-		s.fleetFails(w, err)
+		s.failUnavailable(w, err)
 		return
 	}
-	reply(w, http.StatusOK, e)
+	reply(w, http.StatusOK, explanation)
 }
 
-func (s *Server) commandFleet(w http.ResponseWriter, r *http.Request, who string) {
+func (s *Server) submitFleetCommand(w http.ResponseWriter, r *http.Request, operator string) {
 	var c FleetCommand
-	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBody))
+	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	in.DisallowUnknownFields()
 	if err := in.Decode(&c); err != nil {
 		s.fail(w, http.StatusBadRequest, "invalid", err.Error())
 		return
 	}
-	if who != "" {
-		c.Author = who
+	if operator != "" {
+		c.Author = operator
 	}
-	do, err := c.command()
+	command, err := c.toConsensusCommand()
 	if err != nil {
 		s.fail(w, http.StatusBadRequest, "invalid", err.Error())
 		return
 	}
-	s.patient(w)
-	res, err := s.fleet.SubmitCommand(do)
+	s.extendWriteDeadline(w)
+	res, err := s.fleet.SubmitCommand(command)
 	switch {
 	case err != nil:
-		s.fleetFails(w, err)
+		s.failUnavailable(w, err)
 	case res.Failure != "":
 		s.fail(w, http.StatusUnprocessableEntity, "refused", res.Failure)
 	default:
@@ -156,26 +156,26 @@
 	}
 }
 
-// Fleet reads what one aggregator knows of the fleet.
-func (c *Client) Fleet(ctx context.Context) (s fleet.Status, err error) {
+// FleetStatus returns the state of the fleet as one aggregator sees it.
+func (c *Client) FleetStatus(ctx context.Context) (s fleet.Status, err error) {
 	err = c.Get(ctx, "/v1/fleet", &s)
 	return s, err
 }
 
-// Progress reads how far a version of the contracts got, for a tenant.
+// Progress returns how far a version of the contracts has been applied, for a tenant.
 func (c *Client) Progress(ctx context.Context, version uint64, tenant string) (p residency.Progress, err error) {
 	err = c.Get(ctx, "/v1/fleet/held?version="+strconv.FormatUint(version, 10)+"&tenant="+url.QueryEscape(tenant), &p)
 	return p, err
 }
 
-// Change sends a command to the fleet.
-func (c *Client) Change(ctx context.Context, command FleetCommand) (r fleet.Result, err error) {
+// SendFleetCommand submits a command that changes a contract or a quota.
+func (c *Client) SendFleetCommand(ctx context.Context, command FleetCommand) (r fleet.Result, err error) {
 	err = c.post(ctx, "/v1/fleet", command, &r)
 	return r, err
 }
 
-// WhyFleet reads which contract, lease and quota decide about a tenant's queries of an index.
-func (c *Client) WhyFleet(ctx context.Context, tenant, index string) (e fleet.Explanation, err error) {
+// ExplainFleet returns the contract, the lease and the quota that apply to a tenant's queries of an index.
+func (c *Client) ExplainFleet(ctx context.Context, tenant, index string) (e fleet.Explanation, err error) {
 	err = c.Get(ctx, "/v1/fleet/why?tenant="+url.QueryEscape(tenant)+"&index="+url.QueryEscape(index), &e)
 	return e, err
 }
--- a/internal/operators/api/listener.go
+++ b/internal/operators/api/listener.go
@@ -23,36 +23,38 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// Operators are a few people and their scripts beside an aggregator of one core: what follows leaves it to the queries.
+// Limits of the listener. An aggregator has one core, and its operators are a few people and their scripts. The limits keep
+// the core free for queries.
 const (
-	mostConnections   = 16       // open at once, of the descriptors that neither clients nor backends have
-	mostBody          = 16 << 10 // a command takes 1 KiB
-	mostHead          = 8 << 10  // as the clients' side
-	perSecond         = 20       // requests of all operators
-	burst             = 40       // a page of an overview at once
-	slowRequest       = 2 * time.Second
-	slowAnswer        = 10 * time.Second // 10,000 overrides are 3 MB
-	slowIdle          = time.Minute      // a person reads between two requests
-	connectionWait    = 5 * time.Second  // a watcher that takes none of what it asked for holds its connection no longer
-	heartbeatInterval = 10 * time.Second // an empty line while nothing changes
-	mostHistory       = 1000
+	maxConnections       = 16       // open at the same time; they use file descriptors that are reserved neither for clients nor for backends
+	maxBodyBytes         = 16 << 10 // a command takes about 1 KiB
+	maxHeaderBytes       = 8 << 10  // the same as in the listener for clients
+	maxRequestsPerSecond = 20       // of all operators together
+	requestBurst         = 40       // requests that one page of an overview makes at once
+	requestReadTimeout   = 2 * time.Second
+	responseWriteTimeout = 10 * time.Second // a list of 10,000 overrides has 3 MB
+	idleTimeout          = time.Minute      // leaves a person time to read between two requests
+	watchWriteTimeout    = 5 * time.Second  // a watcher that does not read within this time is disconnected
+	heartbeatInterval    = 10 * time.Second // of the empty lines that are sent to watchers
+	maxHistoryEntries    = 1000
 )
 
-// Server serves operators.
+// Server answers the HTTP requests of operators.
 type Server struct {
-	aggregator string
-	controller *controller.Controller
-	fleet      *fleet.Fleet // nil where there is none
-	door       *door
-	log        *zap.Logger
-	count      *counters.Set
-	limit      *rate.Limiter
-	http       *http.Server
-	heartbeat  time.Duration
-	closed     chan struct{}
+	aggregator    string
+	controller    *controller.Controller
+	fleet         *fleet.Fleet // nil if the aggregator belongs to no fleet
+	authenticator *authenticator
+	log           *zap.Logger
+	counters      *counters.Set
+	limiter       *rate.Limiter
+	http          *http.Server
+	heartbeat     time.Duration
+	closed        chan struct{}
 }
 
-// Listen opens the socket or the address. A socket left by a process that is no more is replaced; it is its owner's alone.
+// Listen listens on a unix socket or a TCP address. A socket left behind by a process that has ended is replaced. Only the
+// owner may connect to the socket.
 func Listen(address string) (net.Listener, error) {
 	path, unix := strings.CutPrefix(address, "unix:")
 	if !unix {
@@ -63,15 +65,15 @@
 		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		_ = os.Remove(path) // the rename below replaces what stays, or says why it cannot
+		_ = os.Remove(path) // if this fails, the rename below replaces the socket or returns the reason
 	}
-	// It is made under a name in a directory that nobody else may enter, and takes its own name once its mode is set:
-	// at no moment may others connect.
+	// The socket is created in a directory that only the owner may enter, and is renamed to its path once its mode is set.
+	// So other users can connect at no time.
 	dir, err := os.MkdirTemp(filepath.Dir(path), ".operators-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // an empty directory that stays does not hinder the listener
+	defer func() { _ = os.RemoveAll(dir) }() // an empty directory left behind does no harm
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: dir + "/s", Net: "unix"})
 	if err != nil {
 		return nil, err
@@ -87,88 +89,91 @@
 	return l, nil
 }
 
-// New makes a server for an aggregator of this name; its fleet may be nil.
-func New(aggregator string, set operatorfile.Operators, d *controller.Controller, f *fleet.Fleet, log *zap.Logger, count *counters.Set) (*Server, error) {
-	door, err := newDoor(set)
+// New returns a server for the named aggregator. The fleet may be nil.
+func New(aggregator string, settings operatorfile.Operators, overrides *controller.Controller, f *fleet.Fleet, log *zap.Logger, count *counters.Set) (*Server, error) {
+	auth, err := newAuthenticator(settings)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{aggregator: aggregator, controller: d, fleet: f, door: door, log: log, count: count, limit: rate.NewLimiter(perSecond, burst),
+	s := &Server{aggregator: aggregator, controller: overrides, fleet: f, authenticator: auth, log: log, counters: count, limiter: rate.NewLimiter(maxRequestsPerSecond, requestBurst),
 		heartbeat: heartbeatInterval, closed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/overrides", s.read(s.list))
-	mux.HandleFunc("GET /v1/history", s.read(s.history))
-	mux.HandleFunc("GET /v1/why", s.read(s.why))
-	mux.HandleFunc("GET /v1/changes", s.read(s.watch))
-	mux.HandleFunc("POST /v1/overrides", s.guarded(true, s.command))
+	mux.HandleFunc("GET /v1/overrides", s.readOnly(s.listOverrides))
+	mux.HandleFunc("GET /v1/history", s.readOnly(s.history))
+	mux.HandleFunc("GET /v1/why", s.readOnly(s.explain))
+	mux.HandleFunc("GET /v1/changes", s.readOnly(s.watchChanges))
+	mux.HandleFunc("POST /v1/overrides", s.authorized(true, s.submitOverrideCommand))
 	if f != nil {
-		s.serveFleet(mux)
+		s.registerFleetHandlers(mux)
 	}
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: slowRequest, ReadTimeout: slowRequest, WriteTimeout: slowAnswer,
-		IdleTimeout: slowIdle, MaxHeaderBytes: mostHead, ErrorLog: stdlog.New(io.Discard, "", 0), ConnState: s.changed}
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: requestReadTimeout, ReadTimeout: requestReadTimeout, WriteTimeout: responseWriteTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: stdlog.New(io.Discard, "", 0), ConnState: s.connectionStateChanged}
 	return s, nil
 }
 
-// changed logs one entry for each connection that ends.
-func (s *Server) changed(c net.Conn, state http.ConnState) {
+// connectionStateChanged counts connections that begin and end, and logs those that end.
+func (s *Server) connectionStateChanged(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		s.count.Add("operator_lines", "accepted", 1)
+		s.counters.Add("operator_lines", "accepted", 1)
 	case http.StateClosed:
-		s.count.Add("operator_lines", "ended", 1)
+		s.counters.Add("operator_lines", "ended", 1)
 		s.log.Info("connection ended", zap.String("peer", "operator"), zap.String("reason", "ended"), zap.String("address", c.RemoteAddr().String()))
 	}
 }
 
-// Serve serves until Stop.
+// Serve accepts connections until Stop is called.
 func (s *Server) Serve(l net.Listener) {
-	l = netutil.LimitListener(l, mostConnections)
+	l = netutil.LimitListener(l, maxConnections)
 	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		s.log.Error("operator listener ended", zap.String("text", err.Error()))
 	}
 	close(s.closed)
 }
 
-// Stop ends all of it at once: operators ask again.
+// Stop closes the listener and all connections at once, without waiting for requests in progress. Operators retry.
 func (s *Server) Stop() {
 	s.http.Close()
 	<-s.closed
 }
 
-// fail answers with a code and a sentence.
+// fail counts a failed request and answers it with a code and a text.
 func (s *Server) fail(w http.ResponseWriter, status int, code, text string) {
-	s.count.Add("operators", code, 1)
+	s.counters.Add("operators", code, 1)
 	if status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", "1")
 	}
 	reply(w, status, Failure{code, text})
 }
 
+// reply sends a JSON response.
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the status is sent: an operator who has left is told nothing
+	_ = json.NewEncoder(w).Encode(body) // the status has been sent, and the operator may have disconnected
 }
 
-type handler func(w http.ResponseWriter, r *http.Request, who string)
+// handler handles an authorized request. The operator is the name of the token, "" if no tokens are configured.
+type handler func(w http.ResponseWriter, r *http.Request, operator string)
 
-func (s *Server) read(h handler) http.HandlerFunc { return s.guarded(false, h) }
+// readOnly wraps a handler that every token may call.
+func (s *Server) readOnly(h handler) http.HandlerFunc { return s.authorized(false, h) }
 
-// guarded lets in who may come in, at the rate that all together may have.
-func (s *Server) guarded(write bool, h handler) http.HandlerFunc {
+// authorized wraps a handler with the rate limit for all operators together and with the check of the token and its role.
+func (s *Server) authorized(write bool, h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !s.limit.Allow() {
-			s.fail(w, http.StatusTooManyRequests, "rate", fmt.Sprintf("more than %d requests a second", perSecond))
+		if !s.limiter.Allow() {
+			s.fail(w, http.StatusTooManyRequests, "rate", fmt.Sprintf("more than %d requests a second", maxRequestsPerSecond))
 			return
 		}
-		who, mayWrite, err := s.door.who(r.Header.Get("Authorization"))
+		who, mayWrite, err := s.authenticator.authenticate(r.Header.Get("Authorization"))
 		switch {
 		case err != nil:
 			s.fail(w, http.StatusUnauthorized, "token", err.Error())
 		case write && !mayWrite:
 			s.fail(w, http.StatusForbidden, "role", fmt.Sprintf("the token of %s may read, not write", who))
 		default:
-			s.count.Add("operators", "served", 1)
+			s.counters.Add("operators", "served", 1)
 			h(w, r, who)
 		}
 	}
--- a/internal/operators/api/wire.go
+++ b/internal/operators/api/wire.go
@@ -1,6 +1,7 @@
-// Package api is the operators' listener and its client: overrides are listed, set, cleared, watched and explained
-// over HTTP on a unix socket or a loopback address. Names on that socket stay here. It decides nothing, and whatever an
-// operator does there holds up neither queries nor the list.
+// Package api implements the operators' listener of an aggregator and its client. Operators list, set, clear, watch and
+// explain overrides over HTTP, on a unix socket or a loopback address. In a fleet they also change contracts and quotas.
+// The names in requests and responses are defined here and used nowhere else. The package decides nothing itself: the
+// controller and the fleet do. A request never delays queries or updates of the list of backends.
 package api
 
 import (
@@ -10,7 +11,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Override is one that holds, or held.
+// Override is an override that is in force or has ended.
 type Override struct {
 	ID           uint64  `json:"id"`
 	Kind         string  `json:"kind"`
@@ -30,7 +31,7 @@
 	State        string  `json:"state,omitempty"`
 }
 
-// View is what holds.
+// View lists the overrides in force and the recoveries in progress.
 type View struct {
 	Aggregator string     `json:"mixer"`
 	Revision   uint64     `json:"revision"`
@@ -40,7 +41,7 @@
 	Recoveries []Recovery `json:"returning"`
 }
 
-// Recovery is what comes back from an override that has ended.
+// Recovery is a backend whose share of the load is being restored after an override has ended.
 type Recovery struct {
 	Backend string  `json:"searcher"`
 	Shard   *int    `json:"shard,omitempty"`
@@ -49,19 +50,19 @@
 	Desired float64 `json:"want"`
 }
 
-// Change is one revision.
+// Change is one revision of the overrides.
 type Change struct {
 	Revision uint64   `json:"revision"`
 	At       float64  `json:"at"`
-	What     string   `json:"what"`
+	Action   string   `json:"what"`
 	Author   string   `json:"author"`
 	Reason   string   `json:"reason"`
 	Forced   []string `json:"forced,omitempty"`
 	Override Override `json:"override"`
-	Again    bool     `json:"again,omitempty"` // the command had acted before
+	Repeated bool     `json:"again,omitempty"` // the command had been applied before
 }
 
-// Command sets an override, or clears the one of an id.
+// Command sets an override, or clears the override with the ID in Clear.
 type Command struct {
 	Key          string  `json:"key"`
 	Revision     *uint64 `json:"revision"`
@@ -81,14 +82,14 @@
 	Force        bool    `json:"force,omitempty"`
 }
 
-// Why says why parts of a shard go to a backend or not.
-type Why struct {
+// Explanation says whether subqueries of a shard are sent to a backend, and which rules decide it.
+type Explanation struct {
 	Goes  bool    `json:"goes"`
 	Share float64 `json:"share"`
 	Rules []Rule  `json:"rules"`
 }
 
-// Rule is one that has something to say there.
+// Rule is one of the rules that apply to the shard and the backend.
 type Rule struct {
 	Rule     string `json:"rule"`
 	Acts     bool   `json:"acts"`
@@ -96,13 +97,14 @@
 	Text     string `json:"text"`
 }
 
-// Failure is the body of an answer that is none.
+// Failure is the body of a response to a failed request.
 type Failure struct {
 	Code string `json:"code"`
 	Text string `json:"text"`
 }
 
-func shown(o *override.Override, now float64) Override {
+// toOverride converts an override to its form on the wire.
+func toOverride(o *override.Override, now float64) Override {
 	w := Override{ID: uint64(o.ID), Kind: o.Kind.String(), Backend: o.Backend, Location: o.Location, Index: o.Index,
 		Weight: o.Factor, Strict: o.Strict, Author: o.Author, Reason: o.Reason, Since: o.Since, Ends: o.End,
 		EndsIn: math.Round(10*max(0, o.End-now)) / 10, UntilRestart: o.UntilRestart}
@@ -113,13 +115,14 @@
 	return w
 }
 
-func changed(c *override.Change, now float64) Change {
-	return Change{Revision: uint64(c.Revision), At: c.At, What: c.What.String(), Author: c.Author, Reason: c.Reason,
-		Forced: c.Forced, Override: shown(&c.Override, now)}
+// toChange converts a change to its form on the wire.
+func toChange(c *override.Change, now float64) Change {
+	return Change{Revision: uint64(c.Revision), At: c.At, Action: c.What.String(), Author: c.Author, Reason: c.Reason,
+		Forced: c.Forced, Override: toOverride(&c.Override, now)}
 }
 
-// command reads what an operator sent. Only its form is checked here.
-func (c *Command) command() (override.Command, error) {
+// toOverrideCommand converts a command from its form on the wire. It checks only the form; the controller checks the rest.
+func (c *Command) toOverrideCommand() (override.Command, error) {
 	if c.Revision == nil {
 		return override.Command{}, invalid("expected revision, of what the command was made for")
 	}
--- a/internal/operators/api/wire_test.go
+++ b/internal/operators/api/wire_test.go
@@ -6,8 +6,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the encoded forms of the types that leave the process.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles compares the encoded forms of the types in requests and responses with golden files.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
 		goldentest.Form{Name: "fleet command", Value: new(FleetCommand)},
 		goldentest.Form{Name: "contract", Value: new(Contract)},
@@ -17,7 +17,7 @@
 		goldentest.Form{Name: "return", Value: new(Recovery)},
 		goldentest.Form{Name: "change", Value: new(Change)},
 		goldentest.Form{Name: "command", Value: new(Command)},
-		goldentest.Form{Name: "why", Value: new(Why)},
+		goldentest.Form{Name: "why", Value: new(Explanation)},
 		goldentest.Form{Name: "rule", Value: new(Rule)},
 		goldentest.Form{Name: "failure", Value: new(Failure)},
 	)
--- a/internal/operators/capture/block.go
+++ b/internal/operators/capture/block.go
@@ -13,39 +13,40 @@
 	"github.com/zeebo/xxh3"
 )
 
-// A capture is a head and then blocks, one an interval: length (4 bytes, most significant first), xxh3 of the rest (8),
-// and the interval as JSON, deflated. A file that was cut off anywhere reads up to the cut.
+// A capture file is a file header and a series of blocks. Each block holds one interval: the length of the body (4 bytes,
+// big-endian), the xxh3 hash of the body (8 bytes), and the body, which is the interval as deflated JSON. A file that was
+// truncated anywhere can be read up to that point.
 const (
 	fileHeader      = "puffinlink capture 1\n"
 	blockHeaderSize = 12
-	// maxBlockSize bounds what a length can make us hold: an interval at all its caps takes 8 MB.
+	// maxBlockSize limits the memory that a corrupted length can make Read use. An interval at all its limits takes 8 MB.
 	maxBlockSize = 32 << 20
 	maxTextSize  = 128 << 20
 )
 
-// TruncatedError says that a capture ends in the middle, or that a block is spoilt; what comes before it is good.
+// TruncatedError reports that a capture is truncated or that a block is corrupted. The blocks before it are valid.
 type TruncatedError struct {
-	Blocks int // that were read
-	At     int64
-	Why    string
+	Blocks int // number of valid blocks that were read
+	Offset int64
+	Reason string
 }
 
-// Error returns what is wrong, for a person.
+// Error implements the error interface.
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("cut off or spoilt after %d intervals, at byte %d: %s", e.Blocks, e.At, e.Why)
+	return fmt.Sprintf("cut off or spoilt after %d intervals, at byte %d: %s", e.Blocks, e.Offset, e.Reason)
 }
 
-// FileHeader begins a capture.
+// FileHeader returns the bytes at the beginning of a capture file.
 func FileHeader() []byte { return []byte(fileHeader) }
 
-// AppendBlock writes an interval.
+// AppendBlock appends the block of an interval.
 func AppendBlock(b []byte, i *Interval) ([]byte, error) {
 	text, err := json.Marshal(i)
 	if err != nil {
 		return b, err
 	}
-	var small bytes.Buffer
-	w, err := flate.NewWriter(&small, flate.BestSpeed)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return b, err
 	}
@@ -55,16 +56,16 @@
 	if err := w.Close(); err != nil {
 		return b, err
 	}
-	if small.Len() > maxBlockSize {
-		return b, invalid("an interval of %d bytes, %d at most", small.Len(), maxBlockSize)
+	if compressed.Len() > maxBlockSize {
+		return b, invalid("an interval of %d bytes, %d at most", compressed.Len(), maxBlockSize)
 	}
-	b = binary.BigEndian.AppendUint32(b, uint32(small.Len()))
-	b = binary.BigEndian.AppendUint64(b, xxh3.Hash(small.Bytes()))
-	return append(b, small.Bytes()...), nil
+	b = binary.BigEndian.AppendUint32(b, uint32(compressed.Len()))
+	b = binary.BigEndian.AppendUint64(b, xxh3.Hash(compressed.Bytes()))
+	return append(b, compressed.Bytes()...), nil
 }
 
-// Read calls each for every interval of a capture. A *TruncatedError says that it ends in the middle; any other error, that it is
-// no capture that this version reads.
+// Read calls each for every interval of a capture. It returns a *TruncatedError if the capture is truncated or corrupted,
+// ErrNotCapture or a ValidationError if it is no capture or one of another version, and any error that each returns.
 func Read(in io.Reader, each func(*Interval) error) error {
 	buffered := bufio.NewReaderSize(in, 1<<16)
 	received := make([]byte, len(fileHeader))
@@ -82,30 +83,30 @@
 		return ErrNotCapture
 	}
 	offset := int64(len(fileHeader))
-	var buf []byte
+	var compressed []byte
 	for blocks := 0; ; blocks++ {
 		truncated := func(why string) error { return &TruncatedError{blocks, offset, why} }
-		var front [blockHeaderSize]byte
-		n, err := io.ReadFull(buffered, front[:])
+		var header [blockHeaderSize]byte
+		n, err := io.ReadFull(buffered, header[:])
 		switch {
 		case errors.Is(err, io.EOF) && n == 0:
 			return nil
 		case err != nil:
 			return truncated("in the head of an interval")
 		}
-		size := binary.BigEndian.Uint32(front[:])
+		size := binary.BigEndian.Uint32(header[:])
 		if size > maxBlockSize {
 			return truncated(fmt.Sprintf("an interval of %d bytes, %d at most", size, maxBlockSize))
 		}
-		var body bytes.Buffer // memory is taken as bytes come, never on the word of a length
+		var body bytes.Buffer // grows as bytes are read, because the length may be corrupted
 		if received, err := io.CopyN(&body, buffered, int64(size)); err != nil {
 			return truncated(fmt.Sprintf("%d of an interval's %d bytes are here", received, size))
 		}
-		buf = body.Bytes()
-		if xxh3.Hash(buf) != binary.BigEndian.Uint64(front[4:]) {
+		compressed = body.Bytes()
+		if xxh3.Hash(compressed) != binary.BigEndian.Uint64(header[4:]) {
 			return truncated("an interval's checksum is wrong")
 		}
-		text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(buf)), maxTextSize))
+		text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxTextSize))
 		if err != nil {
 			return truncated(err.Error())
 		}
@@ -123,7 +124,7 @@
 	}
 }
 
-// check refuses what no recorder would have written.
+// check rejects values that a recorder cannot have written.
 func (i *Interval) check() error {
 	if !(i.Span > 0) || !(i.At >= 0) {
 		return invalid("an interval of %g s at %g", i.Span, i.At)
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -1,81 +1,85 @@
-// Package capture records what load an aggregator had, by intervals, so that the planner can say what would become of it on
-// another fleet. The recorder takes what the module's actor sees and counts; it does no I/O, has no clock and no goroutine.
-// Blocks and files are in block.go and files.go, merging and cutting in merge.go, made-up loads in synth.go.
+// Package capture records the load of an aggregator in intervals. The planner uses the records to predict how another fleet
+// would serve that load. The aggregator's event loop calls the Recorder, which only counts: it does no I/O, reads no clock
+// and starts no goroutine. A Writer writes the intervals to files. The package also reads, merges and selects captures, and
+// generates synthetic loads.
 package capture
 
 import (
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Caps of what one interval holds, each with its reason.
+// Limits of one interval.
 const (
-	// mostRows is of backends by index: 1,000 backends of four indexes take 10 MB. Those beyond it are counted as others.
-	mostRows = 4096
-	// others is their name.
-	others = "(others)"
+	// maxBackendRows limits the rows for pairs of a backend and an index. 1,000 backends with four indexes take 10 MB. Calls of
+	// pairs beyond the limit are counted under the name otherBackends.
+	maxBackendRows = 4096
+	// otherBackends is the backend name of rows beyond maxBackendRows.
+	otherBackends = "(others)"
 )
 
-// Names are what the module has numbers for.
+// Names holds the names of the indexes and customers that the aggregator identifies by number.
 type Names struct {
 	Indexes, Customers []string
-	Soft               []float64 // soft deadlines by index, seconds
+	SoftDeadlines      []float64 // by index, in seconds
 	Shards             int
 }
 
-// BackendCalls is a backend in a recorder: its part calls out, and what came of the interval's. It lives while the list names the
-// backend or a call to it is out.
+// BackendCalls holds a recorder's counts for one backend: the subqueries in flight, and the results of the current interval.
+// It is kept while the list names the backend or a subquery to it is in flight.
 type BackendCalls struct {
 	name, location string
 	inFlight       int
-	rows           []*BackendLoad // by index; nil where nothing came
+	rows           []*BackendLoad // by index; nil if no subquery has ended in this interval
 	removed        bool
 }
 
-// Recorder counts one aggregator's load. One goroutine alone uses it.
+// Recorder counts the load of one aggregator. It is not safe for concurrent use.
 type Recorder struct {
 	aggregator      string
 	names           Names
 	span            float64
 	started         bool
-	from            float64
+	intervalStart   float64
 	loads           [][]Load // by index and customer
 	parts           []map[int]int64
 	latency         []Histogram
 	shards          [][]int64
 	backends        map[policy.BackendID]*BackendCalls
 	rowCount        int
-	queriesInFlight meter
-	callsInFlight   meter
+	queriesInFlight inFlightMeter
+	callsInFlight   inFlightMeter
 }
 
-// meter is the integral of a count over time.
-type meter struct {
-	current, most int64
+// inFlightMeter measures the mean over time and the peak of a number in flight.
+type inFlightMeter struct {
+	current, peak int64
 	at, sum       float64
 }
 
-func (m *meter) move(now float64, by int64) {
+// adjust adds to the current number.
+func (m *inFlightMeter) adjust(now float64, by int64) {
 	m.sum += float64(m.current) * max(0, now-m.at)
 	m.at = now
 	m.current = max(0, m.current+by)
-	m.most = max(m.most, m.current)
+	m.peak = max(m.peak, m.current)
 }
 
-// cut ends an interval and begins the next.
-func (m *meter) endInterval(now, span float64) Level {
-	m.move(now, 0)
-	l := Level{m.sum / span, m.most}
-	m.sum, m.most = 0, m.current
+// endInterval returns the mean and the peak of the current interval and begins the next.
+func (m *inFlightMeter) endInterval(now, span float64) Level {
+	m.adjust(now, 0)
+	l := Level{m.sum / span, m.peak}
+	m.sum, m.peak = 0, m.current
 	return l
 }
 
-// New makes a recorder of an aggregator with intervals of span seconds.
+// New returns a recorder for the named aggregator, with intervals of span seconds.
 func New(aggregator string, names Names, span float64) *Recorder {
 	rec := &Recorder{aggregator: aggregator, names: names, span: span, backends: map[policy.BackendID]*BackendCalls{}}
 	rec.clear()
 	return rec
 }
 
+// clear resets the counts at the beginning of an interval.
 func (rec *Recorder) clear() {
 	n := len(rec.names.Indexes)
 	rec.loads, rec.parts, rec.latency, rec.shards = make([][]Load, n), make([]map[int]int64, n), make([]Histogram, n), make([][]int64, n)
@@ -86,19 +90,21 @@
 	rec.rowCount = 0
 }
 
-// BackendAdded notes a backend's name and location.
+// BackendAdded records a backend's name and location.
 func (rec *Recorder) BackendAdded(id policy.BackendID, name, location string) {
 	s := rec.backend(id)
 	s.name, s.location, s.removed = name, location, false
 }
 
-// BackendRemoved lets go of a backend that the list no longer names, with the interval in hand.
+// BackendRemoved marks a backend that the list no longer names. It is dropped at the end of the first interval at which no
+// subquery to it is in flight.
 func (rec *Recorder) BackendRemoved(id policy.BackendID) {
 	if s := rec.backends[id]; s != nil {
 		s.removed = true
 	}
 }
 
+// backend returns the counts of a backend, which it creates if necessary.
 func (rec *Recorder) backend(id policy.BackendID) *BackendCalls {
 	s := rec.backends[id]
 	if s == nil {
@@ -108,6 +114,7 @@
 	return s
 }
 
+// load returns the counts of a customer's queries of an index. Unknown customers share the last entry.
 func (rec *Recorder) load(k policy.IndexID, c policy.CustomerID) *Load {
 	list := rec.loads[k]
 	if int(c) < 0 || int(c) >= len(list) {
@@ -116,7 +123,7 @@
 	return &list[c]
 }
 
-// QueryStarted counts a query with its parts; the hint is of all of them, seconds.
+// QueryStarted counts a query and its subqueries. The hint is the expected work of all subqueries together, in seconds.
 func (rec *Recorder) QueryStarted(now float64, k policy.IndexID, c policy.CustomerID, resent bool, hint float64, shards func(yield func(policy.ShardID) bool)) {
 	load := rec.load(k, c)
 	load.Queries++
@@ -133,32 +140,32 @@
 	}
 	load.Parts += int64(count)
 	rec.parts[k][count]++
-	rec.queriesInFlight.move(now, 1)
+	rec.queriesInFlight.adjust(now, 1)
 }
 
-// End is how a query ended.
+// End is the outcome of a query.
 type End uint8
 
-// The ends of a query.
+// Outcomes of a query.
 const (
 	Answered End = iota
 	Nacked
 	Aborted
 	Disconnected
-	Full // it was never taken
+	Full // rejected, because the aggregator held its maximum number of queries
 )
 
-// QueryEnded counts the end of a query, so many seconds after it came.
-func (rec *Recorder) QueryEnded(now float64, k policy.IndexID, c policy.CustomerID, how End, took float64) {
+// QueryEnded counts the end of a query. The elapsed time is in seconds since the query arrived.
+func (rec *Recorder) QueryEnded(now float64, k policy.IndexID, c policy.CustomerID, end End, elapsed float64) {
 	e := &rec.load(k, c).Ends
-	switch how {
+	switch end {
 	case Answered:
-		if took <= rec.names.Soft[k] {
+		if elapsed <= rec.names.SoftDeadlines[k] {
 			e.Satisfied++
 		} else {
 			e.Late++
 		}
-		rec.latency[k].Add(took, 1)
+		rec.latency[k].Add(elapsed, 1)
 	case Nacked:
 		e.Nacked++
 	case Aborted:
@@ -169,39 +176,41 @@
 		e.Full++
 		return
 	}
-	rec.queriesInFlight.move(now, -1)
+	rec.queriesInFlight.adjust(now, -1)
 }
 
-// CallSent counts a part call that goes out, and tells where it sits and whether it found nothing else of this aggregator there.
+// CallSent counts a subquery that is sent to a backend. It returns the backend's counts, which CallEnded needs, and reports
+// whether this aggregator had no other subquery in flight at the backend.
 func (rec *Recorder) CallSent(now float64, id policy.BackendID) (s *BackendCalls, alone bool) {
-	rec.callsInFlight.move(now, 1)
+	rec.callsInFlight.adjust(now, 1)
 	s = rec.backend(id)
 	s.inFlight++
 	return s, s.inFlight == 1
 }
 
+// row returns the counts of a backend and an index in the current interval, which it creates if necessary.
 func (rec *Recorder) row(s *BackendCalls, k policy.IndexID) *BackendLoad {
 	if s.rows[k] == nil {
 		s.rows[k] = &BackendLoad{Backend: s.name, Location: s.location, Index: rec.names.Indexes[k]}
-		if rec.rowCount++; rec.rowCount > mostRows {
-			s.rows[k].Backend, s.rows[k].Location = others, ""
+		if rec.rowCount++; rec.rowCount > maxBackendRows {
+			s.rows[k].Backend, s.rows[k].Location = otherBackends, ""
 		}
 	}
 	return s.rows[k]
 }
 
-// CallEnd is how a part call ended.
+// CallEnd describes the end of a subquery.
 type CallEnd struct {
 	Index   policy.IndexID
 	Outcome policy.Outcome
-	Elapsed float64 // seconds since it was sent
-	Alone   bool    // CallSent found nothing else of this aggregator at the backend
+	Elapsed float64 // seconds since the subquery was sent
+	Alone   bool    // as returned by CallSent
 	Load    policy.Load
 }
 
-// CallEnded counts the end of a part call to the backend that CallSent returned.
+// CallEnded counts the end of a subquery. The backend is the value that CallSent returned.
 func (rec *Recorder) CallEnded(now float64, backend *BackendCalls, end CallEnd) {
-	rec.callsInFlight.move(now, -1)
+	rec.callsInFlight.adjust(now, -1)
 	backend.inFlight--
 	row := rec.row(backend, end.Index)
 	row.Calls++
@@ -216,7 +225,7 @@
 		}
 	case policy.Rejected:
 		row.Rejected++
-	case policy.Canceled, policy.NotSent: // ours
+	case policy.Canceled, policy.NotSent: // caused by this aggregator, so not counted as a failure
 	default:
 		row.Failed++
 	}
@@ -227,19 +236,19 @@
 	}
 }
 
-// Due tells whether the interval in hand is over.
+// Due reports whether the current interval is over. The first call begins the first interval.
 func (rec *Recorder) Due(now float64) bool {
 	if !rec.started {
-		rec.started, rec.from = true, now
+		rec.started, rec.intervalStart = true, now
 		rec.queriesInFlight.at, rec.callsInFlight.at = now, now
 	}
-	return now >= rec.from+rec.span
+	return now >= rec.intervalStart+rec.span
 }
 
 // EndInterval ends the current interval and returns it.
 func (rec *Recorder) EndInterval(now float64) Interval {
-	span := max(now-rec.from, 1e-3)
-	interval := Interval{At: rec.from, Span: span, Aggregators: []string{rec.aggregator}, InFlight: rec.queriesInFlight.endInterval(now, span), CallsInFlight: rec.callsInFlight.endInterval(now, span)}
+	span := max(now-rec.intervalStart, 1e-3)
+	interval := Interval{At: rec.intervalStart, Span: span, Aggregators: []string{rec.aggregator}, InFlight: rec.queriesInFlight.endInterval(now, span), CallsInFlight: rec.callsInFlight.endInterval(now, span)}
 	for k, index := range rec.names.Indexes {
 		for c, load := range rec.loads[k] {
 			if load.Queries == 0 && load.Ends == (Ends{}) {
@@ -272,6 +281,6 @@
 	}
 	interval.sort()
 	rec.clear()
-	rec.from = now
+	rec.intervalStart = now
 	return interval
 }
--- a/internal/operators/capture/capture_test.go
+++ b/internal/operators/capture/capture_test.go
@@ -19,20 +19,21 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-var names = Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Soft: []float64{1, 1}, Shards: 8}
+var names = Names{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, SoftDeadlines: []float64{1, 1}, Shards: 8}
 
-// played is a recorder's intervals of a random load, and what was asked and answered in all.
-func played(aggregator string, seed uint64, seconds float64) (list []Interval, queries, parts, calls int64) {
+// recordRandomLoad returns the intervals of a recorder for a random load, and the total numbers of queries, parts and calls
+// that the recorder was told of.
+func recordRandomLoad(aggregator string, seed uint64, seconds float64) (list []Interval, queries, parts, calls int64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	rec := New(aggregator, names, 1)
 	for s := range 4 {
 		rec.BackendAdded(policy.BackendID(s+1), fmt.Sprint("s-", s), "north")
 	}
-	type out struct {
+	type call struct {
 		s     *BackendCalls
 		alone bool
 	}
-	var open []out
+	var open []call
 	for now := 1000.0; now < 1000+seconds; now += 0.01 {
 		if rec.Due(now) {
 			list = append(list, rec.EndInterval(now))
@@ -46,8 +47,8 @@
 		queries, parts = queries+1, parts+int64(n)
 		rec.QueryEnded(now, k, 0, End(rng.IntN(4)), 2*rng.Float64())
 		s := policy.BackendID(1 + rng.IntN(4))
-		seat, alone := rec.CallSent(now, s)
-		open = append(open, out{seat, alone})
+		backend, alone := rec.CallSent(now, s)
+		open = append(open, call{backend, alone})
 		if len(open) > 5 {
 			rec.CallEnded(now, open[0].s, CallEnd{Index: k, Outcome: policy.Outcome(rng.IntN(8)), Elapsed: 0.02, Alone: open[0].alone})
 			open, calls = open[1:], calls+1
@@ -56,7 +57,8 @@
 	return append(list, rec.EndInterval(1000+seconds)), queries, parts, calls
 }
 
-func total(list []Interval) (queries, parts, calls, ends int64) {
+// totals sums the counts of intervals.
+func totals(list []Interval) (queries, parts, calls, ends int64) {
 	for _, i := range list {
 		for _, l := range i.Loads {
 			queries, parts = queries+l.Queries, parts+l.Parts
@@ -70,25 +72,26 @@
 	return queries, parts, calls, ends
 }
 
-func TestARecorderCountsAllOnce(t *testing.T) {
-	list, queries, parts, calls := played("n1", 1, 10)
-	gotQueries, gotParts, gotCalls, ends := total(list)
+func TestRecorderCountsEachEventOnce(t *testing.T) {
+	list, queries, parts, calls := recordRandomLoad("n1", 1, 10)
+	gotQueries, gotParts, gotCalls, ends := totals(list)
 	if gotQueries != queries || gotParts != parts || gotCalls != calls || ends != queries {
-		t.Fatalf("counted %d lookups, %d parts, %d calls, %d ends; there were %d, %d, %d, %d", gotQueries, gotParts, gotCalls, ends, queries, parts, calls, queries)
+		t.Fatalf("got %d queries, %d parts, %d calls, %d ends; expected %d, %d, %d, %d", gotQueries, gotParts, gotCalls, ends, queries, parts, calls, queries)
 	}
 	if n := len(list); n < 10 || n > 11 {
-		t.Fatalf("%d intervals in 10 s", n)
+		t.Fatalf("got %d intervals in 10 s, expected 10 or 11", n)
 	}
-	b := *New("n1", names, 1)
-	b.Due(0)
-	b.QueryStarted(0, 0, 0, false, 0, func(func(policy.ShardID) bool) {})
-	b.QueryEnded(0.5, 0, 0, Answered, 0.5)
-	if got := b.EndInterval(1).InFlight; math.Abs(got.Mean-0.5) > 1e-9 || got.Most != 1 {
-		t.Fatalf("held %+v", got)
+	recorder := *New("n1", names, 1)
+	recorder.Due(0)
+	recorder.QueryStarted(0, 0, 0, false, 0, func(func(policy.ShardID) bool) {})
+	recorder.QueryEnded(0.5, 0, 0, Answered, 0.5)
+	if got := recorder.EndInterval(1).InFlight; math.Abs(got.Mean-0.5) > 1e-9 || got.Peak != 1 {
+		t.Fatalf("queries in flight: got %+v, expected a mean of 0.5 and a peak of 1", got)
 	}
 }
 
-func encoded(t *testing.T, list []Interval) []byte {
+// encode returns a capture file of the intervals.
+func encode(t *testing.T, list []Interval) []byte {
 	var out bytes.Buffer
 	if err := (Capture{list}).write(&out); err != nil {
 		t.Fatal(err)
@@ -96,21 +99,23 @@
 	return out.Bytes()
 }
 
-func decoded(text []byte) (list []Interval, err error) {
+// decode returns the intervals that Read reads before an error.
+func decode(text []byte) (list []Interval, err error) {
 	err = Read(bytes.NewReader(text), func(i *Interval) error { list = append(list, *i); return nil })
 	return list, err
 }
 
-// A capture that is cut off anywhere reads up to the cut, and says so; one with a spoilt byte too, and gives nothing spoilt.
-func TestCutAnywhere(t *testing.T) {
-	list, _, _, _ := played("n1", 2, 4)
-	text := encoded(t, list)
-	whole, err := decoded(text)
+// A capture that is truncated anywhere, or has a corrupted bit, must be read up to the damage with an error. No damaged
+// interval may be returned.
+func TestDamagedCaptureIsReadUpToTheDamage(t *testing.T) {
+	list, _, _, _ := recordRandomLoad("n1", 2, 4)
+	text := encode(t, list)
+	whole, err := decode(text)
 	if err != nil || len(whole) != len(list) {
-		t.Fatalf("%d of %d intervals, %v", len(whole), len(list), err)
+		t.Fatalf("read %d of %d intervals, %v", len(whole), len(list), err)
 	}
-	if again := encoded(t, whole); !bytes.Equal(again, text) {
-		t.Fatal("what was read is not what was written")
+	if again := encode(t, whole); !bytes.Equal(again, text) {
+		t.Fatal("encoding the intervals that were read gives another file")
 	}
 	ends := map[int]bool{}
 	at := len(fileHeader)
@@ -121,23 +126,23 @@
 	}
 	ends[at] = true
 	for n := range len(text) {
-		got, err := decoded(text[:n])
-		cut := (*TruncatedError)(nil)
-		if isCut := errors.As(err, &cut); isCut == ends[n] || isCut && cut.Blocks != len(got) || len(got) > len(list) {
-			t.Fatalf("cut at %d: %d intervals, %v", n, len(got), err)
+		got, err := decode(text[:n])
+		truncated := (*TruncatedError)(nil)
+		if isTruncated := errors.As(err, &truncated); isTruncated == ends[n] || isTruncated && truncated.Blocks != len(got) || len(got) > len(list) {
+			t.Fatalf("truncated at byte %d: got %d intervals, %v", n, len(got), err)
 		}
 	}
 	rng := rand.New(rand.NewPCG(4, 4))
 	for range 300 {
-		spoilt := bytes.Clone(text)
-		spoilt[rng.IntN(len(spoilt))] ^= 1 << rng.IntN(8)
-		got, err := decoded(spoilt)
-		if err == nil || !reflect.DeepEqual(encoded(t, got), text[:len(encoded(t, got))]) {
-			t.Fatalf("%d intervals of a spoilt capture, %v", len(got), err)
+		corrupted := bytes.Clone(text)
+		corrupted[rng.IntN(len(corrupted))] ^= 1 << rng.IntN(8)
+		got, err := decode(corrupted)
+		if err == nil || !reflect.DeepEqual(encode(t, got), text[:len(encode(t, got))]) {
+			t.Fatalf("got %d intervals of a corrupted capture, %v", len(got), err)
 		}
 	}
 	for in, want := range map[string]string{"x": "is no capture", "puffinlink capture 2\n": "of another version", "": "in its head"} {
-		if _, err := decoded([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := decode([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", in, err)
 		}
 	}
@@ -146,53 +151,53 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(fileHeader))
 	f.Add([]byte(fileHeader + "\x00\x00\x00\x01aaaaaaaab"))
-	f.Fuzz(func(_ *testing.T, in []byte) { decoded(in) })
+	f.Fuzz(func(_ *testing.T, in []byte) { decode(in) })
 }
 
-func TestMergeAndCut(t *testing.T) {
-	one, l1, p1, c1 := played("n1", 5, 6)
-	two, l2, p2, c2 := played("n2", 6, 6)
+func TestMergedCaptureKeepsTotals(t *testing.T) {
+	one, l1, p1, c1 := recordRandomLoad("n1", 5, 6)
+	two, l2, p2, c2 := recordRandomLoad("n2", 6, 6)
 	both, err := Merge(2, Capture{one}, Capture{two})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l, p, c, _ := total(both.Intervals); l != l1+l2 || p != p1+p2 || c != c1+c2 {
-		t.Fatalf("merged %d, %d, %d of %d, %d, %d", l, p, c, l1+l2, p1+p2, c1+c2)
+	if l, p, c, _ := totals(both.Intervals); l != l1+l2 || p != p1+p2 || c != c1+c2 {
+		t.Fatalf("merged capture: got %d queries, %d parts, %d calls, expected %d, %d, %d", l, p, c, l1+l2, p1+p2, c1+c2)
 	}
 	if len(both.Intervals) < 3 || len(both.Intervals) > 4 || len(both.Intervals[0].Aggregators) != 2 {
-		t.Fatalf("got %d intervals of %v", len(both.Intervals), both.Intervals[0].Aggregators)
+		t.Fatalf("merged capture: got %d intervals of aggregators %v", len(both.Intervals), both.Intervals[0].Aggregators)
 	}
 	sum := both.Sum()
-	if l, p, _, _ := total([]Interval{sum}); l != l1+l2 || p != p1+p2 {
-		t.Fatalf("summed %d, %d", l, p)
+	if l, p, _, _ := totals([]Interval{sum}); l != l1+l2 || p != p1+p2 {
+		t.Fatalf("Sum: got %d queries, %d parts", l, p)
 	}
 	if _, err := Merge(2, Capture{one}, Capture{one}); err == nil || !strings.Contains(err.Error(), "given twice") {
 		t.Fatalf("got %v", err)
 	}
 	part, err := Capture{one}.Between(1002, 1004)
 	if err != nil || len(part.Intervals) != 2 {
-		t.Fatalf("got %d, %v", len(part.Intervals), err)
+		t.Fatalf("Between: got %d intervals, %v, expected 2", len(part.Intervals), err)
 	}
 	if _, err := (Capture{one}).Between(1, 2); err == nil {
-		t.Fatal("nothing was cut out and nobody said so")
+		t.Fatal("Between returned no error for a period without intervals")
 	}
-	if holes := (Capture{append(one[:2:2], one[4:]...)}).Gaps(); len(holes) != 1 || math.Abs(holes[0].To-holes[0].From-2) > 0.1 {
-		t.Fatalf("got %v", holes)
+	if gaps := (Capture{append(one[:2:2], one[4:]...)}).Gaps(); len(gaps) != 1 || math.Abs(gaps[0].To-gaps[0].From-2) > 0.1 {
+		t.Fatalf("got %v", gaps)
 	}
 }
 
-func TestSynth(t *testing.T) {
-	s := Synth{For: 86400, Span: 60, PerS: 10, Shards: 20, Skew: 0.8, Day: []float64{0.5, 1.5}, Seed: 3,
-		Indexes: []SynthIndex{{"reads", "acme", 0.8, 4, 0.01}, {"orders", "acme", 0.2, 1, 0.02}}, Bursts: []Burst{{3600, 600, 3}}}
+func TestSyntheticLoadHasTheGivenRateAndPopularity(t *testing.T) {
+	s := SyntheticLoad{Duration: 86400, Span: 60, QueriesPerSecond: 10, Shards: 20, Skew: 0.8, DayFactors: []float64{0.5, 1.5}, Seed: 3,
+		Indexes: []SyntheticIndex{{"reads", "acme", 0.8, 4, 0.01}, {"orders", "acme", 0.2, 1, 0.02}}, Bursts: []Burst{{3600, 600, 3}}}
 	var c Capture
-	if err := s.Make(func(i *Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
+	if err := s.Generate(func(i *Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	queries, parts, _, _ := total(c.Intervals)
+	queries, parts, _, _ := totals(c.Intervals)
 	want := 86400 * 10.0
-	want += 2 * 600 * 10 * (0.5 + 3900.0/43200) // the burst, on the day's rising line
+	want += 2 * 600 * 10 * (0.5 + 3900.0/43200) // the burst, while the daily factor rises
 	if got := float64(queries); math.Abs(got-want) > 0.01*want || math.Abs(float64(parts)-3.4*got) > 0.02*3.4*got {
-		t.Fatalf("%d lookups of %d parts, expected about %.0f", queries, parts, want)
+		t.Fatalf("got %d queries with %d parts, expected about %.0f queries", queries, parts, want)
 	}
 	sum := c.Sum()
 	by := map[int]int64{}
@@ -206,23 +211,23 @@
 		}
 	}
 	s.Indexes[0].Share = 0.9
-	if err := s.Make(nil); err == nil || !strings.Contains(err.Error(), "sum to 1.1") {
+	if err := s.Generate(nil); err == nil || !strings.Contains(err.Error(), "sum to 1.1") {
 		t.Fatalf("got %v", err)
 	}
 }
 
-func TestFilesKeepToTheirBounds(t *testing.T) {
+func TestWriterKeepsFilesWithinMaxBytes(t *testing.T) {
 	dir := t.TempDir()
 	count := counters.New()
-	w, err := NewWriter(Store{dir, 64 << 10, time.Hour}, zap.NewNop(), count)
+	w, err := NewWriter(StoreConfig{dir, 64 << 10, time.Hour}, zap.NewNop(), count)
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, _, _, _ := played("n1", 7, 1)
+	one, _, _, _ := recordRandomLoad("n1", 7, 1)
 	for n := range 400 {
 		i := one[0]
 		i.At = 1000 + float64(n)
-		for count.Get("capture", "written")+count.Get("capture", "dropped")+mostWaiting/2 < int64(n) {
+		for count.Get("capture", "written")+count.Get("capture", "dropped")+maxPending/2 < int64(n) {
 			time.Sleep(time.Millisecond)
 		}
 		w.Put(i)
@@ -239,29 +244,30 @@
 	last := files[len(files)-1].path
 	text, _ := os.ReadFile(last)
 	os.WriteFile(last, text[:len(text)-3], 0o600)
-	c, cuts, err := Open(dir)
-	if err != nil || len(cuts) != 1 || len(c.Intervals) == 0 {
-		t.Fatalf("%d intervals, %v, %v", len(c.Intervals), cuts, err)
+	c, truncations, err := Open(dir)
+	if err != nil || len(truncations) != 1 || len(c.Intervals) == 0 {
+		t.Fatalf("%d intervals, %v, %v", len(c.Intervals), truncations, err)
 	}
 	if got := c.Intervals[len(c.Intervals)-1].At; got != 1398 {
-		t.Fatalf("the last one that is whole is of %g", got)
+		t.Fatalf("the last complete interval begins at %g, expected 1398", got)
 	}
 	at := filepath.Join(dir, "all"+fileSuffix)
 	if err := Save(at, c); err != nil {
 		t.Fatal(err)
 	}
-	if again, cuts, err := Open(at); err != nil || len(cuts) > 0 || len(again.Intervals) != len(c.Intervals) {
-		t.Fatalf("saved %d of %d, %v, %v", len(again.Intervals), len(c.Intervals), cuts, err)
+	if again, truncations, err := Open(at); err != nil || len(truncations) > 0 || len(again.Intervals) != len(c.Intervals) {
+		t.Fatalf("saved capture: read %d of %d intervals, %v, %v", len(again.Intervals), len(c.Intervals), truncations, err)
 	}
 	if _, _, err := Open(t.TempDir()); err == nil {
-		t.Fatal("an empty directory is no capture")
+		t.Fatal("opening an empty directory returned no error")
 	}
 }
 
-// A file that is full and cannot be closed well may lack intervals: that is an error, and the interval in hand goes into the next one.
-func TestAFailedCloseIsTold(t *testing.T) {
-	w := &Writer{store: Store{t.TempDir(), 1 << 20, time.Hour}, count: counters.New()}
-	list, _, _, _ := played("n1", 7, 2)
+// Closing a full file fails, so intervals may be missing from it. write must return the error, and must still write its
+// interval to the next file.
+func TestFailedCloseIsReported(t *testing.T) {
+	w := &Writer{config: StoreConfig{t.TempDir(), 1 << 20, time.Hour}, count: counters.New()}
+	list, _, _, _ := recordRandomLoad("n1", 7, 2)
 	first, second := list[0], list[0]
 	first.At, second.At = 1000, 1001
 	if err := w.write(&first); err != nil {
@@ -270,14 +276,14 @@
 	if err := w.file.Close(); err != nil {
 		t.Fatal(err)
 	}
-	w.size = w.store.MostBytes
+	w.size = w.config.MaxBytes
 	if err := w.write(&second); !errors.Is(err, os.ErrClosed) {
 		t.Fatalf("got %v", err)
 	}
 	if err := w.closeFile(); err != nil {
 		t.Fatal(err)
 	}
-	if c, _, err := Open(w.store.Directory); err != nil || len(c.Intervals) != 2 {
+	if c, _, err := Open(w.config.Directory); err != nil || len(c.Intervals) != 2 {
 		t.Fatalf("got %d intervals, %v", len(c.Intervals), err)
 	}
 }
--- a/internal/operators/capture/errors.go
+++ b/internal/operators/capture/errors.go
@@ -5,15 +5,16 @@
 	"fmt"
 )
 
-// ErrNotCapture says that a file is none that any version of this package has written.
+// ErrNotCapture is returned for a file that no version of this package has written.
 var ErrNotCapture = errors.New("is no capture")
 
-// ValidationError says what is wrong with a capture or with what one is to be made of, and what was expected.
+// ValidationError describes an invalid capture, or invalid parameters for one, and says what was expected.
 type ValidationError string
 
-// Error returns what is wrong, for a person.
+// Error implements the error interface.
 func (e ValidationError) Error() string { return string(e) }
 
+// invalid returns a ValidationError with a formatted text.
 func invalid(format string, arguments ...any) error {
 	return ValidationError(fmt.Sprintf(format, arguments...))
 }
--- a/internal/operators/capture/files.go
+++ b/internal/operators/capture/files.go
@@ -18,63 +18,67 @@
 
 const (
 	fileSuffix = ".capture"
-	// filesPerDirectory are as many as a directory's share is split into, so that the oldest eighth goes and not all.
+	// filesPerDirectory is the number of files that share the maximum size of a directory. A full directory so loses its oldest
+	// eighth and not all intervals.
 	filesPerDirectory = 8
-	// waiting intervals beyond these are dropped: a disk that takes none for a minute must not cost memory.
-	mostWaiting = 60
+	// maxPending limits the intervals that wait to be written. Further ones are dropped, so that a disk that accepts no writes
+	// for a minute does not use up memory.
+	maxPending = 60
 )
 
-// Store is where an aggregator's captures go.
-type Store struct {
+// StoreConfig sets where an aggregator's captures are written, and how much is kept.
+type StoreConfig struct {
 	Directory string
-	MostBytes int64         // of all files there
-	MostAge   time.Duration // of a file's last interval
+	MaxBytes  int64         // of all files in the directory
+	MaxAge    time.Duration // since a file was last written
 }
 
-// Writer writes intervals in a goroutine of its own. A disk that is full or gone costs intervals, and nothing else.
+// Writer writes intervals to files in its own goroutine. If the disk is full or fails, intervals are lost, but the aggregator
+// is not affected.
 type Writer struct {
-	store Store
-	in    *eventqueue.Queue[*Interval] // nil to end
-	wait  chan struct{}
-	log   *zap.Logger
-	count *counters.Set
-	ended chan struct{}
-	file  *os.File
-	size  int64
+	config  StoreConfig
+	queue   *eventqueue.Queue[*Interval] // a nil interval stops the writer
+	pending chan struct{}
+	log     *zap.Logger
+	count   *counters.Set
+	stopped chan struct{}
+	file    *os.File
+	size    int64
 }
 
-// NewWriter makes the directory and begins a file at the first interval.
-func NewWriter(store Store, log *zap.Logger, count *counters.Set) (*Writer, error) {
-	if err := os.MkdirAll(store.Directory, 0o700); err != nil {
+// NewWriter creates the directory and starts a writer. The first file is created for the first interval.
+func NewWriter(config StoreConfig, log *zap.Logger, count *counters.Set) (*Writer, error) {
+	if err := os.MkdirAll(config.Directory, 0o700); err != nil {
 		return nil, err
 	}
-	w := &Writer{store: store, in: eventqueue.New[*Interval](), wait: make(chan struct{}, mostWaiting), log: log, count: count, ended: make(chan struct{})}
+	w := &Writer{config: config, queue: eventqueue.New[*Interval](), pending: make(chan struct{}, maxPending), log: log, count: count, stopped: make(chan struct{})}
 	go w.run()
 	return w, nil
 }
 
-// Put hands over an interval and never blocks.
+// Put queues an interval to be written. It never blocks: if too many are waiting, the interval is dropped and counted.
 func (w *Writer) Put(i Interval) {
 	select {
-	case w.wait <- struct{}{}:
-		w.in.Put(&i)
+	case w.pending <- struct{}{}:
+		w.queue.Put(&i)
 	default:
 		w.count.Add("capture", "dropped", 1)
 	}
 }
 
-// Stop ends the writer after all that waits is written.
+// Stop stops the writer after the pending intervals have been written.
 func (w *Writer) Stop() {
-	w.in.Put(nil)
-	<-w.ended
+	w.queue.Put(nil)
+	<-w.stopped
 }
 
+// run writes queued intervals until Stop. It logs only the first of a series of errors.
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.stopped)
 	var list []*Interval
-	bad := false
-	for range w.in.Ready() {
-		list = w.in.Take(list)
+	failing := false
+	for range w.queue.Ready() {
+		list = w.queue.Take(list)
 		for _, i := range list {
 			if i == nil {
 				if err := w.closeFile(); err != nil {
@@ -82,19 +86,19 @@
 				}
 				return
 			}
-			<-w.wait
+			<-w.pending
 			err := w.write(i)
 			if err == nil {
 				w.count.Add("capture", "written", 1)
-			} else if w.count.Add("capture", "failed", 1); !bad {
+			} else if w.count.Add("capture", "failed", 1); !failing {
 				w.log.Error("capture not written; further ones are only counted", zap.String("text", err.Error()))
 			}
-			bad = err != nil
+			failing = err != nil
 		}
 	}
 }
 
-// closeFile closes the file, if there is one. A failed close means that intervals may be missing from it.
+// closeFile closes the file, if one is open. After an error, intervals may be missing from the file.
 func (w *Writer) closeFile() error {
 	if w.file == nil {
 		return nil
@@ -104,15 +108,16 @@
 	return f.Close()
 }
 
-// write appends an interval, in a new file where the last one is full. Its error is also that of closing the full one.
+// write appends an interval. If the file is full, it begins a new one, and the returned error includes that of closing the
+// full one.
 func (w *Writer) write(i *Interval) (err error) {
 	block, err := AppendBlock(nil, i)
 	if err != nil {
 		return err
 	}
-	if w.file != nil && w.size+int64(len(block)) > w.store.MostBytes/filesPerDirectory {
-		closed := w.closeFile()
-		defer func() { err = errors.Join(err, closed) }()
+	if w.file != nil && w.size+int64(len(block)) > w.config.MaxBytes/filesPerDirectory {
+		closeErr := w.closeFile()
+		defer func() { err = errors.Join(err, closeErr) }()
 	}
 	if w.file == nil {
 		if err := w.openFile(i.At); err != nil {
@@ -120,18 +125,18 @@
 		}
 	}
 	n, err := w.file.Write(block)
-	if w.size += int64(n); err != nil { // what stands there in part is where the file ends for whoever reads it
+	if w.size += int64(n); err != nil { // Read stops at the partly written block
 		return errors.Join(err, w.closeFile())
 	}
 	return nil
 }
 
-// openFile opens a new file, after the oldest ones have gone.
+// openFile removes old files and opens a new one.
 func (w *Writer) openFile(at float64) error {
 	if err := w.removeOldFiles(); err != nil {
 		return err
 	}
-	path := filepath.Join(w.store.Directory, fmt.Sprintf("%017.3f%s", at, fileSuffix))
+	path := filepath.Join(w.config.Directory, fmt.Sprintf("%017.3f%s", at, fileSuffix))
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -143,16 +148,16 @@
 	return nil
 }
 
-// removeOldFiles removes files that are too old, and the oldest ones until there is room for one more.
+// removeOldFiles removes files that are too old, and the oldest files until there is room for a new one.
 func (w *Writer) removeOldFiles() error {
-	list, err := listFiles(w.store.Directory)
+	list, err := listFiles(w.config.Directory)
 	if err != nil {
 		return err
 	}
 	total := int64(0)
 	for _, f := range slices.Backward(list) {
 		total += f.size
-		if total > w.store.MostBytes*(filesPerDirectory-1)/filesPerDirectory || time.Since(f.changed) > w.store.MostAge {
+		if total > w.config.MaxBytes*(filesPerDirectory-1)/filesPerDirectory || time.Since(f.changed) > w.config.MaxAge {
 			if err := os.Remove(f.path); err != nil {
 				return err
 			}
@@ -168,9 +173,9 @@
 	changed time.Time
 }
 
-// listFiles is the captures of a directory, oldest first.
+// listFiles returns the capture files of a directory, oldest first.
 func listFiles(dir string) (out []captureFile, err error) {
-	entries, err := os.ReadDir(dir) // by name, which is by time
+	entries, err := os.ReadDir(dir) // sorted by name, and so by time
 	if err != nil {
 		return nil, err
 	}
@@ -182,8 +187,8 @@
 	return out, nil
 }
 
-// Open reads a capture: a file, or all of a directory. A file that is cut off is read up to the cut, which is told; the
-// error is of what can't be read at all.
+// Open reads a capture from a file, or from all capture files of a directory. A truncated file is read up to the damage, and
+// truncations has an entry for it. The error is of a file that cannot be read at all.
 func Open(path string) (c Capture, truncations []string, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -208,7 +213,7 @@
 			return c, truncations, err
 		}
 		err = Read(file, func(i *Interval) error { c.Intervals = append(c.Intervals, *i); return nil })
-		_ = file.Close() // it was only read
+		_ = file.Close() // the file was only read
 		if truncated := (*TruncatedError)(nil); errors.As(err, &truncated) {
 			truncations = append(truncations, name+": "+truncated.Error())
 		} else if err != nil {
@@ -219,7 +224,7 @@
 	return c, truncations, nil
 }
 
-// Save writes a capture to a file, whole or not at all.
+// Save writes a capture to a file. It replaces the file atomically: after an error, the file is unchanged.
 func Save(path string, c Capture) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".capture-")
 	if err != nil {
@@ -228,18 +233,19 @@
 	if err = c.write(f); err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(f.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(f.Name()) // what stays has a temporary name; the error that is returned is the cause
+		_ = os.Remove(f.Name()) // a file left behind has a temporary name; the first error is the one to return
 	}
 	return err
 }
 
+// write writes the file header and the blocks of all intervals.
 func (c Capture) write(out io.Writer) error {
 	if _, err := out.Write(FileHeader()); err != nil {
 		return err
--- a/internal/operators/capture/histogram.go
+++ b/internal/operators/capture/histogram.go
@@ -6,19 +6,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// unit is what histograms count in, seconds. A part that is faster waits mostly for the aggregator's steps.
-const unit = 1e-4
+// timeUnit is the resolution of histograms in seconds. A subquery that is faster than this spends most of its time waiting
+// for the aggregator's event loop.
+const timeUnit = 1e-4
 
-// longest is the longest time that a histogram tells apart, seconds; above any hard deadline.
-const longest = 60
+// maxSeconds is the longest time that a histogram holds, in seconds. It is above any hard deadline. Longer times count as
+// this one.
+const maxSeconds = 60
 
 // Histogram is a histogram of times. The zero value is empty.
 type Histogram struct{ histogram *hdrhistogram.Histogram }
 
-// newHistogram makes one with so many significant digits: 2 for an index (14 KiB), 1 for a backend, of which there may be
-// a thousand (2 KiB).
+// newHistogram returns a histogram with a number of significant digits. An index uses 2 digits (14 KiB). A backend uses 1
+// digit (2 KiB), because there may be a thousand backends.
 func newHistogram(digits int) Histogram {
-	return Histogram{hdrhistogram.New(1, int64(longest/unit), digits)}
+	return Histogram{hdrhistogram.New(1, int64(maxSeconds/timeUnit), digits)}
 }
 
 // Add records a time in seconds, n times.
@@ -26,11 +28,11 @@
 	if h.histogram == nil {
 		*h = newHistogram(2)
 	}
-	// A value between the histogram's bounds, as this one is, is always recorded.
-	_ = h.histogram.RecordValues(min(max(1, int64(seconds/unit+0.5)), int64(longest/unit)), n)
+	// The value is within the bounds of the histogram, so RecordValues returns no error.
+	_ = h.histogram.RecordValues(min(max(1, int64(seconds/timeUnit+0.5)), int64(maxSeconds/timeUnit)), n)
 }
 
-// Count is how many times it holds.
+// Count returns the number of recorded times.
 func (h Histogram) Count() int64 {
 	if h.histogram == nil {
 		return 0
@@ -38,39 +40,39 @@
 	return h.histogram.TotalCount()
 }
 
-// Quantile is a time in seconds that the share q of all do not exceed; 0 of none.
+// Quantile returns the q-quantile in seconds, or 0 for an empty histogram.
 func (h Histogram) Quantile(q float64) float64 {
 	if h.Count() == 0 {
 		return 0
 	}
-	return float64(h.histogram.ValueAtQuantile(100*q)) * unit
+	return float64(h.histogram.ValueAtQuantile(100*q)) * timeUnit
 }
 
-// Mean is in seconds; 0 of none.
+// Mean returns the mean in seconds, or 0 for an empty histogram.
 func (h Histogram) Mean() float64 {
 	if h.Count() == 0 {
 		return 0
 	}
-	return h.histogram.Mean() * unit
+	return h.histogram.Mean() * timeUnit
 }
 
-// Moments are the mean and the squared coefficient of variation.
+// Moments returns the mean in seconds and the squared coefficient of variation.
 func (h Histogram) Moments() (mean, scv float64) {
 	if mean = h.Mean(); mean == 0 {
 		return 0, 0
 	}
-	sd := h.histogram.StdDev() * unit
-	return mean, sd * sd / (mean * mean)
+	deviation := h.histogram.StdDev() * timeUnit
+	return mean, deviation * deviation / (mean * mean)
 }
 
-// Merge adds all that another holds.
+// Merge adds the recorded times of another histogram.
 func (h *Histogram) Merge(o Histogram) {
 	for _, b := range o.buckets() {
-		h.Add(float64(b[0])*unit, b[1])
+		h.Add(float64(b[0])*timeUnit, b[1])
 	}
 }
 
-// buckets are the values that occur, in units, and how often.
+// buckets returns the values that occur, as multiples of timeUnit, and their counts.
 func (h Histogram) buckets() (list [][2]int64) {
 	if h.histogram == nil {
 		return nil
@@ -83,10 +85,10 @@
 	return list
 }
 
-// MarshalJSON writes the bars.
+// MarshalJSON encodes the histogram as a list of its buckets.
 func (h Histogram) MarshalJSON() ([]byte, error) { return json.Marshal(h.buckets()) }
 
-// UnmarshalJSON reads bars; a value or a count that no histogram can hold is an error.
+// UnmarshalJSON decodes a list of buckets. A value or a count that no histogram can hold is an error.
 func (h *Histogram) UnmarshalJSON(text []byte) error {
 	var list [][2]int64
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -94,10 +96,10 @@
 	}
 	*h = Histogram{}
 	for _, b := range list {
-		if b[0] < 1 || b[0] > 2*longest/unit || b[1] < 1 {
-			return invalid("histogram bar %v, expected a time of %g s at most and a count", b, float64(longest))
+		if b[0] < 1 || b[0] > 2*maxSeconds/timeUnit || b[1] < 1 {
+			return invalid("histogram bar %v, expected a time of %g s at most and a count", b, float64(maxSeconds))
 		}
-		h.Add(float64(b[0])*unit, b[1])
+		h.Add(float64(b[0])*timeUnit, b[1])
 	}
 	return nil
 }
--- a/internal/operators/capture/load.go
+++ b/internal/operators/capture/load.go
@@ -11,8 +11,8 @@
 	Late         int64 `json:"Late"`      // answered after it
 	Nacked       int64 `json:"Nacked"`
 	Aborted      int64 `json:"Aborted"`
-	Disconnected int64 `json:"Gone"` // the client left
-	Full         int64 `json:"Full"` // the most held was held
+	Disconnected int64 `json:"Gone"` // the client closed the connection
+	Full         int64 `json:"Full"` // rejected, because the aggregator held its maximum number of queries
 }
 
 func (e *Ends) add(o Ends) {
@@ -24,53 +24,53 @@
 	e.Full += o.Full
 }
 
-// Load is what one customer asked of one index.
+// Load counts the queries of one customer of one index.
 type Load struct {
 	Index    string  `json:"Index"`
 	Customer string  `json:"Customer"`
 	Queries  int64   `json:"Lookups"`
-	Resent   int64   `json:"Resent"` // marked as tries again by their clients
+	Resent   int64   `json:"Resent"` // marked as retries by their clients
 	Parts    int64   `json:"Parts"`
-	Hint     float64 `json:"Hint"` // work hinted at, seconds in all
+	Hint     float64 `json:"Hint"` // sum of the expected work that the queries state, in seconds
 	Ends     Ends    `json:"Ends"`
 }
 
-// IndexLoad is what came of an index.
+// IndexLoad holds the sizes and the latency of the queries of an index.
 type IndexLoad struct {
 	Index   string        `json:"Index"`
-	Parts   map[int]int64 `json:"Parts"`   // queries by their number of parts
+	Parts   map[int]int64 `json:"Parts"`   // number of queries by their number of subqueries
 	Latency Histogram     `json:"Latency"` // of answered queries
 }
 
-// ShardLoad is how often a shard was asked for.
+// ShardLoad counts the subqueries of a shard.
 type ShardLoad struct {
 	Index string `json:"Index"`
 	Shard int    `json:"Shard"`
 	Parts int64  `json:"Parts"`
 }
 
-// BackendLoad is what came of the part calls of one index to one backend.
+// BackendLoad holds the results of the subqueries of one index to one backend.
 type BackendLoad struct {
 	Backend  string    `json:"Searcher"`
 	Location string    `json:"Location"`
 	Index    string    `json:"Index"`
 	Calls    int64     `json:"Calls"`
-	Failed   int64     `json:"Failed"` // errors, broken and lost calls
+	Failed   int64     `json:"Failed"` // errors, broken calls and lost calls
 	Rejected int64     `json:"TurnedAway"`
 	Latency  Histogram `json:"Latency"`
-	Alone    Histogram `json:"Alone"`   // of calls that found nothing else of this aggregator there: near the work of a part
-	Reports  int64     `json:"Reports"` // load reports heard
-	Service  float64   `json:"Service"` // sum of the service times that they told, seconds
-	Util     float64   `json:"Util"`    // sum of the use that they told
+	Alone    Histogram `json:"Alone"`   // of subqueries sent while the aggregator had no other in flight there: close to the service time
+	Reports  int64     `json:"Reports"` // load reports received
+	Service  float64   `json:"Service"` // sum of the reported service times, in seconds
+	Util     float64   `json:"Util"`    // sum of the reported utilization
 }
 
-// Level is a figure over time.
+// Level is the mean and the peak of a number in flight.
 type Level struct {
 	Mean float64 `json:"Mean"`
-	Most int64   `json:"Most"`
+	Peak int64   `json:"Most"`
 }
 
-// Interval is what one or several aggregators saw in a span of time.
+// Interval is the recorded load of one or more aggregators in a period of time.
 type Interval struct {
 	At            float64       `json:"At"`   // Unix seconds
 	Span          float64       `json:"Span"` // seconds
@@ -80,9 +80,10 @@
 	Shards        []ShardLoad   `json:"Shards"`
 	Backends      []BackendLoad `json:"Searchers"`
 	InFlight      Level         `json:"Held"` // queries
-	CallsInFlight Level         `json:"Out"`  // part calls
+	CallsInFlight Level         `json:"Out"`  // subqueries
 }
 
+// sort sorts the rows, so that equal intervals have equal encodings.
 func (i *Interval) sort() {
 	slices.SortFunc(i.Loads, func(x, y Load) int {
 		return cmp.Or(cmp.Compare(x.Index, y.Index), cmp.Compare(x.Customer, y.Customer))
--- a/internal/operators/capture/merge.go
+++ b/internal/operators/capture/merge.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Capture is a series of intervals, by time.
+// Capture is a series of intervals, sorted by time.
 type Capture struct{ Intervals []Interval }
 
-// Merge puts the captures of several aggregators into one, with intervals of span seconds. What falls into one interval is
-// summed; what crosses a border counts where it begins. The error says that an aggregator's time is in two captures.
+// Merge merges the captures of several aggregators into one with intervals of span seconds. Intervals that begin in the same
+// new interval are summed. It returns an error if two captures hold the same interval of an aggregator.
 func Merge(span float64, captures ...Capture) (Capture, error) {
 	if !(span > 0) {
 		return Capture{}, invalid("intervals of %g s, expected more than none", span)
@@ -52,8 +52,8 @@
 	slices.SortFunc(c.Intervals, func(x, y Interval) int { return cmp.Compare(x.At, y.At) })
 }
 
-// accumulator is an interval into which others are summed, and where its rows stand: of a day's intervals each would
-// otherwise be looked through for each other.
+// accumulator sums intervals. Its maps hold the positions of the rows, so that adding an interval needs no search through
+// all rows.
 type accumulator struct {
 	Interval
 	loads, backends map[[2]string]int
@@ -70,7 +70,7 @@
 	return &accumulator{Interval{At: at, Span: span}, map[[2]string]int{}, map[[2]string]int{}, map[string]int{}, map[shardKey]int{}}
 }
 
-// row finds a row by its key, and puts a fresh one where there is none.
+// row returns the row with a key. If there is none, it appends the fresh row.
 func row[K comparable, R any](rows *[]R, at map[K]int, key K, fresh R) *R {
 	n, known := at[key]
 	if !known {
@@ -81,7 +81,7 @@
 	return &(*rows)[n]
 }
 
-// add sums an interval in. Held and out of several aggregators add up, means weighed by their spans.
+// add adds an interval. Means in flight are weighted by the length of the interval, and peaks are summed.
 func (i *accumulator) add(interval *Interval) {
 	for _, aggregator := range interval.Aggregators {
 		if !slices.Contains(i.Aggregators, aggregator) {
@@ -89,8 +89,8 @@
 		}
 	}
 	slices.Sort(i.Aggregators)
-	i.InFlight = Level{i.InFlight.Mean + interval.InFlight.Mean*interval.Span/i.Span, i.InFlight.Most + interval.InFlight.Most}
-	i.CallsInFlight = Level{i.CallsInFlight.Mean + interval.CallsInFlight.Mean*interval.Span/i.Span, i.CallsInFlight.Most + interval.CallsInFlight.Most}
+	i.InFlight = Level{i.InFlight.Mean + interval.InFlight.Mean*interval.Span/i.Span, i.InFlight.Peak + interval.InFlight.Peak}
+	i.CallsInFlight = Level{i.CallsInFlight.Mean + interval.CallsInFlight.Mean*interval.Span/i.Span, i.CallsInFlight.Peak + interval.CallsInFlight.Peak}
 	for _, l := range interval.Loads {
 		sum := row(&i.Loads, i.loads, [2]string{l.Index, l.Customer}, Load{Index: l.Index, Customer: l.Customer})
 		sum.Queries += l.Queries
@@ -122,7 +122,7 @@
 	}
 }
 
-// Between keeps what begins from a time on and before another, both in Unix seconds.
+// Between returns the intervals that begin at or after from and before to, both in Unix seconds.
 func (c Capture) Between(from, to float64) (out Capture, err error) {
 	for _, i := range c.Intervals {
 		if i.At >= from && i.At < to {
@@ -135,10 +135,10 @@
 	return out, nil
 }
 
-// Gap is a time of which nothing was captured, Unix seconds.
+// Gap is a period without intervals, in Unix seconds.
 type Gap struct{ From, To float64 }
 
-// Gaps lists where an interval is missing.
+// Gaps lists the periods in which intervals are missing.
 func (c Capture) Gaps() (list []Gap) {
 	end := 0.0
 	for n, i := range c.Intervals {
@@ -150,7 +150,7 @@
 	return list
 }
 
-// Sum is all of a capture as one interval.
+// Sum sums all intervals into one. Its peaks in flight are the highest of all intervals.
 func (c Capture) Sum() Interval {
 	if len(c.Intervals) == 0 {
 		return Interval{}
@@ -159,9 +159,9 @@
 	sum := newAccumulator(first.At, last.At+last.Span-first.At)
 	for n := range c.Intervals {
 		i := &c.Intervals[n]
-		peaks := [2]int64{max(sum.InFlight.Most, i.InFlight.Most), max(sum.CallsInFlight.Most, i.CallsInFlight.Most)}
+		peaks := [2]int64{max(sum.InFlight.Peak, i.InFlight.Peak), max(sum.CallsInFlight.Peak, i.CallsInFlight.Peak)}
 		sum.add(i)
-		sum.InFlight.Most, sum.CallsInFlight.Most = peaks[0], peaks[1]
+		sum.InFlight.Peak, sum.CallsInFlight.Peak = peaks[0], peaks[1]
 	}
 	sum.sort()
 	return sum.Interval
--- a/internal/operators/capture/wire_test.go
+++ b/internal/operators/capture/wire_test.go
@@ -7,8 +7,8 @@
 	"puffinlink.example/puffinlink/internal/goldentest"
 )
 
-// TestWireForms pins the intervals of a capture's file.
-func TestWireForms(t *testing.T) {
+// TestEncodedFormsMatchGoldenFiles compares the encoding of an interval with its golden file.
+func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	var times Histogram
 	times.Add(0.002, 3)
 	times.Add(0.25, 1)
--- a/internal/operators/operatorfile/fleet.go
+++ b/internal/operators/operatorfile/fleet.go
@@ -5,7 +5,7 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/quota"
 )
 
-// Roster is that of the file.
+// Roster returns the members of the fleet, in the form of the membership package.
 func (f *Fleet) Roster() membership.Set {
 	r := membership.Set{Version: f.Version}
 	for _, m := range f.Aggregators {
@@ -14,60 +14,60 @@
 	return r
 }
 
-// checkFleet checks what no key of fleet, quotas and contracts can tell alone. What the aggregator's settings know of zones,
-// tenants and indexes is checked where it starts.
-func (r *reader) checkFleet() {
+// checkFleet checks the rules that relate several keys of the sections fleet, quotas and contracts. Names of zones, tenants
+// and indexes are not compared with the aggregator's settings here. The aggregator does that when it starts.
+func (r *parser) checkFleet() {
 	fleet, quotas, contracts := &r.file.Fleet, &r.file.Quotas, &r.file.Contracts
 	if !fleet.On {
 		if quotas.On {
-			r.failLine(quotas.Line, "quotas: expected a section fleet beside it, as all mixers hold them together")
+			r.reportLine(quotas.Line, "quotas: expected a section fleet beside it, as all mixers hold them together")
 		}
 		if contracts.On {
-			r.failLine(contracts.Line, "contracts: expected a section fleet beside it, as all mixers agree on them")
+			r.reportLine(contracts.Line, "contracts: expected a section fleet beside it, as all mixers agree on them")
 		}
 		return
 	}
 	if fleet.KeyFile == "" {
-		r.failLine(fleet.Line, "fleet: expected key_file, a file of %d hex digits that all mixers have", 2*KeyBytes)
+		r.reportLine(fleet.Line, "fleet: expected key_file, a file of %d hex digits that all mixers have", 2*KeyBytes)
 	}
 	roster := fleet.Roster()
-	for _, wrong := range roster.Check() {
-		r.failLine(fleet.Line, "fleet: %s", wrong)
+	for _, mistake := range roster.Check() {
+		r.reportLine(fleet.Line, "fleet: %s", mistake)
 	}
 	if quotas.On && quotas.Version == 0 {
-		r.failLine(quotas.Line, "quotas: expected version, a number that rises with each change")
+		r.reportLine(quotas.Line, "quotas: expected version, a number that rises with each change")
 	}
 	if contracts.On && contracts.Version == 0 {
-		r.failLine(contracts.Line, "contracts: expected version, a number that rises with each change")
+		r.reportLine(contracts.Line, "contracts: expected version, a number that rises with each change")
 	}
 	seen := map[string]bool{}
 	for _, t := range quotas.Tenants {
 		if t.Tenant == "" || seen[t.Tenant] {
-			r.failLine(t.Line, "quotas: tenant %q, expected a name that no other quota here has", t.Tenant)
+			r.reportLine(t.Line, "quotas: tenant %q, expected a name that no other quota here has", t.Tenant)
 		}
 		seen[t.Tenant] = true
-		if wrong, _ := t.Quota().Check(len(fleet.Aggregators)); wrong != "" {
-			r.failLine(t.Line, "quotas: tenant %q: %s", t.Tenant, wrong)
+		if mistake, _ := t.Quota().Check(len(fleet.Aggregators)); mistake != "" {
+			r.reportLine(t.Line, "quotas: tenant %q: %s", t.Tenant, mistake)
 		}
 	}
 	clear(seen)
 	for _, t := range contracts.Tenants {
 		if t.Tenant == "" || seen[t.Tenant] {
-			r.failLine(t.Line, "contracts: tenant %q, expected a name that no other contract here has", t.Tenant)
+			r.reportLine(t.Line, "contracts: tenant %q, expected a name that no other contract here has", t.Tenant)
 		}
 		seen[t.Tenant] = true
 		if len(t.Zones) == 0 {
-			r.failLine(t.Line, "contracts: tenant %q has no zone, expected one at the least", t.Tenant)
+			r.reportLine(t.Line, "contracts: tenant %q has no zone, expected one at the least", t.Tenant)
 		}
 	}
 }
 
-// Quota is the same in the fleet's terms.
+// Quota returns the quota in the form of the quota package.
 func (q Quota) Quota() quota.Quota {
-	return quota.Quota{PerS: q.PerS, Burst: q.Burst, MinimumShare: q.Floor}
+	return quota.Quota{PerS: q.QueriesPerSecond, Burst: q.Burst, MinimumShare: q.MinimumShare}
 }
 
-// Warnings tells of what is allowed and may not be meant, a line each.
+// Warnings returns one line for each quota that is valid but possibly not intended.
 func (f *File) Warnings() (list []string) {
 	for _, t := range f.Quotas.Tenants {
 		if _, warn := t.Quota().Check(len(f.Fleet.Aggregators)); warn != "" {
--- a/internal/operators/operatorfile/key.go
+++ b/internal/operators/operatorfile/key.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// KeyBytes is the length of keys, as BLAKE3 takes them.
+// KeyBytes is the length of a key in bytes, as BLAKE3 requires it.
 const KeyBytes = 32
 
-// ReadKey reads a key of KeyBytes from its file. A file that others may read is no secret.
+// ReadKey reads a key of KeyBytes bytes from a file in hex. It rejects a file that users other than its owner may access.
 func ReadKey(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/operators/operatorfile/keys.go
+++ b/internal/operators/operatorfile/keys.go
@@ -8,20 +8,20 @@
 	"github.com/tailscale/hujson"
 )
 
-// kind is what a value has to be.
-type kind string
+// valueKind is the kind of value that a key requires. Its text is part of error messages.
+type valueKind string
 
-// key is one that may stand in an object.
-type key struct {
-	name  string
-	kind  kind
-	keys  []key            // object: those in it; listing: those of its elements
-	begin func(*File, int) // with the line at which it begins
-	take  func(*File, hujson.Literal) error
+// keySpec describes a key that an object may have.
+type keySpec struct {
+	name     string
+	kind     valueKind
+	children []keySpec        // of an object, or of each element of a list of objects
+	onBegin  func(*File, int) // called with the line at which the object or the element begins
+	set      func(*File, hujson.Literal) error
 }
 
-// word takes a string of 1 to 64 bytes.
-func word(to func(*File) *string) func(*File, hujson.Literal) error {
+// shortString returns a setter for a string of 1 to 64 bytes.
+func shortString(to func(*File) *string) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		if *to(f) = l.String(); l.String() == "" || len(l.String()) > 64 {
 			return invalid("has %d bytes, expected 1 to 64", len(l.String()))
@@ -30,8 +30,8 @@
 	}
 }
 
-// words takes each string of a list, once.
-func words(to func(*File) *[]string) func(*File, hujson.Literal) error {
+// shortStrings returns a setter that appends a string of 1 to 64 bytes to a list. It rejects duplicates.
+func shortStrings(to func(*File) *[]string) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		list := to(f)
 		if l.String() == "" || len(l.String()) > 64 {
@@ -45,15 +45,16 @@
 	}
 }
 
-// truth takes true or false.
-func truth(to func(*File) *bool) func(*File, hujson.Literal) error {
+// boolean returns a setter for true or false.
+func boolean(to func(*File) *bool) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error { *to(f) = l.Bool(); return nil }
 }
 
-func last[T any](list []T) *T { return &list[len(list)-1] }
+// lastElement returns a pointer to the last element of a list.
+func lastElement[T any](list []T) *T { return &list[len(list)-1] }
 
-// within takes a number from low to high.
-func within(to func(*File) *float64, low, high float64) func(*File, hujson.Literal) error {
+// numberInRange returns a setter for a number from low to high.
+func numberInRange(to func(*File) *float64, low, high float64) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		v := l.Float()
 		if !(v >= low && v <= high) {
@@ -64,18 +65,18 @@
 	}
 }
 
-// scaled takes a number from low to high that is kept in another unit.
-func scaled(to func(*File, float64), low, high float64) func(*File, hujson.Literal) error {
+// convertedNumber returns a setter for a number from low to high that is stored in another unit.
+func convertedNumber(to func(*File, float64), low, high float64) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		var v float64
-		err := within(func(*File) *float64 { return &v }, low, high)(f, l)
+		err := numberInRange(func(*File) *float64 { return &v }, low, high)(f, l)
 		to(f, v)
 		return err
 	}
 }
 
-// count takes a whole number from 1 to high.
-func count(to func(*File) *int, high int) func(*File, hujson.Literal) error {
+// wholeNumber returns a setter for a whole number from 1 to high.
+func wholeNumber(to func(*File) *int, high int) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		v := l.Float()
 		if v != float64(int(v)) || int(v) < 1 || int(v) > high {
@@ -86,7 +87,8 @@
 	}
 }
 
-func path(to func(*File) *string) func(*File, hujson.Literal) error {
+// absolutePath returns a setter for an absolute path.
+func absolutePath(to func(*File) *string) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		if !strings.HasPrefix(l.String(), "/") {
 			return invalid("is %q, expected a path from the root", l.String())
@@ -96,75 +98,76 @@
 	}
 }
 
-func token(f *File) *Token { return last(f.Operators.Tokens) }
+// lastToken returns the token that is being parsed.
+func lastToken(f *File) *Token { return lastElement(f.Operators.Tokens) }
 
-// keys are all that a file may state.
-var keys = []key{
-	{name: "overrides", kind: object, begin: func(f *File, _ int) { f.Overrides.On = true }, keys: []key{
-		{name: "directory", kind: text, take: path(func(f *File) *string { return &f.Overrides.Directory })},
-		{name: "most_hours", kind: number, take: scaled(func(f *File, v float64) { f.Overrides.Limits.MaxDuration = 3600 * v }, 0.01, mostHours)},
-		{name: "most", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.MaxOverrides }, most)},
-		{name: "most_pinned_shards", kind: number, take: count(func(f *File) *int { return &f.Overrides.Limits.MaxPins }, 10*most)},
-		{name: "shard_share", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.MaxShardLoss }, 0, 1)},
-		{name: "location_share", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.MaxLocationLoss }, 0, 1)},
-		{name: "ramp_s", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.SlowStart }, 1, mostRamp)},
-		{name: "return_share_per_s", kind: number, take: within(func(f *File) *float64 { return &f.Overrides.Limits.RecoveryRate }, 0.001, 1)},
+// fileKeys are all keys that a file may have.
+var fileKeys = []keySpec{
+	{name: "overrides", kind: kindObject, onBegin: func(f *File, _ int) { f.Overrides.On = true }, children: []keySpec{
+		{name: "directory", kind: kindString, set: absolutePath(func(f *File) *string { return &f.Overrides.Directory })},
+		{name: "most_hours", kind: kindNumber, set: convertedNumber(func(f *File, v float64) { f.Overrides.Limits.MaxDuration = 3600 * v }, 0.01, maxOverrideHours)},
+		{name: "most", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Overrides.Limits.MaxOverrides }, maxOverrideCount)},
+		{name: "most_pinned_shards", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Overrides.Limits.MaxPins }, 10*maxOverrideCount)},
+		{name: "shard_share", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Overrides.Limits.MaxShardLoss }, 0, 1)},
+		{name: "location_share", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Overrides.Limits.MaxLocationLoss }, 0, 1)},
+		{name: "ramp_s", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Overrides.Limits.SlowStart }, 1, maxRampSeconds)},
+		{name: "return_share_per_s", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Overrides.Limits.RecoveryRate }, 0.001, 1)},
 	}},
-	{name: "capture", kind: object, keys: []key{
-		{name: "directory", kind: text, take: path(func(f *File) *string { return &f.Capture.Directory })},
-		{name: "interval_s", kind: number, take: within(func(f *File) *float64 { return &f.Capture.Interval }, 1, 3600)},
-		{name: "most_mb", kind: number, take: scaled(func(f *File, v float64) { f.Capture.MostBytes = int64(v * (1 << 20)) }, 1, 1<<20)},
-		{name: "most_hours", kind: number, take: scaled(func(f *File, v float64) { f.Capture.MostAge = 3600 * v }, 1, 365*24)},
+	{name: "capture", kind: kindObject, children: []keySpec{
+		{name: "directory", kind: kindString, set: absolutePath(func(f *File) *string { return &f.Capture.Directory })},
+		{name: "interval_s", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Capture.Interval }, 1, 3600)},
+		{name: "most_mb", kind: kindNumber, set: convertedNumber(func(f *File, v float64) { f.Capture.MaxBytes = int64(v * (1 << 20)) }, 1, 1<<20)},
+		{name: "most_hours", kind: kindNumber, set: convertedNumber(func(f *File, v float64) { f.Capture.MaxAge = 3600 * v }, 1, 365*24)},
 	}},
-	{name: "fleet", kind: object, begin: func(f *File, line int) { f.Fleet.On, f.Fleet.Line = true, line }, keys: []key{
-		{name: "key_file", kind: text, take: path(func(f *File) *string { return &f.Fleet.KeyFile })},
-		{name: "directory", kind: text, take: path(func(f *File) *string { return &f.Fleet.Directory })},
-		{name: "lease_s", kind: number, take: within(func(f *File) *float64 { return &f.Fleet.Lease }, leastLease, mostLease)},
-		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Fleet.Version }, 1<<30)},
-		{name: "mixers", kind: listing, begin: func(f *File, _ int) { f.Fleet.Aggregators = append(f.Fleet.Aggregators, Aggregator{}) }, keys: []key{
-			{name: "name", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Aggregators).Name })},
-			{name: "address", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Aggregators).Address })},
-			{name: "location", kind: text, take: word(func(f *File) *string { return &last(f.Fleet.Aggregators).Location })},
-			{name: "votes", kind: flag, take: truth(func(f *File) *bool { return &last(f.Fleet.Aggregators).Votes })},
+	{name: "fleet", kind: kindObject, onBegin: func(f *File, line int) { f.Fleet.On, f.Fleet.Line = true, line }, children: []keySpec{
+		{name: "key_file", kind: kindString, set: absolutePath(func(f *File) *string { return &f.Fleet.KeyFile })},
+		{name: "directory", kind: kindString, set: absolutePath(func(f *File) *string { return &f.Fleet.Directory })},
+		{name: "lease_s", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Fleet.Lease }, minLeaseSeconds, maxLeaseSeconds)},
+		{name: "version", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Fleet.Version }, 1<<30)},
+		{name: "mixers", kind: kindObjectList, onBegin: func(f *File, _ int) { f.Fleet.Aggregators = append(f.Fleet.Aggregators, Aggregator{}) }, children: []keySpec{
+			{name: "name", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Fleet.Aggregators).Name })},
+			{name: "address", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Fleet.Aggregators).Address })},
+			{name: "location", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Fleet.Aggregators).Location })},
+			{name: "votes", kind: kindBool, set: boolean(func(f *File) *bool { return &lastElement(f.Fleet.Aggregators).Votes })},
 		}},
 	}},
-	{name: "quotas", kind: object, begin: func(f *File, line int) { f.Quotas.On, f.Quotas.Line = true, line }, keys: []key{
-		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Quotas.Version }, 1<<30)},
-		{name: "tenants", kind: listing, begin: func(f *File, line int) {
-			f.Quotas.Tenants = append(f.Quotas.Tenants, Quota{Line: line, Floor: floorShare})
-		}, keys: []key{
-			{name: "tenant", kind: text, take: word(func(f *File) *string { return &last(f.Quotas.Tenants).Tenant })},
-			{name: "per_s", kind: number, take: within(func(f *File) *float64 { return &last(f.Quotas.Tenants).PerS }, 1e-6, 1e9)},
-			{name: "burst", kind: number, take: within(func(f *File) *float64 { return &last(f.Quotas.Tenants).Burst }, 1, 1e9)},
-			{name: "floor_share", kind: number, take: within(func(f *File) *float64 { return &last(f.Quotas.Tenants).Floor }, 0, 1)},
+	{name: "quotas", kind: kindObject, onBegin: func(f *File, line int) { f.Quotas.On, f.Quotas.Line = true, line }, children: []keySpec{
+		{name: "version", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Quotas.Version }, 1<<30)},
+		{name: "tenants", kind: kindObjectList, onBegin: func(f *File, line int) {
+			f.Quotas.Tenants = append(f.Quotas.Tenants, Quota{Line: line, MinimumShare: defaultMinimumShare})
+		}, children: []keySpec{
+			{name: "tenant", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Quotas.Tenants).Tenant })},
+			{name: "per_s", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &lastElement(f.Quotas.Tenants).QueriesPerSecond }, 1e-6, 1e9)},
+			{name: "burst", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &lastElement(f.Quotas.Tenants).Burst }, 1, 1e9)},
+			{name: "floor_share", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &lastElement(f.Quotas.Tenants).MinimumShare }, 0, 1)},
 		}},
 	}},
-	{name: "contracts", kind: object, begin: func(f *File, line int) { f.Contracts.On, f.Contracts.Line = true, line }, keys: []key{
-		{name: "version", kind: number, take: count(func(f *File) *int { return &f.Contracts.Version }, 1<<30)},
-		{name: "strict", kind: texts, take: words(func(f *File) *[]string { return &f.Contracts.Strict })},
-		{name: "tenants", kind: listing, begin: func(f *File, line int) { f.Contracts.Tenants = append(f.Contracts.Tenants, Contract{Line: line}) }, keys: []key{
-			{name: "tenant", kind: text, take: word(func(f *File) *string { return &last(f.Contracts.Tenants).Tenant })},
-			{name: "zones", kind: texts, take: words(func(f *File) *[]string { return &last(f.Contracts.Tenants).Zones })},
-			{name: "indexes", kind: texts, take: words(func(f *File) *[]string { return &last(f.Contracts.Tenants).Indexes })},
-			{name: "mixers_too", kind: flag, take: truth(func(f *File) *bool { return &last(f.Contracts.Tenants).Own })},
+	{name: "contracts", kind: kindObject, onBegin: func(f *File, line int) { f.Contracts.On, f.Contracts.Line = true, line }, children: []keySpec{
+		{name: "version", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Contracts.Version }, 1<<30)},
+		{name: "strict", kind: kindStringList, set: shortStrings(func(f *File) *[]string { return &f.Contracts.Strict })},
+		{name: "tenants", kind: kindObjectList, onBegin: func(f *File, line int) { f.Contracts.Tenants = append(f.Contracts.Tenants, Contract{Line: line}) }, children: []keySpec{
+			{name: "tenant", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Contracts.Tenants).Tenant })},
+			{name: "zones", kind: kindStringList, set: shortStrings(func(f *File) *[]string { return &lastElement(f.Contracts.Tenants).Zones })},
+			{name: "indexes", kind: kindStringList, set: shortStrings(func(f *File) *[]string { return &lastElement(f.Contracts.Tenants).Indexes })},
+			{name: "mixers_too", kind: kindBool, set: boolean(func(f *File) *bool { return &lastElement(f.Contracts.Tenants).IncludeAggregators })},
 		}},
 	}},
-	{name: "operators", kind: object, keys: []key{
-		{name: "listen", kind: text, take: func(f *File, l hujson.Literal) error {
+	{name: "operators", kind: kindObject, children: []keySpec{
+		{name: "listen", kind: kindString, set: func(f *File, l hujson.Literal) error {
 			f.Operators.Listen = l.String()
-			return listens(l.String())
+			return checkListenAddress(l.String())
 		}},
-		{name: "key_file", kind: text, take: path(func(f *File) *string { return &f.Operators.KeyFile })},
-		{name: "tokens", kind: listing, begin: func(f *File, _ int) { f.Operators.Tokens = append(f.Operators.Tokens, Token{}) }, keys: []key{
-			{name: "name", kind: text, take: word(func(f *File) *string { return &token(f).Name })},
-			{name: "role", kind: text, take: func(f *File, l hujson.Literal) error {
-				if token(f).Write = l.String() == "write"; !token(f).Write && l.String() != "read" {
+		{name: "key_file", kind: kindString, set: absolutePath(func(f *File) *string { return &f.Operators.KeyFile })},
+		{name: "tokens", kind: kindObjectList, onBegin: func(f *File, _ int) { f.Operators.Tokens = append(f.Operators.Tokens, Token{}) }, children: []keySpec{
+			{name: "name", kind: kindString, set: shortString(func(f *File) *string { return &lastToken(f).Name })},
+			{name: "role", kind: kindString, set: func(f *File, l hujson.Literal) error {
+				if lastToken(f).Write = l.String() == "write"; !lastToken(f).Write && l.String() != "read" {
 					return invalid(`is %q, expected "read" or "write"`, l.String())
 				}
 				return nil
 			}},
-			{name: "hash", kind: text, take: func(f *File, l hujson.Literal) error {
-				token(f).Hash = l.String()
+			{name: "hash", kind: kindString, set: func(f *File, l hujson.Literal) error {
+				lastToken(f).Hash = l.String()
 				if len(l.String()) != 64 || strings.Trim(l.String(), "0123456789abcdef") != "" {
 					return invalid("expected 64 hex digits, as `puffinlink token` prints them")
 				}
@@ -174,10 +177,10 @@
 	}},
 }
 
-// listens checks an address: a socket's path, or one that no other machine can reach.
-func listens(address string) error {
-	if at, is := strings.CutPrefix(address, "unix:"); is {
-		if !strings.HasPrefix(at, "/") || len(at) > 100 {
+// checkListenAddress accepts the path of a unix socket or a loopback address, which other machines cannot reach.
+func checkListenAddress(address string) error {
+	if socket, unix := strings.CutPrefix(address, "unix:"); unix {
+		if !strings.HasPrefix(socket, "/") || len(socket) > 100 {
 			return invalid("is %q, expected unix: and a path from the root of 100 bytes at most", address)
 		}
 		return nil
--- a/internal/operators/operatorfile/operatorfile.go
+++ b/internal/operators/operatorfile/operatorfile.go
@@ -1,5 +1,6 @@
-// Package operatorfile reads the operator's file: JSON with comments. Every key is checked where it enters, and every mistake
-// is told with its line and what was expected. Everything is off that the file does not state.
+// Package operatorfile reads the operator's file, which is JSON with comments. It validates every key and reports all
+// mistakes at once, each with its line and what was expected. Features that the file does not mention are off. The package
+// does not compare the file with the aggregator's settings. The aggregator does that when it starts.
 package operatorfile
 
 import (
@@ -10,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/operators/override"
 )
 
-// File is what an operator's file states.
+// File is the content of an operator's file.
 type File struct {
 	Overrides Overrides `json:"Overrides"`
 	Operators Operators `json:"Operators"`
@@ -20,18 +21,18 @@
 	Contracts Contracts `json:"Contracts"`
 }
 
-// Fleet sets how aggregators act together. Times are seconds.
+// Fleet configures the cooperation of aggregators. Times are in seconds.
 type Fleet struct {
 	On          bool         `json:"On"`
 	Line        int          `json:"Line"`
 	KeyFile     string       `json:"KeyFile"`
 	Directory   string       `json:"Directory"`
 	Lease       float64      `json:"Lease"`
-	Version     int          `json:"Version"` // of the roster
+	Version     int          `json:"Version"` // of the list of aggregators
 	Aggregators []Aggregator `json:"Mixers"`
 }
 
-// Aggregator is one of the roster.
+// Aggregator is one member of the fleet.
 type Aggregator struct {
 	Name     string `json:"Name"`
 	Address  string `json:"Address"`
@@ -39,7 +40,7 @@
 	Votes    bool   `json:"Votes"`
 }
 
-// Quotas are those of tenants, as of a version that rises with each change.
+// Quotas holds the quotas of tenants. The version increases with each change.
 type Quotas struct {
 	On      bool    `json:"On"`
 	Line    int     `json:"Line"`
@@ -47,73 +48,73 @@
 	Tenants []Quota `json:"Tenants"`
 }
 
-// Quota is one tenant's over all aggregators: queries a second, and at once.
+// Quota limits one tenant's queries over all aggregators: their rate and their burst.
 type Quota struct {
-	Line   int     `json:"Line"`
-	Tenant string  `json:"Tenant"`
-	PerS   float64 `json:"PerS"`
-	Burst  float64 `json:"Burst"`
-	Floor  float64 `json:"Floor"`
+	Line             int     `json:"Line"`
+	Tenant           string  `json:"Tenant"`
+	QueriesPerSecond float64 `json:"PerS"`
+	Burst            float64 `json:"Burst"`
+	MinimumShare     float64 `json:"Floor"`
 }
 
-// Contracts say in which zones tenants' queries are kept, as of a version that rises with each change.
+// Contracts restricts the queries of tenants to zones. The version increases with each change.
 type Contracts struct {
 	On      bool       `json:"On"`
 	Line    int        `json:"Line"`
 	Version int        `json:"Version"`
-	Strict  []string   `json:"Strict"` // tenants that are refused where contracts are not sure; "*" for all
+	Strict  []string   `json:"Strict"` // tenants whose queries are rejected while the contracts are uncertain; "*" for all
 	Tenants []Contract `json:"Tenants"`
 }
 
-// Contract is one tenant's.
+// Contract restricts the queries of one tenant to zones.
 type Contract struct {
-	Line    int      `json:"Line"`
-	Tenant  string   `json:"Tenant"`
-	Zones   []string `json:"Zones"`
-	Indexes []string `json:"Indexes"`
-	Own     bool     `json:"Own"`
+	Line               int      `json:"Line"`
+	Tenant             string   `json:"Tenant"`
+	Zones              []string `json:"Zones"`
+	Indexes            []string `json:"Indexes"`
+	IncludeAggregators bool     `json:"Own"`
 }
 
-// Capture sets what is recorded of the load. Times are seconds.
+// Capture configures the recording of the load. Times are in seconds.
 type Capture struct {
-	Directory string  `json:"Directory"` // "" for none
+	Directory string  `json:"Directory"` // "" for no recording
 	Interval  float64 `json:"Interval"`
-	MostBytes int64   `json:"MostBytes"` // of all files there
-	MostAge   float64 `json:"MostAge"`
+	MaxBytes  int64   `json:"MostBytes"` // of all files in the directory
+	MaxAge    float64 `json:"MostAge"`
 }
 
-// Overrides set the table of overrides. Times are seconds.
+// Overrides configures the overrides that operators may set. Times are in seconds.
 type Overrides struct {
 	On        bool            `json:"On"`        // the file has the section
-	Directory string          `json:"Directory"` // where revisions are kept; "" for memory alone
+	Directory string          `json:"Directory"` // where revisions are stored; "" keeps them in memory only
 	Limits    override.Limits `json:"Limits"`
 }
 
-// Operators set the operators' listener.
+// Operators configures the operators' listener.
 type Operators struct {
-	Listen  string  `json:"Listen"`  // "unix:PATH" or a loopback "HOST:PORT"; "" for none
-	KeyFile string  `json:"KeyFile"` // holds the key of the tokens' hashes
+	Listen  string  `json:"Listen"`  // "unix:PATH" or a loopback "HOST:PORT"; "" for no listener
+	KeyFile string  `json:"KeyFile"` // has the key of the tokens' hashes
 	Tokens  []Token `json:"Tokens"`
 }
 
-// Token is one that an operator may show.
+// Token is a token with which an operator may authenticate.
 type Token struct {
 	Name  string `json:"Name"`
 	Hash  string `json:"Hash"` // in hex
 	Write bool   `json:"Write"`
 }
 
-// mostFile is far more than a file with every key and a hundred tokens needs.
-const mostFile = 256 << 10
+// maxFileBytes limits the size of the file. A file with every key and a hundred tokens is far smaller.
+const maxFileBytes = 256 << 10
 
-// Read reads the file at a path. Its error holds a line for each mistake.
+// Read reads and validates the file at a path. Its error has a line for each mistake.
 func Read(path string) (File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return Defaults(), err
 	}
-	if info.Size() > mostFile {
-		return Defaults(), invalid("%s: has %d bytes, at most %d are read", path, info.Size(), mostFile)
+	if info.Size() > maxFileBytes {
+		return Defaults(), invalid("%s: has %d bytes, at most %d are read", path, info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -121,42 +122,47 @@
 	}
 	f, err := Parse(text)
 	if err != nil {
-		return f, fmt.Errorf("%s:%w", path, indented(err, path))
+		return f, fmt.Errorf("%s:%w", path, prefixLines(err, path))
 	}
 	return f, nil
 }
 
-// indented puts the path before each further mistake.
-func indented(err error, path string) error {
+// prefixLines inserts the path before each line of an error after the first.
+func prefixLines(err error, path string) error {
 	return ValidationError(strings.ReplaceAll(err.Error(), "\n", "\n"+path+":"))
 }
 
-// Defaults is a file that states nothing.
+// Defaults returns the content of an empty file.
 //
-// A capture's intervals are 10 s, of which a day takes 10 to 100 MB, and it goes back a week.
+// Capture intervals are 10 s long, which takes 10 to 100 MB a day. Captures are kept for a week.
 func Defaults() File {
-	return File{Overrides: Overrides{Limits: override.Defaults()}, Capture: Capture{Interval: 10, MostBytes: 256 << 20, MostAge: 7 * 86400},
+	return File{Overrides: Overrides{Limits: override.Defaults()}, Capture: Capture{Interval: 10, MaxBytes: 256 << 20, MaxAge: 7 * 86400},
 		Fleet: Fleet{Lease: 10}}
 }
 
 const (
-	number  kind = "a number"
-	text    kind = "a string"
-	object  kind = "an object"
-	listing kind = "a list"
-	flag    kind = "true or false"
-	texts   kind = "a list of strings"
+	kindNumber     valueKind = "a number"
+	kindString     valueKind = "a string"
+	kindObject     valueKind = "an object"
+	kindObjectList valueKind = "a list"
+	kindBool       valueKind = "true or false"
+	kindStringList valueKind = "a list of strings"
 )
 
-// Caps of what may be asked for, each with its reason: a week is longer than any look into a backend; more overrides
-// or pins than these take more than 16 MB; a return slower than ten minutes is an outage.
+// Highest and lowest values that the file may state.
 const (
-	mostHours = 168
-	most      = 100000
-	mostRamp  = 600
-	// A lease shorter than this is over before the next granter may grant; one longer than the other keeps what a dead
-	// aggregator held from the others for minutes.
-	leastLease, mostLease = 8, 300
-	// floorShare leaves a tenant 95% of its quota at one aggregator of any fleet, less the slack of clocks.
-	floorShare = 0.04
+	// maxOverrideHours is a week, which is longer than any investigation of a backend.
+	maxOverrideHours = 168
+	// maxOverrideCount is the highest limit of overrides. The highest limit of pinned shards is ten times as high. Higher limits
+	// would allow them to take more than 16 MB.
+	maxOverrideCount = 100000
+	// maxRampSeconds is ten minutes. A slower return to full load is an outage.
+	maxRampSeconds = 600
+	// minLeaseSeconds is the shortest lease. A shorter one would end before the next granter may grant leases.
+	minLeaseSeconds = 8
+	// maxLeaseSeconds is the longest lease. With a longer one, the other aggregators would wait for minutes for what a failed
+	// aggregator held.
+	maxLeaseSeconds = 300
+	// defaultMinimumShare leaves a tenant 95% of its quota at one aggregator of a fleet of any size, minus the clock error.
+	defaultMinimumShare = 0.04
 )
--- a/internal/operators/operatorfile/parse.go
+++ b/internal/operators/operatorfile/parse.go
@@ -10,89 +10,96 @@
 	"github.com/tailscale/hujson"
 )
 
-// Parse reads a file's text. Its error holds a line "LINE: what is wrong" for each mistake.
+// Parse parses and validates the text of a file. Its error has a line "LINE: MISTAKE" for each mistake.
 func Parse(in []byte) (File, error) {
 	f := Defaults()
 	root, err := hujson.Parse(in)
 	if err != nil {
 		return f, ValidationError(strings.TrimPrefix(err.Error(), "hujson: "))
 	}
-	r := reader{text: in, file: &f}
-	r.object("", root, keys)
-	if len(r.wrong) == 0 {
+	r := parser{text: in, file: &f}
+	r.parseObject("", root, fileKeys)
+	if len(r.mistakes) == 0 {
 		r.checkFile(root)
 	}
-	if len(r.wrong) > 0 {
-		return f, ValidationError(strings.Join(r.wrong, "\n"))
+	if len(r.mistakes) > 0 {
+		return f, ValidationError(strings.Join(r.mistakes, "\n"))
 	}
 	return f, nil
 }
 
-type reader struct {
-	text  []byte
-	file  *File
-	wrong []string
+// parser collects the values and the mistakes of a file.
+type parser struct {
+	text     []byte
+	file     *File
+	mistakes []string
 }
 
-func (r *reader) fail(at int, format string, args ...any) { r.failLine(r.line(at), format, args...) }
+// report records a mistake at an offset in the text.
+func (r *parser) report(offset int, format string, args ...any) {
+	r.reportLine(r.line(offset), format, args...)
+}
 
-func (r *reader) failLine(line int, format string, args ...any) {
-	r.wrong = append(r.wrong, fmt.Sprintf("%d: %s", line, fmt.Sprintf(format, args...)))
+// reportLine records a mistake at a line.
+func (r *parser) reportLine(line int, format string, args ...any) {
+	r.mistakes = append(r.mistakes, fmt.Sprintf("%d: %s", line, fmt.Sprintf(format, args...)))
 }
 
-// line is that of a place in the text.
-func (r *reader) line(at int) int {
-	return 1 + strings.Count(string(r.text[:min(at, len(r.text))]), "\n")
+// line returns the line number of an offset in the text.
+func (r *parser) line(offset int) int {
+	return 1 + strings.Count(string(r.text[:min(offset, len(r.text))]), "\n")
 }
 
-// checkFile checks what no key can tell alone.
-func (r *reader) checkFile(root hujson.Value) {
+// checkFile checks the rules that relate several keys.
+func (r *parser) checkFile(root hujson.Value) {
 	o := &r.file.Operators
-	at := root.StartOffset
+	offset := root.StartOffset
 	if v := root.Find("/operators"); v != nil {
-		at = v.StartOffset
+		offset = v.StartOffset
 	}
 	if !strings.HasPrefix(o.Listen, "unix:") && o.Listen != "" && len(o.Tokens) == 0 {
-		r.fail(at, "operators.listen is an address that every user of the machine reaches: expected tokens beside it")
+		r.report(offset, "operators.listen is an address that every user of the machine reaches: expected tokens beside it")
 	}
 	if len(o.Tokens) > 0 && o.KeyFile == "" {
-		r.fail(at, "operators.tokens: expected operators.key_file beside them, for their hashes")
+		r.report(offset, "operators.tokens: expected operators.key_file beside them, for their hashes")
 	}
 	if o.Listen == "" && (len(o.Tokens) > 0 || o.KeyFile != "") {
-		r.fail(at, "operators: expected listen, without which nothing else there counts")
+		r.report(offset, "operators: expected listen, without which nothing else there counts")
 	}
 	r.checkFleet()
 	seen := map[string]bool{}
 	for _, t := range o.Tokens {
 		if seen[t.Name] {
-			r.fail(at, "operators.tokens: two are named %q", t.Name)
+			r.report(offset, "operators.tokens: two are named %q", t.Name)
 		}
 		seen[t.Name] = true
 		if t.Name == "" || t.Hash == "" {
-			r.fail(at, "operators.tokens: expected name, role and hash in each")
+			r.report(offset, "operators.tokens: expected name, role and hash in each")
 		}
 	}
 }
 
-func hasKind(v hujson.Value, desired kind) bool {
+// hasKind reports whether a value is of a kind.
+func hasKind(v hujson.Value, want valueKind) bool {
 	switch v := v.Value.(type) {
 	case *hujson.Object:
-		return desired == object
+		return want == kindObject
 	case *hujson.Array:
-		return desired == listing || desired == texts && !slices.ContainsFunc(v.Elements, func(e hujson.Value) bool { return !hasKind(e, text) })
+		return want == kindObjectList || want == kindStringList && !slices.ContainsFunc(v.Elements, func(e hujson.Value) bool { return !hasKind(e, kindString) })
 	case hujson.Literal:
-		return v.Kind() == '0' && desired == number || v.Kind() == '"' && desired == text || (v.Kind() == 't' || v.Kind() == 'f') && desired == flag
+		return v.Kind() == '0' && want == kindNumber || v.Kind() == '"' && want == kindString || (v.Kind() == 't' || v.Kind() == 'f') && want == kindBool
 	}
 	return false
 }
 
-// literal is a value that hasKind has found to be a text, a number or a flag, or the name of a member, which always is a text.
+// literal returns a value as a literal. The caller has checked with hasKind that it is a string, a number or a boolean, or it is
+// the name of a member, which is always a string.
 func literal(v hujson.Value) hujson.Literal {
 	l, _ := v.Value.(hujson.Literal)
 	return l
 }
 
-// elements are those of a value that hasKind has found to be a list.
+// elements returns the elements of a list. The caller has checked with hasKind that the value is a list.
 func elements(v hujson.Value) []hujson.Value {
 	if list, isList := v.Value.(*hujson.Array); isList {
 		return list.Elements
@@ -100,65 +107,67 @@
 	return nil
 }
 
-func (r *reader) object(under string, v hujson.Value, known []key) {
+// parseObject parses the members of an object. The parent is the full name of the object, "" for the file.
+func (r *parser) parseObject(parent string, v hujson.Value, known []keySpec) {
 	o, isObject := v.Value.(*hujson.Object)
 	if !isObject {
-		r.fail(v.StartOffset, "%s is %.40s, expected an object", cmp.Or(under, "the file"), v.Pack())
+		r.report(v.StartOffset, "%s is %.40s, expected an object", cmp.Or(parent, "the file"), v.Pack())
 		return
 	}
 	seen := map[string]bool{}
 	for _, m := range o.Members {
 		name := literal(m.Name).String()
-		full := strings.TrimPrefix(under+"."+name, ".")
-		i := slices.IndexFunc(known, func(k key) bool { return k.name == name })
+		fullName := strings.TrimPrefix(parent+"."+name, ".")
+		i := slices.IndexFunc(known, func(k keySpec) bool { return k.name == name })
 		switch {
 		case i < 0:
-			r.fail(m.Name.StartOffset, "%s is not known, the nearest key is %s", full, nearest(name, known))
+			r.report(m.Name.StartOffset, "%s is not known, the nearest key is %s", fullName, nearest(name, known))
 		case seen[name]:
-			r.fail(m.Name.StartOffset, "%s is stated twice", full)
+			r.report(m.Name.StartOffset, "%s is stated twice", fullName)
 		case !hasKind(m.Value, known[i].kind):
-			r.fail(m.Value.StartOffset, "%s is %.40s, expected %s", full, packed(m.Value), known[i].kind)
+			r.report(m.Value.StartOffset, "%s is %.40s, expected %s", fullName, compactText(m.Value), known[i].kind)
 		default:
-			r.value(full, m.Value, &known[i])
+			r.parseValue(fullName, m.Value, &known[i])
 		}
 		seen[name] = true
 	}
 }
 
-// packed is a value as it stands, without the white space before it.
-func packed(v hujson.Value) string {
+// compactText returns the text of a value without the white space and comments around it.
+func compactText(v hujson.Value) string {
 	v = v.Clone()
 	v.BeforeExtra, v.AfterExtra = nil, nil
 	return string(v.Pack())
 }
 
-func (r *reader) value(full string, v hujson.Value, k *key) {
+// parseValue parses the value of a key. The caller has checked its kind.
+func (r *parser) parseValue(fullName string, v hujson.Value, k *keySpec) {
 	switch k.kind {
-	case object:
-		if k.begin != nil {
-			k.begin(r.file, r.line(v.StartOffset))
+	case kindObject:
+		if k.onBegin != nil {
+			k.onBegin(r.file, r.line(v.StartOffset))
 		}
-		r.object(full, v, k.keys)
-	case listing:
+		r.parseObject(fullName, v, k.children)
+	case kindObjectList:
 		for i, e := range elements(v) {
-			k.begin(r.file, r.line(e.StartOffset))
-			r.object(fmt.Sprintf("%s[%d]", full, i), e, k.keys)
+			k.onBegin(r.file, r.line(e.StartOffset))
+			r.parseObject(fmt.Sprintf("%s[%d]", fullName, i), e, k.children)
 		}
-	case texts:
+	case kindStringList:
 		for _, e := range elements(v) {
-			if err := k.take(r.file, literal(e)); err != nil {
-				r.fail(e.StartOffset, "%s %v", full, err)
+			if err := k.set(r.file, literal(e)); err != nil {
+				r.report(e.StartOffset, "%s %v", fullName, err)
 			}
 		}
 	default:
-		if err := k.take(r.file, literal(v)); err != nil {
-			r.fail(v.StartOffset, "%s %v", full, err)
+		if err := k.set(r.file, literal(v)); err != nil {
+			r.report(v.StartOffset, "%s %v", fullName, err)
 		}
 	}
 }
 
-// nearest is the known key that takes the fewest changes of letters.
-func nearest(name string, known []key) (best string) {
+// nearest returns the known key with the smallest Levenshtein distance to a name.
+func nearest(name string, known []keySpec) (best string) {
 	smallest := 1 << 30
 	for _, k := range known {
 		if d := levenshtein.ComputeDistance(name, k.name); d < smallest {
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -52,7 +52,7 @@
 	defer cancel()
 	var c api.FleetCommand
 	m.cluster.must(json.Unmarshal(body, &c))
-	r, err := m.OperatorClient().Change(ctx, c)
+	r, err := m.OperatorClient().SendFleetCommand(ctx, c)
 	return r.Version, err
 }
 
--- a/internal/tools/planfile/planfile_test.go
+++ b/internal/tools/planfile/planfile_test.go
@@ -17,8 +17,8 @@
 
 func load(t *testing.T, alone int64) capture.Capture {
 	c := capture.Capture{}
-	s := capture.Synth{For: 60, Span: 10, PerS: 20, Shards: 8, Skew: 0.5, Indexes: []capture.SynthIndex{{Index: "reads", Share: 1, Parts: 3}}, Bursts: []capture.Burst{{From: 20, For: 10, Factor: 3}}}
-	if err := s.Make(func(i *capture.Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
+	s := capture.SyntheticLoad{Duration: 60, Span: 10, QueriesPerSecond: 20, Shards: 8, Skew: 0.5, Indexes: []capture.SyntheticIndex{{Index: "reads", Share: 1, Parts: 3}}, Bursts: []capture.Burst{{From: 20, Duration: 10, Factor: 3}}}
+	if err := s.Generate(func(i *capture.Interval) error { c.Intervals = append(c.Intervals, *i); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	x := capture.BackendLoad{Backend: "a-1", Index: "reads"}
