--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -91,8 +91,8 @@
 
 func (r *fixture) sendCommand(revision uint64, c Command) (Change, string) {
 	c.Revision = &revision
-	made, err := r.client.Send(context.Background(), c)
-	return made, errorCode(err)
+	change, err := r.client.Send(context.Background(), c)
+	return change, errorCode(err)
 }
 
 func TestOverrideIsSetShownExplainedAndCleared(t *testing.T) {
--- a/internal/operators/capture/block.go
+++ b/internal/operators/capture/block.go
@@ -40,28 +40,28 @@
 func FileHeader() []byte { return []byte(fileHeader) }
 
 // AppendBlock appends the block of an interval.
-func AppendBlock(b []byte, i *Interval) ([]byte, error) {
+func AppendBlock(block []byte, i *Interval) ([]byte, error) {
 	text, err := json.Marshal(i)
 	if err != nil {
-		return b, err
+		return block, err
 	}
 	var compressed bytes.Buffer
 	w, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
-		return b, err
+		return block, err
 	}
 	if _, err := w.Write(text); err != nil {
-		return b, err
+		return block, err
 	}
 	if err := w.Close(); err != nil {
-		return b, err
+		return block, err
 	}
 	if compressed.Len() > maxBlockSize {
-		return b, invalid("an interval of %d bytes, %d at most", compressed.Len(), maxBlockSize)
+		return block, invalid("an interval of %d bytes, %d at most", compressed.Len(), maxBlockSize)
 	}
-	b = binary.BigEndian.AppendUint32(b, uint32(compressed.Len()))
-	b = binary.BigEndian.AppendUint64(b, xxh3.Hash(compressed.Bytes()))
-	return append(b, compressed.Bytes()...), nil
+	block = binary.BigEndian.AppendUint32(block, uint32(compressed.Len()))
+	block = binary.BigEndian.AppendUint64(block, xxh3.Hash(compressed.Bytes()))
+	return append(block, compressed.Bytes()...), nil
 }
 
 // Read calls each for every interval of a capture. It returns a *TruncatedError if the capture is truncated or corrupted,
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -37,15 +37,15 @@
 type Recorder struct {
 	aggregator      string
 	names           Names
-	span            float64
-	started         bool
+	span            float64 // length of an interval in seconds
+	started         bool    // set by the first call of Due
 	intervalStart   float64
-	loads           [][]Load // by index and customer
-	parts           []map[int]int64
+	loads           [][]Load        // by index and customer
+	parts           []map[int]int64 // by index: number of queries by their number of subqueries
 	latency         []Histogram
-	shards          [][]int64
+	shards          [][]int64 // by index and shard: number of subqueries
 	backends        map[policy.BackendID]*BackendCalls
-	rowCount        int
+	rowCount        int // rows of all backends in the current interval
 	queriesInFlight inFlightMeter
 	callsInFlight   inFlightMeter
 }
@@ -53,7 +53,7 @@
 // inFlightMeter measures the mean over time and the peak of a number in flight.
 type inFlightMeter struct {
 	current, peak int64
-	at, sum       float64
+	at, sum       float64 // time of the last adjustment, and the integral of current up to it
 }
 
 // adjust adds to the current number.
@@ -92,8 +92,8 @@
 
 // BackendAdded records a backend's name and location.
 func (rec *Recorder) BackendAdded(id policy.BackendID, name, location string) {
-	s := rec.backend(id)
-	s.name, s.location, s.removed = name, location, false
+	backend := rec.backend(id)
+	backend.name, backend.location, backend.removed = name, location, false
 }
 
 // BackendRemoved marks a backend that the list no longer names. It is dropped at the end of the first interval at which no
--- a/internal/operators/capture/capture_test.go
+++ b/internal/operators/capture/capture_test.go
@@ -266,7 +266,7 @@
 // Closing a full file fails, so intervals may be missing from it. write must return the error, and must still write its
 // interval to the next file.
 func TestFailedCloseIsReported(t *testing.T) {
-	w := &Writer{config: StoreConfig{t.TempDir(), 1 << 20, time.Hour}, count: counters.New()}
+	w := &Writer{config: StoreConfig{t.TempDir(), 1 << 20, time.Hour}, counters: counters.New()}
 	list, _, _, _ := recordRandomLoad("n1", 7, 2)
 	first, second := list[0], list[0]
 	first.At, second.At = 1000, 1001
--- a/internal/operators/capture/files.go
+++ b/internal/operators/capture/files.go
@@ -18,8 +18,8 @@
 
 const (
 	fileSuffix = ".capture"
-	// filesPerDirectory is the number of files that share the maximum size of a directory. A full directory so loses its oldest
-	// eighth and not all intervals.
+	// filesPerDirectory is the number of files that share the maximum size of a directory. When the
+	// directory is full, only its oldest eighth is removed, not all intervals.
 	filesPerDirectory = 8
 	// maxPending limits the intervals that wait to be written. Further ones are dropped, so that a disk that accepts no writes
 	// for a minute does not use up memory.
@@ -36,14 +36,14 @@
 // Writer writes intervals to files in its own goroutine. If the disk is full or fails, intervals are lost, but the aggregator
 // is not affected.
 type Writer struct {
-	config  StoreConfig
-	queue   *eventqueue.Queue[*Interval] // a nil interval stops the writer
-	pending chan struct{}
-	log     *zap.Logger
-	count   *counters.Set
-	stopped chan struct{}
-	file    *os.File
-	size    int64
+	config   StoreConfig
+	queue    *eventqueue.Queue[*Interval] // a nil interval stops the writer
+	pending  chan struct{}
+	log      *zap.Logger
+	counters *counters.Set
+	stopped  chan struct{}
+	file     *os.File
+	size     int64
 }
 
 // NewWriter creates the directory and starts a writer. The first file is created for the first interval.
@@ -51,7 +51,7 @@
 	if err := os.MkdirAll(config.Directory, 0o700); err != nil {
 		return nil, err
 	}
-	w := &Writer{config: config, queue: eventqueue.New[*Interval](), pending: make(chan struct{}, maxPending), log: log, count: count, stopped: make(chan struct{})}
+	w := &Writer{config: config, queue: eventqueue.New[*Interval](), pending: make(chan struct{}, maxPending), log: log, counters: count, stopped: make(chan struct{})}
 	go w.run()
 	return w, nil
 }
@@ -62,7 +62,7 @@
 	case w.pending <- struct{}{}:
 		w.queue.Put(&i)
 	default:
-		w.count.Add("capture", "dropped", 1)
+		w.counters.Add("capture", "dropped", 1)
 	}
 }
 
@@ -89,8 +89,8 @@
 			<-w.pending
 			err := w.write(i)
 			if err == nil {
-				w.count.Add("capture", "written", 1)
-			} else if w.count.Add("capture", "failed", 1); !failing {
+				w.counters.Add("capture", "written", 1)
+			} else if w.counters.Add("capture", "failed", 1); !failing {
 				w.log.Error("capture not written; further ones are only counted", zap.String("text", err.Error()))
 			}
 			failing = err != nil
@@ -155,13 +155,13 @@
 		return err
 	}
 	total := int64(0)
-	for _, f := range slices.Backward(list) {
-		total += f.size
-		if total > w.config.MaxBytes*(filesPerDirectory-1)/filesPerDirectory || time.Since(f.changed) > w.config.MaxAge {
-			if err := os.Remove(f.path); err != nil {
+	for _, file := range slices.Backward(list) {
+		total += file.size
+		if total > w.config.MaxBytes*(filesPerDirectory-1)/filesPerDirectory || time.Since(file.changed) > w.config.MaxAge {
+			if err := os.Remove(file.path); err != nil {
 				return err
 			}
-			w.count.Add("capture", "removed", 1)
+			w.counters.Add("capture", "removed", 1)
 		}
 	}
 	return nil
