--- a/cmd/puffinlink/captureshow.go
+++ b/cmd/puffinlink/captureshow.go
@@ -32,7 +32,7 @@
 	for _, gap := range captured.Gaps() {
 		fmt.Fprintf(stdout, "hole: nothing from %s to %s\n", formatUnixSeconds(gap.From), formatUnixSeconds(gap.To))
 	}
-	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", summary.InFlight.Mean, summary.InFlight.Most, summary.CallsInFlight.Mean, summary.CallsInFlight.Most)
+	fmt.Fprintf(stdout, "held %.1f in the mean, %d at most; part calls out %.1f, %d at most\n\n", summary.InFlight.Mean, summary.InFlight.Peak, summary.CallsInFlight.Mean, summary.CallsInFlight.Peak)
 	rows := [][]string{}
 	format := func(v int64) string { return strconv.FormatInt(v, 10) }
 	for _, load := range summary.Loads {
--- a/cmd/puffinlink/override.go
+++ b/cmd/puffinlink/override.go
@@ -86,11 +86,11 @@
 func printChange(out io.Writer, change *api.Change) {
 	target, effect := describeOverride(&change.Override)
 	at := time.UnixMilli(int64(1000 * change.At)).Format(time.DateTime)
-	line := fmt.Sprintf("%s  revision %d: override %d %s: %s %s, by %s: %s", at, change.Revision, change.Override.ID, change.What, target, effect, change.Author, change.Reason)
+	line := fmt.Sprintf("%s  revision %d: override %d %s: %s %s, by %s: %s", at, change.Revision, change.Override.ID, change.Action, target, effect, change.Author, change.Reason)
 	for _, f := range change.Forced {
 		line += "; forced over " + f
 	}
-	if change.Again {
+	if change.Repeated {
 		line += " (it had acted before)"
 	}
 	fmt.Fprintln(out, line)
