--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -33,23 +33,23 @@
 type cluster struct {
 	*testing.T
 	site     fakes.Site
-	registry *fakes.Register
+	registry *fakes.Registry
 	backends []*fakes.Backend
 	file     operatorfile.File
 	listen   string
 	node     *Node
 	client   *api.Client
 	load     *fakes.Load
-	tally    fakes.Tally
+	tally    fakes.QueryStats
 }
 
 // newCluster starts a cluster whose backends take the given service time for a subquery. queriesPerS is the rate of the load; at 0
 // the load is not started.
 func newCluster(t *testing.T, queriesPerS float64, service time.Duration) *cluster {
-	w := &cluster{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, Width: 2, Shards: 16, Aggregators: 1,
-		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 2, Hard: 8, Value: 1}, {Name: "orders", Effect: "once", Soft: 2, Hard: 8, Value: 3}}}}
+	w := &cluster{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, CellsPerShard: 2, Shards: 16, Aggregators: 1,
+		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", SoftDeadlineSeconds: 2, HardDeadlineSeconds: 8, Value: 1}, {Name: "orders", Effect: "once", SoftDeadlineSeconds: 2, HardDeadlineSeconds: 8, Value: 3}}}}
 	var err error
-	if w.registry, err = fakes.NewRegister(); err != nil {
+	if w.registry, err = fakes.NewRegistry(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.registry.Close)
@@ -79,7 +79,7 @@
 	if w.client, err = api.NewClient(w.file.Operators.Listen, ""); err != nil {
 		t.Fatal(err)
 	}
-	w.load = &fakes.Load{Aggregators: []string{w.listen}, Site: w.site, PerS: queriesPerS, Mixes: []fakes.Mix{
+	w.load = &fakes.Load{Aggregators: []string{w.listen}, Site: w.site, QueriesPerSecond: queriesPerS, Mixes: []fakes.Mix{
 		{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 8 * time.Second}, {Index: "orders", Share: 0.1, Subqueries: 2, Deadline: 8 * time.Second}}}
 	if queriesPerS > 0 {
 		w.load.Run(w.Context())
@@ -98,8 +98,8 @@
 }
 
 // collectLoad returns the results of the load since the previous call, and adds them to the tally.
-func (w *cluster) collectLoad() fakes.Tally {
-	t := w.load.Take()
+func (w *cluster) collectLoad() fakes.QueryStats {
+	t := w.load.TakeStats()
 	w.tally.Add(t)
 	return t
 }
@@ -173,7 +173,7 @@
 }
 
 // checkEachQueryAnswered checks that each query had exactly one final answer, and that some queries were satisfied.
-func checkEachQueryAnswered(t *testing.T, a fakes.Tally) {
+func checkEachQueryAnswered(t *testing.T, a fakes.QueryStats) {
 	t.Helper()
 	if a.Lost > 0 || a.Sent != a.Satisfied+a.Nacked+a.Aborted || a.Satisfied == 0 {
 		t.Fatalf("not every query had exactly one final answer: %+v", a)
@@ -185,7 +185,7 @@
 	t.Helper()
 	executions := map[string]int64{}
 	for _, s := range fleet {
-		s.Executed(func(id string, times int64) {
+		s.EachExecuted(func(id string, times int64) {
 			if strings.HasPrefix(id, "orders-") {
 				executions[id] += times
 			}
@@ -224,8 +224,8 @@
 	}{
 		{"full list", w.registry.SendFullList},
 		{"patch", func() { w.registry.Set(w.backends[0].Entry("SERVING", true)) }},
-		{"registry outage", func() { w.registry.Down(true) }},
-		{"end of the registry outage", func() { w.registry.Down(false) }},
+		{"registry outage", func() { w.registry.SetDown(true) }},
+		{"end of the registry outage", func() { w.registry.SetDown(false) }},
 		{"drain of the backend", func() { w.registry.SetState(s.Name, "DRAINING") }},
 		{"removal of the backend", func() { w.registry.SetState(s.Name, "DELETED") }},
 		{"failure of the backend", s.Kill},
@@ -274,9 +274,9 @@
 	checkPinned("the command")
 	w.registry.SendFullList()
 	checkPinned("full list")
-	w.registry.Down(true)
+	w.registry.SetDown(true)
 	checkPinned("registry outage")
-	w.registry.Down(false)
+	w.registry.SetDown(false)
 	w.registry.SetState(s.Name, "DRAINING")
 	drainedAt := time.Now()
 	w.waitUntil("the pin is suspended", func() bool {
@@ -352,8 +352,8 @@
 		t.Errorf("a weight of 0.25 gives %.3f of the usual calls", got)
 	}
 	w.registry.SendFullList()
-	w.registry.Down(true)
-	w.registry.Down(false)
+	w.registry.SetDown(true)
+	w.registry.SetDown(false)
 	w.registry.SetState(s.Name, "DRAINING")
 	w.waitForCalls(20)
 	w.registry.SetState(s.Name, "DELETED")
@@ -405,9 +405,9 @@
 	if measure {
 		queries = 1500
 	}
-	measureLoad := func() fakes.Tally {
+	measureLoad := func() fakes.QueryStats {
 		w.collectLoad()
-		w.waitUntil("answered queries", func() bool { return w.load.Answered() >= queries })
+		w.waitUntil("answered queries", func() bool { return w.load.FinishedQueries() >= queries })
 		return w.collectLoad()
 	}
 	w.waitForCalls(200)
@@ -468,7 +468,7 @@
 	if e := (*api.Error)(nil); !errors.As(err, &e) || e.Code != "not_kept" || len(v.Overrides) > 0 {
 		t.Fatalf("got error %v with %+v, want code not_kept and no overrides", err, v)
 	}
-	w.load.Aggregators, w.load.PerS = []string{w.listen}, 100
+	w.load.Aggregators, w.load.QueriesPerSecond = []string{w.listen}, 100
 	w.load.Run(t.Context())
 	w.waitForCalls(50)
 	w.checkOutcome()
--- a/internal/dataplane/node/upgrade_test.go
+++ b/internal/dataplane/node/upgrade_test.go
@@ -19,7 +19,7 @@
 	site           fakes.Site
 	nodes          []*Node
 	load           *fakes.Load
-	tally          fakes.Tally
+	tally          fakes.QueryStats
 	satisfiedAlone float64 // share of satisfied queries without load on the other layout
 }
 
@@ -39,17 +39,17 @@
 	const cells = 6
 	const service = 50 * time.Millisecond // of one subquery
 	index := func(name, effect string, value, minimum float64) fakes.Index {
-		return fakes.Index{Name: name, Effect: effect, Soft: 1, Hard: 3, Value: value, Minimum: minimum, DedupS: 0.05}
+		return fakes.Index{Name: name, Effect: effect, SoftDeadlineSeconds: 1, HardDeadlineSeconds: 3, Value: value, MinAnswerShare: minimum, DeduplicationSeconds: 0.05}
 	}
-	registry, err := fakes.NewRegister()
+	registry, err := fakes.NewRegistry()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(registry.Close)
 	layouts := map[string]*layout{
-		"old": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 2, Shards: 2 * cells, Aggregators: 4, SlowStartS: 2,
+		"old": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, CellsPerShard: 2, Shards: 2 * cells, Aggregators: 4, SlowStartSeconds: 2,
 			Indexes: []fakes.Index{index("reads", "repeatable", 1, 0), index("orders", "once", 3, 0)}}},
-		"new": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, Width: 1, Shards: 2 * cells, Aggregators: 4, SlowStartS: 2, CallSubqueries: 8, CallCostS: 0.002,
+		"new": {site: fakes.Site{Zones: []string{"a", "b"}, Cells: cells, CellsPerShard: 1, Shards: 2 * cells, Aggregators: 4, SlowStartSeconds: 2, SubqueriesPerCall: 8, CallCostSeconds: 0.002,
 			Indexes: []fakes.Index{index("maps", "repeatable", 5, 0.7), index("notes", "by_key", 1, 0)}}},
 	}
 	var backends []*fakes.Backend
@@ -81,28 +81,28 @@
 		}
 		// 12 backends with two slots of 50 ms serve 480 subqueries a second. Each layout sends 220, and for some time a fourth of
 		// the backends is down.
-		l.load = &fakes.Load{Aggregators: aggregators, Site: l.site, PerS: 50, Mixes: mixes, Retries: 1, Backoff: 50 * time.Millisecond}
+		l.load = &fakes.Load{Aggregators: aggregators, Site: l.site, QueriesPerSecond: 50, Mixes: mixes, Retries: 1, MinBackoff: 50 * time.Millisecond}
 	}
 	collectLoad := func() {
 		for _, l := range layouts {
-			l.tally.Add(l.load.Take())
+			l.tally.Add(l.load.TakeStats())
 		}
 	}
 	stop := func(name string, l *layout) {
 		l.load.Stop()
-		l.tally.Add(l.load.Take())
+		l.tally.Add(l.load.TakeStats())
 		checkEachQueryAnswered(t, l.tally)
 		t.Logf("%s: %+v", name, l.tally)
 	}
 	for name, l := range layouts {
 		l.load.Run(t.Context())
-		for deadline := time.Now().Add(waitTimeout); l.load.Answered() < 150; time.Sleep(10 * time.Millisecond) {
+		for deadline := time.Now().Add(waitTimeout); l.load.FinishedQueries() < 150; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s layout: %d of 150 queries answered while it has the only load", name, l.load.Answered())
+				t.Fatalf("%s layout: %d of 150 queries answered while it has the only load", name, l.load.FinishedQueries())
 			}
 		}
 		stop(name, l)
-		l.satisfiedAlone, l.tally = l.satisfied(), fakes.Tally{}
+		l.satisfiedAlone, l.tally = l.satisfied(), fakes.QueryStats{}
 	}
 	for _, l := range layouts {
 		l.load.Run(t.Context())
@@ -120,7 +120,7 @@
 	}
 	waitForSatisfied(100)
 	for _, i := range []int{0, 10} { // they accept subqueries, answer probes, and are killed with work in progress
-		backends[i].SetService(4 * time.Second)
+		backends[i].SetServiceTime(4 * time.Second)
 	}
 	waitForSatisfied(100)
 	for _, i := range []int{0, 3, 10} {
@@ -152,7 +152,7 @@
 	}
 	first, last := map[string]time.Time{}, map[string]time.Time{}
 	for _, s := range backends {
-		s.Arrivals(func(id string, from, to time.Time) {
+		s.EachArrival(func(id string, from, to time.Time) {
 			if was, seen := first[id]; !seen || from.Before(was) {
 				first[id] = from
 			}
--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -15,18 +15,20 @@
 	"time"
 )
 
-// Backend answers calls, so many at once and the others queued, each after a service time.
+// Backend is a fake backend on a loopback address. It executes a limited number of subqueries at once and queues the
+// others. Each execution takes a random time around the mean service time.
 type Backend struct {
 	Name string
 	Cell int
 	Zone string
-	// OnCall, where it is set before the first call, is called with each call's query text and shard, as it arrives.
+	// OnCall, if not nil, is called with the query text and the shard of each subquery when it arrives. It must be set
+	// before the first call.
 	OnCall func(query string, shard int)
 
 	listener     net.Listener
 	started      time.Time
 	slots        chan struct{}
-	service      atomic.Int64 // mean, ns
+	serviceTime  atomic.Int64 // mean, in nanoseconds
 	failing      atomic.Bool
 	unresponsive atomic.Bool
 
@@ -34,26 +36,26 @@
 	connections map[net.Conn]bool
 	closed      bool
 
-	calls       atomic.Int64
-	inFlight    atomic.Int64
-	maxInFlight atomic.Int64
-	byShard     [1024]atomic.Int64
-	executed    map[string]int64    // by subquery id; mu guards it
-	arrived     map[string]arrivals // by subquery id; mu guards it
+	calls        atomic.Int64
+	inFlight     atomic.Int64
+	maxInFlight  atomic.Int64
+	byShard      [1024]atomic.Int64
+	executed     map[string]int64    // by subqueryName; guarded by mu
+	arrivalTimes map[string]arrivals // by subqueryName; guarded by mu
 }
 
-// arrivals are when a subquery arrived for the first and the last time.
+// arrivals holds the times of the first and the last arrival of a subquery.
 type arrivals struct{ first, last time.Time }
 
-// NewBackend listens on loopback, with so many slots.
-func NewBackend(name, zone string, cell, slots int, service time.Duration) (*Backend, error) {
+// NewBackend starts a backend that listens on a loopback address and executes at most slots subqueries at once.
+func NewBackend(name, zone string, cell, slots int, serviceTime time.Duration) (*Backend, error) {
 	s := &Backend{Name: name, Cell: cell, Zone: zone, slots: make(chan struct{}, slots), connections: map[net.Conn]bool{},
-		executed: map[string]int64{}, arrived: map[string]arrivals{}}
-	s.service.Store(int64(service))
+		executed: map[string]int64{}, arrivalTimes: map[string]arrivals{}}
+	s.serviceTime.Store(int64(serviceTime))
 	return s, s.Start()
 }
 
-// Start listens, on a new port after a Kill.
+// Start starts to listen on a free port. After Kill, that is a new port.
 func (s *Backend) Start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,18 +68,19 @@
 	return nil
 }
 
-// Entry is how the registry lists it; long past says that it started long ago.
-func (s *Backend) Entry(state string, longPast bool) Entry {
+// Entry returns the backend's registry entry with the given lifecycle state. With startedLongAgo, the entry has start time 0
+// instead of the actual start time.
+func (s *Backend) Entry(state string, startedLongAgo bool) Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := Entry{ID: s.Name, Address: s.listener.Addr().String(), Zone: s.Zone, Kind: "m", Cell: s.Cell, State: state, Weight: 1}
-	if !longPast {
+	e := Entry{ID: s.Name, Address: s.listener.Addr().String(), Zone: s.Zone, MachineType: "m", Cell: s.Cell, State: state, Weight: 1}
+	if !startedLongAgo {
 		e.StartedMs = float64(s.started.UnixMilli())
 	}
 	return e
 }
 
-// Kill ends its connections and listens no more, as a process that dies.
+// Kill closes the listener and all connections, as the end of the process would.
 func (s *Backend) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,29 +92,28 @@
 	clear(s.connections)
 }
 
-// SetService changes the mean service time.
-func (s *Backend) SetService(d time.Duration) { s.service.Store(int64(d)) }
+func (s *Backend) SetServiceTime(d time.Duration) { s.serviceTime.Store(int64(d)) }
 
-// SetFailing lets it fail each call.
+// SetFailing sets whether the backend answers each executed subquery with a failure.
 func (s *Backend) SetFailing(on bool) { s.failing.Store(on) }
 
-// SetUnresponsive lets it answer nothing.
+// SetUnresponsive sets whether the backend leaves all subqueries and health checks unanswered.
 func (s *Backend) SetUnresponsive(on bool) { s.unresponsive.Store(on) }
 
-// Calls counts the calls that it has received.
+// Calls returns the number of subqueries received so far.
 func (s *Backend) Calls() int64 { return s.calls.Load() }
 
-// CallsOf counts the calls of one shard that it has received.
+// CallsOf returns the number of subqueries of one shard received so far.
 func (s *Backend) CallsOf(shard int) int64 { return s.byShard[shard].Load() }
 
-// InFlight counts the calls that it has not finished.
+// InFlight returns the number of received subqueries that are not finished yet.
 func (s *Backend) InFlight() int64 { return s.inFlight.Load() }
 
-// MaxInFlight is the peak of Out since the last call of MaxInFlight.
+// MaxInFlight returns the largest value of InFlight since the last call of MaxInFlight.
 func (s *Backend) MaxInFlight() int64 { return s.maxInFlight.Swap(s.inFlight.Load()) }
 
-// Executed tells how often each subquery was executed here.
-func (s *Backend) Executed(f func(id string, times int64)) {
+// EachExecuted calls f for each executed subquery with the number of its executions at this backend.
+func (s *Backend) EachExecuted(f func(id string, times int64)) {
 	s.mu.Lock()
 	executed := maps.Clone(s.executed)
 	s.mu.Unlock()
@@ -120,29 +122,30 @@
 	}
 }
 
-// Arrivals tells when each subquery came here first and last.
-func (s *Backend) Arrivals(f func(id string, first, last time.Time)) {
+// EachArrival calls f for each received subquery with the times of its first and last arrival at this backend.
+func (s *Backend) EachArrival(f func(id string, first, last time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, at := range s.arrived {
+	for id, at := range s.arrivalTimes {
 		f(id, at.first, at.last)
 	}
 }
 
-// recordArrival notes a subquery's arrival.
+// recordArrival records the current time as an arrival of a subquery.
 func (s *Backend) recordArrival(id string) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, known := s.arrived[id]
+	at, known := s.arrivalTimes[id]
 	if !known {
 		at.first = now
 	}
 	at.last = now
-	s.arrived[id] = at
+	s.arrivalTimes[id] = at
 }
 
-// subqueryName is a subquery's name among all queries: its query's text and its shard.
+// subqueryName returns a name of a subquery that is unique among all queries: the query's text, and the part of the
+// subquery's ID after the dot.
 func subqueryName(id, query string) string {
 	return query + " " + id[bytes.IndexByte([]byte(id), '.')+1:]
 }
@@ -164,7 +167,7 @@
 	}
 }
 
-// connection is one that an aggregator opened; answers of many calls share its writing side.
+// connection is a connection from an aggregator. The answers to all its calls share it, so mu guards writes.
 type connection struct {
 	net.Conn
 	mu sync.Mutex
@@ -176,7 +179,7 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.SetWriteDeadline(time.Now().Add(time.Second))
-	_, _ = conn.Write(frame) // an aggregator that has left is found by the read
+	_, _ = conn.Write(frame) // serve's next read detects a closed connection
 }
 
 func (s *Backend) serve(c net.Conn) {
@@ -187,7 +190,7 @@
 		s.mu.Unlock()
 	}()
 	conn := &connection{Conn: c}
-	canceled := sync.Map{} // ids canceled
+	canceled := sync.Map{} // by subquery ID
 	reader := bufio.NewReader(c)
 	for {
 		var head [4]byte
@@ -200,7 +203,7 @@
 		}
 		switch payload := frame[1:]; frame[0] {
 		case 'S':
-			if !s.call(conn, payload, &canceled) {
+			if !s.handleSubqueries(conn, payload, &canceled) {
 				conn.writeFrame('F', []byte("can't be read"))
 				return
 			}
@@ -222,8 +225,9 @@
 	}
 }
 
-// call takes the subqueries of one frame.
-func (s *Backend) call(conn *connection, remaining []byte, canceled *sync.Map) bool {
+// handleSubqueries parses one frame and starts the execution of each of its subqueries. It reports whether the frame is
+// valid.
+func (s *Backend) handleSubqueries(conn *connection, remaining []byte, canceled *sync.Map) bool {
 	for len(remaining) > 0 {
 		head, after, found := bytes.Cut(remaining, []byte{'\n'})
 		fields := bytes.Fields(head)
@@ -244,13 +248,13 @@
 			s.OnCall(string(after[:n]), shard)
 		}
 		s.recordArrival(subqueryName(string(fields[0]), string(after[:n])))
-		go s.work(conn, string(fields[0]), string(after[:n]), canceled)
+		go s.execute(conn, string(fields[0]), string(after[:n]), canceled)
 		remaining = after[n:]
 	}
 	return true
 }
 
-func (s *Backend) work(conn *connection, id, query string, canceled *sync.Map) {
+func (s *Backend) execute(conn *connection, id, query string, canceled *sync.Map) {
 	defer s.inFlight.Add(-1)
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
@@ -260,7 +264,7 @@
 	s.mu.Lock()
 	s.executed[subqueryName(id, query)]++
 	s.mu.Unlock()
-	mean := float64(s.service.Load())
+	mean := float64(s.serviceTime.Load())
 	time.Sleep(time.Duration(mean * (0.5 + rand.Float64())))
 	end := "done"
 	switch {
--- a/internal/fakes/cluster/calls.go
+++ b/internal/fakes/cluster/calls.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	finishedPerAnswer = 500
-	longestWait       = 2 * time.Second
+	maxCompletionsPerAnswer = 500
+	maxPollWait             = 2 * time.Second
 )
 
-// request is the body of any call.
+// request is the body of a call of any kind.
 type request struct {
 	Task          string  `json:"task"`
-	Execution     uint64  `json:"execution"`
+	AttemptNumber uint64  `json:"execution"`
 	Specification string  `json:"specification"`
 	ValidUntilMS  *int64  `json:"validUntilMs"`
 	FencingToken  uint64  `json:"fencingToken"`
-	Checkpointed  string  `json:"checkpointed"`
+	Checkpoint    string  `json:"checkpointed"`
 	LastSeen      *uint64 `json:"lastSeen"`
 	WaitMS        int64   `json:"waitMs"`
 
@@ -30,7 +30,7 @@
 	late bool
 }
 
-// response is the body of any answer.
+// response is the body of an answer of any kind.
 type response struct {
 	ClockMS  int64   `json:"clockMs"`
 	Reason   string  `json:"reason,omitempty"`
@@ -46,59 +46,59 @@
 	}
 	s.cluster.mu.Lock()
 	incarnation := s.incarnation
-	fault := s.receive(Call(r.URL.Path))
+	fault := s.receive(CallKind(r.URL.Path))
 	s.cluster.mu.Unlock()
 	if r.Header.Get("Expect-Instance") != incarnation.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	var q request
-	if json.Unmarshal(body, &q) != nil || !s.decode(Call(r.URL.Path), &q) {
+	if json.Unmarshal(body, &q) != nil || !s.decode(CallKind(r.URL.Path), &q) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	switch fault.Kind {
-	case None:
+	case NoFault:
 		s.answer(w, r, incarnation, q, 0)
-	case Slow:
+	case DelayAnswer:
 		s.answer(w, r, incarnation, q, fault.Delay)
 	default:
-		s.fail(w, r, incarnation, q, fault)
+		s.applyFault(w, r, incarnation, q, fault)
 	}
 }
 
-// receive counts a call and decides what goes wrong with it.
-func (s *Worker) receive(call Call) Fault {
+// receive counts a call and returns its fault.
+func (s *Worker) receive(call CallKind) Fault {
 	s.calls[call]++
-	if s.faults == nil {
+	if s.faultOf == nil {
 		return Fault{}
 	}
-	return s.faults(call)
+	return s.faultOf(call)
 }
 
-// decode tells whether a call makes sense, and reads its task's name.
-func (s *Worker) decode(call Call, q *request) bool {
+// decode parses the task of a start or stop call. It reports whether the call is valid.
+func (s *Worker) decode(call CallKind, q *request) bool {
 	if call == LeaseCall {
-		return q.WaitMS <= longestWait.Milliseconds() && q.WaitMS >= 0
+		return q.WaitMS <= maxPollWait.Milliseconds() && q.WaitMS >= 0
 	}
 	task, err := job.ParseTaskID(q.Task)
 	q.task = task
 	return err == nil && (call == StartCall || call == StopCall) && (call == StopCall || q.ValidUntilMS != nil)
 }
 
-func (s *Worker) fail(w http.ResponseWriter, r *http.Request, incarnation *incarnation, q request, fault Fault) {
+func (s *Worker) applyFault(w http.ResponseWriter, r *http.Request, incarnation *incarnation, q request, fault Fault) {
 	switch fault.Kind {
-	case Refuse:
+	case Reject:
 		w.WriteHeader(fault.Status)
 		return
-	case Reset:
+	case ResetConnection:
 		panic(http.ErrAbortHandler)
-	case Mute:
-		s.execute(incarnation, Call(r.URL.Path), q)
-	case Late:
-		s.executeLate(incarnation, Call(r.URL.Path), q, fault)
+	case DropAnswer:
+		s.execute(incarnation, CallKind(r.URL.Path), q)
+	case DelayExecution:
+		s.executeLate(incarnation, CallKind(r.URL.Path), q, fault)
 	}
-	select { // without an answer
+	select { // wait without an answer until the caller or the worker ends the call
 	case <-r.Context().Done():
 	case <-incarnation.crashed:
 	case <-s.cluster.closed:
@@ -106,7 +106,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Worker) executeLate(incarnation *incarnation, call Call, q request, fault Fault) {
+func (s *Worker) executeLate(incarnation *incarnation, call CallKind, q request, fault Fault) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	arrived := s.clockNow()
@@ -122,19 +122,19 @@
 	})
 }
 
-// answer carries a call out and answers it, a hold perhaps once a run has ended. The answer is on its way for a while.
-func (s *Worker) answer(w http.ResponseWriter, r *http.Request, incarnation *incarnation, q request, way time.Duration) {
-	call := Call(r.URL.Path)
+// answer executes a call and answers it after the delay. A poll is answered when a completion is available or its wait is over.
+func (s *Worker) answer(w http.ResponseWriter, r *http.Request, incarnation *incarnation, q request, delay time.Duration) {
+	call := CallKind(r.URL.Path)
 	status, answer := s.execute(incarnation, call, q)
 	if call == LeaseCall && status == http.StatusOK {
 		s.awaitCompletion(r, incarnation, time.Duration(q.WaitMS)*time.Millisecond)
-		answer = s.lists(incarnation)
+		answer = s.leaseResponse(incarnation)
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
 		panic(err)
 	}
-	if way > 0 && !s.delay(r, incarnation, way) {
+	if delay > 0 && !s.delay(r, incarnation, delay) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -142,10 +142,10 @@
 	w.Write(body)
 }
 
-// delay waits for a while; it tells whether the caller is still there then.
-func (s *Worker) delay(r *http.Request, incarnation *incarnation, way time.Duration) bool {
+// delay waits for the given time. It reports false if the call is canceled or the worker crashes before.
+func (s *Worker) delay(r *http.Request, incarnation *incarnation, delay time.Duration) bool {
 	over := make(chan struct{})
-	cancel := s.cluster.clock.AfterFunc(way, func() { close(over) })
+	cancel := s.cluster.clock.AfterFunc(delay, func() { close(over) })
 	defer cancel()
 	select {
 	case <-over:
@@ -157,8 +157,8 @@
 	return false
 }
 
-// execute does what a call asks for, unless that life is over.
-func (s *Worker) execute(incarnation *incarnation, call Call, q request) (int, response) {
+// execute executes a call, unless the worker has crashed since the call arrived or the call's fencing token is outdated.
+func (s *Worker) execute(incarnation *incarnation, call CallKind, q request) (int, response) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	if s.incarnation != incarnation {
@@ -194,16 +194,16 @@
 	}
 	s.renewLease(validUntil)
 	for _, r := range s.incarnation.running {
-		if r.record.Task == q.task && r.record.Execution == q.Execution {
+		if r.record.Task == q.task && r.record.Number == q.AttemptNumber {
 			return http.StatusOK, accepted
 		}
 	}
-	if q.Execution <= s.incarnation.barred[q.task] {
+	if q.AttemptNumber <= s.incarnation.highestFinished[q.task] {
 		return s.reject("old")
 	}
 	profile := s.profile(q)
 	fits := s.config.Capacity.Subtract(s.used()).Fits(profile.Resources)
-	if s.config.Guards && !fits {
+	if s.config.EnforcesCapacity && !fits {
 		return s.reject("room")
 	}
 	s.begin(q, profile, !fits)
@@ -211,38 +211,38 @@
 }
 
 func (s *Worker) profile(q request) Profile {
-	if s.cluster.settings.Describe == nil {
+	if s.cluster.settings.TaskProfile == nil {
 		return Profile{}
 	}
-	return s.cluster.settings.Describe(q.task, q.Specification)
+	return s.cluster.settings.TaskProfile(q.task, q.Specification)
 }
 
 func (s *Worker) begin(q request, profile Profile, overCapacity bool) {
-	r := &run{worker: s, incarnation: s.incarnation, profile: profile}
-	r.record = RunRecord{
-		Worker: s.incarnation.id, Task: q.task, Execution: q.Execution, FencingToken: q.FencingToken,
-		Specification: q.Specification, Checkpoint: q.Checkpointed, Late: q.late,
+	r := &attempt{worker: s, incarnation: s.incarnation, profile: profile}
+	r.record = AttemptRecord{
+		Worker: s.incarnation.id, Task: q.task, Number: q.AttemptNumber, FencingToken: q.FencingToken,
+		Specification: q.Specification, Checkpoint: q.Checkpoint, Late: q.late,
 		StartedAt: s.cluster.clock.Now(), OverCapacity: overCapacity,
 	}
 	r.begin()
 }
 
 func (s *Worker) stop(q request) {
-	s.incarnation.barred[q.task] = max(s.incarnation.barred[q.task], q.Execution)
+	s.incarnation.highestFinished[q.task] = max(s.incarnation.highestFinished[q.task], q.AttemptNumber)
 	for _, r := range slices.Clone(s.incarnation.running) {
-		if r.record.Task == q.task && r.record.Execution == q.Execution {
+		if r.record.Task == q.task && r.record.Number == q.AttemptNumber {
 			r.stop()
 		}
 	}
 }
 
-// acknowledge forgets the ends up to a number.
+// acknowledge removes the completions up to a number.
 func (s *Worker) acknowledge(lastSeen *uint64) {
 	if lastSeen == nil {
 		return
 	}
-	s.incarnation.completions = slices.DeleteFunc(s.incarnation.completions, func(r *run) bool {
-		if r.number > *lastSeen {
+	s.incarnation.completions = slices.DeleteFunc(s.incarnation.completions, func(r *attempt) bool {
+		if r.completionNumber > *lastSeen {
 			return false
 		}
 		r.record.Acknowledged = true
@@ -250,7 +250,7 @@
 	})
 }
 
-// awaitCompletion waits until an end is listed, for as long as the caller wants.
+// awaitCompletion waits until a completion is available, but no longer than wait.
 func (s *Worker) awaitCompletion(r *http.Request, incarnation *incarnation, wait time.Duration) {
 	if wait == 0 {
 		return
@@ -278,17 +278,17 @@
 	delete(incarnation.waiters, waiter)
 }
 
-// lists is a hold's answer.
-func (s *Worker) lists(incarnation *incarnation) response {
+// leaseResponse returns the answer to a poll: the running attempts and the first unacknowledged completions.
+func (s *Worker) leaseResponse(incarnation *incarnation) response {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	answer := response{ClockMS: s.clockNow().Milliseconds(), Running: [][]any{}, Finished: [][]any{}}
 	for _, r := range incarnation.running {
-		entry := []any{r.record.Task.String(), r.record.Execution, r.checkpoint(false), r.percent()}
+		entry := []any{r.record.Task.String(), r.record.Number, r.checkpoint(false), r.percent()}
 		answer.Running = append(answer.Running, entry)
 	}
-	for _, r := range incarnation.completions[:min(len(incarnation.completions), finishedPerAnswer)] {
-		entry := []any{r.number, r.record.Task.String(), r.record.Execution, r.record.Outcome, r.saved}
+	for _, r := range incarnation.completions[:min(len(incarnation.completions), maxCompletionsPerAnswer)] {
+		entry := []any{r.completionNumber, r.record.Task.String(), r.record.Number, r.record.Outcome, r.lastCheckpoint}
 		answer.Finished = append(answer.Finished, entry)
 	}
 	return answer
--- a/internal/fakes/cluster/clock.go
+++ b/internal/fakes/cluster/clock.go
@@ -6,15 +6,14 @@
 	"time"
 )
 
-// Clock is what the stand-ins tell the time by.
+// Clock provides the time and the timers of the fakes.
 type Clock interface {
 	Now() time.Time
-	// AfterFunc calls f on a goroutine of its own, or on that of Advance, once the delay is over. The function returned
-	// takes that back.
+	// AfterFunc calls f after the delay, on its own goroutine or on that of Advance. The returned function cancels the call.
 	AfterFunc(delay time.Duration, f func()) (cancel func())
 }
 
-// RealClock is the machine's steady clock.
+// RealClock is the machine's monotonic clock.
 type RealClock struct{}
 
 // Now implements Clock.
@@ -26,12 +25,12 @@
 	return func() { timer.Stop() }
 }
 
-// VirtualClock stands still until it is advanced.
+// VirtualClock is a clock that only Advance moves.
 type VirtualClock struct {
-	mu     sync.Mutex
-	now    time.Time
-	timers []*virtualTimer
-	added  chan struct{} // closed at the next timer
+	mu         sync.Mutex
+	now        time.Time
+	timers     []*virtualTimer
+	timerAdded chan struct{} // closed when the next timer is added
 }
 
 type virtualTimer struct {
@@ -39,16 +38,16 @@
 	f   func()
 }
 
-// NewVirtualClock makes a clock that shows the given time.
+// NewVirtualClock returns a clock that starts at the given time.
 func NewVirtualClock(now time.Time) *VirtualClock {
-	return &VirtualClock{now: now, added: make(chan struct{})}
+	return &VirtualClock{now: now, timerAdded: make(chan struct{})}
 }
 
-// TimerAdded is closed once something waits for the clock to be advanced that did not at the time of this call.
+// TimerAdded returns a channel that is closed when the next timer is added.
 func (c *VirtualClock) TimerAdded() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.added
+	return c.timerAdded
 }
 
 // Now implements Clock.
@@ -64,8 +63,8 @@
 	defer c.mu.Unlock()
 	timer := &virtualTimer{c.now.Add(delay), f}
 	c.timers = append(c.timers, timer)
-	close(c.added)
-	c.added = make(chan struct{})
+	close(c.timerAdded)
+	c.timerAdded = make(chan struct{})
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -73,11 +72,11 @@
 	}
 }
 
-// Advance moves the clock on, and calls what comes due on the way, in order.
+// Advance moves the clock forward and runs the timers that become due, in the order of their due times.
 func (c *VirtualClock) Advance(by time.Duration) {
 	end := c.Now().Add(by)
 	for {
-		timer := c.takeDue(end)
+		timer := c.nextDue(end)
 		if timer == nil {
 			return
 		}
@@ -85,8 +84,9 @@
 	}
 }
 
-// takeDue moves the clock to the first timer up to the end and takes it; without one it moves it to the end.
-func (c *VirtualClock) takeDue(end time.Time) *virtualTimer {
+// nextDue removes and returns the earliest timer that is due by end, and moves the clock to it. If there is none, it moves the
+// clock to end and returns nil.
+func (c *VirtualClock) nextDue(end time.Time) *virtualTimer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var first *virtualTimer
--- a/internal/fakes/cluster/cluster.go
+++ b/internal/fakes/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster has in-process stand-ins for what surrounds the system: workers that run tasks, the platform's list of
-// them, and an operator. Only tests and the demo import it.
+// Package cluster provides in-process fakes of the systems around the scheduler: workers that execute tasks, the platform's
+// list of workers, and an operator. Only tests and the demo import it.
 package cluster
 
 import (
@@ -9,46 +9,47 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// Profile is what a task needs and does.
+// Profile describes the resources and the behavior of a task.
 type Profile struct {
 	Resources   job.Resources
-	Duration    time.Duration // how long it works; 0 to work until Finish is called
-	Ends        job.Outcome   // how it ends by itself; job.Done when empty
-	Gang        int           // how many members work together; 0 when it works alone
+	Duration    time.Duration // how long it works; 0 means until Finish is called
+	Outcome     job.Outcome   // of an attempt that is not interrupted; empty means job.OutcomeDone
+	GangSize    int           // number of members; 0 for a task that is not gang-scheduled
 	Checkpoints bool
 }
 
-// Settings are common to all workers of a cluster. A time of 0 means at once, and never for SaveEvery.
+// Settings apply to all workers of a cluster. A duration of 0 means no delay, but for CheckpointInterval it means no periodic
+// checkpoints.
 type Settings struct {
-	LeaseMax  time.Duration // on a worker's clock
-	GangWait  time.Duration
-	StopTime  time.Duration
-	SaveEvery time.Duration
-	Restore   time.Duration
-	// InMemory workers have no sockets; MemoryClient reaches them.
+	MaxLease           time.Duration // longest lease, on the worker's clock
+	GangTimeout        time.Duration
+	StopDuration       time.Duration
+	CheckpointInterval time.Duration
+	RestoreDuration    time.Duration
+	// InMemory starts workers without sockets. Only MemoryClient reaches them.
 	InMemory bool
-	// Describe tells what a task needs; nil for tasks that need nothing and work until Finish is called.
-	Describe func(task job.TaskID, specification string) Profile
+	// TaskProfile returns the profile of a task. If nil, tasks need no resources and work until Finish is called.
+	TaskProfile func(task job.TaskID, specification string) Profile
 }
 
-// Cluster is a set of workers and the platform that lists them.
+// Cluster is a set of fake workers and the platforms that list them.
 type Cluster struct {
 	clock    Clock
 	settings Settings
 
-	mu        sync.Mutex // guards the state of all workers, as gangs reach over several of them
+	mu        sync.Mutex // guards the state of all workers, because a gang spans several of them
 	workers   []*Worker
-	runs      []*run // all that ever were
+	attempts  []*attempt // all attempts since New
 	platforms []*Platform
 	closed    chan struct{}
 }
 
-// New makes an empty cluster.
+// New returns a cluster without workers.
 func New(clock Clock, settings Settings) *Cluster {
 	return &Cluster{clock: clock, settings: settings, closed: make(chan struct{})}
 }
 
-// Close ends all that listens.
+// Close stops the servers of all workers and platforms.
 func (c *Cluster) Close() {
 	close(c.closed)
 	c.mu.Lock()
@@ -62,36 +63,36 @@
 	}
 }
 
-// RunRecord is the history of one run.
-type RunRecord struct {
-	Worker        string // the identifier of its life
+// AttemptRecord is the history of one attempt.
+type AttemptRecord struct {
+	Worker        string // identifier of the worker's incarnation
 	Task          job.TaskID
-	Execution     uint64
+	Number        uint64
 	FencingToken  uint64
 	Specification string
-	Checkpoint    string // that it was started with
-	Late          bool   // carried out after its call had been left unanswered
+	Checkpoint    string // the checkpoint in the start call
+	Late          bool   // started by a call that was executed late and never answered
 	StartedAt     time.Time
-	EndedAt       time.Time   // the zero time while it runs
-	Outcome       job.Outcome // empty while it runs, and when its worker crashed
-	Acknowledged  bool        // a later hold's lastSeen has reached its end
-	OverCapacity  bool        // it was started without room for it
+	EndedAt       time.Time   // zero while it runs
+	Outcome       job.Outcome // empty while it runs, and if its worker crashed
+	Acknowledged  bool        // lastSeen of a poll covered its completion
+	OverCapacity  bool        // the worker lacked capacity when it started
 }
 
-// Runs returns the records of all runs so far, in the order of their starts.
-func (c *Cluster) Runs() []RunRecord {
+// Attempts returns the records of all attempts so far, in the order of their starts.
+func (c *Cluster) Attempts() []AttemptRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	records := make([]RunRecord, len(c.runs))
-	for i, r := range c.runs {
+	records := make([]AttemptRecord, len(c.attempts))
+	for i, r := range c.attempts {
 		records[i] = r.record
 	}
 	return records
 }
 
-// Overlap finds two runs of one task that were there at the same time.
-func Overlap(records []RunRecord) (earlier, later RunRecord, found bool) {
-	byTask := make(map[job.TaskID][]RunRecord)
+// Overlap returns two attempts of one task that ran at the same time, if there are any.
+func Overlap(records []AttemptRecord) (earlier, later AttemptRecord, found bool) {
+	byTask := make(map[job.TaskID][]AttemptRecord)
 	for _, record := range records {
 		for _, other := range byTask[record.Task] {
 			if other.EndedAt.IsZero() || other.EndedAt.After(record.StartedAt) {
@@ -100,5 +101,5 @@
 		}
 		byTask[record.Task] = append(byTask[record.Task], record)
 	}
-	return RunRecord{}, RunRecord{}, false
+	return AttemptRecord{}, AttemptRecord{}, false
 }
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -18,9 +18,9 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-const holdMax = 6 * time.Second
+const testMaxLease = 6 * time.Second
 
-// client calls workers.
+// client calls workers over HTTP.
 type client struct {
 	t    testing.TB
 	http *http.Client
@@ -32,8 +32,8 @@
 	return c
 }
 
-// call returns the status and, with 200 and 409, the answer.
-func (c client) call(s *Worker, kind Call, body string) (int, response) {
+// call calls a worker's current incarnation. It returns the status and the decoded body, if the answer has one.
+func (c client) call(s *Worker, kind CallKind, body string) (int, response) {
 	c.t.Helper()
 	request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(kind), bytes.NewReader([]byte(body)))
 	request.Header.Set("Expect-Instance", s.ID())
@@ -61,65 +61,65 @@
 
 func task(index int) job.TaskID { return job.TaskID{Job: "00000000000000aa", Index: index} }
 
-func virtual(settings Settings) (*VirtualClock, *Cluster) {
+func newVirtualCluster(settings Settings) (*VirtualClock, *Cluster) {
 	clock := NewVirtualClock(time.Unix(1000, 0))
-	settings.LeaseMax = holdMax
+	settings.MaxLease = testMaxLease
 	c := New(clock, settings)
 	convey.Reset(c.Close)
 	return clock, c
 }
 
-func TestRuns(t *testing.T) {
-	convey.Convey("Given a searcher whose tasks work for two seconds", t, func() {
-		clock, c := virtual(Settings{
-			SaveEvery: 500 * time.Millisecond, Restore: 100 * time.Millisecond, StopTime: 400 * time.Millisecond,
-			Describe: func(job.TaskID, string) Profile {
+func TestWorkerHandlesCallsAndEndsAttempts(t *testing.T) {
+	convey.Convey("Given a worker whose tasks work for two seconds", t, func() {
+		clock, c := newVirtualCluster(Settings{
+			CheckpointInterval: 500 * time.Millisecond, RestoreDuration: 100 * time.Millisecond, StopDuration: 400 * time.Millisecond,
+			TaskProfile: func(job.TaskID, string) Profile {
 				return Profile{Duration: 2 * time.Second, Checkpoints: true, Resources: job.Resources{Processors: 1000}}
 			},
 		})
-		s := c.AddWorker(WorkerConfig{ID: "i-1", Guards: true, Capacity: job.Resources{Processors: 2000}})
+		s := c.AddWorker(WorkerConfig{ID: "i-1", EnforcesCapacity: true, Capacity: job.Resources{Processors: 2000}})
 		calls := newClient(t)
 		status, _ := calls.call(s, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
 		convey.So(status, convey.ShouldEqual, http.StatusOK)
 
-		convey.Convey("they end by themselves, and the end is listed until it is acknowledged", func() {
+		convey.Convey("they end by themselves, and each completion is listed until it is acknowledged", func() {
 			clock.Advance(2 * time.Second)
 			_, answer := calls.call(s, LeaseCall, `{"fencingToken":7}`)
 			convey.So(answer.Finished, convey.ShouldResemble, [][]any{
 				{1.0, task(0).String(), 1.0, "done", checkpointText(task(0), 2*time.Second)}})
 			_, answer = calls.call(s, LeaseCall, `{"fencingToken":7,"lastSeen":1}`)
 			convey.So(answer.Finished, convey.ShouldBeEmpty)
-			convey.So(c.Runs()[0].Acknowledged, convey.ShouldBeTrue)
+			convey.So(c.Attempts()[0].Acknowledged, convey.ShouldBeTrue)
 		})
-		convey.Convey("they checkpoint, and a start that brings a checkpoint goes on from there", func() {
+		convey.Convey("they write checkpoints, and a start with a checkpoint continues from its progress", func() {
 			clock.Advance(1200 * time.Millisecond)
 			_, answer := calls.call(s, LeaseCall, `{"fencingToken":7}`)
 			saved := checkpointText(task(0), time.Second)
 			convey.So(answer.Running, convey.ShouldResemble, [][]any{{task(0).String(), 1.0, saved, 60.0}})
 			calls.call(s, StartCall, startBody("1", `,"execution":1,"fencingToken":7,"checkpointed":"`+saved+`"`))
 			clock.Advance(1090 * time.Millisecond)
-			convey.So(c.Runs()[1].Outcome, convey.ShouldBeEmpty)
+			convey.So(c.Attempts()[1].Outcome, convey.ShouldBeEmpty)
 			clock.Advance(10 * time.Millisecond)
-			convey.So(c.Runs()[1].Outcome, convey.ShouldEqual, job.OutcomeDone)
+			convey.So(c.Attempts()[1].Outcome, convey.ShouldEqual, job.OutcomeDone)
 		})
-		convey.Convey("a stop takes its time, saves, and bars the run and those below", func() {
+		convey.Convey("a stop takes StopDuration, writes a checkpoint and prevents another start with that attempt number", func() {
 			clock.Advance(700 * time.Millisecond)
 			calls.call(s, StopCall, `{"task":"00000000000000aa.0.0.0","execution":1,"fencingToken":7}`)
 			clock.Advance(300 * time.Millisecond)
-			convey.So(c.Runs()[0].Outcome, convey.ShouldBeEmpty)
+			convey.So(c.Attempts()[0].Outcome, convey.ShouldBeEmpty)
 			clock.Advance(100 * time.Millisecond)
-			convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeStopped)
+			convey.So(c.Attempts()[0].Outcome, convey.ShouldEqual, job.OutcomeStopped)
 			status, answer := calls.call(s, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
 			convey.So(status, convey.ShouldEqual, http.StatusConflict)
 			convey.So(answer.Reason, convey.ShouldEqual, "old")
 		})
-		convey.Convey("they lapse once their hold is over, and a longer hold is cut down", func() {
+		convey.Convey("a lease is limited to the maximum, and a shorter one does not shorten it", func() {
 			calls.call(s, LeaseCall, `{"fencingToken":7,"validUntilMs":9000}`)
-			convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(holdMax))
+			convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(testMaxLease))
 			calls.call(s, LeaseCall, `{"fencingToken":7,"validUntilMs":100}`)
-			convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(holdMax))
+			convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(testMaxLease))
 		})
-		convey.Convey("it guards its capacity and its fence, and knows its time", func() {
+		convey.Convey("it rejects starts beyond its capacity, with an old fencing token or with an expired lease, and invalid ones", func() {
 			calls.call(s, StartCall, startBody("1", `,"execution":1,"fencingToken":7`))
 			for rest, reason := range map[string]string{`,"execution":1,"fencingToken":8`: "room", `,"execution":1`: "fence"} {
 				status, answer := calls.call(s, StartCall, startBody("2", rest))
@@ -132,11 +132,11 @@
 			status, _ := calls.call(s, StartCall, `{"task":"nothing"}`)
 			convey.So(status, convey.ShouldEqual, http.StatusBadRequest)
 		})
-		convey.Convey("a crash kills them and begins a new life", func() {
+		convey.Convey("a crash ends them and starts a new incarnation", func() {
 			s.Crash("i-2")
-			convey.So(c.Runs()[0].EndedAt.IsZero(), convey.ShouldBeFalse)
+			convey.So(c.Attempts()[0].EndedAt.IsZero(), convey.ShouldBeFalse)
 			convey.So(s.ID(), convey.ShouldEqual, "i-2")
-			calls.http.CloseIdleConnections() // as they may not be known to be cut yet
+			calls.http.CloseIdleConnections() // the client may not have noticed yet that they are closed
 			_, answer := calls.call(s, LeaseCall, `{}`)
 			convey.So(answer.Finished, convey.ShouldBeEmpty)
 			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(LeaseCall), bytes.NewReader([]byte(`{}`)))
@@ -149,98 +149,98 @@
 	})
 }
 
-func TestLapse(t *testing.T) {
-	convey.Convey("A slow clock keeps a run longer", t, func() {
-		clock, c := virtual(Settings{})
+func TestLeaseExpiresOnWorkerClock(t *testing.T) {
+	convey.Convey("A worker with a slow clock keeps its lease longer", t, func() {
+		clock, c := newVirtualCluster(Settings{})
 		s := c.AddWorker(WorkerConfig{ID: "i-1", ClockRate: 0.98})
 		newClient(t).call(s, StartCall, startBody("0", `,"execution":1`))
 		clock.Advance(5050 * time.Millisecond)
-		convey.So(c.Runs()[0].Outcome, convey.ShouldBeEmpty)
+		convey.So(c.Attempts()[0].Outcome, convey.ShouldBeEmpty)
 		clock.Advance(100 * time.Millisecond)
-		convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeLeaseExpired)
+		convey.So(c.Attempts()[0].Outcome, convey.ShouldEqual, job.OutcomeLeaseExpired)
 	})
 }
 
-func TestGangs(t *testing.T) {
-	convey.Convey("Given two searchers and tasks of gangs of two", t, func() {
-		clock, c := virtual(Settings{
-			GangWait: 3 * time.Second,
-			Describe: func(job.TaskID, string) Profile { return Profile{Gang: 2, Duration: time.Second} },
+func TestGangMembersStartAndEndTogether(t *testing.T) {
+	convey.Convey("Given two workers and tasks of gangs of two", t, func() {
+		clock, c := newVirtualCluster(Settings{
+			GangTimeout: 3 * time.Second,
+			TaskProfile: func(job.TaskID, string) Profile { return Profile{GangSize: 2, Duration: time.Second} },
 		})
 		one, two := c.AddWorker(WorkerConfig{ID: "i-1"}), c.AddWorker(WorkerConfig{ID: "i-2"})
 		calls := newClient(t)
 		calls.call(one, StartCall, startBody("0", `,"execution":3`))
-		convey.Convey("a member waits for the other in vain", func() {
+		convey.Convey("a member ends after GangTimeout if the other starts with another attempt number", func() {
 			calls.call(two, StartCall, startBody("1", `,"execution":2`))
 			clock.Advance(3 * time.Second)
-			convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeGangIncomplete)
+			convey.So(c.Attempts()[0].Outcome, convey.ShouldEqual, job.OutcomeGangIncomplete)
 		})
-		convey.Convey("both end together", func() {
+		convey.Convey("both members end together", func() {
 			clock.Advance(time.Second)
 			calls.call(two, StartCall, startBody("1", `,"execution":3`))
 			clock.Advance(999 * time.Millisecond)
-			convey.So(c.Runs()[0].Outcome, convey.ShouldBeEmpty)
+			convey.So(c.Attempts()[0].Outcome, convey.ShouldBeEmpty)
 			clock.Advance(time.Millisecond)
-			convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeDone)
-			convey.So(c.Runs()[1].Outcome, convey.ShouldEqual, job.OutcomeDone)
+			convey.So(c.Attempts()[0].Outcome, convey.ShouldEqual, job.OutcomeDone)
+			convey.So(c.Attempts()[1].Outcome, convey.ShouldEqual, job.OutcomeDone)
 		})
-		convey.Convey("one breaks when the other fails or crashes", func() {
+		convey.Convey("a member ends as broken when the other's worker crashes", func() {
 			calls.call(two, StartCall, startBody("1", `,"execution":3`))
 			two.Crash("i-3")
-			convey.So(c.Runs()[0].Outcome, convey.ShouldEqual, job.OutcomeGangBroken)
+			convey.So(c.Attempts()[0].Outcome, convey.ShouldEqual, job.OutcomeGangBroken)
 		})
 	})
 }
 
-func TestFaults(t *testing.T) {
-	convey.Convey("An order may be carried out long after its caller has given up", t, func() {
-		clock, c := virtual(Settings{})
+func TestDelayedCallIsExecutedAfterCallerCancels(t *testing.T) {
+	convey.Convey("A call may be executed long after its caller has canceled it", t, func() {
+		clock, c := newVirtualCluster(Settings{})
 		s := c.AddWorker(WorkerConfig{ID: "i-1"})
-		s.SetFaults(Only(StartCall, Fault{Kind: Late, Delay: 7 * time.Second, FromArrival: true}))
+		s.SetFaults(Only(StartCall, Fault{Kind: DelayExecution, Delay: 7 * time.Second, FromArrival: true}))
 		ctx, cancel := context.WithCancel(t.Context())
 		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Address()+string(StartCall),
 			bytes.NewReader([]byte(startBody("0", `,"execution":1`))))
 		request.Header.Set("Expect-Instance", "i-1")
 		calls := newClient(t)
-		given, received := make(chan error), clock.TimerAdded()
+		callErrors, callArrived := make(chan error), clock.TimerAdded()
 		go func() {
 			answer, err := calls.http.Do(request)
 			if err == nil {
 				answer.Body.Close()
 			}
-			given <- err
+			callErrors <- err
 		}()
-		<-received
+		<-callArrived
 		cancel()
-		convey.So(<-given, convey.ShouldNotBeNil)
-		convey.So(c.Runs(), convey.ShouldBeEmpty)
+		convey.So(<-callErrors, convey.ShouldNotBeNil)
+		convey.So(c.Attempts(), convey.ShouldBeEmpty)
 		clock.Advance(7 * time.Second)
-		convey.So(c.Runs(), convey.ShouldHaveLength, 1)
-		convey.So(c.Runs()[0].Late, convey.ShouldBeTrue)
+		convey.So(c.Attempts(), convey.ShouldHaveLength, 1)
+		convey.So(c.Attempts()[0].Late, convey.ShouldBeTrue)
 		convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(5*time.Second))
 	})
 }
 
-func TestOverlap(t *testing.T) {
-	convey.Convey("Two runs of one task at a time are found", t, func() {
+func TestOverlapFindsConcurrentAttemptsOfOneTask(t *testing.T) {
+	convey.Convey("Two attempts of one task that run at the same time are found", t, func() {
 		at := func(seconds int64) time.Time { return time.Unix(seconds, 0) }
-		runs := []RunRecord{
-			{Task: task(0), Execution: 1, StartedAt: at(1), EndedAt: at(3)},
-			{Task: task(1), Execution: 1, StartedAt: at(2)},
-			{Task: task(0), Execution: 2, StartedAt: at(3), EndedAt: at(5)},
+		runs := []AttemptRecord{
+			{Task: task(0), Number: 1, StartedAt: at(1), EndedAt: at(3)},
+			{Task: task(1), Number: 1, StartedAt: at(2)},
+			{Task: task(0), Number: 2, StartedAt: at(3), EndedAt: at(5)},
 		}
 		_, _, found := Overlap(runs)
 		convey.So(found, convey.ShouldBeFalse)
-		earlier, later, found := Overlap(append(runs, RunRecord{Task: task(0), Execution: 3, StartedAt: at(4)}))
+		earlier, later, found := Overlap(append(runs, AttemptRecord{Task: task(0), Number: 3, StartedAt: at(4)}))
 		convey.So(found, convey.ShouldBeTrue)
-		convey.So(earlier.Execution, convey.ShouldEqual, 2)
-		convey.So(later.Execution, convey.ShouldEqual, 3)
+		convey.So(earlier.Number, convey.ShouldEqual, 2)
+		convey.So(later.Number, convey.ShouldEqual, 3)
 	})
 }
 
-func TestPlatform(t *testing.T) {
-	convey.Convey("Given a platform whose list lags and whose rate is low", t, func() {
-		clock, c := virtual(Settings{})
+func TestPlatformListsWorkersWithLagAndRateLimit(t *testing.T) {
+	convey.Convey("Given a platform with a lag and a low rate limit", t, func() {
+		clock, c := newVirtualCluster(Settings{})
 		p := c.AddPlatform(PlatformConfig{PageSize: 1, RatePerS: 2, Lag: 800 * time.Millisecond})
 		c.AddWorker(WorkerConfig{ID: "i-1", Zone: "a"})
 		s := c.AddWorker(WorkerConfig{ID: "i-2", Zone: "b"})
@@ -255,7 +255,7 @@
 			}
 			return answer.StatusCode, page
 		}
-		convey.Convey("changes show late, page by page", func() {
+		convey.Convey("changes show after the lag, and the list is split into pages", func() {
 			_, page := list("")
 			convey.So(page.Instances, convey.ShouldBeEmpty)
 			clock.Advance(800 * time.Millisecond)
@@ -265,7 +265,7 @@
 			convey.So(page.Instances[0].Identifier, convey.ShouldEqual, "i-2")
 			convey.So(page.NextPageToken, convey.ShouldBeNil)
 		})
-		convey.Convey("a draining searcher shows the time it has left, until it leaves", func() {
+		convey.Convey("a draining worker is listed with its remaining time until it leaves", func() {
 			s.Drain(3 * time.Second)
 			clock.Advance(time.Second)
 			_, page := list("?zone=b")
@@ -276,7 +276,7 @@
 			_, page = list("?zone=b")
 			convey.So(page.Instances, convey.ShouldBeEmpty)
 		})
-		convey.Convey("further calls are refused", func() {
+		convey.Convey("calls beyond the rate limit are rejected", func() {
 			list("")
 			list("")
 			status, _ := list("")
@@ -285,10 +285,10 @@
 	})
 }
 
-func TestOperator(t *testing.T) {
-	convey.Convey("Given an operator and mixers of which one fails and one redirects", t, func() {
+func TestOperatorFollowsRedirectsAndTriesNextNode(t *testing.T) {
+	convey.Convey("Given an operator and two nodes, of which one fails and one redirects", t, func() {
 		var got string
-		taking := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		accepting := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			if r.Method == http.MethodGet {
 				io.WriteString(w, got)
@@ -296,12 +296,12 @@
 			}
 			got = string(body) + r.Header.Get("If-Match")
 		}))
-		redirecting := httptest.NewServer(http.RedirectHandler(taking.URL+configurationPath, http.StatusTemporaryRedirect))
+		redirecting := httptest.NewServer(http.RedirectHandler(accepting.URL+configurationPath, http.StatusTemporaryRedirect))
 		failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 		calls := newClient(t)
 		convey.Reset(func() {
 			calls.http.CloseIdleConnections()
-			for _, server := range []*httptest.Server{taking, redirecting, failing} {
+			for _, server := range []*httptest.Server{accepting, redirecting, failing} {
 				server.Close()
 			}
 		})
@@ -315,6 +315,6 @@
 		convey.So(string(read), convey.ShouldEqual, "{}5")
 		o.Addresses = o.Addresses[:1]
 		_, err = o.Put(t.Context(), 5, nil)
-		convey.So(err, convey.ShouldWrap, ErrNoClearAnswer)
+		convey.So(err, convey.ShouldWrap, ErrOutcomeUnknown)
 	})
 }
--- a/internal/fakes/cluster/faults.go
+++ b/internal/fakes/cluster/faults.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Call is a kind of call to a worker, named by its path.
-type Call string
+// CallKind is a kind of call to a worker. Its value is the call's path.
+type CallKind string
 
-// The calls to a worker.
+// The kinds of calls to a worker.
 const (
-	StartCall Call = "/-/run-start"
-	StopCall  Call = "/-/run-stop"
-	LeaseCall Call = "/-/hold"
+	StartCall CallKind = "/-/run-start"
+	StopCall  CallKind = "/-/run-stop"
+	LeaseCall CallKind = "/-/hold"
 )
 
-// FaultKind says in which way a call goes wrong.
+// FaultKind is the way in which a call fails.
 type FaultKind uint8
 
 const (
-	// None lets the call pass.
-	None FaultKind = iota
-	// Refuse answers Status and does nothing.
-	Refuse
-	// Silent does nothing and never answers.
-	Silent
-	// Late never answers, and carries the call out after Delay.
-	Late
-	// Mute carries the call out at once and never answers.
-	Mute
-	// Slow carries the call out at once and answers Delay later what there was to answer then.
-	Slow
-	// Reset does nothing and ends the connection.
-	Reset
+	// NoFault executes and answers the call.
+	NoFault FaultKind = iota
+	// Reject answers with Status and does not execute the call.
+	Reject
+	// DropCall neither executes nor answers the call.
+	DropCall
+	// DelayExecution executes the call after Delay and never answers it.
+	DelayExecution
+	// DropAnswer executes the call at once and never answers it.
+	DropAnswer
+	// DelayAnswer executes the call at once, and sends the answer from that time after Delay.
+	DelayAnswer
+	// ResetConnection closes the connection and does not execute the call.
+	ResetConnection
 )
 
-// Fault is what happens to one call.
+// Fault is the fault of one call. The zero value is no fault.
 type Fault struct {
 	Kind   FaultKind
-	Status int           // of Refuse
-	Delay  time.Duration // of Late and of Slow
-	// FromArrival lets a Late call's hold count from the moment at which the call is carried out.
+	Status int           // of Reject
+	Delay  time.Duration // of DelayExecution and DelayAnswer
+	// FromArrival makes the lease of a DelayExecution call begin when the call is executed, not when it arrives.
 	FromArrival bool
 }
 
-// Always has the same fault on every call.
-func Always(fault Fault) func(Call) Fault { return func(Call) Fault { return fault } }
+// Always returns a function for SetFaults that returns the same fault for every call.
+func Always(fault Fault) func(CallKind) Fault { return func(CallKind) Fault { return fault } }
 
-// Only has a fault on one kind of call.
-func Only(kind Call, fault Fault) func(Call) Fault {
-	return func(call Call) Fault {
+// Only returns a function for SetFaults that returns the fault for one kind of call, and no fault for the others.
+func Only(kind CallKind, fault Fault) func(CallKind) Fault {
+	return func(call CallKind) Fault {
 		if call == kind {
 			return fault
 		}
@@ -54,9 +54,10 @@
 	}
 }
 
-// SetFaults decides from now on about every call; nil lets all pass. The function is called under the cluster's lock.
-func (s *Worker) SetFaults(decide func(Call) Fault) {
+// SetFaults sets the function that decides on the fault of each call. With nil, no call has a fault. The function is called
+// with the cluster's lock held.
+func (s *Worker) SetFaults(decide func(CallKind) Fault) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
-	s.faults = decide
+	s.faultOf = decide
 }
--- a/internal/fakes/cluster/memory.go
+++ b/internal/fakes/cluster/memory.go
@@ -14,16 +14,16 @@
 	errReset   = errors.New("connection reset")
 )
 
-// MemoryClient makes a client that reaches the workers without sockets, so that it can be used under synctest. Each call
-// takes the given time to get there; its answer is back at once.
-func (c *Cluster) MemoryClient(way time.Duration) *http.Client {
-	return &http.Client{Transport: &memoryTransport{c, way}}
+// MemoryClient returns a client that calls the workers without sockets, so that it can be used under synctest. Each request
+// arrives after the given latency. Answers arrive without delay.
+func (c *Cluster) MemoryClient(latency time.Duration) *http.Client {
+	return &http.Client{Transport: &memoryTransport{c, latency}}
 }
 
-// memoryTransport hands calls to the workers themselves.
+// memoryTransport passes requests directly to the workers' handlers.
 type memoryTransport struct {
 	cluster *Cluster
-	way     time.Duration
+	latency time.Duration
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -36,14 +36,14 @@
 	if trace := httptrace.ContextClientTrace(ctx); trace != nil && trace.GotConn != nil {
 		trace.GotConn(httptrace.GotConnInfo{})
 	}
-	if err := sleep(ctx, t.way); err != nil {
+	if err := sleep(ctx, t.latency); err != nil {
 		return nil, err
 	}
-	return answerOf(worker, request)
+	return serveInMemory(worker, request)
 }
 
-// answerOf waits for a worker's answer, or until the caller gives up.
-func answerOf(worker *Worker, request *http.Request) (*http.Response, error) {
+// serveInMemory passes a request to a worker and waits for the answer until the request's context ends.
+func serveInMemory(worker *Worker, request *http.Request) (*http.Response, error) {
 	answered := make(chan *http.Response, 1)
 	go func() {
 		defer close(answered)
@@ -63,7 +63,7 @@
 	}
 }
 
-// recoverAbort lets a handler give its connection up, as a server does.
+// recoverAbort recovers from http.ErrAbortHandler, as an HTTP server does.
 func recoverAbort() {
 	failure := recover()
 	if err, isError := failure.(error); isError && errors.Is(err, http.ErrAbortHandler) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// sleep waits for a while, or until the caller gives up.
+// sleep waits for the pause, or until ctx ends. Then it returns the error of ctx.
 func sleep(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -86,7 +86,7 @@
 	}
 }
 
-// workerAt finds the worker with an address; nil if there is none.
+// workerAt returns the worker with the address, or nil if there is none.
 func (c *Cluster) workerAt(address string) *Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/cluster/memory_test.go
+++ b/internal/fakes/cluster/memory_test.go
@@ -11,13 +11,13 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func TestMemoryClient(t *testing.T) {
+func TestMemoryClientDeliversCallsFaultsAndDelays(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		c := New(RealClock{}, Settings{LeaseMax: holdMax, InMemory: true})
+		c := New(RealClock{}, Settings{MaxLease: testMaxLease, InMemory: true})
 		defer c.Close()
 		s := c.AddWorker(WorkerConfig{ID: "i-1"})
 		client := c.MemoryClient(3 * time.Millisecond)
-		look := func() (status int, err error) {
+		pollWorker := func() (status int, err error) {
 			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(LeaseCall), strings.NewReader(`{}`))
 			request.Header.Set("Expect-Instance", "i-1")
 			answer, err := client.Do(request)
@@ -26,23 +26,23 @@
 			}
 			return answer.StatusCode, answer.Body.Close()
 		}
-		convey.Convey("Calls reach a searcher without sockets", t, func() {
+		convey.Convey("Calls reach a worker without sockets", t, func() {
 			began := time.Now()
-			status, err := look()
+			status, err := pollWorker()
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(status, convey.ShouldEqual, http.StatusOK)
 			convey.So(time.Since(began), convey.ShouldEqual, 3*time.Millisecond)
 
-			s.SetFaults(Always(Fault{Kind: Slow, Delay: time.Second}))
-			_, err = look()
+			s.SetFaults(Always(Fault{Kind: DelayAnswer, Delay: time.Second}))
+			_, err = pollWorker()
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(time.Since(began), convey.ShouldEqual, 1006*time.Millisecond)
 
-			s.SetFaults(Always(Fault{Kind: Reset}))
-			_, err = look()
+			s.SetFaults(Always(Fault{Kind: ResetConnection}))
+			_, err = pollWorker()
 			convey.So(err, convey.ShouldWrap, errReset)
 			s.Leave()
-			_, err = look()
+			_, err = pollWorker()
 			convey.So(err, convey.ShouldWrap, errRefused)
 		})
 	})
--- a/internal/fakes/cluster/operator.go
+++ b/internal/fakes/cluster/operator.go
@@ -13,34 +13,34 @@
 
 const (
 	configurationPath = "/-/configuration"
-	operatorPatience  = time.Second // for one answer
-	redirectsFollowed = 2
+	operatorTimeout   = time.Second // for one node's answer, including redirects
+	maxRedirects      = 2
 )
 
-// Operator brings configurations to the nodes that serve control.
+// Operator is a fake operator that sends configurations to the nodes that serve the control API.
 type Operator struct {
 	Addresses []string // control addresses, tried in turn
 	HTTP      *http.Client
 }
 
-// ErrNoClearAnswer means that a configuration may or may not have been taken.
-var ErrNoClearAnswer = errors.New("no clear answer")
+// ErrOutcomeUnknown reports that no node gave a definite answer. The configuration may or may not have been accepted.
+var ErrOutcomeUnknown = errors.New("no clear answer")
 
 var errTooManyRedirects = errors.New("too many redirects")
 
-// StatusError is the status of an answer that holds no configuration.
+// StatusError is the status of an answer that contains no configuration.
 type StatusError int
 
-// Error returns what is wrong, for a person.
+// Error implements error.
 func (e StatusError) Error() string { return fmt.Sprintf("configuration: status %d", int(e)) }
 
-// Put sends a configuration once to every address in turn until one gives a clear answer, whose status is returned.
+// Put sends a configuration to one address after the other until a node gives a definite answer. It returns that answer's status.
 func (o *Operator) Put(ctx context.Context, builtOn int64, configuration []byte) (status int, err error) {
 	status, _, err = o.call(ctx, http.MethodPut, strconv.FormatInt(builtOn, 10), configuration)
 	return status, err
 }
 
-// Get reads the newest configuration back.
+// Get returns the newest configuration.
 func (o *Operator) Get(ctx context.Context) ([]byte, error) {
 	status, body, err := o.call(ctx, http.MethodGet, "", nil)
 	if err == nil && status != http.StatusOK {
@@ -50,10 +50,10 @@
 }
 
 func (o *Operator) call(ctx context.Context, method, ifMatch string, body []byte) (int, []byte, error) {
-	failures := []error{ErrNoClearAnswer}
+	failures := []error{ErrOutcomeUnknown}
 	for _, address := range o.Addresses {
 		status, answer, err := o.callNode(ctx, method, "http://"+address+configurationPath, ifMatch, body)
-		if err == nil && isClear(status) {
+		if err == nil && isDefinite(status) {
 			return status, answer, nil
 		}
 		failures = append(failures, fmt.Errorf("%s: status %d: %w", address, status, err))
@@ -61,16 +61,16 @@
 	return 0, nil, errors.Join(failures...)
 }
 
-// isClear tells whether an operator takes a status as an answer, and does not ask another node.
-func isClear(status int) bool {
+// isDefinite reports whether a status is a definite answer, so that no other node is called.
+func isDefinite(status int) bool {
 	return status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// callNode makes one request and follows its redirects, within the operator's patience.
+// callNode sends one request and follows its redirects, within operatorTimeout.
 func (o *Operator) callNode(ctx context.Context, method, url, ifMatch string, body []byte) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorPatience)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	for range redirectsFollowed + 1 {
+	for range maxRedirects + 1 {
 		status, answer, location, err := o.send(ctx, method, url, ifMatch, body)
 		if err != nil || status != http.StatusTemporaryRedirect {
 			return status, answer, err
@@ -80,7 +80,7 @@
 	return 0, nil, errTooManyRedirects
 }
 
-// send makes one request; location is where a redirect leads.
+// send sends one request. The returned location is the target of a redirect.
 func (o *Operator) send(ctx context.Context, method, url, ifMatch string, body []byte) (status int, answer []byte, location string, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/fakes/cluster/platform.go
+++ b/internal/fakes/cluster/platform.go
@@ -10,34 +10,34 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// PlatformConfig describes the platform's list.
+// PlatformConfig is the configuration of a platform.
 type PlatformConfig struct {
-	PageSize int           // 50 when 0
-	RatePerS float64       // further calls get 429; 0 to take all
-	Lag      time.Duration // how far the list runs behind
+	PageSize int           // 0 means 50
+	RatePerS float64       // calls beyond this rate get status 429; 0 means no limit
+	Lag      time.Duration // delay until a change shows in the list
 }
 
-// Platform serves the list of a cluster's workers.
+// Platform is a fake of the platform's API that lists a cluster's workers.
 type Platform struct {
 	cluster *Cluster
 	server  *server
 	config  PlatformConfig
 
-	// The rest is guarded by the cluster's lock.
-	versions  []listVersion
-	calls     int
-	allowance float64 // calls that may come now
-	countedAt time.Time
-	failing   int // the status of all answers; 0 to serve the list
+	// The fields below are guarded by the cluster's lock.
+	versions       []listVersion
+	calls          int
+	availableCalls float64 // tokens in the rate limiter's bucket
+	refilledAt     time.Time
+	failureStatus  int // status of all answers; 0 serves the list
 }
 
-// listVersion is the list from a moment on.
+// listVersion is the list as it was from an instant on.
 type listVersion struct {
 	from    time.Time
 	entries []listEntry
 }
 
-// listEntry is one worker as it is listed.
+// listEntry is the list's entry of one worker.
 type listEntry struct {
 	Service         string        `json:"service"`
 	Address         string        `json:"address"`
@@ -54,7 +54,7 @@
 	leavesAt time.Time
 }
 
-// listPage is one answer.
+// listPage is one page of the list.
 type listPage struct {
 	Instances     []listEntry `json:"instances"`
 	NextPageToken *string     `json:"nextPageToken"`
@@ -62,15 +62,15 @@
 
 const (
 	defaultPageSize = 50
-	allowanceSpan   = 1.0 // seconds' worth of calls that may come at once
+	burstSeconds    = 1.0 // capacity of the rate limiter's bucket, in seconds at the full rate
 )
 
-// AddPlatform starts to serve the list.
+// AddPlatform starts a platform that lists the cluster's workers.
 func (c *Cluster) AddPlatform(config PlatformConfig) *Platform {
 	if config.PageSize == 0 {
 		config.PageSize = defaultPageSize
 	}
-	p := &Platform{cluster: c, config: config, countedAt: c.clock.Now(), allowance: config.RatePerS * allowanceSpan}
+	p := &Platform{cluster: c, config: config, refilledAt: c.clock.Now(), availableCalls: config.RatePerS * burstSeconds}
 	p.server = listen(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,24 +79,24 @@
 	return p
 }
 
-// Address is where the platform listens.
+// Address returns the address at which the platform listens.
 func (p *Platform) Address() string { return p.server.address }
 
-// Calls is how many calls have come so far.
+// Calls returns the number of calls received so far.
 func (p *Platform) Calls() int {
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
 	return p.calls
 }
 
-// Fail answers every call with a status from now on; 0 serves the list again.
+// Fail makes the platform answer every call with a status. With status 0 it serves the list again.
 func (p *Platform) Fail(status int) {
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
-	p.failing = status
+	p.failureStatus = status
 }
 
-// listChanged takes a new version of the list at every platform. The caller holds the lock.
+// listChanged adds a new version of the list to every platform. The caller holds the lock.
 func (c *Cluster) listChanged() {
 	for _, p := range c.platforms {
 		p.versions = append(p.versions, listVersion{c.clock.Now(), c.list()})
@@ -148,8 +148,8 @@
 
 func (p *Platform) read(zone, token string) (int, listPage) {
 	p.calls++
-	if p.failing != 0 {
-		return p.failing, listPage{}
+	if p.failureStatus != 0 {
+		return p.failureStatus, listPage{}
 	}
 	if !p.allow() {
 		return http.StatusTooManyRequests, listPage{}
@@ -178,23 +178,23 @@
 	return page
 }
 
-// allow takes one call off the rate.
+// allow reports whether the rate limit permits a call, and counts the call if so.
 func (p *Platform) allow() bool {
 	if p.config.RatePerS == 0 {
 		return true
 	}
 	now := p.cluster.clock.Now()
-	earned := now.Sub(p.countedAt).Seconds() * p.config.RatePerS
-	p.allowance = min(p.allowance+earned, p.config.RatePerS*allowanceSpan)
-	p.countedAt = now
-	if p.allowance < 1 {
+	earned := now.Sub(p.refilledAt).Seconds() * p.config.RatePerS
+	p.availableCalls = min(p.availableCalls+earned, p.config.RatePerS*burstSeconds)
+	p.refilledAt = now
+	if p.availableCalls < 1 {
 		return false
 	}
-	p.allowance--
+	p.availableCalls--
 	return true
 }
 
-// entries is the list as it was some time ago.
+// entries returns the list of a zone as it was Lag ago. An empty zone selects all workers.
 func (p *Platform) entries(zone string) []listEntry {
 	now := p.cluster.clock.Now()
 	shown := p.versions[0]
--- a/internal/fakes/cluster/runs.go
+++ b/internal/fakes/cluster/runs.go
@@ -10,116 +10,116 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// run is one run of a task at a worker. It is guarded by the cluster's lock.
-type run struct {
-	worker      *Worker
-	incarnation *incarnation
-	record      RunRecord
-	profile     Profile
-	number      uint64 // of its end
-
-	working  bool
-	workFrom time.Time     // when it began to make progress
-	base     time.Duration // the progress that its checkpoint brought
-	saved    string        // the last checkpoint
-	cancel   func()        // the timer of its next change
-}
-
-// begin adds a run to its worker.
-func (r *run) begin() {
+// attempt is one attempt of a task at a worker. The cluster's lock guards it.
+type attempt struct {
+	worker           *Worker
+	incarnation      *incarnation
+	record           AttemptRecord
+	profile          Profile
+	completionNumber uint64 // number of its completion
+
+	working          bool
+	progressStart    time.Time     // when it started to make progress
+	restoredProgress time.Duration // progress in the checkpoint that it started with
+	lastCheckpoint   string        // the last completed checkpoint
+	cancelTimer      func()        // cancels its timer; nil without a timer
+}
+
+// begin adds the attempt to its worker. A member of a gang starts to work when all members are there.
+func (r *attempt) begin() {
 	r.incarnation.running = append(r.incarnation.running, r)
-	r.worker.cluster.runs = append(r.worker.cluster.runs, r)
-	r.base, r.saved = progressOf(r.record.Checkpoint), r.record.Checkpoint
-	if r.profile.Gang == 0 {
-		r.work()
+	r.worker.cluster.attempts = append(r.worker.cluster.attempts, r)
+	r.restoredProgress, r.lastCheckpoint = progressOf(r.record.Checkpoint), r.record.Checkpoint
+	if r.profile.GangSize == 0 {
+		r.startWork()
 		return
 	}
 	members := r.gang()
-	if len(members) < r.profile.Gang {
-		r.after(r.worker.cluster.settings.GangWait, func() { r.end(job.OutcomeGangIncomplete) })
+	if len(members) < r.profile.GangSize {
+		r.schedule(r.worker.cluster.settings.GangTimeout, func() { r.end(job.OutcomeGangIncomplete) })
 		return
 	}
 	for _, member := range members {
-		member.work()
+		member.startWork()
 	}
 }
 
-// work starts to make progress.
-func (r *run) work() {
+// startWork starts the attempt's progress, after the time to restore a checkpoint if it has one.
+func (r *attempt) startWork() {
 	restore := time.Duration(0)
 	if r.record.Checkpoint != "" {
-		restore = r.worker.cluster.settings.Restore
+		restore = r.worker.cluster.settings.RestoreDuration
 	}
 	r.working = true
-	r.workFrom = r.worker.cluster.clock.Now().Add(restore)
+	r.progressStart = r.worker.cluster.clock.Now().Add(restore)
 	r.setTimer(nil)
 	if r.profile.Duration > 0 {
-		r.after(restore+max(0, r.profile.Duration-r.base), func() { r.finish(r.ownOutcome()) })
+		r.schedule(restore+max(0, r.profile.Duration-r.restoredProgress), func() { r.finish(r.configuredOutcome()) })
 	}
 }
 
-func (r *run) ownOutcome() job.Outcome {
-	if r.profile.Ends == "" {
+func (r *attempt) configuredOutcome() job.Outcome {
+	if r.profile.Outcome == "" {
 		return job.OutcomeDone
 	}
-	return r.profile.Ends
+	return r.profile.Outcome
 }
 
-// after replaces the run's timer.
-func (r *run) after(delay time.Duration, f func()) {
+// schedule replaces the attempt's timer. When it fires, f is called with the cluster's lock held.
+func (r *attempt) schedule(delay time.Duration, f func()) {
 	c := r.worker.cluster
 	cancel := c.clock.AfterFunc(delay, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if r.record.EndedAt.IsZero() && r.cancel != nil {
+		if r.record.EndedAt.IsZero() && r.cancelTimer != nil {
 			f()
 		}
 	})
 	r.setTimer(cancel)
 }
 
-func (r *run) setTimer(cancel func()) {
-	if r.cancel != nil {
-		r.cancel()
+func (r *attempt) setTimer(cancel func()) {
+	if r.cancelTimer != nil {
+		r.cancelTimer()
 	}
-	r.cancel = cancel
+	r.cancelTimer = cancel
 }
 
-// finish ends a run by itself; the members of a gang end done together.
-func (r *run) finish(how job.Outcome) {
-	members := []*run{r}
-	if how == job.OutcomeDone && r.profile.Gang > 0 {
+// finish ends the attempt with an outcome of its task. If the outcome is done, all members of its gang end with it.
+func (r *attempt) finish(outcome job.Outcome) {
+	members := []*attempt{r}
+	if outcome == job.OutcomeDone && r.profile.GangSize > 0 {
 		members = r.gang()
 	}
 	for _, member := range members {
-		member.end(how)
+		member.end(outcome)
 	}
 }
 
-// end takes a run off its worker and lists its end.
-func (r *run) end(how job.Outcome) {
+// end removes the attempt from its worker and adds a completion. Unless the outcome is done, it breaks the attempt's gang.
+func (r *attempt) end(outcome job.Outcome) {
 	if !r.record.EndedAt.IsZero() {
 		return
 	}
-	r.saved = r.checkpoint(how == job.OutcomeStopped)
+	r.lastCheckpoint = r.checkpoint(outcome == job.OutcomeStopped)
 	r.remove()
-	r.record.EndedAt, r.record.Outcome = r.worker.cluster.clock.Now(), how
+	r.record.EndedAt, r.record.Outcome = r.worker.cluster.clock.Now(), outcome
 	r.incarnation.lastCompletion++
-	r.number = r.incarnation.lastCompletion
+	r.completionNumber = r.incarnation.lastCompletion
 	r.incarnation.completions = append(r.incarnation.completions, r)
-	r.incarnation.barred[r.record.Task] = max(r.incarnation.barred[r.record.Task], r.record.Execution)
+	r.incarnation.highestFinished[r.record.Task] = max(r.incarnation.highestFinished[r.record.Task], r.record.Number)
 	for waiter := range r.incarnation.waiters {
 		close(waiter)
 		delete(r.incarnation.waiters, waiter)
 	}
-	if how != job.OutcomeDone {
+	if outcome != job.OutcomeDone {
 		r.breakGang()
 	}
 }
 
-// breakGang ends the other members of a gang that was at work.
-func (r *run) breakGang() {
-	if r.profile.Gang == 0 || !r.working {
+// breakGang ends the other members of the attempt's gang if the gang had started to work.
+func (r *attempt) breakGang() {
+	if r.profile.GangSize == 0 || !r.working {
 		return
 	}
 	for _, member := range r.gang() {
@@ -127,19 +127,19 @@
 	}
 }
 
-func (r *run) remove() {
+func (r *attempt) remove() {
 	r.setTimer(nil)
-	r.incarnation.running = slices.DeleteFunc(r.incarnation.running, func(other *run) bool { return other == r })
+	r.incarnation.running = slices.DeleteFunc(r.incarnation.running, func(other *attempt) bool { return other == r })
 }
 
-// gang is the members of its gang that are there now.
-func (r *run) gang() []*run {
-	var members []*run
+// gang returns the members of the attempt's gang that are running now, at any worker.
+func (r *attempt) gang() []*attempt {
+	var members []*attempt
 	for _, worker := range r.worker.cluster.workers {
 		for _, other := range worker.incarnation.running {
 			a, b := other.record, r.record
 			a.Task.Index, b.Task.Index = 0, 0
-			if a.Task == b.Task && a.Execution == b.Execution {
+			if a.Task == b.Task && a.Number == b.Number {
 				members = append(members, other)
 			}
 		}
@@ -147,47 +147,47 @@
 	return members
 }
 
-// stop ends a run after the time that a stop takes.
-func (r *run) stop() {
-	if r.worker.cluster.settings.StopTime == 0 {
+// stop ends the attempt after StopDuration.
+func (r *attempt) stop() {
+	if r.worker.cluster.settings.StopDuration == 0 {
 		r.end(job.OutcomeStopped)
 		return
 	}
-	r.after(r.worker.cluster.settings.StopTime, func() { r.end(job.OutcomeStopped) })
+	r.schedule(r.worker.cluster.settings.StopDuration, func() { r.end(job.OutcomeStopped) })
 }
 
-// progress is the work done so far, that of earlier runs included.
-func (r *run) progress() time.Duration {
+// progress returns the work done so far, including the work restored from a checkpoint.
+func (r *attempt) progress() time.Duration {
 	if !r.working {
-		return r.base
+		return r.restoredProgress
 	}
-	return r.base + max(0, r.worker.cluster.clock.Now().Sub(r.workFrom))
+	return r.restoredProgress + max(0, r.worker.cluster.clock.Now().Sub(r.progressStart))
 }
 
-func (r *run) percent() int {
+func (r *attempt) percent() int {
 	if r.profile.Duration == 0 {
 		return 0
 	}
 	return int(min(99, 100*r.progress()/r.profile.Duration))
 }
 
-// checkpoint is the newest one: of the last time to save, or of this moment.
-func (r *run) checkpoint(now bool) string {
-	every := r.worker.cluster.settings.SaveEvery
+// checkpoint returns the newest checkpoint: one of the current progress with now, else the last periodic one.
+func (r *attempt) checkpoint(now bool) string {
+	every := r.worker.cluster.settings.CheckpointInterval
 	if !r.profile.Checkpoints || !r.working || every == 0 && !now {
-		return r.saved
+		return r.lastCheckpoint
 	}
 	progress := r.progress()
 	if !now {
-		progress = r.base + (progress - r.base).Truncate(every)
+		progress = r.restoredProgress + (progress - r.restoredProgress).Truncate(every)
 	}
-	if progress == r.base {
-		return r.saved
+	if progress == r.restoredProgress {
+		return r.lastCheckpoint
 	}
 	return checkpointText(r.record.Task, progress)
 }
 
-// checkpointText writes the work done, in milliseconds, and a digest of the task.
+// checkpointText encodes the progress in milliseconds, followed by a digest of the task's ID.
 func checkpointText(task job.TaskID, progress time.Duration) string {
 	digest := fnv.New32a()
 	digest.Write([]byte(task.String()))
--- a/internal/fakes/cluster/server.go
+++ b/internal/fakes/cluster/server.go
@@ -12,11 +12,11 @@
 	address string
 
 	mu          sync.Mutex
-	connections map[net.Conn]bool // the open ones
+	connections map[net.Conn]bool // open connections
 	accepted    int
 }
 
-// listen starts to serve. Only a machine without loopback addresses makes it panic.
+// listen starts a server on a free loopback port. It panics if the machine has no loopback address to listen at.
 func listen(handler http.Handler) *server {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// closeConnections ends the open connections.
+// closeConnections closes the open connections. The server continues to listen.
 func (s *server) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	return s.accepted
 }
 
-// close ends all that listens; without sockets there is nothing to end.
+// close stops the server. It does nothing for a worker without sockets.
 func (s *server) close() {
 	if s.http != nil {
 		s.http.Close()
--- a/internal/fakes/cluster/worker.go
+++ b/internal/fakes/cluster/worker.go
@@ -7,60 +7,60 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// WorkerConfig describes one worker.
+// WorkerConfig is the configuration of one worker.
 type WorkerConfig struct {
-	ID        string
-	Service   string
-	Zone      string
-	Version   string
-	Slots     int
-	Capacity  job.Resources
-	Labels    []string
-	Guards    bool          // reject what does not fit
-	ClockRate float64       // of its steady clock to the cluster's; 1 when 0
-	ClockZero time.Duration // what its clock shows when it starts
-}
-
-// Worker runs tasks. Its state is guarded by the cluster's lock.
+	ID               string
+	Service          string
+	Zone             string
+	Version          string
+	Slots            int
+	Capacity         job.Resources
+	Labels           []string
+	EnforcesCapacity bool          // reject tasks that exceed the free capacity
+	ClockRate        float64       // rate of its monotonic clock relative to the cluster's; 0 means 1
+	ClockStart       time.Duration // reading of its clock when it starts
+}
+
+// Worker is a fake worker. The cluster's lock guards its state.
 type Worker struct {
 	cluster *Cluster
 	server  *server
 
 	config      WorkerConfig
 	startedAt   time.Time
-	faults      func(Call) Fault
+	faultOf     func(CallKind) Fault
 	incarnation *incarnation
-	calls       map[Call]int
+	calls       map[CallKind]int
 	draining    bool
 	leavesAt    time.Time
 }
 
-// incarnation is what a worker forgets when it crashes.
+// incarnation is the state that a worker loses when it crashes.
 type incarnation struct {
-	id             string
-	fencingToken   uint64
-	leaseExpiry    time.Duration // on the worker's clock
-	running        []*run
-	barred         map[job.TaskID]uint64 // the highest execution that was stopped or has ended
-	completions    []*run                // not acknowledged yet
-	lastCompletion uint64                // of the newest end
-	waiters        map[chan struct{}]bool
-	crashed        chan struct{} // closed when it crashes
+	id              string
+	fencingToken    uint64
+	leaseExpiry     time.Duration // on the worker's clock
+	running         []*attempt
+	highestFinished map[job.TaskID]uint64 // the highest attempt number that was stopped or has ended
+	completions     []*attempt            // ended attempts that are not acknowledged yet
+	lastCompletion  uint64                // number of the newest completion
+	waiters         map[chan struct{}]bool
+	crashed         chan struct{} // closed when it crashes
 }
 
 func newIncarnation(id string) *incarnation {
 	return &incarnation{
-		id: id, barred: make(map[job.TaskID]uint64), waiters: make(map[chan struct{}]bool), crashed: make(chan struct{}),
+		id: id, highestFinished: make(map[job.TaskID]uint64), waiters: make(map[chan struct{}]bool), crashed: make(chan struct{}),
 	}
 }
 
-// AddWorker starts a worker.
+// AddWorker starts a worker and adds it to the platforms' lists.
 func (c *Cluster) AddWorker(config WorkerConfig) *Worker {
 	if config.ClockRate == 0 {
 		config.ClockRate = 1
 	}
 	s := &Worker{
-		cluster: c, config: config, startedAt: c.clock.Now(), incarnation: newIncarnation(config.ID), calls: make(map[Call]int),
+		cluster: c, config: config, startedAt: c.clock.Now(), incarnation: newIncarnation(config.ID), calls: make(map[CallKind]int),
 	}
 	s.server = &server{address: config.ID}
 	if !c.settings.InMemory {
@@ -73,62 +73,62 @@
 	return s
 }
 
-// Address is where the worker listens, or where MemoryClient finds it.
+// Address returns the address at which the worker listens. For a worker without sockets it is the address for MemoryClient.
 func (s *Worker) Address() string { return s.server.address }
 
-// ID is the identifier of its present life.
+// ID returns the identifier of the worker's current incarnation.
 func (s *Worker) ID() string {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	return s.incarnation.id
 }
 
-// Connections is how many connections it has accepted so far.
+// Connections returns the number of connections accepted so far.
 func (s *Worker) Connections() int { return s.server.acceptedConnections() }
 
-// Calls is how many calls of a kind have come so far.
-func (s *Worker) Calls(kind Call) int {
+// Calls returns the number of calls of a kind received so far.
+func (s *Worker) Calls(kind CallKind) int {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	return s.calls[kind]
 }
 
-// LeaseExpiry is the time up to which its runs are held, in the cluster's time and on the worker's own clock's pace.
+// LeaseExpiry returns the time on the cluster's clock at which the worker's lease expires, given the rate of the worker's clock.
 func (s *Worker) LeaseExpiry() time.Time {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	return s.cluster.clock.Now().Add(s.delayUntil(s.incarnation.leaseExpiry))
 }
 
-// NotRunningError says that a backend does not run a task.
+// NotRunningError reports that a worker does not run a task.
 type NotRunningError struct {
 	Backend string
 	Task    job.TaskID
 }
 
-// Error returns what is wrong, for a person.
+// Error implements error.
 func (e NotRunningError) Error() string {
-	return fmt.Sprintf("searcher %s runs no task %v", e.Backend, e.Task)
+	return fmt.Sprintf("worker %s does not run task %v", e.Backend, e.Task)
 }
 
-// Finish ends the run of a task that is at work, as if by itself.
-func (s *Worker) Finish(task job.TaskID, how job.Outcome) error {
+// Finish ends the running attempt of a task with an outcome, as if the task had ended by itself.
+func (s *Worker) Finish(task job.TaskID, outcome job.Outcome) error {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	for _, r := range s.incarnation.running {
 		if r.record.Task == task {
-			r.finish(how)
+			r.finish(outcome)
 			return nil
 		}
 	}
 	return NotRunningError{s.incarnation.id, task}
 }
 
-// Crash kills all that runs, cuts the connections and begins a new life.
+// Crash ends all attempts without an outcome, closes the connections and starts a new incarnation of the worker.
 func (s *Worker) Crash(newID string) {
 	s.cluster.mu.Lock()
 	old := s.incarnation
-	for _, r := range append([]*run(nil), old.running...) {
+	for _, r := range append([]*attempt(nil), old.running...) {
 		r.remove()
 		r.record.EndedAt = s.cluster.clock.Now()
 		r.breakGang()
@@ -141,7 +141,7 @@
 	s.server.closeConnections()
 }
 
-// Leave ends the worker for good, with all that runs there, and takes it off the list.
+// Leave stops the worker permanently, with all its attempts, and removes it from the list.
 func (s *Worker) Leave() {
 	s.server.close()
 	s.Crash("")
@@ -150,7 +150,7 @@
 	s.cluster.removeWorker(s)
 }
 
-// Drain lists the worker as draining, with the given least time left.
+// Drain lists the worker as draining, with the given time remaining before it may leave.
 func (s *Worker) Drain(remaining time.Duration) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
@@ -159,22 +159,22 @@
 	s.cluster.listChanged()
 }
 
-// clockNow is what the worker's steady clock shows.
+// clockNow returns the reading of the worker's monotonic clock.
 func (s *Worker) clockNow() time.Duration {
 	passed := s.cluster.clock.Now().Sub(s.startedAt)
-	return s.config.ClockZero + time.Duration(float64(passed)*s.config.ClockRate)
+	return s.config.ClockStart + time.Duration(float64(passed)*s.config.ClockRate)
 }
 
-// delayUntil is how long it takes, in the cluster's time, until the worker's clock shows a time.
+// delayUntil returns the time on the cluster's clock that passes until the worker's clock shows the given reading.
 func (s *Worker) delayUntil(clock time.Duration) time.Duration {
 	return time.Duration(float64(clock-s.clockNow()) / s.config.ClockRate)
 }
 
-// renewLease takes in a validUntil, which never shortens what was granted.
+// renewLease extends the lease to validUntil, but to no more than MaxLease from now. It never shortens the lease.
 func (s *Worker) renewLease(validUntil time.Duration) {
 	now := s.clockNow()
-	if most := now + s.cluster.settings.LeaseMax; validUntil > most {
-		validUntil = most
+	if longest := now + s.cluster.settings.MaxLease; validUntil > longest {
+		validUntil = longest
 	}
 	if validUntil <= s.incarnation.leaseExpiry || validUntil <= now {
 		return
@@ -183,7 +183,7 @@
 	s.expireLease(s.incarnation)
 }
 
-// expireLease kills all that runs once the hold is over.
+// expireLease ends all attempts when the lease expires, unless the lease is extended before.
 func (s *Worker) expireLease(incarnation *incarnation) {
 	expiry := incarnation.leaseExpiry
 	s.cluster.clock.AfterFunc(max(0, s.delayUntil(expiry))+time.Millisecond, func() {
@@ -192,13 +192,13 @@
 		if s.incarnation != incarnation || incarnation.leaseExpiry != expiry {
 			return
 		}
-		for _, r := range append([]*run(nil), incarnation.running...) {
+		for _, r := range append([]*attempt(nil), incarnation.running...) {
 			r.end(job.OutcomeLeaseExpired)
 		}
 	})
 }
 
-// used is the capacity taken by what runs, that being stopped included.
+// used returns the capacity that running attempts take, including those that are being stopped.
 func (s *Worker) used() job.Resources {
 	var sum job.Resources
 	for _, r := range s.incarnation.running {
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -17,25 +17,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Mix is a load's queries of one index.
+// Mix describes the queries of one index in a load.
 type Mix struct {
-	Index      string
-	Share      float64 // of all queries
-	Subqueries int
-	Deadline   time.Duration
-	Soft       time.Duration // within which an answer has its whole gain
-	Value      float64
+	Index        string
+	Share        float64 // fraction of all queries
+	Subqueries   int
+	Deadline     time.Duration
+	SoftDeadline time.Duration // an answer within this time has its full value
+	Value        float64
 }
 
-// Load sends queries to aggregators at a steady mean rate, as an open loop: a slow answer delays no arrival.
+// Load sends queries to aggregators at random times with a constant mean rate. It is an open loop: a slow answer does not
+// delay later queries.
 type Load struct {
-	Aggregators []string // addresses
-	Site        Site
-	Mixes       []Mix
-	PerS        float64
-	Popular     []float64     // share of subqueries by shard; nil for all alike
-	Retries     int           // of a query that was nacked, within its deadline
-	Backoff     time.Duration // before each, at the least
+	Aggregators      []string // addresses
+	Site             Site
+	Mixes            []Mix
+	QueriesPerSecond float64
+	ShardWeights     []float64     // relative frequency of each shard; nil for equal frequencies
+	Retries          int           // how often a nacked query is sent again within its deadline
+	MinBackoff       time.Duration // mean of the random minimum delay before a retry
 
 	client *http.Client
 	wg     sync.WaitGroup
@@ -43,24 +44,25 @@
 	sent   atomic.Int64
 	nextID atomic.Int64
 
-	mu      sync.Mutex
-	ends    map[string]int64 // satisfied, nacked, aborted, lost
-	why     string           // the last query was lost
-	value   [2]float64       // of all queries, and of those answered within the soft deadline
-	latency *hdrhistogram.Histogram
+	mu          sync.Mutex
+	outcomes    map[string]int64 // finished queries by outcome: satisfied, nacked, aborted, lost
+	lastFailure string           // why the last lost query failed
+	value       [2]float64       // total value of all queries, and of those answered within the soft deadline
+	latency     *hdrhistogram.Histogram
 }
 
-// Run starts sending, until Stop. The context only carries values: queries are answered after its end too.
+// Run starts to send queries until Stop is called. Only the values of ctx are used: its cancellation neither stops the load
+// nor cancels queries.
 func (l *Load) Run(ctx context.Context) {
 	calls := context.WithoutCancel(ctx)
 	ctx, stop := context.WithCancel(calls)
-	l.stop, l.ends, l.latency = stop, map[string]int64{}, newHistogram()
+	l.stop, l.outcomes, l.latency = stop, map[string]int64{}, newHistogram()
 	l.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	l.wg.Go(func() {
 		rng := rand.New(rand.NewPCG(7, 11))
 		next := time.Now()
 		for {
-			next = next.Add(time.Duration(rng.ExpFloat64() / l.PerS * float64(time.Second)))
+			next = next.Add(time.Duration(rng.ExpFloat64() / l.QueriesPerSecond * float64(time.Second)))
 			select {
 			case <-time.After(time.Until(next)):
 			case <-ctx.Done():
@@ -73,25 +75,25 @@
 					break
 				}
 			}
-			shards := l.shards(rng, min(mix.Subqueries, l.Site.Shards))
+			shards := l.drawShards(rng, min(mix.Subqueries, l.Site.Shards))
 			l.wg.Go(func() { l.sendQuery(calls, aggregator, mix, shards) })
 		}
 	})
 }
 
-// shards draws so many different ones by their popularity.
-func (l *Load) shards(rng *rand.Rand, n int) (list []int) {
-	if l.Popular == nil {
+// drawShards returns n different random shards, weighted by ShardWeights.
+func (l *Load) drawShards(rng *rand.Rand, n int) (list []int) {
+	if l.ShardWeights == nil {
 		return rng.Perm(l.Site.Shards)[:n]
 	}
 	total := 0.0
-	for _, p := range l.Popular {
+	for _, p := range l.ShardWeights {
 		total += p
 	}
 	for len(list) < n {
 		s := 0
-		for u := rng.Float64() * total; s < len(l.Popular)-1 && u >= l.Popular[s]; s++ {
-			u -= l.Popular[s]
+		for u := rng.Float64() * total; s < len(l.ShardWeights)-1 && u >= l.ShardWeights[s]; s++ {
+			u -= l.ShardWeights[s]
 		}
 		for slices.Contains(list, s%l.Site.Shards) {
 			s++
@@ -101,18 +103,18 @@
 	return list
 }
 
-// newHistogram holds microseconds up to a minute, to three digits.
+// newHistogram returns a histogram of microseconds up to one minute, with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
-// Stop stops sending and waits for the answers that are due.
+// Stop stops sending queries and waits for the answers to those already sent.
 func (l *Load) Stop() {
 	l.stop()
 	l.wg.Wait()
 	l.client.CloseIdleConnections()
 }
 
-// sendQuery sends a query, and retries it where it is nacked and the load has retries. The query's text is unique, so that a
-// subquery that is executed twice is noticed.
+// sendQuery sends a query, and sends it again if it is nacked and Retries and the deadline permit. The text of each query is
+// unique, so that a repeated execution of a subquery can be detected.
 func (l *Load) sendQuery(ctx context.Context, aggregator string, mix Mix, shards []int) {
 	l.sent.Add(1)
 	query := fmt.Sprintf("%s-%016x", mix.Index, l.nextID.Add(1))
@@ -128,7 +130,7 @@
 	end, why, wait := "", "", time.Duration(0)
 	for attempts := 0; ; attempts++ {
 		end, why, wait = l.attempt(ctx, aggregator, mix, body, mix.Deadline-time.Since(began))
-		wait = max(wait, time.Duration(float64(l.Backoff)*(0.5+rand.Float64())))
+		wait = max(wait, time.Duration(float64(l.MinBackoff)*(0.5+rand.Float64())))
 		if end != "nacked" || attempts >= l.Retries || time.Since(began)+wait >= mix.Deadline {
 			break
 		}
@@ -138,25 +140,26 @@
 	took := time.Since(began)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ends[end]++
-	l.why = cmp.Or(why, l.why)
+	l.outcomes[end]++
+	l.lastFailure = cmp.Or(why, l.lastFailure)
 	l.value[0] += mix.Value
 	if end == "satisfied" {
-		// One beyond the histogram's minute is left out of it, and counted among the ends all the same.
+		// The histogram rejects a latency of more than one minute. The query is still counted in outcomes.
 		_ = l.latency.RecordValue(max(1, took.Microseconds()))
-		if took <= mix.Soft {
+		if took <= mix.SoftDeadline {
 			l.value[1] += mix.Value
 		}
 	}
 }
 
-// attempt sends a query once.
+// attempt sends a query once and returns its outcome. A lost query has a cause; a nacked one may have a minimum delay before
+// the next attempt.
 func (l *Load) attempt(ctx context.Context, aggregator string, mix Mix, body []byte, remaining time.Duration) (end, why string, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, remaining+2*time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+aggregator+"/"+mix.Index, bytes.NewReader(body))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", l.nextID.Add(1))}, "Req-Kind": {mix.Index},
-		"Idempotency-Key": {}, // not sent: it lets the HTTP client retry on a new connection, where the aggregator closed an idle one meanwhile
+		"Idempotency-Key": {}, // not sent; its presence lets the HTTP client retry on a new connection if the aggregator has closed an idle one
 		"Req-Deadline":    {strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64)}}
 	res, err := l.client.Do(req)
 	if err == nil {
@@ -175,45 +178,46 @@
 	return "aborted", "", 0
 }
 
-// Tally counts queries by their ends.
-type Tally struct {
+// QueryStats counts queries by their outcomes.
+type QueryStats struct {
 	Sent, Satisfied, Nacked, Aborted, Lost int64
-	Value                                  float64       // share of it that was answered within the soft deadline
-	P50, P99                               time.Duration // of the satisfied
-	Why                                    string        // the last query was lost
+	Value                                  float64       // fraction of the total value that was answered within the soft deadline
+	P50, P99                               time.Duration // latencies of the satisfied queries
+	LastFailure                            string        // why the last lost query failed
 }
 
-// Add adds the counts of another.
-func (t *Tally) Add(o Tally) {
+// Add adds the counts of other. It leaves Value, P50 and P99 unchanged.
+func (t *QueryStats) Add(o QueryStats) {
 	t.Sent += o.Sent
 	t.Satisfied += o.Satisfied
 	t.Nacked += o.Nacked
 	t.Aborted += o.Aborted
 	t.Lost += o.Lost
-	t.Why = cmp.Or(o.Why, t.Why)
+	t.LastFailure = cmp.Or(o.LastFailure, t.LastFailure)
 }
 
-// Answered is how many queries have ended since Take was last called.
-func (l *Load) Answered() (n int64) {
+// FinishedQueries returns the number of queries that have finished, with any outcome, since the last call of TakeStats.
+func (l *Load) FinishedQueries() (n int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, ended := range l.ends {
+	for _, ended := range l.outcomes {
 		n += ended
 	}
 	return n
 }
 
-// Take returns the tally since its last call. A query counts when it ends.
-func (l *Load) Take() Tally {
+// TakeStats returns the statistics since its last call and resets them. Sent counts queries when they are sent, the other
+// counts when they finish.
+func (l *Load) TakeStats() QueryStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := Tally{Sent: l.sent.Swap(0), Satisfied: l.ends["satisfied"], Nacked: l.ends["nacked"], Aborted: l.ends["aborted"], Lost: l.ends["lost"], Why: l.why,
+	t := QueryStats{Sent: l.sent.Swap(0), Satisfied: l.outcomes["satisfied"], Nacked: l.outcomes["nacked"], Aborted: l.outcomes["aborted"], Lost: l.outcomes["lost"], LastFailure: l.lastFailure,
 		P50: time.Duration(l.latency.ValueAtQuantile(50)) * time.Microsecond, P99: time.Duration(l.latency.ValueAtQuantile(99)) * time.Microsecond}
 	if t.Value = 1; l.value[0] > 0 {
 		t.Value = l.value[1] / l.value[0]
 	}
-	l.value, l.why = [2]float64{}, ""
-	clear(l.ends)
+	l.value, l.lastFailure = [2]float64{}, ""
+	clear(l.outcomes)
 	l.latency.Reset()
 	return t
 }
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -1,5 +1,6 @@
-// Package fakes has a service registry, backends and clients on loopback, for the demo and for tests. They implement the
-// operators' protocol from its pages and share no code with the aggregator, so that a mistake is not made on both sides.
+// Package fakes provides a fake service registry, fake backends and a load generator on loopback addresses. The demo and
+// tests use them. They implement the protocol from its documentation for operators and share no code with the aggregator,
+// so that a mistake in the aggregator is not repeated here.
 package fakes
 
 import (
@@ -15,32 +16,32 @@
 	"time"
 )
 
-// Entry is a backend as the registry lists it.
+// Entry is the registry's entry of a backend.
 type Entry struct {
-	ID        string  `json:"instanceId"`
-	Address   string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	State     string  `json:"lifecycle"` // SERVING, DRAINING, DELETED
-	Weight    float64 `json:"weight"`
-	StartedMs float64 `json:"startedAtMs"`
+	ID          string  `json:"instanceId"`
+	Address     string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int     `json:"cell"`
+	State       string  `json:"lifecycle"` // SERVING, DRAINING, DELETED
+	Weight      float64 `json:"weight"`
+	StartedMs   float64 `json:"startedAtMs"`
 }
 
-type page struct {
+type listing struct {
 	Version   int64   `json:"generation"`
 	Complete  bool    `json:"reset"`
 	Instances []Entry `json:"instances"`
 }
 
-// Register lists backends and tells its watches of changes.
-type Register struct {
+// Registry is a fake service registry. It lists backends and sends changes to its watches.
+type Registry struct {
 	listener net.Listener
 	server   *http.Server
 
 	mu      sync.Mutex
 	version int64
-	entries []Entry // in the order of first naming
+	entries []Entry // in the order in which they were added
 	down    bool
 	watches map[*watch]bool
 }
@@ -50,10 +51,11 @@
 	end   chan struct{}
 }
 
-// heartbeatInterval is how often an empty line comes while nothing changes.
+// heartbeatInterval is the interval at which a watch is sent an empty line.
 const heartbeatInterval = 2 * time.Second
 
-// FreeAddress is a loopback address that was free a moment ago, for an aggregator to listen at.
+// FreeAddress returns a loopback address at which an aggregator can listen. The port was free when FreeAddress checked it, but
+// is not reserved.
 func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,38 +64,38 @@
 	return l.Addr().String(), l.Close()
 }
 
-// NewRegister listens on loopback.
-func NewRegister() (*Register, error) {
+// NewRegistry starts a registry that listens on a loopback address.
+func NewRegistry() (*Registry, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Register{listener: l, version: 1, watches: map[*watch]bool{}}
+	r := &Registry{listener: l, version: 1, watches: map[*watch]bool{}}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go func() { _ = r.server.Serve(l) }() // until Close
 	return r, nil
 }
 
-// Address is host and port.
-func (r *Register) Address() string { return r.listener.Addr().String() }
+// Address returns the host and port at which the registry listens.
+func (r *Registry) Address() string { return r.listener.Addr().String() }
 
-// Close ends it and all its watches.
-func (r *Register) Close() { r.server.Close() }
+// Close closes the registry and all its watches.
+func (r *Registry) Close() { r.server.Close() }
 
-// Known is the complete list as an aggregator's config holds it.
-func (r *Register) Known() []byte {
+// FullList returns the complete list in the format of an aggregator's config file.
+func (r *Registry) FullList() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.encode(true, r.entries)
 }
 
-func (r *Register) encode(complete bool, entries []Entry) []byte {
-	text, _ := json.Marshal(page{r.version, complete, slices.Clone(entries)})
+func (r *Registry) encode(complete bool, entries []Entry) []byte {
+	text, _ := json.Marshal(listing{r.version, complete, slices.Clone(entries)})
 	return append(text, '\n')
 }
 
-// Set adds or changes a backend, and sends a patch to all watches.
-func (r *Register) Set(e Entry) {
+// Set adds or changes a backend, or removes it if its state is DELETED. It sends the change to all watches.
+func (r *Registry) Set(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -109,8 +111,8 @@
 	r.notify(r.encode(false, []Entry{e}))
 }
 
-// SetState changes what a backend is listed as.
-func (r *Register) SetState(id, state string) {
+// SetState changes the lifecycle state of a listed backend. It does nothing if the backend is not listed.
+func (r *Registry) SetState(id, state string) {
 	r.mu.Lock()
 	i := slices.IndexFunc(r.entries, func(o Entry) bool { return o.ID == id })
 	if i < 0 {
@@ -124,15 +126,15 @@
 }
 
 // SendFullList sends the complete list to all watches.
-func (r *Register) SendFullList() {
+func (r *Registry) SendFullList() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
 	r.notify(r.encode(true, r.entries))
 }
 
-// Down ends all watches and refuses new ones, until it is up again.
-func (r *Register) Down(down bool) {
+// SetDown(true) ends all watches and makes the registry reject all requests until SetDown(false).
+func (r *Registry) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
@@ -144,8 +146,8 @@
 	}
 }
 
-// notify puts a line into each watch; one without room is ended.
-func (r *Register) notify(line []byte) {
+// notify queues a line for each watch. It ends a watch whose queue is full.
+func (r *Registry) notify(line []byte) {
 	for w := range r.watches {
 		select {
 		case w.lines <- line:
@@ -156,7 +158,7 @@
 	}
 }
 
-func (r *Register) serve(out http.ResponseWriter, q *http.Request) {
+func (r *Registry) serve(out http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	if r.down || q.URL.Path != "/discovery/hosts" {
 		r.mu.Unlock()
@@ -170,7 +172,7 @@
 		return
 	}
 	watcher := &watch{make(chan []byte, 1000), make(chan struct{})}
-	if had, _ := strconv.ParseInt(q.FormValue("index"), 10, 64); had != r.version {
+	if knownVersion, _ := strconv.ParseInt(q.FormValue("index"), 10, 64); knownVersion != r.version {
 		watcher.lines <- r.encode(true, r.entries)
 	}
 	r.watches[watcher] = true
@@ -197,45 +199,45 @@
 		case <-q.Context().Done():
 			return
 		}
-		if flush.Flush() != nil { // the aggregator has left
+		if flush.Flush() != nil { // the aggregator has closed the connection
 			return
 		}
 	}
 }
 
-// Index is one index of a site.
+// Index describes one index of a site.
 type Index struct {
-	Name       string
-	Effect     string  // repeatable, by_key, once
-	Soft, Hard float64 // seconds
-	Value      float64
-	Minimum    float64 // least share of an answer; 0 for all of it
-	DedupS     float64 // how long a repeated subquery is dropped; 0 for 5 s
+	Name                                     string
+	Effect                                   string // repeatable, by_key, once
+	SoftDeadlineSeconds, HardDeadlineSeconds float64
+	Value                                    float64
+	MinAnswerShare                           float64 // smallest acceptable share of an answer; 0 requires the complete answer
+	DeduplicationSeconds                     float64 // how long a repeated subquery is dropped; 0 means 5 s
 }
 
-// Site is a small deployment: so many cells, each shard held by Width of them.
+// Site describes a small deployment. Each shard is held by CellsPerShard of its cells.
 type Site struct {
-	Zones       []string
-	Indexes     []Index
-	Cells       int
-	Width       int
-	Shards      int
-	Aggregators int
-	SlowStartS  float64 // how long a backend is cold; 0 for never
+	Zones            []string
+	Indexes          []Index
+	Cells            int
+	CellsPerShard    int
+	Shards           int
+	Aggregators      int
+	SlowStartSeconds float64 // how long a new backend is cold; 0 means never
 
-	Tenants []string // whose the queries are; none for those of nobody
+	Tenants []string // owners of the queries; empty if queries have no tenant
 
-	CallSubqueries int     // subqueries that may share a call; 0 for one
-	CallCostS      float64 // work of a call beside its subqueries
+	SubqueriesPerCall int     // most subqueries in a call; 0 means 1
+	CallCostSeconds   float64 // work of a call in addition to its subqueries
 }
 
-// Settings is the object that an aggregator of the site starts from.
+// Settings returns the settings object in the config file of an aggregator of the site.
 func (s Site) Settings(ordinal int) []byte {
 	var classes, ones, minimums []string
 	for _, index := range s.Indexes {
 		classes = append(classes, fmt.Sprintf(`{"name":%q,"effect":%q,"promiseS":%g,"giveUpS":%g,"worth":%g,"lateWorth":0.1,"repeatWindowS":%g}`,
-			index.Name, index.Effect, index.Soft, index.Hard, index.Value, cmp.Or(index.DedupS, 5)))
-		ones, minimums = append(ones, "1"), append(minimums, strconv.FormatFloat(cmp.Or(index.Minimum, 1), 'g', -1, 64))
+			index.Name, index.Effect, index.SoftDeadlineSeconds, index.HardDeadlineSeconds, index.Value, cmp.Or(index.DeduplicationSeconds, 5)))
+		ones, minimums = append(ones, "1"), append(minimums, strconv.FormatFloat(cmp.Or(index.MinAnswerShare, 1), 'g', -1, 64))
 	}
 	zones, _ := json.Marshal(s.Zones)
 	tenants := []map[string]any{}
@@ -248,12 +250,12 @@
 		"limits":{"cancel":true,"probing":true,"mayDuplicate":true,"retryAfter":true,"mostTries":3,"multiplex":100,"idleCloseS":15,
 		"connectTimeoutS":0.25,"maxRetryAfterS":1,"mostHeld":20000},
 		"invariants":{"answerSlackS":0.02,"coldS":%g,"coldShare":0.25,"drainGraceS":2,"fallMultiple":2,"fallS":1},"prices":{"crossZone":0.02}}`,
-		zones, ordinal, max(1, s.Aggregators), ordinal%max(1, len(s.Zones)), strings.Join(classes, ","), owners, s.Cells, s.Width, s.Shards,
-		max(1, s.CallSubqueries), s.CallCostS, strings.Join(ones, ","), strings.Join(minimums, ","), s.SlowStartS)
+		zones, ordinal, max(1, s.Aggregators), ordinal%max(1, len(s.Zones)), strings.Join(classes, ","), owners, s.Cells, s.CellsPerShard, s.Shards,
+		max(1, s.SubqueriesPerCall), s.CallCostSeconds, strings.Join(ones, ","), strings.Join(minimums, ","), s.SlowStartSeconds)
 }
 
-// Config is an aggregator's config file.
-func (s Site) Config(name, listen string, r *Register, ordinal int) []byte {
+// Config returns the config file of an aggregator of the site.
+func (s Site) Config(name, listen string, r *Registry, ordinal int) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{},"known":%s,"settings":%s}`,
-		name, listen, r.Address(), 0x9e3779b97f4a7c15*uint64(ordinal+1), r.Known(), s.Settings(ordinal))
+		name, listen, r.Address(), 0x9e3779b97f4a7c15*uint64(ordinal+1), r.FullList(), s.Settings(ordinal))
 }
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -42,7 +42,7 @@
 
 // serveFleet emulates workers until its standard input ends. It writes the list of the workers to its standard output.
 func serveFleet(count int) {
-	workers := cluster.New(cluster.RealClock{}, cluster.Settings{LeaseMax: fleetMaxLease, Describe: func(job.TaskID, string) cluster.Profile {
+	workers := cluster.New(cluster.RealClock{}, cluster.Settings{MaxLease: fleetMaxLease, TaskProfile: func(job.TaskID, string) cluster.Profile {
 		return cluster.Profile{Duration: fleetTaskTime, Resources: fleetTaskResources}
 	}})
 	instances := make([]workerclient.Instance, 0, count)
--- a/internal/jobs/manager/lease_test.go
+++ b/internal/jobs/manager/lease_test.go
@@ -145,7 +145,7 @@
 
 func TestRejectedFencingTokenEndsTerm(t *testing.T) {
 	withCluster(t, func(t *testing.T, _ *testCluster, leader *testNode) {
-		workers := cluster.New(cluster.RealClock{}, cluster.Settings{InMemory: true, LeaseMax: 6 * time.Second})
+		workers := cluster.New(cluster.RealClock{}, cluster.Settings{InMemory: true, MaxLease: 6 * time.Second})
 		defer workers.Close()
 		worker := workers.AddWorker(cluster.WorkerConfig{ID: "i-1"})
 		instance := workerclient.Instance{ID: "i-1", Address: worker.Address(), Service: "x"}
--- a/internal/jobs/workerclient/connections_test.go
+++ b/internal/jobs/workerclient/connections_test.go
@@ -38,7 +38,7 @@
 func newBudgetFixture(t *testing.T, workers int, limits Limits) *budgetFixture {
 	f := &budgetFixture{
 		t: t, connections: NewConnections(limits), events: newRecorder(),
-		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{LeaseMax: budgetMaxLease}),
+		cluster: cluster.New(cluster.RealClock{}, cluster.Settings{MaxLease: budgetMaxLease}),
 	}
 	f.events.onListing = func(Listing) { f.observeUsage() }
 	client := f.connections.HTTPClient()
@@ -113,7 +113,7 @@
 			}
 			acknowledged := time.Now()
 			f.awaitEach(func(_ int, l Listing) bool { return l.SentAt.After(acknowledged) && len(l.Finished) == 0 })
-			for _, record := range f.cluster.Runs() {
+			for _, record := range f.cluster.Attempts() {
 				convey.So(record.Acknowledged, convey.ShouldBeTrue)
 			}
 			convey.So(f.maxOpen.Load(), convey.ShouldBeBetweenOrEqual, maxConnections/2, maxConnections)
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -26,10 +26,10 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a start without a response is unclear, and no command is sent until the worker responds", func() {
-			noResponse, renewalLost := faultWithSignal(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent})
+			noResponse, renewalLost := faultWithSignal(cluster.LeaseCall, cluster.Fault{Kind: cluster.DropCall})
 			f.worker.SetFaults(noResponse)
 			<-renewalLost // no renewal in flight will be answered
-			f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
+			f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.DropCall}))
 			before := time.Now()
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
@@ -53,11 +53,11 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a start that is executed late is unclear, and its attempt is listed later", func() {
-			late := cluster.Fault{Kind: cluster.Late, Delay: 1200 * time.Millisecond}
+			late := cluster.Fault{Kind: cluster.DelayExecution, Delay: 1200 * time.Millisecond}
 			f.worker.SetFaults(cluster.Only(cluster.StartCall, late))
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 			awaitEvent(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
-			convey.So(f.cluster.Runs()[1].Late, convey.ShouldBeTrue)
+			convey.So(f.cluster.Attempts()[1].Late, convey.ShouldBeTrue)
 		})
 	})
 }
@@ -66,7 +66,7 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a stop is retried until it is answered", func() {
-			refusal, refused := faultWithSignal(cluster.StopCall, cluster.Fault{Kind: cluster.Refuse, Status: 503})
+			refusal, refused := faultWithSignal(cluster.StopCall, cluster.Fault{Kind: cluster.Reject, Status: 503})
 			f.worker.SetFaults(refusal)
 			f.link.Stop(StopCommand{task(0), 1})
 			<-refused
@@ -83,7 +83,7 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a connection that breaks makes the start unclear", func() {
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reset}))
+			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.ResetConnection}))
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		})
 	})
@@ -104,7 +104,7 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a worker that refuses renewals is unreachable until it accepts them", func() {
-			f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+			f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
 			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			f.worker.SetFaults(nil)
 			awaitEventAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -119,7 +119,7 @@
 const testMaxLease = 6 * time.Second
 
 func newFixture(t testing.TB, settings cluster.Settings, config cluster.WorkerConfig) *fixture {
-	settings.LeaseMax = testMaxLease
+	settings.MaxLease = testMaxLease
 	config.ID = "i-1"
 	f := &fixture{t: t, cluster: cluster.New(cluster.RealClock{}, settings), events: newRecorder()}
 	f.client, f.minTimeout = NewHTTPClient(), maxCommandTimeout // long timeouts, as the machine may be busy
@@ -184,9 +184,9 @@
 }
 
 // faultWithSignal returns a fault on calls of one kind, and a channel that receives a value for each such call.
-func faultWithSignal(kind cluster.Call, fault cluster.Fault) (decide func(cluster.Call) cluster.Fault, happened chan struct{}) {
+func faultWithSignal(kind cluster.CallKind, fault cluster.Fault) (decide func(cluster.CallKind) cluster.Fault, happened chan struct{}) {
 	happened = make(chan struct{}, 1000)
-	return func(call cluster.Call) cluster.Fault {
+	return func(call cluster.CallKind) cluster.Fault {
 		if call != kind {
 			return cluster.Fault{}
 		}
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -17,7 +17,7 @@
 func TestPollWithoutResponseIsHedged(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		before := f.link.Counts()
-		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.DelayExecution, Delay: 5 * time.Second}))
 		f.link.Stop(StopCommand{task(5), 1})
 		stopped := awaitEvent(t, f.events, anyEvent[StopResult])
 		poll := awaitEvent(t, f.events, isOutOfBand)
@@ -33,7 +33,7 @@
 
 func TestStopWithoutResponseIsHedged(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(firstCalls(1, cluster.StopCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		f.worker.SetFaults(firstCalls(1, cluster.StopCall, cluster.Fault{Kind: cluster.DelayExecution, Delay: 5 * time.Second}))
 		commandedAt := time.Now()
 		f.link.Stop(StopCommand{task(0), 1})
 		convey.So(awaitEvent(t, f.events, anyEvent[StopResult]).Answered, convey.ShouldBeTrue)
@@ -41,14 +41,14 @@
 		convey.So(f.worker.Calls(cluster.StopCall), convey.ShouldEqual, 2)
 		time.Sleep(6 * time.Second) // until the first request is executed, too
 		convey.So(f.start(startCommand(0, 2)), convey.ShouldEqual, Started)
-		convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 2)
+		convey.So(f.cluster.Attempts(), convey.ShouldHaveLength, 2)
 	})
 }
 
 func TestStartWithoutResponseIsNotHedged(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
 		starts, hedged := f.worker.Calls(cluster.StartCall), f.link.Counts().HedgedRequests
-		f.worker.SetFaults(firstCalls(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(firstCalls(1, cluster.StartCall, cluster.Fault{Kind: cluster.DropCall}))
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		time.Sleep(5 * time.Second)
 		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, starts+1)
@@ -58,7 +58,7 @@
 
 func TestStartTimeoutShrinksWhenManyStartsAreLost(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
-		f.worker.SetFaults(firstCalls(3, cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}))
+		f.worker.SetFaults(firstCalls(3, cluster.StartCall, cluster.Fault{Kind: cluster.DelayExecution, Delay: 5 * time.Second}))
 		timeToUnclear := func(index int) time.Duration {
 			commandedAt := time.Now()
 			convey.So(f.start(startCommand(index, 1)), convey.ShouldEqual, Unclear)
@@ -70,7 +70,7 @@
 		for i := range 10 {
 			convey.So(f.start(startCommand(4+i, 1)), convey.ShouldEqual, Started)
 		}
-		f.worker.SetFaults(firstCalls(1, cluster.StartCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(firstCalls(1, cluster.StartCall, cluster.Fault{Kind: cluster.DropCall}))
 		convey.So(timeToUnclear(20), convey.ShouldBeGreaterThanOrEqualTo, minCommandTimeout)
 		convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1+3+10+1) // each start is sent once
 	})
@@ -78,7 +78,7 @@
 
 func TestNoHedgeIsSentAfterLeaderLeaseExpiry(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.DropCall}))
 		f.link.Stop(StopCommand{task(0), 1})
 		time.Sleep(hedgeMargin / 2)
 		f.leaderLeaseExpired.Store(true)
@@ -90,7 +90,7 @@
 
 func TestHedgesAreBounded(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.DropCall}))
 		for i := range 3 * maxCommandsInFlight {
 			f.link.Stop(StopCommand{task(i), 1})
 		}
@@ -105,16 +105,16 @@
 func TestFailedHedgeDoesNotFailTheCall(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		calls := 0
-		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
+		f.worker.SetFaults(func(call cluster.CallKind) cluster.Fault {
 			if call != cluster.StopCall {
 				return cluster.Fault{}
 			}
 			calls++
 			switch calls {
 			case 1: // is answered after the hedged request has failed
-				return cluster.Fault{Kind: cluster.Slow, Delay: 2 * responseTimeoutMargin}
+				return cluster.Fault{Kind: cluster.DelayAnswer, Delay: 2 * responseTimeoutMargin}
 			default:
-				return cluster.Fault{Kind: cluster.Reset}
+				return cluster.Fault{Kind: cluster.ResetConnection}
 			}
 		})
 		commandedAt := time.Now()
--- a/internal/jobs/workerclient/leaderlease_test.go
+++ b/internal/jobs/workerclient/leaderlease_test.go
@@ -26,7 +26,7 @@
 			f.leaderLeaseExpired.Store(true)
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, NotSent)
 			convey.So(f.worker.Calls(cluster.StartCall), convey.ShouldEqual, 1)
-			convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 1)
+			convey.So(f.cluster.Attempts(), convey.ShouldHaveLength, 1)
 			f.leaderLeaseExpired.Store(false)
 		})
 		convey.Convey("a stop after the expiry of the leader lease is sent once the lease is valid again", t, func() {
@@ -87,7 +87,7 @@
 // calls returns the number of calls that both workers have received.
 func (l *pausedLeader) calls() int {
 	total := 0
-	for _, kind := range []cluster.Call{cluster.StartCall, cluster.StopCall, cluster.LeaseCall} {
+	for _, kind := range []cluster.CallKind{cluster.StartCall, cluster.StopCall, cluster.LeaseCall} {
 		total += l.worker.Calls(kind) + l.second.Calls(kind)
 	}
 	return total
@@ -135,11 +135,11 @@
 		}},
 		{"a rejection whose response is lost", delay, func(l *pausedLeader, _ chan struct{}) {
 			lost := 0
-			l.worker.SetFaults(func(cluster.Call) cluster.Fault {
+			l.worker.SetFaults(func(cluster.CallKind) cluster.Fault {
 				if lost++; lost > 3 {
 					return cluster.Fault{}
 				}
-				return cluster.Fault{Kind: cluster.Mute}
+				return cluster.Fault{Kind: cluster.DropAnswer}
 			})
 		}},
 	}
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -14,7 +14,7 @@
 
 // coresPerTask returns cluster settings in which a task with index i needs i+1 cores.
 func coresPerTask() cluster.Settings {
-	return cluster.Settings{Describe: func(task job.TaskID, _ string) cluster.Profile {
+	return cluster.Settings{TaskProfile: func(task job.TaskID, _ string) cluster.Profile {
 		return cluster.Profile{Resources: job.Resources{Processors: int64(1000 * (1 + task.Index))}, Checkpoints: true}
 	}}
 }
@@ -22,7 +22,7 @@
 func TestStartOutcomes(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a worker with four cores that enforces its capacity", t, func() {
-		f := newFixture(t, coresPerTask(), cluster.WorkerConfig{Guards: true, Capacity: job.Resources{Processors: 4000}})
+		f := newFixture(t, coresPerTask(), cluster.WorkerConfig{EnforcesCapacity: true, Capacity: job.Resources{Processors: 4000}})
 		convey.Reset(f.close)
 		awaitReturn := f.connect(7)
 		first := awaitEvent(t, f.events, anyEvent[Listing])
@@ -31,8 +31,8 @@
 		convey.Convey("a start is answered, also if the worker has the attempt already", func() {
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Started)
-			convey.So(f.cluster.Runs(), convey.ShouldHaveLength, 1)
-			convey.So(f.cluster.Runs()[0].FencingToken, convey.ShouldEqual, 7)
+			convey.So(f.cluster.Attempts(), convey.ShouldHaveLength, 1)
+			convey.So(f.cluster.Attempts()[0].FencingToken, convey.ShouldEqual, 7)
 		})
 		convey.Convey("a task that exceeds the capacity is rejected", func() {
 			convey.So(f.start(startCommand(4, 1)), convey.ShouldEqual, RejectedCapacity)
@@ -48,14 +48,14 @@
 			convey.So(f.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
 		convey.Convey("an unhealthy worker executes nothing", func() {
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 429}))
+			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 429}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
-			convey.So(f.cluster.Runs(), convey.ShouldBeEmpty)
+			convey.So(f.cluster.Attempts(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("any other status is unclear", func() {
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Refuse, Status: 500}))
+			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 500}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Unclear)
 		})
 		convey.Convey("a start without a valid leader lease is not sent", func() {
@@ -117,7 +117,7 @@
 		convey.So(f.start(startCommand(1, 5)), convey.ShouldEqual, Started)
 
 		convey.Convey("text and checkpoint arrive unchanged", func() {
-			record := f.cluster.Runs()[0]
+			record := f.cluster.Attempts()[0]
 			convey.So(record.Specification, convey.ShouldEqual, text)
 			convey.So(record.Checkpoint, convey.ShouldEqual, "00000bb8")
 		})
@@ -139,7 +139,7 @@
 				acknowledged := time.Now()
 				next := awaitEvent(t, f.events, func(l Listing) bool { return l.SentAt.After(acknowledged) })
 				convey.So(next.Finished, convey.ShouldBeEmpty)
-				convey.So(f.cluster.Runs()[1].Acknowledged, convey.ShouldBeTrue)
+				convey.So(f.cluster.Attempts()[1].Acknowledged, convey.ShouldBeTrue)
 			})
 		})
 		convey.Convey("listings other than those of polls arrive in the order of their requests, and events arrive one at a time", func() {
@@ -177,7 +177,7 @@
 		for i := range runs {
 			awaitEvent(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
 		}
-		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Refuse, Status: 503}))
+		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
 		for i := range runs {
 			convey.So(f.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 		}
@@ -203,7 +203,7 @@
 func TestLink(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Given a link to an idle worker", t, func() {
-		f := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockZero: 5 * time.Hour})
+		f := newFixture(t, cluster.Settings{}, cluster.WorkerConfig{ClockRate: 0.98, ClockStart: 5 * time.Hour})
 		convey.Reset(f.close)
 		convey.Convey("no lease is granted before the first listing, and then the lease is renewed", func() {
 			f.connect(1)
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -48,9 +48,9 @@
 }
 
 // everyNth returns a fault on every nth call of a kind.
-func everyNth(n int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
+func everyNth(n int, kind cluster.CallKind, fault cluster.Fault) func(cluster.CallKind) cluster.Fault {
 	count := 0
-	return func(call cluster.Call) cluster.Fault {
+	return func(call cluster.CallKind) cluster.Fault {
 		if call != kind {
 			return cluster.Fault{}
 		}
@@ -63,8 +63,8 @@
 }
 
 // firstCalls returns a fault on the next calls of a kind.
-func firstCalls(calls int, kind cluster.Call, fault cluster.Fault) func(cluster.Call) cluster.Fault {
-	return func(call cluster.Call) cluster.Fault {
+func firstCalls(calls int, kind cluster.CallKind, fault cluster.Fault) func(cluster.CallKind) cluster.Fault {
+	return func(call cluster.CallKind) cluster.Fault {
 		if call != kind || calls == 0 {
 			return cluster.Fault{}
 		}
@@ -86,7 +86,7 @@
 
 func TestOverdueRenewalIsReplacedByPoll(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Late, Delay: 3 * time.Second}))
+		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.DelayExecution, Delay: 3 * time.Second}))
 		f.awaitRenewal()
 		lost := time.Now()
 		poll := awaitEvent(t, f.events, isOutOfBand)
@@ -114,7 +114,7 @@
 		f := newMemoryFixture(t, oneWayDelay)
 		defer f.close()
 		convey.Convey("Given a worker that does not respond to the first call", t, func() {
-			f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
+			f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.DropCall}))
 			began := time.Now()
 			f.connect(1)
 			listing := awaitEvent(t, f.events, anyEvent[Listing])
@@ -129,7 +129,7 @@
 
 func TestSilentWorkerIsUnreachableAfterOverdueRenewalAndPoll(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.DropCall}))
 		f.awaitRenewal()
 		lost := time.Now()
 		awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
@@ -143,7 +143,7 @@
 
 func TestUnclearStartIsFollowedByPoll(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		late := cluster.Fault{Kind: cluster.Late, Delay: 5 * time.Second}
+		late := cluster.Fault{Kind: cluster.DelayExecution, Delay: 5 * time.Second}
 		f.worker.SetFaults(firstCalls(1, cluster.StartCall, late))
 		renewals := f.link.Counts().Renewals
 		sent := time.Now()
@@ -169,7 +169,7 @@
 
 func TestNoFurtherStartIsSentToUnresponsiveWorker(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.DropCall}))
 		f.awaitRenewal()
 		unresponsive := time.Now()
 		starts := f.worker.Calls(cluster.StartCall)
@@ -187,7 +187,7 @@
 
 func TestLostPollIsRetried(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Silent}))
+		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.DropCall}))
 		f.link.Stop(StopCommand{task(5), 1})
 		stopped := awaitEvent(t, f.events, anyEvent[StopResult])
 		convey.So(stopped.Answered, convey.ShouldBeTrue)
@@ -216,7 +216,7 @@
 func TestOvertakenListingIsMarkedStale(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
 		f.acknowledgeAll()
-		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.Slow, Delay: 100 * time.Millisecond}))
+		f.worker.SetFaults(firstCalls(1, cluster.LeaseCall, cluster.Fault{Kind: cluster.DelayAnswer, Delay: 100 * time.Millisecond}))
 		f.awaitRenewal()
 		sent := time.Now()
 		convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Started)
@@ -260,7 +260,7 @@
 		awaitEventAfter(t, f.events, listings, func(l Listing) bool { return len(l.Finished) == 5 }) // delivered again after redeliveryAge
 		f.link.Acknowledge(5)
 		time.Sleep(time.Second)
-		convey.So(f.cluster.Runs()[4].Acknowledged, convey.ShouldBeTrue)
+		convey.So(f.cluster.Attempts()[4].Acknowledged, convey.ShouldBeTrue)
 	})
 }
 
@@ -300,9 +300,9 @@
 func TestFewLostCallsDoNotMakeWorkerUnreachable(t *testing.T) {
 	const lossInterval = 20 // one of this many calls is lost
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
-		late := cluster.Fault{Kind: cluster.Late, Delay: 7 * time.Second}
+		late := cluster.Fault{Kind: cluster.DelayExecution, Delay: 7 * time.Second}
 		renewals, starts := everyNth(lossInterval, cluster.LeaseCall, late), everyNth(lossInterval, cluster.StartCall, late)
-		f.worker.SetFaults(func(call cluster.Call) cluster.Fault {
+		f.worker.SetFaults(func(call cluster.CallKind) cluster.Fault {
 			if call == cluster.LeaseCall {
 				return renewals(call)
 			}
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -190,12 +190,12 @@
 // lateCommand is a command that was passed to its connection without a lease, or at the instant at which its term was given up.
 type lateCommand struct {
 	under termKey
-	kind  cluster.Call
+	kind  cluster.CallKind
 	at    time.Time
 }
 
 // recordCommand checks a command at the instant at which a node passes it to its connection.
-func (c *checker) recordCommand(member string, kind cluster.Call, token uint64) {
+func (c *checker) recordCommand(member string, kind cluster.CallKind, token uint64) {
 	if kind == cluster.LeaseCall {
 		return
 	}
@@ -220,7 +220,7 @@
 }
 
 // checkWorkerReply checks the fencing token of a command that a worker has accepted.
-func (c *checker) checkWorkerReply(worker string, kind cluster.Call, token uint64, status int) {
+func (c *checker) checkWorkerReply(worker string, kind cluster.CallKind, token uint64, status int) {
 	if status != http.StatusOK {
 		return
 	}
@@ -233,7 +233,7 @@
 }
 
 // checkAttempts checks all attempts at the end: a task has one at a time.
-func (c *checker) checkAttempts(runs []cluster.RunRecord) {
+func (c *checker) checkAttempts(runs []cluster.AttemptRecord) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.counts["runs"] += len(runs)
--- a/internal/systemtest/controlmodel/simulation_test.go
+++ b/internal/systemtest/controlmodel/simulation_test.go
@@ -52,8 +52,8 @@
 		membership: replicaset.View{Version: 1},
 	}
 	s.workers = cluster.New(cluster.RealClock{}, cluster.Settings{
-		InMemory: true, LeaseMax: maxLease, StopTime: 200 * time.Millisecond,
-		Describe: func(task job.TaskID, _ string) cluster.Profile {
+		InMemory: true, MaxLease: maxLease, StopDuration: 200 * time.Millisecond,
+		TaskProfile: func(task job.TaskID, _ string) cluster.Profile {
 			length := time.Duration(100+100*(len(task.Job)+task.Index)%1200) * time.Millisecond
 			return cluster.Profile{Resources: job.Resources{Processors: 500}, Duration: length}
 		},
@@ -97,7 +97,7 @@
 
 // checkFinalState checks what is left when all is calm, and ends the system.
 func (s *simulation) checkFinalState() {
-	s.checker.checkAttempts(s.workers.Runs())
+	s.checker.checkAttempts(s.workers.Attempts())
 	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
 	defer cancel()
 	value, err := s.cores[0].register.Read(ctx)
--- a/internal/systemtest/controlmodel/workercalls_test.go
+++ b/internal/systemtest/controlmodel/workercalls_test.go
@@ -43,7 +43,7 @@
 	if err := json.Unmarshal(body, &content); err != nil {
 		return nil, err
 	}
-	kind, worker, token := cluster.Call(request.URL.Path), request.URL.Host, content.FencingToken
+	kind, worker, token := cluster.CallKind(request.URL.Path), request.URL.Host, content.FencingToken
 	o.simulation.checker.recordCommand(o.from.address, kind, token)
 	o.from.awaitResume()
 	if !o.from.isCurrent(o.incarnation) {
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -79,7 +79,7 @@
 // crashGangMember crashes a worker on which a member of a gang has worked for long enough to have saved.
 func crashGangMember(ctx context.Context, s *system) error {
 	for {
-		for _, run := range s.cluster.Runs() {
+		for _, run := range s.cluster.Attempts() {
 			kind := s.plans.kindOf(string(run.Task.Job))
 			if kind == gangJob && run.EndedAt.IsZero() && time.Since(run.StartedAt) > 2*checkpointInterval {
 				s.crashIncarnation(run.Worker)
@@ -98,8 +98,8 @@
 		return err
 	}
 	const lateBy, upset = 2 * time.Second, 3 * time.Second
-	s.beginCallFaults(s.workers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: lateBy, FromArrival: true}))
-	s.beginCallFaults(s.workers[2], cluster.Always(cluster.Fault{Kind: cluster.Silent}))
+	s.beginCallFaults(s.workers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.DelayExecution, Delay: lateBy, FromArrival: true}))
+	s.beginCallFaults(s.workers[2], cluster.Always(cluster.Fault{Kind: cluster.DropCall}))
 	s.drain(s.workers[3])
 	if err := sleep(ctx, upset); err != nil {
 		return err
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -70,13 +70,13 @@
 	stage := plan.body.Stages[task.Stage]
 	profile := cluster.Profile{Resources: stage.Resources, Duration: plan.work, Checkpoints: stage.Checkpoints}
 	if stage.GangScheduled {
-		profile.Gang = stage.Count
+		profile.GangSize = stage.Count
 	}
 	if stage.LongRunning {
 		profile.Duration = 0
 	}
 	if plan.alwaysFails {
-		profile.Ends = job.OutcomeFailed
+		profile.Outcome = job.OutcomeFailed
 	}
 	return profile
 }
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -180,13 +180,13 @@
 }
 
 // fill adds what was recorded to a history.
-func (r *recorder) fill(h *checker.History, runs []cluster.RunRecord) {
+func (r *recorder) fill(h *checker.History, runs []cluster.AttemptRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, record := range runs {
-		name := attemptKey{record.Worker, record.Task.String(), record.Execution}
+		name := attemptKey{record.Worker, record.Task.String(), record.Number}
 		attempt := checker.Attempt{
-			Worker: record.Worker, Task: name.task, Number: record.Execution, Specification: record.Specification,
+			Worker: record.Worker, Task: name.task, Number: record.Number, Specification: record.Specification,
 			Checkpoint: record.Checkpoint, Late: record.Late, Sender: r.senders[name], StartedAt: record.StartedAt,
 			EndedAt: record.EndedAt, Outcome: string(record.Outcome),
 		}
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -178,7 +178,7 @@
 	bounds := s.bounds()
 	ctx, cancel := context.WithTimeout(ctx, bounds.Cancel+bounds.Stop+time.Second)
 	defer cancel()
-	for slices.ContainsFunc(s.cluster.Runs(), func(run cluster.RunRecord) bool { return run.EndedAt.IsZero() }) {
+	for slices.ContainsFunc(s.cluster.Attempts(), func(run cluster.AttemptRecord) bool { return run.EndedAt.IsZero() }) {
 		if sleep(ctx, pollInterval) != nil {
 			return
 		}
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	s.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
-		LeaseMax: maxLease, GangWait: gangWait, StopTime: stopTime, SaveEvery: checkpointInterval, Restore: restoreTime, Describe: s.plans.describe,
+		MaxLease: maxLease, GangTimeout: gangWait, StopDuration: stopTime, CheckpointInterval: checkpointInterval, RestoreDuration: restoreTime, TaskProfile: s.plans.describe,
 	})
 	if err := s.addSurroundings(of); err != nil {
 		return nil, err
@@ -283,6 +283,6 @@
 	for _, incarnation := range s.workerIncarnations {
 		h.Workers = append(h.Workers, incarnation)
 	}
-	s.recorder.fill(&h, s.cluster.Runs())
+	s.recorder.fill(&h, s.cluster.Attempts())
 	return h
 }
--- a/internal/systemtest/workers_test.go
+++ b/internal/systemtest/workers_test.go
@@ -47,8 +47,8 @@
 		Capacity: checker.Resources{Processors: capacity.Processors, MemoryMB: capacity.MemoryMB},
 	}}
 	added.Worker = s.cluster.AddWorker(cluster.WorkerConfig{
-		ID: name + "-life-1", Service: plan.service, Zone: "north", Version: "v1", Slots: 8, Capacity: capacity, Labels: labels, Guards: plan.guards,
-		ClockRate: 1 - 0.01*float64(number%3), ClockZero: time.Duration(number+1) * time.Hour,
+		ID: name + "-life-1", Service: plan.service, Zone: "north", Version: "v1", Slots: 8, Capacity: capacity, Labels: labels, EnforcesCapacity: plan.guards,
+		ClockRate: 1 - 0.01*float64(number%3), ClockStart: time.Duration(number+1) * time.Hour,
 	})
 	added.incarnations = 1
 	added.relay = &relay{
@@ -95,7 +95,7 @@
 }
 
 // beginCallFaults lets the calls to a worker go wrong until calm is called.
-func (s *system) beginCallFaults(one *worker, faults func(cluster.Call) cluster.Fault) {
+func (s *system) beginCallFaults(one *worker, faults func(cluster.CallKind) cluster.Fault) {
 	s.workerFaultBegan(one)
 	one.SetFaults(faults)
 }
--- a/internal/tools/demo/cluster/cluster.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -227,7 +227,7 @@
 	for wait(ctx, d.options.Every) {
 		counts := d.load.counts()
 		d.printLine("jobs handed in %d, accepted %d, ended %d; runs started %d, under way %d", counts.submitted, counts.accepted, counts.ended,
-			len(d.cluster.Runs()), runningCount(d.cluster.Runs()))
+			len(d.cluster.Attempts()), runningCount(d.cluster.Attempts()))
 	}
 }
 
--- a/internal/tools/demo/cluster/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -87,7 +87,7 @@
 		Resources: stage.Resources, Duration: time.Duration(stage.EstimatedDurationMS) * time.Millisecond, Checkpoints: stage.Checkpoints,
 	}
 	if stage.GangScheduled {
-		profile.Gang = stage.Count
+		profile.GangSize = stage.Count
 	}
 	return profile
 }
--- a/internal/tools/demo/cluster/machines.go
+++ b/internal/tools/demo/cluster/machines.go
@@ -27,15 +27,15 @@
 
 func (d *demo) startWorkers() {
 	d.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
-		LeaseMax: leaseMax, GangWait: 3 * time.Second, StopTime: 100 * time.Millisecond, SaveEvery: 500 * time.Millisecond,
-		Restore: 100 * time.Millisecond, Describe: d.load.profile,
+		MaxLease: leaseMax, GangTimeout: 3 * time.Second, StopDuration: 100 * time.Millisecond, CheckpointInterval: 500 * time.Millisecond,
+		RestoreDuration: 100 * time.Millisecond, TaskProfile: d.load.profile,
 	})
 	for _, service := range services {
 		for number := range d.options.Workers {
 			d.workers = append(d.workers, d.cluster.AddWorker(cluster.WorkerConfig{
 				ID: fmt.Sprintf("%s-%d", service, number), Service: service, Zone: "demo", Version: "v1", Slots: 8,
 				Capacity: job.Resources{Processors: 8000, MemoryMB: 16000, Accelerators: 2},
-				Labels:   []string{"standard", fmt.Sprintf("rack-%d", number/workersPerRack)}, Guards: true,
+				Labels:   []string{"standard", fmt.Sprintf("rack-%d", number/workersPerRack)}, EnforcesCapacity: true,
 			}))
 		}
 	}
@@ -119,7 +119,7 @@
 // busiest is the worker with the most runs under way.
 func (d *demo) busiest() (victim *cluster.Worker, runs int) {
 	busy := map[string]int{}
-	for _, record := range d.cluster.Runs() {
+	for _, record := range d.cluster.Attempts() {
 		if record.EndedAt.IsZero() {
 			busy[record.Worker]++
 		}
@@ -202,6 +202,6 @@
 }
 
 // runningCount counts the runs that have not ended.
-func runningCount(records []cluster.RunRecord) int {
-	return len(slices.DeleteFunc(records, func(record cluster.RunRecord) bool { return !record.EndedAt.IsZero() }))
+func runningCount(records []cluster.AttemptRecord) int {
+	return len(slices.DeleteFunc(records, func(record cluster.AttemptRecord) bool { return !record.EndedAt.IsZero() }))
 }
--- a/internal/tools/demo/cluster/summary.go
+++ b/internal/tools/demo/cluster/summary.go
@@ -54,7 +54,7 @@
 }
 
 func (d *demo) summarize(settled bool) Summary {
-	summary := count(d.load.submissions(), d.cluster.Runs())
+	summary := count(d.load.submissions(), d.cluster.Attempts())
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	summary.Faults = d.faults
@@ -64,7 +64,7 @@
 }
 
 // count compares the jobs as their clients saw them with the runs as the workers saw them.
-func count(jobs []submission, records []cluster.RunRecord) Summary {
+func count(jobs []submission, records []cluster.AttemptRecord) Summary {
 	summary := Summary{Jobs: len(jobs), Runs: len(records), DoubledTasks: len(duplicated(records))}
 	done := map[job.TaskID]bool{}
 	runs := map[job.ID]int{}
@@ -113,9 +113,9 @@
 
 // duplicated finds the tasks with two runs at the same time, or with a run that started after one whose end done was taken
 // note of.
-func duplicated(records []cluster.RunRecord) map[job.TaskID]bool {
+func duplicated(records []cluster.AttemptRecord) map[job.TaskID]bool {
 	found := map[job.TaskID]bool{}
-	byTask := map[job.TaskID][]cluster.RunRecord{}
+	byTask := map[job.TaskID][]cluster.AttemptRecord{}
 	for _, record := range records { // in the order of their starts
 		for _, earlier := range byTask[record.Task] {
 			overlaps := earlier.EndedAt.IsZero() || earlier.EndedAt.After(record.StartedAt)
--- a/internal/tools/demo/cluster/summary_test.go
+++ b/internal/tools/demo/cluster/summary_test.go
@@ -14,8 +14,8 @@
 var begin = time.Unix(1_700_000_000, 0)
 
 // ran is a run of the only task of job a, from one second to another; it goes on if the latter is 0.
-func ran(from, to int, how job.Outcome, acknowledged bool) cluster.RunRecord {
-	record := cluster.RunRecord{Task: job.TaskID{Job: "a"}, StartedAt: begin.Add(time.Duration(from) * time.Second), Outcome: how, Acknowledged: acknowledged}
+func ran(from, to int, how job.Outcome, acknowledged bool) cluster.AttemptRecord {
+	record := cluster.AttemptRecord{Task: job.TaskID{Job: "a"}, StartedAt: begin.Add(time.Duration(from) * time.Second), Outcome: how, Acknowledged: acknowledged}
 	if to > 0 {
 		record.EndedAt = begin.Add(time.Duration(to) * time.Second)
 	}
@@ -25,15 +25,15 @@
 func TestDuplicatedRuns(t *testing.T) {
 	cases := []struct {
 		name    string
-		runs    []cluster.RunRecord
+		runs    []cluster.AttemptRecord
 		doubled int
 	}{
-		{"one run", []cluster.RunRecord{ran(1, 2, job.OutcomeDone, true)}, 0},
-		{"a run after a failed one", []cluster.RunRecord{ran(1, 2, job.OutcomeFailed, true), ran(3, 4, job.OutcomeDone, true)}, 0},
-		{"a run after an end that nobody saw", []cluster.RunRecord{ran(1, 2, job.OutcomeDone, false), ran(3, 4, job.OutcomeDone, true)}, 0},
-		{"a run after an end that was seen", []cluster.RunRecord{ran(1, 2, job.OutcomeDone, true), ran(3, 4, job.OutcomeDone, true)}, 1},
-		{"two runs at once", []cluster.RunRecord{ran(1, 4, job.OutcomeDone, true), ran(2, 3, job.OutcomeFailed, true)}, 1},
-		{"a run beside one that goes on", []cluster.RunRecord{ran(1, 0, "", false), ran(2, 3, job.OutcomeDone, true)}, 1},
+		{"one run", []cluster.AttemptRecord{ran(1, 2, job.OutcomeDone, true)}, 0},
+		{"a run after a failed one", []cluster.AttemptRecord{ran(1, 2, job.OutcomeFailed, true), ran(3, 4, job.OutcomeDone, true)}, 0},
+		{"a run after an end that nobody saw", []cluster.AttemptRecord{ran(1, 2, job.OutcomeDone, false), ran(3, 4, job.OutcomeDone, true)}, 0},
+		{"a run after an end that was seen", []cluster.AttemptRecord{ran(1, 2, job.OutcomeDone, true), ran(3, 4, job.OutcomeDone, true)}, 1},
+		{"two runs at once", []cluster.AttemptRecord{ran(1, 4, job.OutcomeDone, true), ran(2, 3, job.OutcomeFailed, true)}, 1},
+		{"a run beside one that goes on", []cluster.AttemptRecord{ran(1, 0, "", false), ran(2, 3, job.OutcomeDone, true)}, 1},
 	}
 	for _, c := range cases {
 		Convey("Doubled: "+c.name, t, func() { So(duplicated(c.runs), ShouldHaveLength, c.doubled) })
@@ -43,7 +43,7 @@
 func TestCounts(t *testing.T) {
 	Convey("Given a job of one task", t, func() {
 		specification := &job.Specification{Stages: []job.Stage{{Count: 1}}}
-		done := []cluster.RunRecord{ran(1, 2, job.OutcomeDone, true)}
+		done := []cluster.AttemptRecord{ran(1, 2, job.OutcomeDone, true)}
 		handed := submission{id: "a", specification: specification, accepted: true, state: job.Completed}
 		good := Summary{Jobs: 1, Accepted: 1, Completed: 1, Tasks: 1, DoneTasks: 1, Runs: 1}
 
--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -52,21 +52,21 @@
 
 // site is the demo's deployment.
 func site(o Options) fakes.Site {
-	return fakes.Site{Zones: []string{"north", "south"}, Cells: o.Backends, Width: min(width, o.Backends), Shards: shardsACell * o.Backends,
-		Aggregators: o.Aggregators, Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Value: 1},
-			{Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Value: 3}}}
+	return fakes.Site{Zones: []string{"north", "south"}, Cells: o.Backends, CellsPerShard: min(width, o.Backends), Shards: shardsACell * o.Backends,
+		Aggregators: o.Aggregators, Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", SoftDeadlineSeconds: 0.5, HardDeadlineSeconds: 2, Value: 1},
+			{Name: "orders", Effect: "once", SoftDeadlineSeconds: 0.5, HardDeadlineSeconds: 2, Value: 3}}}
 }
 
 type demo struct {
 	Options
 	site     fakes.Site
-	register *fakes.Register
+	register *fakes.Registry
 	backends []*fakes.Backend
 	nodes    []*node.Node
 	sockets  []string
 	load     *fakes.Load
 	dir      string
-	total    fakes.Tally
+	total    fakes.QueryStats
 	last     map[string]int64
 }
 
@@ -114,7 +114,7 @@
 	if d.dir, err = os.MkdirTemp("", "puffinlink-demo-"); err != nil {
 		return err
 	}
-	if d.register, err = fakes.NewRegister(); err != nil {
+	if d.register, err = fakes.NewRegistry(); err != nil {
 		return err
 	}
 	for i := range d.Backends {
@@ -129,7 +129,7 @@
 	if d.Log != nil {
 		log = asynclog.New(zapcore.Lock(zapcore.AddSync(d.Log)))
 	}
-	d.load = &fakes.Load{Site: d.site, PerS: d.PerS, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 2 * time.Second},
+	d.load = &fakes.Load{Site: d.site, QueriesPerSecond: d.PerS, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 2 * time.Second},
 		{Index: "orders", Share: 0.1, Subqueries: 2, Deadline: 2 * time.Second}}}
 	for i := range d.Aggregators {
 		n, address, err := d.aggregator(ctx, i, log)
@@ -165,7 +165,7 @@
 		return
 	}
 	fmt.Fprintf(d.Out, "%d mixers, %d searchers that hold %d shards, each at %d of them; %g lookups a second.\nFrom a second terminal:\n",
-		d.Aggregators, d.Backends, d.site.Shards, d.site.Width, d.PerS)
+		d.Aggregators, d.Backends, d.site.Shards, d.site.CellsPerShard, d.PerS)
 	for _, s := range d.sockets {
 		fmt.Fprintf(d.Out, "  bin/puffinlink override set weight s-1 --weight 0.25 --for 1m --reason 'a try' --at %s\n", s)
 	}
@@ -173,8 +173,8 @@
 }
 
 // collect adds what came of queries since the last time.
-func (d *demo) collect() fakes.Tally {
-	t := d.load.Take()
+func (d *demo) collect() fakes.QueryStats {
+	t := d.load.TakeStats()
 	d.total.Add(t)
 	return t
 }
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -69,7 +69,7 @@
 	index         int
 	suffix        string // sets a second process of one name apart
 	address       string // of its own fleet's sockets
-	discovery     *fakes.Register
+	discovery     *fakes.Registry
 	backendRelays []*Relay // of each backend
 	dir           string
 	env           []string
@@ -130,8 +130,8 @@
 	o.LeaseS, o.Service = cmp.Or(o.LeaseS, usualLeaseS), cmp.Or(o.Service, usualService)
 	c := &Cluster{TB: t, Options: o, relays: map[[2]int]*Relay{}, Checker: NewChecker(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
-		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Backends, Width: 2, Shards: o.Backends, Aggregators: o.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
-			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Value: 1, Minimum: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Value: 3}}}}
+		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Backends, CellsPerShard: 2, Shards: o.Backends, Aggregators: o.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
+			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", SoftDeadlineSeconds: 0.5, HardDeadlineSeconds: 2, Value: 1, MinAnswerShare: 0.5}, {Name: "orders", Effect: "once", SoftDeadlineSeconds: 0.5, HardDeadlineSeconds: 2, Value: 3}}}}
 	var err error
 	c.dir, err = os.MkdirTemp("", "rg") // a socket's path is short
 	c.must(err)
@@ -160,7 +160,7 @@
 	m := &Aggregator{cluster: c, index: i, Name: fmt.Sprintf("m%d", i), Zone: c.Site.Zones[i%3], dir: c.path(fmt.Sprintf("d%d", i))}
 	m.Listen, m.address = c.port(), c.port()
 	var err error
-	m.discovery, err = fakes.NewRegister()
+	m.discovery, err = fakes.NewRegistry()
 	c.must(err)
 	c.Cleanup(m.discovery.Close)
 	for j, s := range c.Backends {
@@ -304,7 +304,7 @@
 	}
 	times := map[string]int64{}
 	for _, s := range c.Backends {
-		s.Executed(func(id string, n int64) { times[id] += n })
+		s.EachExecuted(func(id string, n int64) { times[id] += n })
 	}
 	for id, n := range times {
 		if tenant, _, _ := strings.Cut(id, " "); n > max(1, c.timesSentOf(id)) && tenant == OrdersTenant {
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -221,13 +221,13 @@
 }
 
 // runOnSockets plays a setting on sockets: real aggregators, stand-ins for the rest.
-func runOnSockets(ctx context.Context, scenario Scenario) (tally fakes.Tally, err error) {
-	site := fakes.Site{Zones: scenario.Site.Locations, Cells: scenario.Site.Cells, Width: scenario.Site.Width, Shards: scenario.Site.Shards, Aggregators: scenario.Site.Aggregators}
+func runOnSockets(ctx context.Context, scenario Scenario) (tally fakes.QueryStats, err error) {
+	site := fakes.Site{Zones: scenario.Site.Locations, Cells: scenario.Site.Cells, CellsPerShard: scenario.Site.Width, Shards: scenario.Site.Shards, Aggregators: scenario.Site.Aggregators}
 	effects := map[policy.Effect]string{policy.Idempotent: "repeatable", policy.Deduplicated: "by_key", policy.AtMostOnce: "once"}
 	for _, index := range scenario.Site.Indexes {
-		site.Indexes = append(site.Indexes, fakes.Index{Name: index.Name, Effect: effects[index.Effect], Soft: index.Soft, Hard: index.Hard, Value: index.Value})
+		site.Indexes = append(site.Indexes, fakes.Index{Name: index.Name, Effect: effects[index.Effect], SoftDeadlineSeconds: index.Soft, HardDeadlineSeconds: index.Hard, Value: index.Value})
 	}
-	register, err := fakes.NewRegister()
+	register, err := fakes.NewRegistry()
 	if err != nil {
 		return tally, err
 	}
@@ -241,11 +241,11 @@
 		defer backend.Kill()
 		register.Set(backend.Entry("SERVING", true))
 	}
-	load := &fakes.Load{Site: site, PerS: scenario.Workload.PerS, Popular: scenario.Workload.Popular, Retries: scenario.Site.Retries, Backoff: time.Duration(scenario.Site.Backoff * float64(time.Second))}
+	load := &fakes.Load{Site: site, QueriesPerSecond: scenario.Workload.PerS, ShardWeights: scenario.Workload.Popular, Retries: scenario.Site.Retries, MinBackoff: time.Duration(scenario.Site.Backoff * float64(time.Second))}
 	for _, mix := range scenario.Workload.Mix {
 		index := scenario.Site.Indexes[mix.Index]
 		load.Mixes = append(load.Mixes, fakes.Mix{Index: index.Name, Share: mix.Fraction, Subqueries: mix.Subqueries, Deadline: time.Duration(index.Hard * float64(time.Second)),
-			Soft: time.Duration(index.Soft * float64(time.Second)), Value: index.Value})
+			SoftDeadline: time.Duration(index.Soft * float64(time.Second)), Value: index.Value})
 	}
 	for i := range scenario.Site.Aggregators {
 		address, err := fakes.FreeAddress()
@@ -267,11 +267,11 @@
 		}
 	}
 	wait(2) // windows and latencies are learnt
-	load.Take()
+	load.TakeStats()
 	wait(scenario.Seconds)
-	tally = load.Take()
+	tally = load.TakeStats()
 	load.Stop()
-	remainder := load.Take() // what was due then
+	remainder := load.TakeStats() // what was due then
 	// Queries that were due then are few against the others, and their gain is left out.
 	tally.Add(remainder)
 	tally.Sent = tally.Satisfied + tally.Nacked + tally.Aborted + tally.Lost
