--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -92,6 +92,7 @@
 	clear(s.connections)
 }
 
+// SetServiceTime sets the mean service time.
 func (s *Backend) SetServiceTime(d time.Duration) { s.serviceTime.Store(int64(d)) }
 
 // SetFailing sets whether the backend answers each executed subquery with a failure.
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -32,7 +32,8 @@
 	return c
 }
 
-// call calls a worker's current incarnation. It returns the status and the decoded body, if the answer has one.
+// call calls a worker's current incarnation. It returns the status and the decoded body. Only answers
+// with status 200 and 409 have one.
 func (c client) call(s *Worker, kind CallKind, body string) (int, response) {
 	c.t.Helper()
 	request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(kind), bytes.NewReader([]byte(body)))
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -133,7 +133,7 @@
 	r.notify(r.encode(true, r.entries))
 }
 
-// SetDown(true) ends all watches and makes the registry reject all requests until SetDown(false).
+// SetDown sets whether the registry is down. While down, it rejects all requests. Going down ends all watches.
 func (r *Registry) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/systemtest/checker/answers.go
+++ b/internal/systemtest/checker/answers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// checkJobs checks the answers to clients about jobs, and that jobs end.
+// checkJobs checks the answers to clients about jobs, and that accepted jobs end.
 func (c *checker) checkJobs() {
 	for i := range c.Requests {
 		request := &c.Requests[i]
@@ -14,7 +14,7 @@
 			c.checkStatus(j, request)
 		}
 	}
-	if c.EndedAt.IsZero() {
+	if c.LoadEndedAt.IsZero() {
 		return
 	}
 	for _, j := range c.jobs {
@@ -34,8 +34,8 @@
 }
 
 func (c *checker) checkNotFound(j *jobRecord, request *Request) {
-	uncancelled := j.cancelSent.IsZero() || j.cancelSent.After(request.AnsweredAt)
-	if j.accepted.IsZero() || !uncancelled || !j.accepted.Add(c.Bounds.Visible).Before(request.SentAt) {
+	uncancelled := j.cancelSentAt.IsZero() || j.cancelSentAt.After(request.AnsweredAt)
+	if j.acceptedAt.IsZero() || !uncancelled || !j.acceptedAt.Add(c.Bounds.JobVisibility).Before(request.SentAt) {
 		return
 	}
 	if c.inContact(request.Machine, request.SentAt) {
@@ -55,7 +55,7 @@
 			c.report(Lost, j.id, request.AnsweredAt, "shown as failed although no task has used up its attempts")
 		}
 	case "cancelled":
-		if j.cancelSent.IsZero() || j.cancelSent.After(request.AnsweredAt) {
+		if j.cancelSentAt.IsZero() || j.cancelSentAt.After(request.AnsweredAt) {
 			c.report(Lost, j.id, request.AnsweredAt, "shown as cancelled although nobody has cancelled it")
 		}
 	default:
@@ -63,19 +63,19 @@
 	}
 }
 
-// firstUnfinishedStage names a stage that is not done; empty when all are.
+// firstUnfinishedStage names the first stage that was not done by an instant, or returns an empty string if all were done.
 func (c *checker) firstUnfinishedStage(j *jobRecord, by time.Time) string {
 	for repetition := range j.spec.repetitions() {
 		for number := range j.spec.Stages {
 			if !c.stageDone(j, repetition, number, by) {
-				return fmt.Sprintf("step %d of time %d", number, repetition)
+				return fmt.Sprintf("stage %d of repetition %d", number, repetition)
 			}
 		}
 	}
 	return ""
 }
 
-// attemptsExhausted reports whether a task, or all members of a gang together, have failed as often as they may.
+// attemptsExhausted reports whether a task, or the members of a gang together, had used all permitted attempts by an instant.
 func (c *checker) attemptsExhausted(j *jobRecord, by time.Time) bool {
 	least, _ := c.attemptLimits(j)
 	for repetition := range j.spec.repetitions() {
@@ -86,8 +86,8 @@
 				if !stage.GangScheduled {
 					gang = map[uint64]bool{}
 				}
-				for _, execution := range failed {
-					gang[execution] = true
+				for _, attemptNumber := range failed {
+					gang[attemptNumber] = true
 				}
 				if len(gang) >= max(1, least) {
 					return true
@@ -98,28 +98,28 @@
 	return false
 }
 
-// failedAttempts lists the executions of a task that had ended failed.
-func (c *checker) failedAttempts(of task, by time.Time) []uint64 {
-	var executions []uint64
-	for _, r := range c.byTask[of] {
+// failedAttempts returns the numbers of a task's attempts that had failed by an instant.
+func (c *checker) failedAttempts(t task, by time.Time) []uint64 {
+	var attemptNumbers []uint64
+	for _, r := range c.byTask[t] {
 		if r.Outcome == "failed" && !r.EndedAt.After(by) {
-			executions = append(executions, r.Number)
+			attemptNumbers = append(attemptNumbers, r.Number)
 		}
 	}
-	return executions
+	return attemptNumbers
 }
 
-// checkAbortedRequests looks for requests that a machine gave up during a graceful shutdown.
+// checkAbortedRequests checks that no machine aborts a request during a graceful shutdown without other faults.
 func (c *checker) checkAbortedRequests() {
-	const forceSlack = time.Second
+	const killSlack = time.Second // after ShutdownGrace, for the kill of the process
 	for _, aborted := range c.AbortedRequests {
-		if aborted.At.Sub(aborted.SentAt) <= c.Bounds.LossSlack {
+		if aborted.At.Sub(aborted.SentAt) <= c.Bounds.ShutdownReadSlack {
 			continue
 		}
 		stopped, unplanned := false, false
 		for _, fault := range c.Faults {
 			unplanned = unplanned || !fault.Planned && fault.overlaps(aborted.SentAt.Add(-c.Bounds.Contact), aborted.At)
-			stopped = stopped || fault.Planned && fault.Machine == aborted.Machine && within(aborted.At, fault.From, fault.From.Add(c.Bounds.Grace+forceSlack))
+			stopped = stopped || fault.Planned && fault.Machine == aborted.Machine && between(aborted.At, fault.From, fault.From.Add(c.Bounds.ShutdownGrace+killSlack))
 		}
 		if stopped && !unplanned {
 			c.report(Lost, aborted.Path, aborted.At, aborted.Machine+" closed the connection of a request that it had read")
@@ -127,19 +127,19 @@
 	}
 }
 
-// checkFinalState looks for accepted jobs whose last answer, long after the load, is not a final state.
+// checkFinalState checks that the last answer about an accepted job has a final state and was requested after the load.
 func (c *checker) checkFinalState(j *jobRecord) {
-	if j.accepted.IsZero() || j.runsUntilCancelled() {
+	if j.acceptedAt.IsZero() || j.runsUntilCancelled() {
 		return
 	}
 	seenUntil := c.SeenUntil
 	last, answered := "", false
 	for i := range c.Requests {
 		request := &c.Requests[i]
-		if request.Method != http.MethodGet || jobID(request.Path) != j.id || !success(request.Status) && request.Status != statusGone {
+		if request.Method != http.MethodGet || jobID(request.Path) != j.id || !succeeded(request.Status) && request.Status != statusGone {
 			continue
 		}
-		answered = answered || !request.SentAt.Before(c.EndedAt)
+		answered = answered || !request.SentAt.Before(c.LoadEndedAt)
 		last = stateOf(request)
 		if request.Status == statusGone {
 			last = "gone"
@@ -148,16 +148,16 @@
 	switch {
 	case !answered:
 		c.report(Lost, j.id, seenUntil, "no answer about an accepted job at the end")
-	case last == "gone" && j.cancelSent.IsZero():
+	case last == "gone" && j.cancelSentAt.IsZero():
 		c.report(Lost, j.id, seenUntil, "an accepted job is not known at the end")
 	case last == "queued", last == "running":
 		c.report(Lost, j.id, seenUntil, "an accepted job has not ended: "+last)
 	}
 }
 
-// runsUntilCancelled reports whether a job runs until it is cancelled, and nobody has.
+// runsUntilCancelled reports whether a job runs until it is cancelled and no client has tried to cancel it.
 func (j *jobRecord) runsUntilCancelled() bool {
-	if !j.cancelSent.IsZero() {
+	if !j.cancelSentAt.IsZero() {
 		return false
 	}
 	for _, stage := range j.spec.Stages {
--- a/internal/systemtest/checker/attempts.go
+++ b/internal/systemtest/checker/attempts.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// checkRequested checks that a start is of a task that a client sent, with the client's text and a checkpoint of the task's.
+// checkRequested checks that an attempt belongs to a submitted task and has the job's specification and a checkpoint of the
+// task. It reports whether the task was submitted.
 func (c *checker) checkRequested(r *attemptRecord) bool {
-	if !r.known {
+	if !r.requested {
 		c.report(Unrequested, r.Task, r.StartedAt, "no client sent such a task")
 		return false
 	}
@@ -25,14 +26,14 @@
 	return true
 }
 
-// ownCheckpoint reports whether a worker has listed the checkpoint for the task, or for any member of its gang.
+// ownCheckpoint reports whether a worker reported the checkpoint for the task, or for any member of its gang.
 func (c *checker) ownCheckpoint(r *attemptRecord) bool {
 	for _, checkpoint := range c.Checkpoints {
-		of, ok := parseTask(checkpoint.Task)
+		owner, ok := parseTask(checkpoint.Task)
 		if !ok || checkpoint.Text != r.Checkpoint {
 			continue
 		}
-		if of == r.task || r.stage.GangScheduled && of.first() == r.task.first() {
+		if owner == r.task || r.stage.GangScheduled && owner.firstOfStage() == r.task.firstOfStage() {
 			return true
 		}
 	}
@@ -52,15 +53,15 @@
 	}
 }
 
-// checkCapacity adds up what a worker that does not guard itself had running.
+// checkCapacity checks that the attempts at a worker fit its capacity, if the worker does not enforce its capacity itself.
 func (c *checker) checkCapacity(r *attemptRecord) {
 	worker := c.workers[r.Worker]
-	if worker == nil || worker.Guards {
+	if worker == nil || worker.EnforcesCapacity {
 		return
 	}
 	used := r.stage.Resources
 	for _, other := range c.byWorker[r.Worker] {
-		if other != r && other.known && !other.StartedAt.After(r.StartedAt) && other.endOrForever().After(r.StartedAt) {
+		if other != r && other.requested && !other.StartedAt.After(r.StartedAt) && other.endOrFarFuture().After(r.StartedAt) {
 			used.Processors += other.stage.Processors
 			used.MemoryMB += other.stage.MemoryMB
 			used.Accelerators += other.stage.Accelerators
@@ -68,75 +69,75 @@
 	}
 	capacity := worker.Capacity
 	if used.Processors > capacity.Processors || used.MemoryMB > capacity.MemoryMB || used.Accelerators > capacity.Accelerators {
-		c.report(OverCapacity, r.Task, r.StartedAt, fmt.Sprintf("brings %s to %+v of %+v", r.Worker, used, capacity))
+		c.report(OverCapacity, r.Task, r.StartedAt, fmt.Sprintf("the attempts at %s use %+v of its capacity %+v", r.Worker, used, capacity))
 	}
 }
 
-// checkConcurrentAttempts looks for another attempt of the task at the same time.
+// checkConcurrentAttempts checks that no other attempt of the task runs when an attempt starts.
 func (c *checker) checkConcurrentAttempts(r *attemptRecord) {
 	if r.stage.AtLeastOnce {
 		return
 	}
 	for _, other := range c.byTask[r.task] {
-		if other == r || other.StartedAt.After(r.StartedAt) || !other.endOrForever().After(r.StartedAt) {
+		if other == r || other.StartedAt.After(r.StartedAt) || !other.endOrFarFuture().After(r.StartedAt) {
 			continue
 		}
 		if other.StartedAt.Equal(r.StartedAt) && other.Number > r.Number {
-			continue // counted from the other side
+			continue // reported for the other attempt
 		}
-		c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("attempt %d starts at %s while attempt %d is there at %s", r.Number, r.Worker, other.Number, other.Worker))
+		c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("attempt %d starts at %s while attempt %d runs at %s", r.Number, r.Worker, other.Number, other.Worker))
 	}
 }
 
 // acknowledged reports whether a completion was acknowledged before the worker's lease expired.
-func (c *checker) acknowledged(r *attemptRecord) bool {
+func (c *checker) completionAcknowledged(r *attemptRecord) bool {
 	if r.AcknowledgedAt.IsZero() {
 		return false
 	}
-	for _, lapse := range c.LeaseExpiries {
-		if lapse.Worker == r.Worker && within(lapse.At, r.EndedAt, r.AcknowledgedAt) {
+	for _, expiry := range c.LeaseExpiries {
+		if expiry.Worker == r.Worker && between(expiry.At, r.EndedAt, r.AcknowledgedAt) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkAfterCompletion looks for an end of the task that was done before, and for the end of its job.
+// checkAfterCompletion checks that neither the task nor its job was completed before an attempt starts.
 func (c *checker) checkAfterCompletion(r *attemptRecord) {
-	late := r.StartedAt.Add(-c.Bounds.AcknowledgeLag)
-	bound := !r.Late && c.inContact(r.Sender, r.StartedAt)
+	ackDeadline := r.StartedAt.Add(-c.Bounds.AcknowledgementLag)
+	timeBound := !r.Late && c.inContact(r.Sender, r.StartedAt)
 	for _, other := range c.byTask[r.task] {
-		if other.Outcome != "done" || r.stage.LongRunning || other.EndedAt.After(r.StartedAt) || !c.acknowledged(other) {
+		if other.Outcome != "done" || r.stage.LongRunning || other.EndedAt.After(r.StartedAt) || !c.completionAcknowledged(other) {
 			continue
 		}
-		if !r.stage.AtLeastOnce || bound && other.AcknowledgedAt.Before(late) {
+		if !r.stage.AtLeastOnce || timeBound && other.AcknowledgedAt.Before(ackDeadline) {
 			c.report(DuplicateAttempt, r.Task, r.StartedAt, fmt.Sprintf("attempt %d starts after attempt %d has ended done", r.Number, other.Number))
 		}
 	}
-	if !r.job.completed.IsZero() && r.job.completed.Before(late) && bound {
+	if !r.job.completedAt.IsZero() && r.job.completedAt.Before(ackDeadline) && timeBound {
 		c.report(DuplicateAttempt, r.Task, r.StartedAt, "starts after its job was shown as completed")
 	}
 }
 
-// checkStageOrder checks that earlier stages were done and the time has come.
+// checkStageOrder checks that an attempt starts after the stages that it depends on, and not before its due time.
 func (c *checker) checkStageOrder(r *attemptRecord) {
 	for _, earlierStage := range r.stage.DependsOn {
 		if earlierStage >= 0 && earlierStage < len(r.job.spec.Stages) && !c.stageDone(r.job, r.task.repetition, earlierStage, r.StartedAt) {
 			c.report(StageOrder, r.Task, r.StartedAt, fmt.Sprintf("starts before stage %d is done", earlierStage))
 		}
 	}
-	due := r.job.spec.due(r.task.repetition)
-	if !due.IsZero() && r.StartedAt.Before(due.Add(-c.Bounds.Early)) {
-		c.report(StageOrder, r.Task, r.StartedAt, fmt.Sprintf("starts %v before its time", due.Sub(r.StartedAt).Round(time.Millisecond)))
+	due := r.job.spec.dueTime(r.task.repetition)
+	if !due.IsZero() && r.StartedAt.Before(due.Add(-c.Bounds.EarlyStart)) {
+		c.report(StageOrder, r.Task, r.StartedAt, fmt.Sprintf("starts %v before its due time", due.Sub(r.StartedAt).Round(time.Millisecond)))
 	}
 }
 
-// stageDone reports whether every task of a stage had ended done by a moment.
+// stageDone reports whether a stage was done by an instant: every task, or any member of a gang, had ended done.
 func (c *checker) stageDone(j *jobRecord, repetition, number int, by time.Time) bool {
 	for index := range j.spec.Stages[number].Count {
 		done := c.taskDone(task{j.id, repetition, number, index}, by)
 		if done && j.spec.Stages[number].GangScheduled {
-			return true // one member's end counts for all
+			return true // the completion of one member counts for the gang
 		}
 		if !done && !j.spec.Stages[number].GangScheduled {
 			return false
@@ -145,53 +146,53 @@
 	return !j.spec.Stages[number].GangScheduled
 }
 
-func (c *checker) taskDone(of task, by time.Time) bool {
-	return slices.ContainsFunc(c.byTask[of], func(r *attemptRecord) bool { return r.Outcome == "done" && !r.EndedAt.After(by) })
+func (c *checker) taskDone(t task, by time.Time) bool {
+	return slices.ContainsFunc(c.byTask[t], func(r *attemptRecord) bool { return r.Outcome == "done" && !r.EndedAt.After(by) })
 }
 
-// checkPlacement checks service, label and antiAffinity.
+// checkPlacement checks the service, the required labels and the anti-affinity limit of an attempt.
 func (c *checker) checkPlacement(r *attemptRecord) {
 	worker := c.workers[r.Worker]
 	if worker == nil {
 		return
 	}
-	if !c.serviceOf(r.job, worker.Service) {
-		c.report(Placement, r.Task, r.StartedAt, "no configuration sends its queue to service "+worker.Service)
+	if !c.mayRouteTo(r.job, worker.Service) {
+		c.report(Placement, r.Task, r.StartedAt, "no configuration routes its queue to service "+worker.Service)
 	}
 	for _, label := range r.stage.labels() {
 		if !slices.Contains(worker.Labels, label) {
 			c.report(Placement, r.Task, r.StartedAt, "worker "+worker.ID+" lacks label "+label)
 		}
 	}
-	if r.stage.AntiAffinity > 0 && c.otherTasksOfStage(r)+1 > r.stage.AntiAffinity {
+	if r.stage.AntiAffinity > 0 && c.otherRunningTasksOfStage(r)+1 > r.stage.AntiAffinity {
 		c.report(Placement, r.Task, r.StartedAt, fmt.Sprintf("more than %d tasks of the stage at %s", r.stage.AntiAffinity, worker.ID))
 	}
 }
 
-// otherTasksOfStage counts the stage's other tasks at the worker when an attempt started.
-func (c *checker) otherTasksOfStage(r *attemptRecord) int {
+// otherRunningTasksOfStage counts the stage's other tasks that ran at the worker when an attempt started.
+func (c *checker) otherRunningTasksOfStage(r *attemptRecord) int {
 	count := 0
 	for _, other := range c.byWorker[r.Worker] {
-		if other.task != r.task && other.task.first() == r.task.first() && !other.StartedAt.After(r.StartedAt) && other.endOrForever().After(r.StartedAt) {
+		if other.task != r.task && other.task.firstOfStage() == r.task.firstOfStage() && !other.StartedAt.After(r.StartedAt) && other.endOrFarFuture().After(r.StartedAt) {
 			count++
 		}
 	}
 	return count
 }
 
-func (c *checker) serviceOf(j *jobRecord, service string) bool {
-	for _, change := range c.changes {
-		if found, ok := change.match(j.host, j.path); ok && change.valid && found.Service == service {
+func (c *checker) mayRouteTo(j *jobRecord, service string) bool {
+	for _, change := range c.configurations {
+		if found, ok := change.matchRoute(j.host, j.path); ok && change.valid && found.Service == service {
 			return true
 		}
 	}
 	return false
 }
 
-// attemptLimits returns the least and the most attempts that a configuration gives a job's tasks.
+// attemptLimits returns the smallest and the largest maxAttempts of a job's tasks in the configurations that may be active.
 func (c *checker) attemptLimits(j *jobRecord) (least, most int) {
-	for _, change := range c.changes {
-		found, ok := change.match(j.host, j.path)
+	for _, change := range c.configurations {
+		found, ok := change.matchRoute(j.host, j.path)
 		if !ok || !change.mayBeActive() {
 			continue
 		}
@@ -203,14 +204,14 @@
 	return least, most
 }
 
-// checkAttemptBudget counts the acknowledged completions that failed before a start.
+// checkAttemptBudget checks that fewer attempts than permitted had failed, with acknowledgement, when an attempt starts.
 func (c *checker) checkAttemptBudget(r *attemptRecord) {
 	if r.stage.LongRunning {
 		return
 	}
 	failed, last := 0, time.Time{}
 	for _, other := range c.byTask[r.task] {
-		if other.Outcome == "failed" && !other.EndedAt.After(r.StartedAt) && c.acknowledged(other) {
+		if other.Outcome == "failed" && !other.EndedAt.After(r.StartedAt) && c.completionAcknowledged(other) {
 			failed++
 			if other.AcknowledgedAt.After(last) {
 				last = other.AcknowledgedAt
@@ -221,15 +222,15 @@
 	if failed < max(1, most) {
 		return
 	}
-	if r.stage.AtLeastOnce && (r.Late || !c.inContact(r.Sender, r.StartedAt) || r.StartedAt.Before(last.Add(c.Bounds.AcknowledgeLag))) {
+	if r.stage.AtLeastOnce && (r.Late || !c.inContact(r.Sender, r.StartedAt) || r.StartedAt.Before(last.Add(c.Bounds.AcknowledgementLag))) {
 		return
 	}
 	c.report(AttemptBudget, r.Task, r.StartedAt, fmt.Sprintf("attempt %d starts after %d attempts have failed", r.Number, failed))
 }
 
-// checkGang looks for members that waited for the others in vain.
+// checkGang checks that no member ends because the rest of its gang is missing, unless a fault or a cancellation explains it.
 func (c *checker) checkGang(r *attemptRecord) {
-	if r.Outcome != "alone" || r.Late || !r.job.cancelSent.IsZero() && r.job.cancelSent.Before(r.EndedAt) {
+	if r.Outcome != "alone" || r.Late || !r.job.cancelSentAt.IsZero() && r.job.cancelSentAt.Before(r.EndedAt) {
 		return
 	}
 	if c.inContact(r.Sender, r.StartedAt) && !c.anyFault(r.StartedAt.Add(-c.Bounds.Contact), r.EndedAt) {
@@ -237,12 +238,12 @@
 	}
 }
 
-// checkCancelled looks for attempts that start or run after the job's cancellation.
+// checkCancelled checks that no attempt starts or still runs too long after its job's cancellation.
 func (c *checker) checkCancelled(r *attemptRecord) {
-	if r.job.cancelled.IsZero() || r.Late {
+	if r.job.cancelledAt.IsZero() || r.Late {
 		return
 	}
-	latest := r.job.cancelled.Add(c.Bounds.Cancel)
+	latest := r.job.cancelledAt.Add(c.Bounds.Cancel)
 	if r.StartedAt.After(latest) {
 		if c.inContact(r.Sender, r.StartedAt) {
 			c.report(Unrequested, r.Task, r.StartedAt, "starts after its job was cancelled")
@@ -250,26 +251,27 @@
 		return
 	}
 	latest = latest.Add(c.Bounds.Stop)
-	if r.endOrForever().After(latest) && latest.Before(c.SeenUntil) && !c.anyFault(r.job.cancelled.Add(-c.Bounds.Contact), latest) {
+	if r.endOrFarFuture().After(latest) && latest.Before(c.SeenUntil) && !c.anyFault(r.job.cancelledAt.Add(-c.Bounds.Contact), latest) {
 		c.report(Unrequested, r.Task, latest, "still runs after its job was cancelled")
 	}
 }
 
-// checkRejectedJob looks for starts of jobs that were never taken.
+// checkRejectedJob checks that the attempt's job was not rejected by every answer to a submission.
 func (c *checker) checkRejectedJob(r *attemptRecord) {
 	if r.job.rejectedOnly {
-		c.report(RejectedJob, r.Task, r.StartedAt, "starts although every attempt to submit the job was rejected")
+		c.report(RejectedJob, r.Task, r.StartedAt, "starts although every submission of its job was rejected")
 	}
 }
 
-// checkDrainingWorker looks for starts at a worker long after a machine in contact had learned that it drains.
+// checkDrainingWorker checks that no attempt starts at a worker more than Bounds.Drain after a machine in contact had received
+// an inventory in which the worker was draining.
 func (c *checker) checkDrainingWorker(r *attemptRecord) {
 	if r.Late || !c.inContact(r.Sender, r.StartedAt) {
 		return
 	}
-	for _, list := range c.Inventories {
-		if slices.Contains(list.Draining, r.Worker) && list.At.Add(c.Bounds.Drain).Before(r.StartedAt) && c.inContact(list.Machine, list.At) {
-			c.report(DrainingWorker, r.Task, r.StartedAt, "starts at "+r.Worker+", which drains since "+strings.TrimSpace(list.At.Format("15:04:05.000")))
+	for _, inventory := range c.Inventories {
+		if slices.Contains(inventory.Draining, r.Worker) && inventory.At.Add(c.Bounds.Drain).Before(r.StartedAt) && c.inContact(inventory.Machine, inventory.At) {
+			c.report(DrainingWorker, r.Task, r.StartedAt, "starts at "+r.Worker+", which has been draining since "+strings.TrimSpace(inventory.At.Format("15:04:05.000")))
 			return
 		}
 	}
--- a/internal/systemtest/checker/checker.go
+++ b/internal/systemtest/checker/checker.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// checker holds what was read from a history, and gathers the violations.
+// checker holds a history, indexes of it, and the violations found so far.
 type checker struct {
 	History
-	core       map[string]bool
-	jobs       map[string]*jobRecord
-	changes    []*configuration // by version
-	workers    map[string]*Worker
-	byTask     map[task][]*attemptRecord
-	byWorker   map[string][]*attemptRecord
-	attempts   []*attemptRecord
-	violations []Violation
+	core           map[string]bool
+	jobs           map[string]*jobRecord
+	configurations []*configuration // sent by operators, sorted by version
+	workers        map[string]*Worker
+	byTask         map[task][]*attemptRecord
+	byWorker       map[string][]*attemptRecord
+	attempts       []*attemptRecord
+	violations     []Violation
 }
 
-// attemptRecord is an attempt with what its name says.
+// attemptRecord is an attempt with the task, stage and job that its task name refers to.
 type attemptRecord struct {
 	*Attempt
-	task  task
-	known bool   // the task belongs to a job that a client sent
-	stage *stage // nil where it is not known
-	job   *jobRecord
+	task      task
+	requested bool   // the task belongs to a job that a client submitted
+	stage     *stage // nil if the name refers to no stage of a submitted job
+	job       *jobRecord
 }
 
-// endOrForever is when an attempt was over; a moment after everything while it runs.
-func (r *attemptRecord) endOrForever() time.Time {
+// endOrFarFuture returns the end of an attempt, or farFuture if it had not ended.
+func (r *attemptRecord) endOrFarFuture() time.Time {
 	if r.EndedAt.IsZero() {
-		return forever
+		return farFuture
 	}
 	return r.EndedAt
 }
 
-var forever = time.Unix(1<<40, 0)
+// farFuture is later than any time in a history.
+var farFuture = time.Unix(1<<40, 0)
 
-// Check returns the broken rules of a history, by time.
+// Check returns the violations of the rules in a history, sorted by time.
 func Check(history History) []Violation {
 	c := &checker{
 		History: history, core: map[string]bool{}, jobs: map[string]*jobRecord{}, workers: map[string]*Worker{},
@@ -52,7 +53,7 @@
 	}
 	slices.SortStableFunc(c.Requests, func(a, b Request) int { return a.SentAt.Compare(b.SentAt) })
 	c.indexRequests()
-	c.indexChanges()
+	c.indexConfigurations()
 	c.indexAttempts()
 	c.checkOperatorRequests()
 	c.checkActiveConfiguration()
@@ -69,16 +70,16 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Subject: subject, Detail: detail, At: at})
 }
 
-// indexAttempts names the runs, by the time of their start.
+// indexAttempts sorts the attempts by their start and finds the task, stage and job of each.
 func (c *checker) indexAttempts() {
 	for i := range c.Attempts {
 		r := &attemptRecord{Attempt: &c.Attempts[i]}
-		r.task, r.known = parseTask(r.Task)
+		r.task, r.requested = parseTask(r.Task)
 		r.job = c.jobs[r.task.job]
-		r.known = r.known && r.job != nil && r.job.submitted && r.task.stage < len(r.job.spec.Stages) && r.task.repetition < r.job.spec.repetitions()
-		if r.known {
+		r.requested = r.requested && r.job != nil && r.job.submitted && r.task.stage < len(r.job.spec.Stages) && r.task.repetition < r.job.spec.repetitions()
+		if r.requested {
 			r.stage = &r.job.spec.Stages[r.task.stage]
-			r.known = r.task.index < r.stage.Count
+			r.requested = r.task.index < r.stage.Count
 		}
 		c.attempts = append(c.attempts, r)
 	}
@@ -89,7 +90,7 @@
 	}
 }
 
-// checkAttempt checks all rules on a start.
+// checkAttempt checks one attempt against all rules about attempts.
 func (c *checker) checkAttempt(r *attemptRecord) {
 	if !c.checkRequested(r) {
 		return
--- a/internal/systemtest/checker/checker_test.go
+++ b/internal/systemtest/checker/checker_test.go
@@ -9,33 +9,35 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var begin = time.Unix(1_800_000_000, 0)
+var historyStart = time.Unix(1_800_000_000, 0)
 
-// at is a moment, in seconds from the beginning of a history.
-func at(seconds float64) time.Time { return begin.Add(time.Duration(seconds * float64(time.Second))) }
+// at returns the instant at the given number of seconds after the start of a history.
+func at(seconds float64) time.Time {
+	return historyStart.Add(time.Duration(seconds * float64(time.Second)))
+}
 
 const (
-	jobName    = "00000000000000aa"
-	otherJob   = "00000000000000bb"
-	prefix     = "/queue/"
-	newPrefix  = "/added/"
-	oldPrefix  = "/dropped/"
-	host       = "jobs.example"
-	firstText  = `{"version":3,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/queue/","timeoutMs":3000,"service":"render","maxAttempts":2},{"name":"d","host":"jobs.example","pathPrefix":"/dropped/","timeoutMs":3000,"service":"render","maxAttempts":2}],"services":[{"name":"render"}]}`
-	secondText = `{"version":5,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/queue/","timeoutMs":3000,"service":"render","maxAttempts":2},{"name":"n","host":"jobs.example","pathPrefix":"/added/","timeoutMs":3000,"service":"render","maxAttempts":2}],"services":[{"name":"render"}]}`
-	rivalText  = `{"version":6,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/queue/","timeoutMs":3000,"service":"render","maxAttempts":2},{"name":"x","host":"jobs.example","pathPrefix":"/rival/","timeoutMs":3000,"service":"render","maxAttempts":2}],"services":[{"name":"render"}]}`
-	badText    = `{"version":9,"routes":[{"name":"b","host":"jobs.example","pathPrefix":"/bad/","timeoutMs":3000,"service":"nobody","maxAttempts":2}],"services":[{"name":"render"}]}`
-	plainStage = `"processors":1000,"memoryRequestMb":100`
+	jobName       = "00000000000000aa"
+	otherJob      = "00000000000000bb"
+	prefix        = "/queue/"
+	newPrefix     = "/added/"
+	oldPrefix     = "/dropped/"
+	host          = "jobs.example"
+	firstText     = `{"version":3,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/queue/","timeoutMs":3000,"service":"render","maxAttempts":2},{"name":"d","host":"jobs.example","pathPrefix":"/dropped/","timeoutMs":3000,"service":"render","maxAttempts":2}],"services":[{"name":"render"}]}`
+	secondText    = `{"version":5,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/queue/","timeoutMs":3000,"service":"render","maxAttempts":2},{"name":"n","host":"jobs.example","pathPrefix":"/added/","timeoutMs":3000,"service":"render","maxAttempts":2}],"services":[{"name":"render"}]}`
+	competingText = `{"version":6,"routes":[{"name":"q","host":"jobs.example","pathPrefix":"/queue/","timeoutMs":3000,"service":"render","maxAttempts":2},{"name":"x","host":"jobs.example","pathPrefix":"/rival/","timeoutMs":3000,"service":"render","maxAttempts":2}],"services":[{"name":"render"}]}`
+	invalidText   = `{"version":9,"routes":[{"name":"b","host":"jobs.example","pathPrefix":"/bad/","timeoutMs":3000,"service":"nobody","maxAttempts":2}],"services":[{"name":"render"}]}`
+	plainStage    = `"processors":1000,"memoryRequestMb":100`
 )
 
 var testBounds = Bounds{
 	Contact: 3 * time.Second, ConfigurationApply: 2 * time.Second, RollbackSlack: 250 * time.Millisecond, Drain: 3 * time.Second,
-	Cancel: 3 * time.Second, Stop: 400 * time.Millisecond, Visible: 3 * time.Second, Early: 250 * time.Millisecond,
-	AcknowledgeLag: time.Second, LossSlack: 200 * time.Millisecond, Grace: 6 * time.Second,
+	Cancel: 3 * time.Second, Stop: 400 * time.Millisecond, JobVisibility: 3 * time.Second, EarlyStart: 250 * time.Millisecond,
+	AcknowledgementLag: time.Second, ShutdownReadSlack: 200 * time.Millisecond, ShutdownGrace: 6 * time.Second,
 }
 
-// body is a job with the given stages, and perhaps more fields.
-func body(stages, more string) []byte {
+// jobBody returns the body of a request that submits a job with the given stages and further fields.
+func jobBody(stages, more string) []byte {
 	return fmt.Appendf(nil, `{"specification":"text","stages":[%s]%s}`, stages, more)
 }
 
@@ -66,11 +68,12 @@
 	}
 }
 
-// finishedAttempt is an attempt of the job's task (time.stage.index) from one moment to another, acknowledged half a second later.
-func finishedAttempt(name string, execution uint64, worker string, from, to float64, how string) Attempt {
+// finishedAttempt returns an attempt of one of the job's tasks, named REPETITION.STAGE.INDEX. Its completion is acknowledged half
+// a second after its end. With to = 0 the attempt has not ended.
+func finishedAttempt(name string, number uint64, worker string, from, to float64, outcome string) Attempt {
 	attempt := Attempt{
-		Worker: worker, Task: jobName + "." + name, Number: execution, Specification: "text", Sender: "core-1",
-		StartedAt: at(from), Outcome: how,
+		Worker: worker, Task: jobName + "." + name, Number: number, Specification: "text", Sender: "core-1",
+		StartedAt: at(from), Outcome: outcome,
 	}
 	if to > 0 {
 		attempt.EndedAt, attempt.AcknowledgedAt = at(to), at(to+0.5)
@@ -88,7 +91,7 @@
 	return OperatorRequest{Machine: "core-1", Method: "GET", SentAt: at(seconds), AnsweredAt: at(seconds + 0.1), Status: status, Answer: []byte(text)}
 }
 
-// validHistory is a history that keeps all rules: one job of two stages, a change of the configuration.
+// validHistory returns a history without violations: one job of two stages, and one configuration.
 func validHistory() History {
 	return History{
 		Bounds: testBounds,
@@ -100,7 +103,7 @@
 		},
 		OperatorRequests: []OperatorRequest{putRequest(firstText, 0, 1, 200), putRequest(firstText, 0, 2, 200), readRequest(firstText, 3, 200)},
 		Requests: []Request{
-			submitRequest(jobName, body(`{"count":2,`+plainStage+`,"antiAffinity":1},{"count":1,`+plainStage+`,"dependsOn":[0]}`, ""), 10, 200),
+			submitRequest(jobName, jobBody(`{"count":2,`+plainStage+`,"antiAffinity":1},{"count":1,`+plainStage+`,"dependsOn":[0]}`, ""), 10, 200),
 			statusRequest(jobName, 11, 200, "running"),
 			statusRequest(jobName, 30, 200, "completed"),
 			routeRequest(prefix, 31, 200), routeRequest("/nothing/", 31, 404),
@@ -111,39 +114,40 @@
 			finishedAttempt("0.0.1", 2, "s-2", 13, 14, "done"),
 			finishedAttempt("0.1.0", 1, "s-1", 15, 17, "done"),
 		},
-		EndedAt:   at(28),
-		SeenUntil: at(40),
+		LoadEndedAt: at(28),
+		SeenUntil:   at(40),
 	}
 }
 
-// replaceStages replaces the job's stages and forgets its attempts.
+// replaceStages replaces the job's stages and removes its attempts and the answers about it.
 func replaceStages(h *History, stages, more string) {
-	h.Requests[0].Body = body(stages, more)
+	h.Requests[0].Body = jobBody(stages, more)
 	h.Attempts = nil
-	h.EndedAt = time.Time{}
+	h.LoadEndedAt = time.Time{}
 	h.Requests = slices.Delete(h.Requests, 1, 3)
 }
 
-// historyCase is a case: a change to the valid history, and the rule that it breaks.
+// historyCase is a change to the valid history and the rule that it violates.
 type historyCase struct {
 	name         string
 	change       func(*History)
-	violatedRule string // empty where all rules are kept
+	violatedRule string // empty if no rule is violated
 }
 
-func checkAll(t *testing.T, cases []historyCase) {
-	for _, one := range cases {
-		Convey(one.name, t, func() {
+// runHistoryCases checks that each case violates exactly the rule that it names.
+func runHistoryCases(t *testing.T, cases []historyCase) {
+	for _, testCase := range cases {
+		Convey(testCase.name, t, func() {
 			h := validHistory()
-			one.change(&h)
+			testCase.change(&h)
 			violations := Check(h)
-			if one.violatedRule == "" {
+			if testCase.violatedRule == "" {
 				So(violations, ShouldBeEmpty)
 				return
 			}
 			So(violations, ShouldNotBeEmpty)
 			for _, violation := range violations {
-				So(violation.Rule, ShouldEqual, one.violatedRule)
+				So(violation.Rule, ShouldEqual, testCase.violatedRule)
 				So(violation.String(), ShouldContainSubstring, violation.Subject)
 			}
 		})
@@ -154,7 +158,7 @@
 	return func(h *History) { h.Attempts = append(h.Attempts, attempts...) }
 }
 
-// withTasks replaces the stages and the attempts.
+// withTasks returns a change that replaces the job's stages and attempts.
 func withTasks(stages string, attempts ...Attempt) func(*History) {
 	return func(h *History) {
 		replaceStages(h, stages, "")
@@ -162,7 +166,7 @@
 	}
 }
 
-func TestTaskStartRules(t *testing.T) {
+func TestViolationsOfTaskStartRulesAreReported(t *testing.T) {
 	const one = `{"count":1,` + plainStage
 	const gang = `{"count":2,` + plainStage + `,"gangScheduled":true}`
 	acknowledged := func(attempt Attempt, seconds float64) Attempt {
@@ -174,46 +178,46 @@
 	}
 	late := func(attempt Attempt) Attempt { attempt.Late = true; return attempt }
 	withCheckpoint := func(attempt Attempt, checkpoint string) Attempt { attempt.Checkpoint = checkpoint; return attempt }
-	checkAll(t, []historyCase{
-		{"A valid history breaks no rule", func(*History) {}, ""},
+	runHistoryCases(t, []historyCase{
+		{"A valid history violates no rule", func(*History) {}, ""},
 
-		{"An unguarded worker over its capacity", withTasks(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
+		{"A worker that does not enforce its capacity has too many attempts", withTasks(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 			finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 12, 13, "done")), OverCapacity},
-		{"A guarded one is not checked", func(h *History) {
+		{"A worker that enforces its capacity is not checked", func(h *History) {
 			withTasks(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 				finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 12, 13, "done"))(h)
-			h.Workers[0].Guards = true
+			h.Workers[0].EnforcesCapacity = true
 		}, ""},
-		{"One after the other keep to the capacity", withTasks(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
+		{"Successive attempts do not exceed the capacity", withTasks(`{"count":3,`+plainStage+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 13, "done"),
 			finishedAttempt("0.0.1", 1, "s-1", 11, 13, "done"), finishedAttempt("0.0.2", 1, "s-1", 13, 14, "done")), ""},
 
 		{"Two concurrent attempts", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
-		{"Two concurrent attempts, the command late", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), late(finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done"))), DuplicateAttempt},
+		{"Two concurrent attempts, the second by a command executed late", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "lapsed"), late(finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done"))), DuplicateAttempt},
 		{"Two concurrent attempts, the first not ended", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 0, ""), finishedAttempt("0.0.0", 2, "s-2", 14, 16, "done")), DuplicateAttempt},
 		{"Attempts of an at-least-once task may run concurrently", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 15, "stopped"), finishedAttempt("0.0.0", 2, "s-2", 14, 14.5, "done")), ""},
-		{"A start after an end that was acknowledged later", withTasks(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "stopped")), DuplicateAttempt},
-		{"A start after an end that was never acknowledged", withTasks(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done")), ""},
-		{"A start after an end that was acknowledged after a lease expiry", func(h *History) {
+		{"A start after a completion that was acknowledged later", withTasks(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "stopped")), DuplicateAttempt},
+		{"A start after a completion that was never acknowledged", withTasks(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done")), ""},
+		{"A start after a completion that was acknowledged after a lease expiry", func(h *History) {
 			withTasks(one+`}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 20), finishedAttempt("0.0.0", 2, "s-2", 13, 14, "done"))(h)
 			h.LeaseExpiries = []LeaseExpiry{{"s-1", at(18)}}
 		}, ""},
-		{"An at-least-once attempt long after the end was acknowledged", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 14, 15, "done")), DuplicateAttempt},
-		{"An at-least-once attempt soon after the end was acknowledged", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 13, 15, "done")), ""},
+		{"An at-least-once attempt long after the completion was acknowledged", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 14, 15, "done")), DuplicateAttempt},
+		{"An at-least-once attempt soon after the completion was acknowledged", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.0", 2, "s-2", 13, 15, "done")), ""},
 		{"A start after the job was shown as completed", func(h *History) {
 			withTasks(one+`,"atLeastOnce":true}`, acknowledged(finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), 0), finishedAttempt("0.0.0", 2, "s-2", 20, 0, ""))(h)
 			h.Requests = append(h.Requests, statusRequest(jobName, 13, 200, "completed"))
 		}, DuplicateAttempt},
 
-		{"A stage before its turn", func(h *History) { h.Attempts[3].StartedAt = at(13.5) }, StageOrder},
+		{"A stage starts before the stage that it depends on is done", func(h *History) { h.Attempts[3].StartedAt = at(13.5) }, StageOrder},
 		{"A stage after one member of a gang is done", withTasks(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
 			finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"), finishedAttempt("0.0.1", 1, "s-2", 11, 12, "broken"), finishedAttempt("0.1.0", 1, "s-1", 13, 14, "done")), ""},
 		{"A stage after a gang of which no member is done", withTasks(gang+`,{"count":1,`+plainStage+`,"dependsOn":[0]}`,
 			finishedAttempt("0.0.0", 1, "s-1", 11, 12, "stopped"), finishedAttempt("0.0.1", 1, "s-2", 11, 12, "stopped"), finishedAttempt("0.1.0", 1, "s-1", 13, 14, "done")), StageOrder},
-		{"A time too early", func(h *History) {
+		{"A repetition starts too early", func(h *History) {
 			replaceStages(h, one+`}`, fmt.Sprintf(`,"repetitions":2,"firstRunMs":%d,"intervalMs":5000`, at(12).UnixMilli()))
 			h.Attempts = []Attempt{finishedAttempt("0.0.0", 1, "s-1", 12, 13, "done"), finishedAttempt("1.0.0", 1, "s-1", 16, 18, "done")}
 		}, StageOrder},
-		{"A time that has come", func(h *History) {
+		{"A repetition starts less than EarlyStart before its due time", func(h *History) {
 			replaceStages(h, one+`}`, fmt.Sprintf(`,"repetitions":2,"firstRunMs":%d,"intervalMs":5000`, at(12).UnixMilli()))
 			h.Attempts = []Attempt{finishedAttempt("0.0.0", 1, "s-1", 12, 13, "done"), finishedAttempt("1.0.0", 1, "s-1", 16.8, 18, "done")}
 		}, ""},
@@ -223,22 +227,22 @@
 		{"A worker with the label", withTasks(one+`,"requirements":["big"]}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done")), ""},
 		{"Too many tasks of a stage at one worker", func(h *History) { h.Attempts[1].Worker = "s-1" }, Placement},
 
-		{"An attempt after the last attempt", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), AttemptBudget},
-		{"An at-least-once attempt soon after the last attempt", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
-		{"An at-least-once attempt long after the last attempt", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 16, 17, "done")), AttemptBudget},
-		{"A lasting task has no last attempt", withTasks(one+`,"longRunning":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "failed")), ""},
-		{"Ends that are no attempts", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "lapsed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "stopped"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
+		{"An attempt after the last permitted attempt", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), AttemptBudget},
+		{"An at-least-once attempt soon after the last permitted attempt", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
+		{"An at-least-once attempt long after the last permitted attempt", withTasks(one+`,"atLeastOnce":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 16, 17, "done")), AttemptBudget},
+		{"The attempts of a long-running task are not limited", withTasks(one+`,"longRunning":true}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "failed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "failed"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "failed")), ""},
+		{"Attempts that were stopped or lost their lease do not count as failed", withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "lapsed"), finishedAttempt("0.0.0", 2, "s-1", 13, 14, "stopped"), finishedAttempt("0.0.0", 3, "s-1", 15, 16, "done")), ""},
 
-		{"A member without its gang", withTasks(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone")), Gang},
-		{"A member without its gang during a fault", func(h *History) {
+		{"A member ends without its gang", withTasks(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone")), Gang},
+		{"A member ends without its gang during a fault", func(h *History) {
 			withTasks(gang, finishedAttempt("0.0.0", 1, "s-1", 11, 14, "alone"))(h)
 			h.Faults = []Fault{{Kind: WorkerFault, Machine: "s-2", From: at(12), To: at(13)}}
 		}, ""},
 
 		{"A task of no job", addAttempts(Attempt{Worker: "s-1", Task: otherJob + ".0.0.0", Number: 1, Specification: "text", StartedAt: at(11)}), Unrequested},
-		{"A task beyond the count", addAttempts(finishedAttempt("0.1.1", 1, "s-2", 18, 19, "done")), Unrequested},
+		{"A task index beyond the stage's count", addAttempts(finishedAttempt("0.1.1", 1, "s-2", 18, 19, "done")), Unrequested},
 		{"Another specification", func(h *History) { h.Attempts[0].Specification = "other" }, Unrequested},
-		{"A checkpoint that nobody has listed", func(h *History) { h.Attempts[2].Checkpoint = "c1" }, Unrequested},
+		{"A checkpoint that no worker reported", func(h *History) { h.Attempts[2].Checkpoint = "c1" }, Unrequested},
 		{"A checkpoint of another task", func(h *History) {
 			h.Attempts[2].Checkpoint = "c1"
 			h.Checkpoints = []Checkpoint{{jobName + ".0.0.0", "c1"}}
@@ -268,46 +272,46 @@
 			h.Requests = append(h.Requests, cancelRequest(jobName, 12))
 		}, Unrequested},
 
-		{"A start although the job was rejected", func(h *History) {
+		{"A start of a rejected job", func(h *History) {
 			withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"))(h)
 			h.Requests[0].Status = 429
 		}, RejectedJob},
-		{"A start after an unclear answer", func(h *History) {
+		{"A start of a job whose submission may have been accepted", func(h *History) {
 			withTasks(one+`}`, finishedAttempt("0.0.0", 1, "s-1", 11, 12, "done"))(h)
 			h.Requests[0].Status = 504
 		}, ""},
 
-		{"A start at a worker that drains", func(h *History) { h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(11)}} }, DrainingWorker},
-		{"A start soon after it began to drain", func(h *History) { h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(12.5)}} }, ""},
-		{"A start by a machine out of contact", func(h *History) {
+		{"A start at a draining worker", func(h *History) { h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(11)}} }, DrainingWorker},
+		{"A start soon after the worker began to drain", func(h *History) { h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(12.5)}} }, ""},
+		{"A start at a draining worker by a machine out of contact", func(h *History) {
 			h.Inventories = []Inventory{{"core-2", []string{"s-1"}, at(11)}}
 			h.Faults = []Fault{{Machine: "core-1", From: at(13), To: at(14)}}
 		}, ""},
 	})
 }
 
-func TestClientAnswerRules(t *testing.T) {
-	checkAll(t, []historyCase{
-		{"Completed before the last task has ended", func(h *History) { h.Requests[2].AnsweredAt = at(16) }, InconsistentState},
-		{"Completed although a task has failed", func(h *History) { h.Attempts[2].Outcome, h.Attempts = "failed", h.Attempts[:3] }, InconsistentState},
-		{"A state that cannot be read", func(h *History) { h.Requests[1].Answer = []byte("{") }, InconsistentState},
-		{"A job that is not known", func(h *History) {
+func TestViolationsOfClientAnswerRulesAreReported(t *testing.T) {
+	runHistoryCases(t, []historyCase{
+		{"A job is shown as completed before its last task has ended", func(h *History) { h.Requests[2].AnsweredAt = at(16) }, InconsistentState},
+		{"A job is shown as completed although a task has failed", func(h *History) { h.Attempts[2].Outcome, h.Attempts = "failed", h.Attempts[:3] }, InconsistentState},
+		{"An answer whose state cannot be parsed", func(h *History) { h.Requests[1].Answer = []byte("{") }, InconsistentState},
+		{"An accepted job is unknown to a machine", func(h *History) {
 			h.Requests = append(h.Requests, statusRequest(jobName, 26, 410, ""), statusRequest(jobName, 31, 200, "completed"))
 		}, Lost},
-		{"A job that is not known yet", func(h *History) { h.Requests = append(h.Requests, statusRequest(jobName, 11, 410, "")) }, ""},
-		{"A job that is not known at a machine out of contact", func(h *History) {
+		{"A job is unknown soon after it was accepted", func(h *History) { h.Requests = append(h.Requests, statusRequest(jobName, 11, 410, "")) }, ""},
+		{"An accepted job is unknown to a machine out of contact", func(h *History) {
 			h.Requests = append(h.Requests, statusRequest(jobName, 26, 410, ""), statusRequest(jobName, 31, 200, "completed"))
 			h.Faults = []Fault{{Machine: "front-1", From: at(24), To: at(25)}}
 		}, ""},
-		{"Failed without cause", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 200, "failed") }, Lost},
-		{"Failed after the last attempt", func(h *History) {
+		{"A job is shown as failed without a failed task", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 200, "failed") }, Lost},
+		{"A job is shown as failed after the last permitted attempt has failed", func(h *History) {
 			h.Attempts[2].Outcome = "failed"
 			h.Attempts = h.Attempts[:3]
 			h.Requests[2] = statusRequest(jobName, 30, 200, "failed")
 		}, ""},
-		{"Cancelled by nobody", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 200, "cancelled") }, Lost},
-		{"Not ended at the end", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 200, "running") }, Lost},
-		{"Not known at the end", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 410, "") }, Lost},
+		{"A job is shown as cancelled without a cancellation", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 200, "cancelled") }, Lost},
+		{"An accepted job is still running at the end", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 200, "running") }, Lost},
+		{"An accepted job is unknown at the end", func(h *History) { h.Requests[2] = statusRequest(jobName, 30, 410, "") }, Lost},
 		{"A request aborted by a graceful shutdown", func(h *History) {
 			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25), Planned: true}}
 			h.AbortedRequests = []AbortedRequest{{"front-1", prefix + jobName, at(20), at(21)}}
@@ -324,6 +328,6 @@
 			h.Faults = []Fault{{Machine: "front-1", From: at(20), To: at(25)}}
 			h.AbortedRequests = []AbortedRequest{{"front-1", prefix + jobName, at(20), at(21)}}
 		}, ""},
-		{"No answer at the end", func(h *History) { h.Requests[2].Status = 0 }, Lost},
+		{"No answer about an accepted job at the end", func(h *History) { h.Requests[2].Status = 0 }, Lost},
 	})
 }
--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -18,7 +18,7 @@
 	MaxAttempts int    `json:"maxAttempts"`
 }
 
-// configuration is one that an operator sent.
+// configuration is a configuration that an operator sent or read.
 type configuration struct {
 	Version  int64   `json:"version"`
 	Routes   []route `json:"routes"`
@@ -31,11 +31,11 @@
 	valid          bool
 	sentAt         time.Time
 	acknowledgedAt time.Time // the first acknowledgement
-	rejected       bool      // a clear refusal, and no acknowledgement
+	rejected       bool      // definitely rejected and never acknowledged
 }
 
-// match finds the route of a path: the longest prefix.
-func (c *configuration) match(host, path string) (route, bool) {
+// matchRoute returns the route of a path, which is the one with the longest matching prefix.
+func (c *configuration) matchRoute(host, path string) (route, bool) {
 	var best route
 	found := false
 	for _, r := range c.Routes {
@@ -46,7 +46,7 @@
 	return best, found
 }
 
-// parseConfiguration reads a body and reports whether it is valid on top of a version.
+// parseConfiguration parses a configuration. It sets valid if the configuration is valid on top of version builtOn.
 func parseConfiguration(body []byte, builtOn int64) *configuration {
 	c := &configuration{builtOn: builtOn, body: body}
 	if json.Unmarshal(body, c) != nil {
@@ -61,122 +61,123 @@
 	for _, service := range c.Services {
 		services[service.Name] = true
 	}
-	type place struct{ host, prefix string }
-	seen := map[place]bool{}
+	type routeKey struct{ host, prefix string }
+	seen := map[routeKey]bool{}
 	for _, r := range c.Routes {
-		at := place{r.Host, r.PathPrefix}
-		if !services[r.Service] || seen[at] || r.TimeoutMS <= 0 {
+		key := routeKey{r.Host, r.PathPrefix}
+		if !services[r.Service] || seen[key] || r.TimeoutMS <= 0 {
 			return false
 		}
-		seen[at] = true
+		seen[key] = true
 	}
 	return true
 }
 
-// indexChanges gathers the tries of each change.
-func (c *checker) indexChanges() {
+// indexConfigurations combines the requests that sent the same configuration, and sorts the configurations by version.
+func (c *checker) indexConfigurations() {
 	for i := range c.OperatorRequests {
 		request := &c.OperatorRequests[i]
 		if request.Method != http.MethodPut {
 			continue
 		}
-		change := c.findOrAddChange(request)
+		change := c.findOrAddConfiguration(request)
 		switch {
-		case success(request.Status):
-			change.acknowledgedAt = earlier(change.acknowledgedAt, request.AnsweredAt)
+		case succeeded(request.Status):
+			change.acknowledgedAt = earlierOf(change.acknowledgedAt, request.AnsweredAt)
 			change.rejected = false
-		case definiteRefusal(request.Status):
+		case definiteRejection(request.Status):
 			change.rejected = change.acknowledgedAt.IsZero()
 		}
 	}
-	slices.SortStableFunc(c.changes, func(a, b *configuration) int { return int(a.Version - b.Version) })
+	slices.SortStableFunc(c.configurations, func(a, b *configuration) int { return int(a.Version - b.Version) })
 }
 
-// definiteRefusal reports whether a status says that a change was refused, and not that it may be sent again.
-func definiteRefusal(status int) bool {
-	return status >= 400 && status < 500 && status != statusRequestTimeout && status != statusTooMany
+// definiteRejection reports whether a status means that a configuration was rejected and is not worth sending again.
+func definiteRejection(status int) bool {
+	return status >= 400 && status < 500 && status != statusRequestTimeout && status != statusTooManyRequests
 }
 
-func (c *checker) findOrAddChange(request *OperatorRequest) *configuration {
-	for _, change := range c.changes {
+func (c *checker) findOrAddConfiguration(request *OperatorRequest) *configuration {
+	for _, change := range c.configurations {
 		if change.builtOn == request.BuiltOn && bytes.Equal(change.body, request.Body) {
-			change.sentAt = earlier(change.sentAt, request.SentAt)
+			change.sentAt = earlierOf(change.sentAt, request.SentAt)
 			return change
 		}
 	}
 	change := parseConfiguration(request.Body, request.BuiltOn)
 	change.sentAt = request.SentAt
-	c.changes = append(c.changes, change)
+	c.configurations = append(c.configurations, change)
 	return change
 }
 
-// mayBeActive reports whether a change may be in force.
+// mayBeActive reports whether the configuration may be active.
 func (c *configuration) mayBeActive() bool { return c.valid && !c.rejected }
 
-// checkOperatorRequests checks the answers that operators got.
+// checkOperatorRequests checks the answers to operators.
 func (c *checker) checkOperatorRequests() {
-	for i, change := range c.changes {
+	for i, change := range c.configurations {
 		if change.acknowledgedAt.IsZero() {
 			continue
 		}
 		if !change.valid {
-			c.report(Config, version(change), change.acknowledgedAt, "an invalid configuration was acknowledged")
+			c.report(Config, versionName(change), change.acknowledgedAt, "an invalid configuration was acknowledged")
 		}
-		for _, rival := range c.changes[i+1:] {
-			if !rival.acknowledgedAt.IsZero() && rival.builtOn == change.builtOn {
-				c.report(Config, version(rival), rival.acknowledgedAt, "two changes on top of the same version were acknowledged")
+		for _, other := range c.configurations[i+1:] {
+			if !other.acknowledgedAt.IsZero() && other.builtOn == change.builtOn {
+				c.report(Config, versionName(other), other.acknowledgedAt, "two changes on top of the same version were acknowledged")
 			}
 		}
 	}
 	for i := range c.OperatorRequests {
 		if c.OperatorRequests[i].Method == http.MethodPut {
-			c.checkRetriedChange(&c.OperatorRequests[i])
+			c.checkRetriedConfiguration(&c.OperatorRequests[i])
 		} else {
 			c.checkReadBack(&c.OperatorRequests[i])
 		}
 	}
 }
 
-// checkRetriedChange looks for the refusal of a change that was acknowledged and is the newest.
-func (c *checker) checkRetriedChange(request *OperatorRequest) {
-	change := c.findOrAddChange(request)
-	if change.acknowledgedAt.IsZero() || !definiteRefusal(request.Status) || request.SentAt.Before(change.acknowledgedAt) {
+// checkRetriedConfiguration checks that an acknowledged configuration is not rejected when it is sent again, unless a newer
+// one may have replaced it.
+func (c *checker) checkRetriedConfiguration(request *OperatorRequest) {
+	change := c.findOrAddConfiguration(request)
+	if change.acknowledgedAt.IsZero() || !definiteRejection(request.Status) || request.SentAt.Before(change.acknowledgedAt) {
 		return
 	}
-	for _, other := range c.changes {
+	for _, other := range c.configurations {
 		if other.Version > change.Version && other.sentAt.Before(request.AnsweredAt) {
 			return
 		}
 	}
-	c.report(Config, version(change), request.AnsweredAt, "an acknowledged change was refused when sent again")
+	c.report(Config, versionName(change), request.AnsweredAt, "an acknowledged change was refused when sent again")
 }
 
-// checkReadBack compares a configuration that was read with what had been acknowledged before.
+// checkReadBack checks that a configuration read by an operator was sent, and is at least as new as all acknowledged before.
 func (c *checker) checkReadBack(request *OperatorRequest) {
 	newest := c.newestAcknowledgedBefore(request.SentAt)
 	if request.Status == statusNotFound && newest != nil {
-		c.report(Lost, version(newest), request.AnsweredAt, "the acknowledged configuration is not there")
+		c.report(Lost, versionName(newest), request.AnsweredAt, "the acknowledged configuration was not found")
 	}
 	if request.Status != statusOK {
 		return
 	}
 	read := parseConfiguration(request.Answer, -1)
 	if newest != nil && read.Version < newest.Version {
-		c.report(Lost, version(newest), request.AnsweredAt, "an older configuration was read back")
+		c.report(Lost, versionName(newest), request.AnsweredAt, "an older configuration was read back")
 		return
 	}
-	for _, change := range c.changes {
+	for _, change := range c.configurations {
 		if change.Version == read.Version && change.mayBeActive() && sameJSON(change.body, request.Answer) {
 			return
 		}
 	}
-	c.report(Config, version(read), request.AnsweredAt, "a configuration was read back that is not what was sent under its number")
+	c.report(Config, versionName(read), request.AnsweredAt, "the configuration that was read back differs from the one sent with this version")
 }
 
-// newestAcknowledgedBefore is the newest version acknowledged before a moment; nil without one.
+// newestAcknowledgedBefore returns the newest valid configuration that was acknowledged before an instant, or nil.
 func (c *checker) newestAcknowledgedBefore(at time.Time) *configuration {
 	var newest *configuration
-	for _, change := range c.changes {
+	for _, change := range c.configurations {
 		if change.valid && !change.acknowledgedAt.IsZero() && change.acknowledgedAt.Before(at) {
 			newest = change
 		}
--- a/internal/systemtest/checker/faultwindows.go
+++ b/internal/systemtest/checker/faultwindows.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// overlaps reports whether a fault touches the time from one moment to another, both included.
+// overlaps reports whether the fault was active at any time in the closed interval from..to.
 func (t Fault) overlaps(from, to time.Time) bool {
 	return !t.From.After(to) && (t.To.IsZero() || !t.To.Before(from))
 }
 
-// within reports whether a moment, if it is set, lies between two others, both included.
-func within(instant, from, to time.Time) bool {
+// between reports whether an instant is set and lies in the closed interval from..to.
+func between(instant, from, to time.Time) bool {
 	return !instant.IsZero() && !instant.Before(from) && !instant.After(to)
 }
 
-// inContact reports whether the rules that are bound by time hold for a machine at a moment.
+// inContact reports whether the rules with time limits apply to a machine at an instant: neither it nor the core had a recent
+// fault, except that a minority of the core may be down.
 func (c *checker) inContact(machine string, at time.Time) bool {
 	from := at.Add(-c.Bounds.Contact)
 	for _, fault := range c.Faults {
@@ -23,7 +24,8 @@
 	return machine != "" && c.coreStable(at)
 }
 
-// coreStable reports whether more than half of the core ran at a moment, and nothing has changed there for a while.
+// coreStable reports whether more than half of the core ran at an instant, and no fault in the core had started or ended within
+// Bounds.Contact before.
 func (c *checker) coreStable(at time.Time) bool {
 	from := at.Add(-c.Bounds.Contact)
 	down := map[string]bool{}
@@ -31,7 +33,7 @@
 		if fault.Kind != MachineFault || !c.core[fault.Machine] {
 			continue
 		}
-		if within(fault.From, from, at) || within(fault.To, from, at) {
+		if between(fault.From, from, at) || between(fault.To, from, at) {
 			return false
 		}
 		if fault.overlaps(at, at) {
@@ -41,7 +43,7 @@
 	return 2*(len(c.core)-len(down)) > len(c.core)
 }
 
-// anyFault reports whether there was any fault in a span.
+// anyFault reports whether any fault was active in the closed interval from..to.
 func (c *checker) anyFault(from, to time.Time) bool {
 	for _, fault := range c.Faults {
 		if fault.overlaps(from, to) {
--- a/internal/systemtest/checker/jobs.go
+++ b/internal/systemtest/checker/jobs.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stage is one stage of a job, as its client wrote it.
+// stage is one stage of a job, as submitted by its client.
 type stage struct {
 	Resources
 	Count         int             `json:"count"`
@@ -20,7 +20,7 @@
 	LongRunning   bool            `json:"longRunning"`
 }
 
-// labels are those that a worker must have: written as one text or as a list.
+// labels returns the labels that a worker must have. In JSON they are a string or a list of strings.
 func (s stage) labels() []string {
 	var one string
 	if json.Unmarshal(s.Requirements, &one) == nil {
@@ -36,7 +36,7 @@
 	return many
 }
 
-// specification is a job's body.
+// specification is the body of a request that submits a job.
 type specification struct {
 	Text        string  `json:"specification"`
 	Stages      []stage `json:"stages"`
@@ -47,35 +47,35 @@
 
 func (s specification) repetitions() int { return max(1, s.Repetitions) }
 
-// due is when a time's stages may start; the zero time for jobs without a schedule.
-func (s specification) due(repetition int) time.Time {
+// dueTime returns the due time of a repetition, or zero for jobs without a schedule.
+func (s specification) dueTime(repetition int) time.Time {
 	if s.Repetitions == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(s.FirstRunMS + int64(repetition)*s.IntervalMS)
 }
 
-// jobRecord is what clients did about one job.
+// jobRecord summarizes the clients' requests about one job.
 type jobRecord struct {
 	id           string
 	path         string
 	host         string
 	spec         specification
 	submitted    bool
-	accepted     time.Time // the first answer of success; the zero time without one
-	rejectedOnly bool      // each attempt to submit it was rejected
-	cancelSent   time.Time
-	cancelled    time.Time // the first acknowledgement of a cancel
-	completed    time.Time // when it was first shown as completed
+	acceptedAt   time.Time // first successful answer to a submission; zero without one
+	rejectedOnly bool      // every submission was rejected
+	cancelSentAt time.Time
+	cancelledAt  time.Time // first acknowledgement of a cancellation
+	completedAt  time.Time // first answer with the state completed
 }
 
-// task is a task's name.
+// task identifies a task.
 type task struct {
 	job                      string
 	repetition, stage, index int
 }
 
-// parseTask reads ID.K.STEP.INDEX.
+// parseTask parses a task name of the form JOB.REPETITION.STAGE.INDEX.
 func parseTask(name string) (task, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
@@ -92,30 +92,30 @@
 	return task{parts[0], numbers[0], numbers[1], numbers[2]}, true
 }
 
-// first is the name of a stage's first task.
-func (t task) first() task { return task{t.job, t.repetition, t.stage, 0} }
+// firstOfStage returns the first task of the same stage. It identifies the stage.
+func (t task) firstOfStage() task { return task{t.job, t.repetition, t.stage, 0} }
 
-// jobID is the last part of a path.
+// jobID returns the last segment of a path.
 func jobID(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
 
 const (
-	statusOK             = 200
-	statusRequestTimeout = 408
-	statusMultiple       = 300
-	statusNotFound       = 404
-	statusGone           = 410
-	statusTooMany        = 429
-	statusNoService      = 503
+	statusOK                 = 200
+	statusRequestTimeout     = 408
+	statusMultipleChoices    = 300
+	statusNotFound           = 404
+	statusGone               = 410
+	statusTooManyRequests    = 429
+	statusServiceUnavailable = 503
 )
 
-func success(status int) bool { return status >= statusOK && status < statusMultiple }
+func succeeded(status int) bool { return status >= statusOK && status < statusMultipleChoices }
 
 // rejected reports whether a status says that a job was not accepted and never runs.
 func rejected(status int) bool {
-	return status == statusTooMany || status == statusNoService || status == statusNotFound
+	return status == statusTooManyRequests || status == statusServiceUnavailable || status == statusNotFound
 }
 
-// indexRequests reads what clients did.
+// indexRequests collects the clients' requests about each job.
 func (c *checker) indexRequests() {
 	for i := range c.Requests {
 		request := &c.Requests[i]
@@ -135,40 +135,40 @@
 func (j *jobRecord) addRequest(request *Request) {
 	switch request.Method {
 	case http.MethodPost:
-		j.addSubmit(request)
+		j.addSubmission(request)
 	case http.MethodDelete:
-		j.cancelSent = earlier(j.cancelSent, request.SentAt)
-		if success(request.Status) {
-			j.cancelled = earlier(j.cancelled, request.AnsweredAt)
+		j.cancelSentAt = earlierOf(j.cancelSentAt, request.SentAt)
+		if succeeded(request.Status) {
+			j.cancelledAt = earlierOf(j.cancelledAt, request.AnsweredAt)
 		}
 	case http.MethodGet:
 		if request.Status == statusOK && stateOf(request) == "completed" {
-			j.completed = earlier(j.completed, request.AnsweredAt)
+			j.completedAt = earlierOf(j.completedAt, request.AnsweredAt)
 		}
 	}
 }
 
-func (j *jobRecord) addSubmit(request *Request) {
+func (j *jobRecord) addSubmission(request *Request) {
 	if !j.submitted {
-		_ = json.Unmarshal(request.Body, &j.spec) // of a body that cannot be read nothing may run
+		_ = json.Unmarshal(request.Body, &j.spec) // no attempt may run for an invalid body
 		j.path, j.host, j.submitted = request.Path, request.Host, true
 	}
-	if success(request.Status) {
-		j.accepted = earlier(j.accepted, request.AnsweredAt)
+	if succeeded(request.Status) {
+		j.acceptedAt = earlierOf(j.acceptedAt, request.AnsweredAt)
 	}
 	if !rejected(request.Status) {
 		j.rejectedOnly = false
 	}
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// stateOf is the state in an answer; empty where it cannot be read.
+// stateOf returns the state in an answer, or an empty string if the answer cannot be parsed.
 func stateOf(request *Request) string {
 	var answer struct {
 		State string `json:"state"`
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -264,8 +264,8 @@
 func (s *system) bounds() checker.Bounds {
 	return checker.Bounds{
 		Contact: 3*time.Second + busySlack, ConfigurationApply: 2*time.Second + busySlack, RollbackSlack: 250*time.Millisecond + busySlack,
-		Drain: drainTime + busySlack, Cancel: 3*time.Second + busySlack, Stop: stopTime + busySlack, Visible: 3*time.Second + busySlack,
-		Early: 250 * time.Millisecond, AcknowledgeLag: time.Second + busySlack, LossSlack: lossSlack, Grace: gracePeriod,
+		Drain: drainTime + busySlack, Cancel: 3*time.Second + busySlack, Stop: stopTime + busySlack, JobVisibility: 3*time.Second + busySlack,
+		EarlyStart: 250 * time.Millisecond, AcknowledgementLag: time.Second + busySlack, ShutdownReadSlack: lossSlack, ShutdownGrace: gracePeriod,
 	}
 }
 
@@ -275,7 +275,7 @@
 	defer s.mu.Unlock()
 	h := checker.History{
 		Bounds: s.bounds(),
-		Faults: s.faults, Requests: s.requests, OperatorRequests: s.operatorRequests, AbortedRequests: s.abortedRequests, EndedAt: endedAt, SeenUntil: time.Now(),
+		Faults: s.faults, Requests: s.requests, OperatorRequests: s.operatorRequests, AbortedRequests: s.abortedRequests, LoadEndedAt: endedAt, SeenUntil: time.Now(),
 	}
 	for _, m := range s.core {
 		h.Core = append(h.Core, m.name)
--- a/internal/systemtest/workers_test.go
+++ b/internal/systemtest/workers_test.go
@@ -43,7 +43,7 @@
 	}
 	capacity := job.Resources{Processors: 4000, MemoryMB: 4000}
 	added := &worker{fact: checker.Worker{
-		Service: plan.service, Labels: labels, Guards: plan.guards,
+		Service: plan.service, Labels: labels, EnforcesCapacity: plan.guards,
 		Capacity: checker.Resources{Processors: capacity.Processors, MemoryMB: capacity.MemoryMB},
 	}}
 	added.Worker = s.cluster.AddWorker(cluster.WorkerConfig{
