--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -26,7 +26,7 @@
 	maxRequestInterval = 800 * time.Millisecond // between two requests of an actor
 )
 
-// startActors sets operators, clients, and readers of the feed to work until the context ends.
+// startActors starts operators, clients and pollers of the feed. They run until the context ends.
 func (s *simulation) startActors(ctx context.Context) {
 	for i := range operatorCount {
 		random := rand.New(rand.NewPCG(s.seed, uint64(100+i)))
@@ -34,14 +34,14 @@
 	}
 	for i := range clientCount {
 		random := rand.New(rand.NewPCG(s.seed, uint64(200+i)))
-		s.actors.Go(func() { (&client{s, random, i, nil, endpoint{s.network, s.outside, 0}}).run(ctx) })
+		s.actors.Go(func() { (&client{s, random, i, nil, endpoint{s.network, s.clientMachine, 0}}).run(ctx) })
 	}
 	for _, m := range append(s.cores, s.agents...) {
 		s.actors.Go(func() { s.pollFeed(ctx, m) })
 	}
 }
 
-// waitForNextRequest waits between two requests; false once the context has ended.
+// waitForNextRequest waits for a random time. It reports false if the context ends before.
 func waitForNextRequest(ctx context.Context, random *rand.Rand) bool {
 	select {
 	case <-time.After(time.Duration(random.Int64N(int64(maxRequestInterval)))):
@@ -51,7 +51,7 @@
 	}
 }
 
-// operator changes the configuration, concurrently with others.
+// operator changes the configuration, concurrently with the other operators.
 type operator struct {
 	simulation *simulation
 	random     *rand.Rand
@@ -67,7 +67,7 @@
 		}
 		builtOn := newest
 		if newest > 0 && o.random.IntN(6) == 0 {
-			builtOn-- // which another version has replaced, or which never was
+			builtOn-- // a version that was replaced or never existed
 		}
 		o.changes++
 		version := newest + 1 + uint64(o.random.IntN(2))
@@ -79,20 +79,20 @@
 	}
 }
 
-// answer is what an operator got; status 0 without an answer in time.
+// answer is the answer to an operator's call. Its status is 0 if none arrived in time.
 type answer struct {
 	status int
 	etag   string
 	body   string
 }
 
-// call makes one call to a node, which answers whoever reaches it; operators do.
+// call sends one request to a node. Operators are outside the simulated network, so its faults do not affect their calls.
 func (o *operator) call(m *machine, request *http.Request) answer {
 	answers := make(chan answer, 1)
 	go func() {
 		incarnation := m.awaitResume()
 		m.mutex.Lock()
-		handler, up := m.operatorHandler, m.up
+		handler, up := m.operatorHandler, m.isUp
 		m.mutex.Unlock()
 		if !up {
 			answers <- answer{status: http.StatusServiceUnavailable}
@@ -113,10 +113,10 @@
 	}
 }
 
-func (o *operator) pick() *machine { return o.simulation.cores[o.random.IntN(coreCount)] }
+func (o *operator) randomCore() *machine { return o.simulation.cores[o.random.IntN(coreCount)] }
 
 func (o *operator) get() (version uint64, read bool) {
-	m, sent := o.pick(), time.Now()
+	m, sent := o.randomCore(), time.Now()
 	got := o.call(m, httptest.NewRequest(http.MethodGet, control.ConfigurationPath, nil))
 	if got.status == 0 {
 		return 0, false
@@ -126,15 +126,15 @@
 	return version, got.status == http.StatusOK || got.status == http.StatusNotFound
 }
 
-// put sends a change to one node after the other until the answer is definite.
+// put sends a configuration to random nodes until one gives a definite answer. It reports whether the configuration was accepted.
 func (o *operator) put(requested change) (accepted bool) {
 	for range operatorAttempts {
-		m, sent := o.pick(), time.Now()
+		m, sent := o.randomCore(), time.Now()
 		request := httptest.NewRequest(http.MethodPut, control.ConfigurationPath, strings.NewReader(requested.body))
 		request.Header.Set("If-Match", strconv.FormatUint(requested.builtOn, 10))
 		got := o.call(m, request)
 		if got.status != 0 {
-			o.simulation.checker.checkPut(m.address, sent, requested, got.status, currentIn(got.body))
+			o.simulation.checker.checkPut(m.address, sent, requested, got.status, currentVersionIn(got.body))
 		}
 		if got.status == http.StatusOK || got.status == http.StatusPreconditionFailed {
 			return got.status == http.StatusOK
@@ -144,8 +144,8 @@
 	return false
 }
 
-// currentIn reads the version that a refusal names.
-func currentIn(body string) (version uint64) {
+// currentVersionIn returns the current version that is named in a rejection, or 0 if there is none.
+func currentVersionIn(body string) (version uint64) {
 	if _, err := fmt.Sscanf(body, `{"error":"version %d is current`, &version); err != nil {
 		return 0
 	}
@@ -174,7 +174,7 @@
 	}
 }
 
-// call calls the leader that an agent names, or any node, as a proxy with a stale feed would.
+// call sends a request to the leader in an agent's feed. Sometimes it uses any node instead, as a proxy with a stale feed would.
 func (c *client) call(route transport.Route, request, reply any) (member string, err error) {
 	leader := c.simulation.agents[c.random.IntN(agentCount)].currentAgent().Snapshot().Leaders[group]
 	member = leader.Address
@@ -223,18 +223,19 @@
 	}
 }
 
-// pollFeed polls a core node as an agent does, or an agent as its proxy does, and checks feeds that are marked as current.
+// pollFeed polls the feed of a core node as an agent does, or of an agent as its proxy does. It checks each feed that is marked
+// as current.
 func (s *simulation) pollFeed(ctx context.Context, m *machine) {
 	random := rand.New(rand.NewPCG(s.seed, uint64(len(m.address))<<32+uint64(m.address[5])))
-	route, age := feed.WatchCall.Route(), feedAge
+	route, age := feed.WatchCall.Route(), maxFeedAge
 	if strings.HasPrefix(m.address, "agent") {
-		route, age = feed.LocalCall.Route(), agentAge
+		route, age = feed.LocalCall.Route(), maxAgentFeedAge
 	}
 	for waitForNextRequest(ctx, random) {
 		sent := time.Now()
 		call, cancel := context.WithTimeout(context.Background(), callTimeout)
 		var reply feed.WatchReply
-		err := endpoint{s.network, s.outside, 0}.Call(call, m.address, route, feed.WatchRequest{}, &reply)
+		err := endpoint{s.network, s.clientMachine, 0}.Call(call, m.address, route, feed.WatchRequest{}, &reply)
 		cancel()
 		if err == nil && reply.Current && reply.Snapshot != nil {
 			s.checker.checkFeed(m.address, sent, age, reply.Snapshot.ConfigurationVersion)
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -14,44 +14,45 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// slack covers the transfer and the batching of changes between a check and its answer's arrival.
-const slack = 100 * time.Millisecond
+// checkSlack covers the transfer of an answer and the batching of changes between a check of freshness and the answer's arrival.
+const checkSlack = 100 * time.Millisecond
 
 const (
-	// feedAge is how old the configuration may be that a core node calls current.
-	feedAge = configuration.FreshAge + slack
-	// agentAge is the same for an agent: the core node's answer takes 1.3 s at the most, and counts for 1.5 s.
-	agentAge = feedAge + 1300*time.Millisecond + 1500*time.Millisecond
+	// maxFeedAge is the largest age of a configuration that a core node marks as current.
+	maxFeedAge = configuration.FreshAge + checkSlack
+	// maxAgentFeedAge is the same for an agent. The core node's answer takes at most 1.3 s, and the agent relies on it for 1.5 s.
+	maxAgentFeedAge = maxFeedAge + 1300*time.Millisecond + 1500*time.Millisecond
 )
 
-// change is a change of the configuration that an operator sends.
+// change is a configuration that an operator sends on top of version builtOn.
 type change struct {
 	version, builtOn uint64
 	body             string
 }
 
-// termKey names a term.
+// termKey identifies a term.
 type termKey struct {
 	member string
-	epoch  uint64
+	number uint64
 }
 
-// checker records what was acknowledged to whom, and the violations. Its instants are those of the callers, who know least.
+// checker records the answers to the actors, and the violations. It records the times at which the callers sent requests and
+// received answers: an answer is checked only against what was acknowledged before its request was sent.
 type checker struct {
-	mutex        sync.Mutex
-	startedAt    time.Time
-	violations   []string
-	acknowledged []acknowledgedVersion // acknowledged, in the order of the acknowledgements
-	accepted     map[change]bool
-	refused      map[change]bool
-	jobs         map[job.ID]time.Time // acknowledged at
-	acceptedJobs []job.ID             // the same, by that
-	finals       map[job.ID]finalState
-	terms        map[termKey]*replication.Term
-	ended        map[termKey]time.Time
-	lateCommands []lateCommand
-	tokens       map[string]uint64 // the highest that a worker has accepted
-	counts       map[string]int    // what was checked, by kind
+	mutex         sync.Mutex
+	startedAt     time.Time
+	violations    []string
+	acknowledged  []acknowledgedVersion // in the order of acknowledgement
+	accepted      map[change]bool
+	rejected      map[change]bool
+	acceptedAt    map[job.ID]time.Time // time of the acknowledgement
+	acceptedJobs  []job.ID             // in the order of acknowledgement
+	finalStates   map[job.ID]finalState
+	terms         map[termKey]*replication.Term
+	termEnds      map[termKey]time.Time
+	lateCommands  []lateCommand
+	highestTokens map[string]uint64 // highest fencing token that each worker has accepted
+	checkCounts   map[string]int    // number of checks by kind
 }
 
 type acknowledgedVersion struct {
@@ -66,8 +67,8 @@
 
 func newChecker() *checker {
 	return &checker{
-		startedAt: time.Now(), accepted: map[change]bool{}, refused: map[change]bool{}, jobs: map[job.ID]time.Time{},
-		finals: map[job.ID]finalState{}, terms: map[termKey]*replication.Term{}, ended: map[termKey]time.Time{}, tokens: map[string]uint64{}, counts: map[string]int{},
+		startedAt: time.Now(), accepted: map[change]bool{}, rejected: map[change]bool{}, acceptedAt: map[job.ID]time.Time{},
+		finalStates: map[job.ID]finalState{}, terms: map[termKey]*replication.Term{}, termEnds: map[termKey]time.Time{}, highestTokens: map[string]uint64{}, checkCounts: map[string]int{},
 	}
 }
 
@@ -76,64 +77,64 @@
 	c.violations = append(c.violations, fmt.Sprintf("at %v: %s", time.Since(c.startedAt).Round(time.Millisecond), text))
 }
 
-// newestBy is the newest version that was acknowledged by an instant. The mutex is held.
-func (c *checker) newestBy(at time.Time) (newest uint64) {
-	for _, one := range c.acknowledged {
-		if !one.at.After(at) {
-			newest = max(newest, one.version)
+// newestAcknowledgedBy returns the newest version that was acknowledged by an instant. The caller holds the mutex.
+func (c *checker) newestAcknowledgedBy(at time.Time) (newest uint64) {
+	for _, acknowledged := range c.acknowledged {
+		if !acknowledged.at.After(at) {
+			newest = max(newest, acknowledged.version)
 		}
 	}
 	return newest
 }
 
-// checkPut checks an operator's answer to a command.
+// checkPut checks the answer to an operator's change of the configuration.
 func (c *checker) checkPut(member string, sent time.Time, requested change, status int, current uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts[fmt.Sprint("put ", status)]++
+	c.checkCounts[fmt.Sprint("put ", status)]++
 	switch status {
 	case http.StatusOK:
 		c.acknowledged = append(c.acknowledged, acknowledgedVersion{requested.version, time.Now()})
 		c.accepted[requested] = true
 		for other := range c.accepted {
 			if other.builtOn == requested.builtOn && other != requested {
-				c.failf("%s confirmed version %d on %d, on which version %d was built", member, requested.version, requested.builtOn, other.version)
+				c.failf("%s accepted version %d on top of version %d, although version %d had been accepted on top of it", member, requested.version, requested.builtOn, other.version)
 			}
 		}
 	case http.StatusPreconditionFailed:
-		c.refused[requested] = true
-		if newest := c.newestBy(sent); current < newest {
-			c.failf("%s refused a command on version %d, older than %d, which was acknowledged before the command was sent", member, current, newest)
+		c.rejected[requested] = true
+		if newest := c.newestAcknowledgedBy(sent); current < newest {
+			c.failf("%s rejected a change and named current version %d, although version %d had been acknowledged before the request", member, current, newest)
 		}
 	case http.StatusServiceUnavailable:
 	default:
-		c.failf("%s answered %d to a command", member, status)
+		c.failf("%s answered a change with status %d", member, status)
 	}
-	if c.accepted[requested] && c.refused[requested] {
-		c.failf("%s: version %d on %d is both refused and confirmed", member, requested.version, requested.builtOn)
+	if c.accepted[requested] && c.rejected[requested] {
+		c.failf("%s: version %d on top of version %d was both rejected and accepted", member, requested.version, requested.builtOn)
 	}
 }
 
-// checkGet checks an operator's reading.
+// checkGet checks the answer to an operator's read of the configuration.
 func (c *checker) checkGet(member string, sent time.Time, status int, version uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts[fmt.Sprint("get ", status)]++
+	c.checkCounts[fmt.Sprint("get ", status)]++
 	if status == http.StatusServiceUnavailable {
 		return
 	}
-	if newest := c.newestBy(sent); version < newest {
-		c.failf("%s answered version %d (status %d), though %d had been acknowledged before the request", member, version, status, newest)
+	if newest := c.newestAcknowledgedBy(sent); version < newest {
+		c.failf("%s answered version %d (status %d), although version %d had been acknowledged before the request", member, version, status, newest)
 	}
 }
 
-// checkFeed checks a feed that calls itself current.
+// checkFeed checks a feed that is marked as current.
 func (c *checker) checkFeed(member string, sent time.Time, age time.Duration, version uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts["feed of "+member[:4]]++
-	if newest := c.newestBy(sent.Add(-age)); version < newest {
-		c.failf("%s marks version %d as current, though %d had been acknowledged %v before the request", member, version, newest, age)
+	c.checkCounts["feed of "+member[:4]]++
+	if newest := c.newestAcknowledgedBy(sent.Add(-age)); version < newest {
+		c.failf("%s marks version %d as current, although version %d had been acknowledged %v before the request", member, version, newest, age)
 	}
 }
 
@@ -141,80 +142,81 @@
 func (c *checker) recordSubmit(id job.ID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts["submit"]++
-	c.jobs[id] = time.Now()
+	c.checkCounts["submit"]++
+	c.acceptedAt[id] = time.Now()
 	c.acceptedJobs = append(c.acceptedJobs, id)
 }
 
-// newestJobs are the jobs accepted last.
+// newestJobs returns the jobs that were accepted last, at most the given number.
 func (c *checker) newestJobs(most int) []job.ID {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return slices.Clone(c.acceptedJobs[max(0, len(c.acceptedJobs)-most):])
 }
 
-// checkJobReply checks a leader's answer about a job, to a reading or a cancellation.
+// checkJobReply checks a leader's answer to a status request or a cancellation of a job.
 func (c *checker) checkJobReply(member, call string, sent time.Time, id job.ID, known bool, state job.State) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts[fmt.Sprint(call, " ", known)]++
-	if at, accepted := c.jobs[id]; accepted && at.Before(sent) && !known {
-		c.failf("%s answers to a %s that there is no job %s, which was accepted before", member, call, id)
+	c.checkCounts[fmt.Sprint(call, " ", known)]++
+	if at, accepted := c.acceptedAt[id]; accepted && at.Before(sent) && !known {
+		c.failf("%s answers to a %s that job %s is unknown, although it was accepted before the request", member, call, id)
 	}
 	if !known {
 		return
 	}
-	if before, ended := c.finals[id]; ended && before.at.Before(sent) && state != before.state {
-		c.failf("%s answers to a %s that job %s is %s, and it was %s before", member, call, id, state, before.state)
+	if before, ended := c.finalStates[id]; ended && before.at.Before(sent) && state != before.state {
+		c.failf("%s answers to a %s that job %s is %s, although it was %s before the request", member, call, id, state, before.state)
 	}
 	if state.Final() {
-		c.finals[id] = finalState{state, time.Now()}
+		c.finalStates[id] = finalState{state, time.Now()}
 	}
 }
 
-// recordTerm records a term, and when it ends.
+// recordTerm records a term, and the time of its end once it ends.
 func (c *checker) recordTerm(member string, term *replication.Term) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts["elections"]++
+	c.checkCounts["elections"]++
 	name := termKey{member, term.Number()}
 	c.terms[name] = term
 	go func() {
 		<-term.Ended()
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.ended[name] = time.Now()
+		c.termEnds[name] = time.Now()
 	}()
 }
 
-// lateCommand is a command that was passed to its connection without a lease, or at the instant at which its term was given up.
+// lateCommand is a command that a node sent without a valid term. It is a violation unless the term ended at that same instant.
 type lateCommand struct {
-	under termKey
-	kind  cluster.CallKind
-	at    time.Time
+	term termKey
+	kind cluster.CallKind
+	at   time.Time
 }
 
-// recordCommand checks a command at the instant at which a node passes it to its connection.
+// recordCommand records a command that a node passes to a connection, if the node's term is not valid at that instant. Polls are
+// not checked.
 func (c *checker) recordCommand(member string, kind cluster.CallKind, token uint64) {
 	if kind == cluster.LeaseCall {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts["command "+string(kind)]++
+	c.checkCounts["command "+string(kind)]++
 	name := termKey{member, token}
 	if term := c.terms[name]; term == nil || !term.Valid() {
 		c.lateCommands = append(c.lateCommands, lateCommand{name, kind, time.Now()})
 	}
 }
 
-// checkLateCommands checks them at the end, when it is known which terms were given up at that instant.
+// checkLateCommands checks the late commands at the end, when the ends of their terms are known.
 func (c *checker) checkLateCommands() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, one := range c.lateCommands {
-		if c.ended[one.under] != one.at {
-			c.failf("%s sent %s under token %d at %v after its lease", one.under.member, one.kind, one.under.epoch, one.at.Sub(c.startedAt))
+	for _, command := range c.lateCommands {
+		if c.termEnds[command.term] != command.at {
+			c.failf("%s sent %s with fencing token %d at %v, after the end of its lease", command.term.member, command.kind, command.term.number, command.at.Sub(c.startedAt))
 		}
 	}
 }
@@ -226,52 +228,52 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if kind != cluster.LeaseCall && token < c.tokens[worker] {
-		c.failf("%s took %s under token %d after token %d", worker, kind, token, c.tokens[worker])
+	if kind != cluster.LeaseCall && token < c.highestTokens[worker] {
+		c.failf("%s accepted %s with fencing token %d after token %d", worker, kind, token, c.highestTokens[worker])
 	}
-	c.tokens[worker] = max(c.tokens[worker], token)
+	c.highestTokens[worker] = max(c.highestTokens[worker], token)
 }
 
-// checkAttempts checks all attempts at the end: a task has one at a time.
-func (c *checker) checkAttempts(runs []cluster.AttemptRecord) {
+// checkAttempts checks that no two attempts of a task ran at the same time.
+func (c *checker) checkAttempts(attempts []cluster.AttemptRecord) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.counts["runs"] += len(runs)
-	for i, one := range runs {
-		for _, other := range runs[i+1:] {
-			if one.Task == other.Task && (one.EndedAt.IsZero() || other.StartedAt.Before(one.EndedAt)) {
-				c.failf("task %v ran twice at a time: %+v and %+v", one.Task, one, other)
+	c.checkCounts["runs"] += len(attempts)
+	for i, attempt := range attempts {
+		for _, other := range attempts[i+1:] {
+			if attempt.Task == other.Task && (attempt.EndedAt.IsZero() || other.StartedAt.Before(attempt.EndedAt)) {
+				c.failf("task %v has two concurrent attempts: %+v and %+v", attempt.Task, attempt, other)
 			}
 		}
 	}
 }
 
-// checkHistory checks the changes that a majority has accepted, at the end.
+// checkHistory checks the final history of accepted configurations, read from a majority, against the answers to operators.
 func (c *checker) checkHistory(state configuration.State) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	accepted := map[configuration.AppliedUpdate]bool{}
-	on := uint64(0)
-	for _, one := range state.Applied {
-		if one.IfMatch != on {
-			c.failf("version %d was accepted on %d, after %d", one.Version, one.IfMatch, on)
+	expectedBase := uint64(0)
+	for _, update := range state.Applied {
+		if update.IfMatch != expectedBase {
+			c.failf("version %d was accepted on top of version %d, but follows version %d", update.Version, update.IfMatch, expectedBase)
 		}
-		on = one.Version
-		accepted[one] = true
+		expectedBase = update.Version
+		accepted[update] = true
 	}
 	for requested := range c.accepted {
 		if !accepted[requested.appliedUpdate()] {
-			c.failf("version %d on %d was confirmed and is lost", requested.version, requested.builtOn)
+			c.failf("version %d on top of version %d was accepted and is lost", requested.version, requested.builtOn)
 		}
 	}
-	for requested := range c.refused {
+	for requested := range c.rejected {
 		if accepted[requested.appliedUpdate()] {
-			c.failf("version %d on %d was refused and is in force", requested.version, requested.builtOn)
+			c.failf("version %d on top of version %d was rejected and is in the history", requested.version, requested.builtOn)
 		}
 	}
 }
 
-// appliedUpdate is how the history stores a change once it is accepted.
+// appliedUpdate returns the record of an accepted change in the history.
 func (o change) appliedUpdate() configuration.AppliedUpdate {
 	record := configuration.AppliedUpdate{Version: o.version, IfMatch: o.builtOn}
 	sum := sha256.Sum256([]byte(o.body))
--- a/internal/systemtest/controlmodel/doc.go
+++ b/internal/systemtest/controlmodel/doc.go
@@ -1,7 +1,8 @@
-// Package controlmodel has tests of the control side on a virtual clock, network and disk: core nodes, agents, operators,
-// clients and workers, with faults by seeded schedules. It checks the answers to each of them against the promises of
-// docs/control-safety.md on old state: no stale state is served, nothing is refused or confirmed on it, and no command is sent.
+// Package controlmodel tests the control plane on a virtual clock, network and disk. A simulation has core nodes, agents,
+// operators, clients and workers, and injects faults by a seeded schedule. The tests check all answers against the guarantees
+// of docs/control-safety.md about stale state: no component serves it, accepts or rejects a request on the basis of it, or sends
+// a command on the basis of it.
 //
-// The parts are the real ones, but for sockets, disks and the list of the platform. A process that is paused is modelled
-// by its messages and its writes, which wait before and after each of them, while its timers go on.
+// All components are the real ones, except sockets, disks and the platform's list of workers. A process is paused by delaying
+// each of its messages and writes, both before and after it. Its timers continue to run.
 package controlmodel
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	probeLeadTime = 100 * time.Millisecond // before a machine that is paused resumes
-	probedJobs    = 4                      // questions that wait for it then
+	probeLeadTime  = 100 * time.Millisecond // from the probes until a paused machine resumes
+	probedJobCount = 4                      // jobs that are requested by the probes
 )
 
-// faultKind is one kind of fault of a machine.
+// faultKind is a kind of fault of a machine.
 type faultKind struct {
 	name string
-	// inject begins it, and returns what ends it.
-	inject func(s *simulation, m *machine, length time.Duration) (end func())
+	// begin starts the fault and returns a function that ends it.
+	begin func(s *simulation, m *machine, length time.Duration) (end func())
 }
 
 var coreFaults = []faultKind{
@@ -26,8 +26,8 @@
 	{"partitioned from the core's messages", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, false, true) }},
 	{"partitioned from the agents", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.agents, true, true) }},
 	{"large messages lost", func(s *simulation, m *machine, _ time.Duration) func() {
-		s.network.update(func(n *network) { n.losesLarge[m.address] = true })
-		return func() { s.network.update(func(n *network) { delete(n.losesLarge, m.address) }) }
+		s.network.update(func(n *network) { n.losesLargeMessages[m.address] = true })
+		return func() { s.network.update(func(n *network) { delete(n.losesLargeMessages, m.address) }) }
 	}},
 	{"paused", pauseMachine},
 	{"paused", pauseMachine},
@@ -46,7 +46,7 @@
 	{"partitioned from the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, true, true) }},
 }
 
-// pauseMachine pauses a machine. Shortly before it resumes it gets requests about what happened in the meantime.
+// pauseMachine pauses a machine. A core node is sent requests about recent jobs shortly before it resumes.
 func pauseMachine(s *simulation, m *machine, length time.Duration) func() {
 	m.pause(length)
 	if m.disk != nil {
@@ -58,23 +58,23 @@
 	return func() {}
 }
 
-// probeJobs requests from a node the jobs that were accepted last by any node.
+// probeJobs requests from a node the status of the jobs that any node accepted last.
 func (s *simulation) probeJobs(m *machine) {
-	requester := client{simulation: s, caller: endpoint{s.network, s.outside, 0}}
-	for _, id := range s.checker.newestJobs(probedJobs) {
+	prober := client{simulation: s, caller: endpoint{s.network, s.clientMachine, 0}}
+	for _, id := range s.checker.newestJobs(probedJobCount) {
 		s.actors.Go(func() {
 			sent := time.Now()
 			var reply jobapi.StatusReply
-			if requester.callAt(m.address, jobapi.StatusCall.Route(), jobapi.StatusRequest{Group: group, ID: id}, &reply) == nil {
+			if prober.callAt(m.address, jobapi.StatusCall.Route(), jobapi.StatusRequest{Group: group, ID: id}, &reply) == nil {
 				s.checker.checkJobReply(m.address, "status after a pause", sent, id, reply.Known, reply.State)
 			}
 		})
 	}
 }
 
-// partition closes the links from a machine to others, from others to it, or both.
+// partition blocks the links from a machine to others, from others to it, or both. The returned function ends the partition.
 func (s *simulation) partition(m *machine, others []*machine, out, in bool) (heal func()) {
-	set := func(partitioned bool) {
+	setPartitioned := func(partitioned bool) {
 		s.network.update(func(n *network) {
 			for _, other := range others {
 				if other != m && out {
@@ -86,16 +86,16 @@
 			}
 		})
 	}
-	set(true)
-	return func() { set(false) }
+	setPartitioned(true)
+	return func() { setPartitioned(false) }
 }
 
-// scheduleFaults injects faults, one after the other or at the same time, at any machines.
+// scheduleFaults schedules random faults of random machines. Faults may overlap.
 func (s *simulation) scheduleFaults() {
 	background := []float64{0, 0, 0.01, 0.05}[s.random.IntN(4)]
-	s.network.update(func(n *network) { n.loss, n.duplication, n.delay = background, background, background })
+	s.network.update(func(n *network) { n.lossRate, n.duplicationRate, n.delayRate = background, background, background })
 	s.schedule = append(s.schedule, fmt.Sprintf("%.2f of messages lost, duplicated, delayed", background))
-	if s.random.IntN(4) == 0 { // the case that the model is most about, alone: a leader resumes beside its successor
+	if s.random.IntN(4) == 0 { // the most important case, without other faults: a leader resumes after its successor was elected
 		at, length := time.Duration(s.random.Int64N(int64(faultPhase))), longestFault-time.Duration(s.random.Int64N(int64(time.Second)))
 		s.schedule = append(s.schedule, fmt.Sprintf("after %v the leader paused for %v", at, length))
 		s.pendingFaults.Go(func() { s.inject(faultKind{"paused", pauseMachine}, s.cores[0], true, at, length) })
@@ -115,22 +115,23 @@
 	}
 }
 
-// inject injects one fault, unless the machine has another one.
+// inject injects one fault after the delay at, unless the machine has another fault then. With toLeader, it uses the leader of that
+// time instead of a core node m.
 func (s *simulation) inject(kind faultKind, m *machine, toLeader bool, at, length time.Duration) {
 	<-time.After(at)
 	if leader := s.leader(); toLeader && leader != nil && m.disk != nil {
 		m = leader
 	}
-	if !m.reserve() {
+	if !m.reserveForFault() {
 		return
 	}
-	defer m.release()
-	end := kind.inject(s, m, length)
+	defer m.releaseFromFault()
+	end := kind.begin(s, m, length)
 	<-time.After(length)
 	end()
 }
 
-// leader is the core node that the others name; nil if none does.
+// leader returns the core node that is the leader according to a running core node, or nil if there is none.
 func (s *simulation) leader() *machine {
 	for _, m := range s.cores {
 		if m.running() {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-func (m *machine) reserve() bool {
+func (m *machine) reserveForFault() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	taken := m.hasFault
@@ -148,13 +149,13 @@
 	return !taken
 }
 
-func (m *machine) release() {
+func (m *machine) releaseFromFault() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.hasFault = false
 }
 
-// addMachine makes a machine; core nodes have a disk.
+// addMachine adds a machine to the network. Core nodes have a disk.
 func (s *simulation) addMachine(address string) *machine {
 	m := &machine{simulation: s, address: address}
 	if address[0] == 'c' {
@@ -165,7 +166,7 @@
 }
 
 func (s *simulation) startAll() {
-	s.outside = &machine{simulation: s, address: "outside", up: true}
+	s.clientMachine = &machine{simulation: s, address: "outside", isUp: true}
 	for _, m := range s.cores {
 		m.startCore()
 	}
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -29,23 +29,23 @@
 
 var group = feed.GroupOf(service)
 
-// machine is a core node or an agent, with one process.
+// machine is a simulated machine with one process: a core node, an agent, or the clients.
 type machine struct {
 	simulation *simulation
 	address    string
-	disk       *storage.Memory // nil at an agent
-
-	mutex       sync.Mutex
-	incarnation int // number of the present process
-	up          bool
-	hasFault    bool            // reserved for a fault
-	pausedAt    time.Time       // it has been paused since then
-	pausedUntil time.Time       // and will until then
-	writeDelay  time.Duration   // that each write takes
-	processor   *processorQuota // nil where the processor is never short
-	handler     http.Handler    // of internal calls
-	end         context.CancelFunc
-	tasks       *sync.WaitGroup
+	disk       *storage.Memory // nil except on core nodes
+
+	mutex          sync.Mutex
+	incarnation    int // number of the current process
+	isUp           bool
+	hasFault       bool            // a fault has reserved the machine
+	pausedAt       time.Time       // start of the last pause
+	pausedUntil    time.Time       // end of the last pause
+	writeDelay     time.Duration   // additional duration of each write
+	processorQuota *processorQuota // nil if the process may use a full core
+	handler        http.Handler    // handler of internal calls
+	stop           context.CancelFunc
+	tasks          *sync.WaitGroup
 
 	register        *register.Register
 	configurator    *configuration.Configurator
@@ -64,25 +64,25 @@
 func (m *machine) running() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.up
+	return m.isUp
 }
 
-// isCurrent reports whether the process of that number is the present one.
+// isCurrent reports whether the process with that number is the current one and is running.
 func (m *machine) isCurrent(incarnation int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.up && m.incarnation == incarnation
+	return m.isUp && m.incarnation == incarnation
 }
 
-func (m *machine) mux() http.Handler {
+func (m *machine) internalHandler() http.Handler {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.handler
 }
 
-// awaitResume waits while the process is paused or has spent its share of the processor, and returns its number.
+// awaitResume uses the processor time of one message, waits while the process is paused, and returns its number.
 func (m *machine) awaitResume() (incarnation int) {
-	m.work(messageWork)
+	m.useProcessor(messageProcessorTime)
 	for {
 		m.mutex.Lock()
 		incarnation = m.incarnation
@@ -101,7 +101,7 @@
 	m.pausedAt, m.pausedUntil = time.Now(), time.Now().Add(length)
 }
 
-// Now implements replication.Clock. A process that is paused sees no time pass, and then a leap.
+// Now implements replication.Clock. The clock stops while the process is paused, and jumps to the current time afterwards.
 func (m *machine) Now() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -109,34 +109,35 @@
 	if now.Before(m.pausedUntil) {
 		now = m.pausedAt
 	}
-	return now.Sub(m.simulation.begin)
+	return now.Sub(m.simulation.startedAt)
 }
 
-func (m *machine) setWriteDelay(each time.Duration) {
+func (m *machine) setWriteDelay(delay time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.writeDelay = each
+	m.writeDelay = delay
 }
 
-// diskTime is how long a write takes.
-func (m *machine) diskTime() time.Duration {
+// writeDuration returns the duration of a write.
+func (m *machine) writeDuration() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return 2*time.Millisecond + m.writeDelay
 }
 
-// store is a process's disk, whose writes take time and end with the process. The register's acceptor writes under a lock, and
-// virtual time does not advance while anyone waits for a lock; its writes take no time, and its answers wait for the disk instead.
-type store struct {
+// processDisk is the disk of one process. Its writes take time, and fail once the process has ended. The register's acceptor does
+// not use it, because the acceptor writes while it holds a lock, and virtual time does not advance while a goroutine waits for a
+// lock. Its writes take no time; instead, deliver delays its answers by the duration of a write.
+type processDisk struct {
 	*storage.Memory
 	machine     *machine
 	incarnation int
 }
 
 // Write implements storage.Store.
-func (s store) Write(changes ...storage.Change) error {
+func (s processDisk) Write(changes ...storage.Change) error {
 	s.machine.awaitResume()
-	<-time.After(s.machine.diskTime())
+	<-time.After(s.machine.writeDuration())
 	if !s.machine.isCurrent(s.incarnation) {
 		return errDown
 	}
@@ -145,7 +146,7 @@
 	return err
 }
 
-// startCore starts a core node on the disk that the machine has.
+// startCore starts a core node with the machine's disk.
 func (m *machine) startCore() {
 	ctx, end := context.WithCancel(context.Background())
 	m.mutex.Lock()
@@ -156,7 +157,7 @@
 	caller := endpoint{s.network, m, incarnation}
 	view := func() replicaset.View { return s.membership }
 	ready := func() bool { return true }
-	disk := store{m.disk, m, incarnation}
+	disk := processDisk{m.disk, m, incarnation}
 	mux := transport.NewMux()
 	acceptor := register.NewAcceptor(register.AcceptorConfig{Name: "configuration", Store: m.disk, Ready: ready, View: view})
 	acceptor.Serve(mux)
@@ -172,7 +173,7 @@
 			MaxLease: maxLease, MinDrainDuration: 3 * time.Second, StatusRetention: time.Hour,
 		},
 	})
-	jobs.SetInventory(s.instances)
+	jobs.SetInventory(s.workerInstances)
 	node, err := replication.NewNode(replication.Config{
 		Self: m.address, Store: disk, Caller: caller, View: view, Ready: ready, Handler: &electionObserver{jobs, s.checker, m.address}, Clock: m,
 	})
@@ -198,10 +199,9 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.handler, m.operatorHandler, m.configurator = mux, control.New(ctx, configurator, zap.NewNop()), configurator
-	m.register, m.node, m.jobs, m.up, m.end, m.tasks = proposer, node, jobs, true, end, tasks
+	m.register, m.node, m.jobs, m.isUp, m.stop, m.tasks = proposer, node, jobs, true, end, tasks
 }
 
-// startAgent starts an agent.
 func (m *machine) startAgent() {
 	ctx, end := context.WithCancel(context.Background())
 	m.mutex.Lock()
@@ -213,15 +213,15 @@
 	mux := transport.NewMux()
 	m.agent.Mount(mux)
 	m.agent.MountLocal(mux)
-	m.handler, m.up, m.end, m.tasks = mux, true, end, new(sync.WaitGroup)
+	m.handler, m.isUp, m.stop, m.tasks = mux, true, end, new(sync.WaitGroup)
 	m.tasks.Go(func() { m.agent.Run(ctx) })
 }
 
-// kill ends the process at once: nothing of it leaves or reaches the disk any more.
+// kill ends the process at once. After that it sends no messages and writes nothing to its disk.
 func (m *machine) kill() {
 	m.mutex.Lock()
-	m.up, m.pausedUntil = false, time.Time{}
-	end, tasks, jobs := m.end, m.tasks, m.jobs
+	m.isUp, m.pausedUntil = false, time.Time{}
+	end, tasks, jobs := m.stop, m.tasks, m.jobs
 	m.mutex.Unlock()
 	end()
 	tasks.Wait()
--- a/internal/systemtest/controlmodel/main_test.go
+++ b/internal/systemtest/controlmodel/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// gcPercent is how much of it may gather, in percent of what is in use: the worlds are small and short-lived.
+// gcPercent is the garbage collector's target percentage. It is high because each simulation is small and short-lived.
 const gcPercent = 800
 
 func TestMain(m *testing.M) {
--- a/internal/systemtest/controlmodel/network_test.go
+++ b/internal/systemtest/controlmodel/network_test.go
@@ -21,68 +21,68 @@
 )
 
 var (
-	errLost = errors.New("no answer")
-	errDown = errors.New("connection refused")
+	errNoAnswer = errors.New("no answer")
+	errDown     = errors.New("connection refused")
 )
 
 const (
-	maxTransfer   = 4 * time.Millisecond
-	maxDelay      = 900 * time.Millisecond // of a message that is late
-	registerPaths = "/register/"
-	largeBytes    = 120 // of messages that a link with a fault of that kind loses
+	maxTransfer        = 4 * time.Millisecond
+	maxExtraDelay      = 900 * time.Millisecond // of a message that is delayed or duplicated
+	registerPathPrefix = "/register/"
+	largeMessageBytes  = 120 // larger messages are lost by machines in losesLargeMessages
 )
 
-// link is one direction between two machines.
+// link is one direction of the connection between two machines.
 type link struct{ from, to string }
 
-// network carries calls between machines. What happens to a message depends on the seed, its link and its number there, and
-// not on the order in which goroutines run.
+// network delivers calls between machines. The fate of a message depends only on the seed, its link, its path, and its number on
+// that link and path. It does not depend on the order in which goroutines run.
 type network struct {
 	seed uint64
 
-	mutex       sync.Mutex
-	machines    map[string]*machine
-	numbers     map[string]uint64
-	partitioned map[link]bool
-	losesLarge  map[string]bool // machines whose large messages to and from others are lost
-	loss        float64
-	duplication float64
-	delay       float64
+	mutex              sync.Mutex
+	machines           map[string]*machine
+	messageCounts      map[string]uint64
+	partitioned        map[link]bool
+	losesLargeMessages map[string]bool // machines that lose the large messages that they send or receive
+	lossRate           float64
+	duplicationRate    float64
+	delayRate          float64
 }
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		seed: seed, machines: map[string]*machine{}, numbers: map[string]uint64{}, partitioned: map[link]bool{}, losesLarge: map[string]bool{},
+		seed: seed, machines: map[string]*machine{}, messageCounts: map[string]uint64{}, partitioned: map[link]bool{}, losesLargeMessages: map[string]bool{},
 	}
 }
 
-// messageFate is what happens to a message.
+// messageFate is the random outcome for one message.
 type messageFate struct {
 	lost, duplicated      bool
 	delay, duplicateDelay time.Duration
 }
 
-// draw decides on the next message of a link and a path.
-func (n *network) draw(from, to, path string, size int) messageFate {
+// drawFate returns the fate of the next message on a link and path.
+func (n *network) drawFate(from, to, path string, size int) messageFate {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	key := from + " " + to + path
-	n.numbers[key]++
-	chances := func(use uint64) float64 {
-		hash := xxh3.HashStringSeed(key, n.seed^n.numbers[key]<<8^use<<56)
+	n.messageCounts[key]++
+	random := func(purpose uint64) float64 {
+		hash := xxh3.HashStringSeed(key, n.seed^n.messageCounts[key]<<8^purpose<<56)
 		return float64(hash>>11) / (1 << 53)
 	}
-	f := messageFate{lost: n.partitioned[link{from, to}] || chances(1) < n.loss, duplicated: chances(2) < n.duplication}
-	f.lost = f.lost || size > largeBytes && (n.losesLarge[from] || n.losesLarge[to])
-	f.delay = time.Duration(chances(3) * float64(maxTransfer))
-	f.duplicateDelay = time.Duration(chances(4) * float64(maxDelay))
-	if chances(5) < n.delay {
-		f.delay = f.duplicateDelay
+	fate := messageFate{lost: n.partitioned[link{from, to}] || random(1) < n.lossRate, duplicated: random(2) < n.duplicationRate}
+	fate.lost = fate.lost || size > largeMessageBytes && (n.losesLargeMessages[from] || n.losesLargeMessages[to])
+	fate.delay = time.Duration(random(3) * float64(maxTransfer))
+	fate.duplicateDelay = time.Duration(random(4) * float64(maxExtraDelay))
+	if random(5) < n.delayRate {
+		fate.delay = fate.duplicateDelay
 	}
-	return f
+	return fate
 }
 
-// update changes the network's faults.
+// update changes the network's configuration under its mutex.
 func (n *network) update(change func(*network)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -95,7 +95,7 @@
 	return n.machines[address]
 }
 
-// endpoint is one process's transport.Caller; it stops with the process.
+// endpoint is the transport.Caller of one process. Its calls fail once the process has ended.
 type endpoint struct {
 	network     *network
 	from        *machine
@@ -114,7 +114,7 @@
 		return rpcerror.WrapNotExecuted(errDown, 0)
 	}
 	answers := make(chan *httptest.ResponseRecorder, 2)
-	sent := e.network.draw(e.from.address, address, path, len(body))
+	sent := e.network.drawFate(e.from.address, address, path, len(body))
 	if !sent.lost {
 		go e.network.deliver(ctx, sent.delay, e.from.address, address, path, body, answers)
 		if sent.duplicated {
@@ -124,14 +124,14 @@
 	select {
 	case answer := <-answers:
 		e.from.awaitResume()
-		return decode(answer, reply)
+		return decodeReply(answer, reply)
 	case <-ctx.Done():
 		e.from.awaitResume()
-		return rpcerror.WrapMayHaveExecuted(errLost)
+		return rpcerror.WrapMayHaveExecuted(errNoAnswer)
 	}
 }
 
-// deliver brings a request to its machine and the answer back.
+// deliver passes a request to its machine and sends the answer back, unless the answer is lost or the process has ended.
 func (n *network) deliver(ctx context.Context, delay time.Duration, from, to, path string, body []byte, answers chan<- *httptest.ResponseRecorder) {
 	<-time.After(delay)
 	target := n.machineAt(to)
@@ -142,12 +142,12 @@
 		return
 	}
 	incarnation := target.awaitResume()
-	target.mux().ServeHTTP(answer, request(ctx, path, body))
+	target.internalHandler().ServeHTTP(answer, newInternalRequest(ctx, path, body))
 	target.awaitResume()
-	if strings.HasPrefix(path, registerPaths) {
-		<-time.After(target.diskTime())
+	if strings.HasPrefix(path, registerPathPrefix) {
+		<-time.After(target.writeDuration())
 	}
-	back := n.draw(to, from, path, answer.Body.Len())
+	back := n.drawFate(to, from, path, answer.Body.Len())
 	if back.lost || !target.isCurrent(incarnation) {
 		return
 	}
@@ -155,8 +155,8 @@
 	answers <- answer
 }
 
-// decode reads a reply as transport.Client does.
-func decode(answer *httptest.ResponseRecorder, reply any) error {
+// decodeReply decodes a reply or an error as transport.Client does.
+func decodeReply(answer *httptest.ResponseRecorder, reply any) error {
 	switch answer.Code {
 	case http.StatusOK:
 		return msgpack.Unmarshal(answer.Body.Bytes(), reply)
@@ -167,8 +167,8 @@
 	return rpcerror.WrapMayHaveExecuted(errors.New(answer.Body.String()))
 }
 
-// request is an internal call as it arrives.
-func request(ctx context.Context, path string, body []byte) *http.Request {
+// newInternalRequest returns an internal call as the receiving machine sees it.
+func newInternalRequest(ctx context.Context, path string, body []byte) *http.Request {
 	made := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Path: path}, Header: http.Header{}, Host: "machine",
 		Body: io.NopCloser(bytes.NewReader(body)), ContentLength: int64(len(body)),
--- a/internal/systemtest/controlmodel/processorquota_test.go
+++ b/internal/systemtest/controlmodel/processorquota_test.go
@@ -12,89 +12,89 @@
 
 const (
 	quotaPeriod = 100 * time.Millisecond
-	// quotaShare is the least share of a core that a process is to get along with.
-	quotaShare = 0.2
-	// messageWork is the processor time of each request or response that a process sends or takes, and of each write: some three
-	// times what the benchmarks of a call show.
-	messageWork = 300 * time.Microsecond
-	// longestStep is the processor time of the longest piece of work that cannot be interrupted, once a second: a collection of
-	// garbage, a compaction, or the copy of a group's state.
-	longestStep = 60 * time.Millisecond
-	// brokenStep is one that no lease outlasts.
-	brokenStep = 400 * time.Millisecond
+	// processorShare is the smallest share of a core with which a process must work.
+	processorShare = 0.2
+	// messageProcessorTime is the processor time of each request or response that a process sends or receives, and of each write.
+	// It is about three times the time in the benchmarks of a call.
+	messageProcessorTime = 300 * time.Microsecond
+	// longestUninterruptedWork is the processor time of the longest work that cannot be interrupted, such as a garbage collection,
+	// a compaction, or the copy of a group's state. It occurs once a second.
+	longestUninterruptedWork = 60 * time.Millisecond
+	// excessiveWork is uninterrupted work that takes longer than a lease under the quota.
+	excessiveWork = 400 * time.Millisecond
 
 	quotaRunTime = 15 * time.Second
 )
 
-// processorQuota is a share of a core: full speed until it is spent, then nothing for the rest of the period. Work is done in the order
-// in which it comes.
+// processorQuota models a quota of processor time per period. Work runs at full speed until the quota of the period is spent, and then
+// stops for the rest of the period. Work is done in the order of arrival.
 type processorQuota struct {
-	share time.Duration // of each period
-	free  time.Time     // when the work so far is done
-	begun time.Time     // of the period in which that is
-	spent time.Duration // of that period's share
+	share         time.Duration // quota of each period
+	freeAt        time.Time     // when the work so far is finished
+	periodStart   time.Time     // start of the period that contains freeAt
+	spentInPeriod time.Duration // quota spent in that period
 }
 
 func newProcessorQuota(now time.Time, share float64) *processorQuota {
-	return &processorQuota{share: time.Duration(share * float64(quotaPeriod)), free: now, begun: now}
+	return &processorQuota{share: time.Duration(share * float64(quotaPeriod)), freeAt: now, periodStart: now}
 }
 
-// run adds work that comes now, and returns when it is done.
-func (q *processorQuota) run(now time.Time, work time.Duration) (done time.Time) {
-	if now.After(q.free) {
-		q.free = now
+// schedule adds work that arrives now, and returns the time at which it is finished.
+func (q *processorQuota) schedule(now time.Time, work time.Duration) (done time.Time) {
+	if now.After(q.freeAt) {
+		q.freeAt = now
 	}
-	q.enterPeriod()
+	q.startNewPeriod()
 	for work > 0 {
-		if q.spent == q.share {
-			q.free = q.begun.Add(quotaPeriod)
-			q.enterPeriod()
+		if q.spentInPeriod == q.share {
+			q.freeAt = q.periodStart.Add(quotaPeriod)
+			q.startNewPeriod()
 		}
-		slice := min(work, q.share-q.spent)
-		q.free, q.spent, work = q.free.Add(slice), q.spent+slice, work-slice
+		slice := min(work, q.share-q.spentInPeriod)
+		q.freeAt, q.spentInPeriod, work = q.freeAt.Add(slice), q.spentInPeriod+slice, work-slice
 	}
-	return q.free
+	return q.freeAt
 }
 
-// enterPeriod gives the share anew where a new period has begun.
-func (q *processorQuota) enterPeriod() {
-	if passed := q.free.Sub(q.begun) / quotaPeriod; passed > 0 {
-		q.begun, q.spent = q.begun.Add(passed*quotaPeriod), 0
+// startNewPeriod renews the quota if freeAt is in a later period.
+func (q *processorQuota) startNewPeriod() {
+	if passed := q.freeAt.Sub(q.periodStart) / quotaPeriod; passed > 0 {
+		q.periodStart, q.spentInPeriod = q.periodStart.Add(passed*quotaPeriod), 0
 	}
 }
 
-// work waits until the machine's process has done a piece of work. Without a quota it takes no time.
-func (m *machine) work(amount time.Duration) {
+// useProcessor waits until the machine's process has done work of the given processor time. Without a quota it does not wait.
+func (m *machine) useProcessor(amount time.Duration) {
 	m.mutex.Lock()
-	if m.processor == nil {
+	if m.processorQuota == nil {
 		m.mutex.Unlock()
 		return
 	}
-	remaining := time.Until(m.processor.run(time.Now(), amount))
+	remaining := time.Until(m.processorQuota.schedule(time.Now(), amount))
 	m.mutex.Unlock()
 	if remaining > 0 {
 		<-time.After(remaining)
 	}
 }
 
-// runUnderQuota plays a time without any fault in which each process has a quota and a long step each second, and returns the
-// simulation and its violations.
-func runUnderQuota(t *testing.T, seed uint64, step time.Duration) (s *simulation, violations []string) {
+// runUnderQuota runs a simulation without faults in which each process has a processor quota, and each core node does uninterrupted
+// work once a second. It returns the simulation and its violations.
+func runUnderQuota(t *testing.T, seed uint64, work time.Duration) (s *simulation, violations []string) {
 	t.Helper()
 	virtualtime.Test(t, func(*testing.T) {
 		s = newSimulation(seed)
 		for _, m := range append(s.agents, s.cores...) {
-			m.processor = newProcessorQuota(s.begin, quotaShare)
+			m.processorQuota = newProcessorQuota(s.startedAt, processorShare)
 		}
 		s.startAll()
 		ctx, stop := context.WithCancel(context.Background())
-		<-time.After(warmUp)
+		<-time.After(startPhase)
 		s.startActors(ctx)
 		for i, m := range s.cores {
 			s.actors.Go(func() {
 				<-time.After(time.Duration(i) * quotaPeriod)
 				for ctx.Err() == nil {
-					m.work(step)
+					m.useProcessor(work)
 					<-time.After(time.Second)
 				}
 			})
@@ -108,33 +108,33 @@
 	return s, violations
 }
 
-// No lease, failure detector, election or time limit takes a pause between two shares of the processor for a failure, nor several in a
-// row: the leader of the first moment leads to the end, and all that the model checks holds.
-func TestProcessorQuota(t *testing.T) {
+// Guards against lost leadership of a process with a small processor quota. No lease, failure detector, election or time limit may
+// treat one or several successive pauses by the quota as a failure: the first leader must lead to the end without violations.
+func TestLeaderSurvivesProcessorQuota(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
-		s, violations := runUnderQuota(t, seed, longestStep)
+		s, violations := runUnderQuota(t, seed, longestUninterruptedWork)
 		convey.Convey("Processes with a fifth of a core keep their leader", t, func() {
 			convey.So(violations, convey.ShouldBeEmpty)
-			convey.So(s.checker.counts["elections"], convey.ShouldEqual, 1)
+			convey.So(s.checker.checkCounts["elections"], convey.ShouldEqual, 1)
 			convey.So(len(s.checker.acknowledged), convey.ShouldBeGreaterThan, 5)
 			convey.So(len(s.checker.acceptedJobs), convey.ShouldBeGreaterThan, 20)
 		})
 	}
-	s, _ := runUnderQuota(t, 1, brokenStep)
-	convey.Convey("A step that spends more than a lease of shares is found", t, func() {
-		convey.So(s.checker.counts["elections"], convey.ShouldBeGreaterThan, 1)
+	s, _ := runUnderQuota(t, 1, excessiveWork)
+	convey.Convey("Uninterrupted work that outlasts the lease causes another election", t, func() {
+		convey.So(s.checker.checkCounts["elections"], convey.ShouldBeGreaterThan, 1)
 	})
 }
 
-func TestQuotaOfAProcess(t *testing.T) {
+func TestProcessorQuotaDelaysWorkBeyondItsShare(t *testing.T) {
 	begin := time.Unix(0, 0)
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
-	quota := newProcessorQuota(begin, quotaShare)
-	convey.Convey("A share of 20 ms of each 100 ms", t, func() {
-		convey.So(quota.run(at(10), 15*time.Millisecond), convey.ShouldEqual, at(25))
-		convey.So(quota.run(at(30), 5*time.Millisecond), convey.ShouldEqual, at(35))
-		convey.So(quota.run(at(40), time.Millisecond), convey.ShouldEqual, at(101))
-		convey.So(quota.run(at(50), 59*time.Millisecond), convey.ShouldEqual, at(320))
-		convey.So(quota.run(at(500), 20*time.Millisecond), convey.ShouldEqual, at(520))
+	quota := newProcessorQuota(begin, processorShare)
+	convey.Convey("A quota of 20 ms in each 100 ms delays the work beyond it", t, func() {
+		convey.So(quota.schedule(at(10), 15*time.Millisecond), convey.ShouldEqual, at(25))
+		convey.So(quota.schedule(at(30), 5*time.Millisecond), convey.ShouldEqual, at(35))
+		convey.So(quota.schedule(at(40), time.Millisecond), convey.ShouldEqual, at(101))
+		convey.So(quota.schedule(at(50), 59*time.Millisecond), convey.ShouldEqual, at(320))
+		convey.So(quota.schedule(at(500), 20*time.Millisecond), convey.ShouldEqual, at(520))
 	})
 }
--- a/internal/systemtest/controlmodel/schedules_test.go
+++ b/internal/systemtest/controlmodel/schedules_test.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	schedules         = 2000
-	underRaceDetector = 120                                 // which takes ten times as long, and looks for something else
-	schedulesVariable = "PUFFINLINK_CONTROLMODEL_SCHEDULES" // how many instead
-	seedVariable      = "PUFFINLINK_CONTROLMODEL_SEED"      // plays this one alone
+	defaultSchedules           = 2000
+	schedulesUnderRaceDetector = 120                                 // fewer: a schedule takes ten times as long, and the aim is to find data races
+	schedulesVariable          = "PUFFINLINK_CONTROLMODEL_SCHEDULES" // overrides the number of schedules
+	seedVariable               = "PUFFINLINK_CONTROLMODEL_SEED"      // runs only the schedule with this seed
 )
 
-// TestSchedules plays seeded schedules of faults. A failure names its seed; with seedVariable it is played alone.
-func TestSchedules(t *testing.T) {
-	first, count := uint64(1), uint64(schedules)
+// TestSeededFaultSchedulesCauseNoViolation runs simulations with seeded fault schedules. A failure message contains the seed. Set
+// the environment variable seedVariable to run only that schedule.
+func TestSeededFaultSchedulesCauseNoViolation(t *testing.T) {
+	first, count := uint64(1), uint64(defaultSchedules)
 	if raceflag.On {
-		count = underRaceDetector
+		count = schedulesUnderRaceDetector
 	}
 	if text := os.Getenv(schedulesVariable); text != "" {
 		count, _ = strconv.ParseUint(text, 10, 64)
@@ -32,41 +33,41 @@
 		first, _ = strconv.ParseUint(text, 10, 64)
 		count = 1
 	}
-	seen := &checkCounts{counts: map[string]int{}}
+	totals := &checkCounts{counts: map[string]int{}}
 	t.Run("seeds", func(t *testing.T) {
 		shards := uint64(runtime.GOMAXPROCS(0))
 		for shard := range shards {
 			t.Run(fmt.Sprint(shard), func(t *testing.T) {
 				t.Parallel()
 				for seed := first + shard; seed < first+count && !t.Failed(); seed += shards {
-					playSeed(t, seed, seen)
+					runSchedule(t, seed, totals)
 				}
 			})
 		}
 	})
-	t.Logf("%d schedules: %v", count, seen.counts)
+	t.Logf("%d schedules: %v", count, totals.counts)
 }
 
-func playSeed(t *testing.T, seed uint64, seen *checkCounts) {
+func runSchedule(t *testing.T, seed uint64, totals *checkCounts) {
 	virtualtime.Test(t, func(t *testing.T) {
 		s := newSimulation(seed)
 		for _, violation := range s.run() {
 			t.Errorf("seed %d: %s\n%v", seed, violation, s)
 		}
-		seen.add(s.checker.counts)
+		totals.add(s.checker.checkCounts)
 	})
 }
 
-// checkCounts counts what was checked, to see that there was something to check.
+// checkCounts counts the checks of each kind in all schedules. The log shows whether each kind was reached.
 type checkCounts struct {
 	mutex  sync.Mutex
 	counts map[string]int
 }
 
-func (s *checkCounts) add(seen map[string]int) {
+func (s *checkCounts) add(counts map[string]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for kind, count := range seen {
+	for kind, count := range counts {
 		s.counts[kind] += count
 	}
 }
--- a/internal/systemtest/controlmodel/simulation_test.go
+++ b/internal/systemtest/controlmodel/simulation_test.go
@@ -20,49 +20,49 @@
 	agentCount  = 2
 	workerCount = 2
 
-	warmUp            = 1200 * time.Millisecond // until the first faults
-	faultPhase        = 2 * time.Second         // until the last ones have begun
-	recoveryPhase     = 1500 * time.Millisecond // after that, without fault
-	longestFault      = 3500 * time.Millisecond // of one fault
+	startPhase    = 1200 * time.Millisecond // before the first fault
+	faultPhase        = 2 * time.Second         // in which faults begin
+	recoveryPhase     = 1500 * time.Millisecond // without faults, after the last fault has ended
+	longestFault      = 3500 * time.Millisecond // duration of one fault
 	shortestFault     = 300 * time.Millisecond
-	completionTimeout = 10 * time.Second // for what is under way
+	completionTimeout = 10 * time.Second // for calls that are still in progress at the end
 )
 
-// simulation is the whole system.
+// simulation is a complete system with its actors and its fault schedule.
 type simulation struct {
-	seed          uint64
-	begin         time.Time
-	random        *rand.Rand // of the schedule and of who calls whom
-	network       *network
-	membership    replicaset.View
-	cores         []*machine
-	agents        []*machine
-	outside       *machine // where clients are, whom nothing happens to
-	workers       *cluster.Cluster
-	instances     []workerclient.Instance
-	checker       *checker
-	actors        sync.WaitGroup
-	pendingFaults sync.WaitGroup
-	schedule      []string // of the schedule
+	seed            uint64
+	startedAt       time.Time
+	random          *rand.Rand // for the fault schedule
+	network         *network
+	membership      replicaset.View
+	cores           []*machine
+	agents          []*machine
+	clientMachine   *machine // machine of the clients; it has no faults
+	workers         *cluster.Cluster
+	workerInstances []workerclient.Instance
+	checker         *checker
+	actors          sync.WaitGroup
+	pendingFaults   sync.WaitGroup
+	schedule        []string // description of the fault schedule
 }
 
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
-		seed: seed, begin: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), network: newNetwork(seed), checker: newChecker(),
+		seed: seed, startedAt: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), network: newNetwork(seed), checker: newChecker(),
 		membership: replicaset.View{Version: 1},
 	}
 	s.workers = cluster.New(cluster.RealClock{}, cluster.Settings{
 		InMemory: true, MaxLease: maxLease, StopDuration: 200 * time.Millisecond,
 		TaskProfile: func(task job.TaskID, _ string) cluster.Profile {
-			length := time.Duration(100+100*(len(task.Job)+task.Index)%1200) * time.Millisecond
-			return cluster.Profile{Resources: job.Resources{Processors: 500}, Duration: length}
+			duration := time.Duration(100+100*(len(task.Job)+task.Index)%1200) * time.Millisecond
+			return cluster.Profile{Resources: job.Resources{Processors: 500}, Duration: duration}
 		},
 	})
 	for i := range workerCount {
 		worker := s.workers.AddWorker(cluster.WorkerConfig{
 			ID: fmt.Sprintf("i-%d", i), Service: service, Capacity: job.Resources{Processors: 4000}, Slots: 8,
 		})
-		s.instances = append(s.instances, workerclient.Instance{
+		s.workerInstances = append(s.workerInstances, workerclient.Instance{
 			ID: workerclient.WorkerID(worker.ID()), Address: worker.Address(), Service: service, Slots: 8,
 			Capacity: job.Resources{Processors: 4000},
 		})
@@ -79,15 +79,15 @@
 	return s
 }
 
-// run runs a schedule from start to end, and returns the violations.
+// run runs the simulation to its end and returns the violations.
 func (s *simulation) run() []string {
 	s.startAll()
 	ctx, stop := context.WithCancel(context.Background())
 	s.startActors(ctx)
-	<-time.After(warmUp)
+	<-time.After(startPhase)
 	s.scheduleFaults()
 	s.pendingFaults.Wait()
-	s.network.update(func(n *network) { n.loss, n.duplication, n.delay = 0, 0, 0 })
+	s.network.update(func(n *network) { n.lossRate, n.duplicationRate, n.delayRate = 0, 0, 0 })
 	<-time.After(recoveryPhase)
 	stop()
 	s.actors.Wait()
@@ -95,7 +95,7 @@
 	return s.checker.violations
 }
 
-// checkFinalState checks what is left when all is calm, and ends the system.
+// checkFinalState checks the final state after all faults have ended, and stops the system.
 func (s *simulation) checkFinalState() {
 	s.checker.checkAttempts(s.workers.Attempts())
 	ctx, cancel := context.WithTimeout(context.Background(), completionTimeout)
@@ -114,7 +114,7 @@
 		m.kill()
 	}
 	s.workers.Close()
-	<-time.After(completionTimeout) // calls that were lost have ended
+	<-time.After(completionTimeout) // until calls without an answer have ended
 	s.checker.checkLateCommands()
 }
 
--- a/internal/systemtest/controlmodel/workercalls_test.go
+++ b/internal/systemtest/controlmodel/workercalls_test.go
@@ -11,7 +11,7 @@
 	"puffinlink.example/puffinlink/internal/fakes/cluster"
 )
 
-// electionObserver passes elections on to a node's jobs, and reports them to the checker.
+// electionObserver reports elections to the checker and passes them on to a node's job manager.
 type electionObserver struct {
 	replication.Handler
 	checker *checker
@@ -24,7 +24,7 @@
 	h.Handler.Elected(term, state)
 }
 
-// workerTransport carries a node's calls to the workers, and reports them to the checker.
+// workerTransport sends a node's calls to the workers through the simulated network and reports them to the checker.
 type workerTransport struct {
 	simulation  *simulation
 	from        *machine
@@ -50,10 +50,10 @@
 		return nil, errDown
 	}
 	ctx := request.Context()
-	sent := o.simulation.network.draw(o.from.address, worker, request.URL.Path, 0)
+	sent := o.simulation.network.drawFate(o.from.address, worker, request.URL.Path, 0)
 	if sent.lost {
 		<-ctx.Done()
-		return nil, errLost
+		return nil, errNoAnswer
 	}
 	copied := request.Clone(ctx)
 	copied.Body = io.NopCloser(bytes.NewReader(body))
@@ -62,10 +62,10 @@
 		return nil, err
 	}
 	o.simulation.checker.checkWorkerReply(worker, kind, token, answer.StatusCode)
-	back := o.simulation.network.draw(worker, o.from.address, request.URL.Path, 0)
+	back := o.simulation.network.drawFate(worker, o.from.address, request.URL.Path, 0)
 	if back.lost {
 		<-ctx.Done()
-		return nil, errLost
+		return nil, errNoAnswer
 	}
 	<-time.After(back.delay)
 	o.from.awaitResume()
