--- a/internal/systemtest/checker/history.go
+++ b/internal/systemtest/checker/history.go
@@ -15,7 +15,7 @@
 	Stop               time.Duration // from the end of Cancel until the job's running attempts have stopped
 	JobVisibility      time.Duration // from the acceptance of a job until every proxy in contact knows it
 	EarlyStart         time.Duration // a scheduled repetition may start this long before its due time
-	ShutdownReadSlack     time.Duration // from a request's last byte until a graceful shutdown must answer the request instead of aborting it
+	ShutdownReadSlack  time.Duration // from a request's last byte until a graceful shutdown must answer the request instead of aborting it
 	ShutdownGrace      time.Duration // from the start of a graceful shutdown until the process is killed
 	AcknowledgementLag time.Duration // from an acknowledged completion of a task or job until no attempt of it starts
 }
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -80,7 +80,7 @@
 	return m.handler
 }
 
-// awaitResume uses the processor time of one message, waits while the process is paused, and returns its number.
+// awaitResume uses the processor time of one message or write, waits while the process is paused, and returns its number.
 func (m *machine) awaitResume() (incarnation int) {
 	m.useProcessor(messageProcessorTime)
 	for {
--- a/internal/systemtest/controlmodel/simulation_test.go
+++ b/internal/systemtest/controlmodel/simulation_test.go
@@ -20,7 +20,7 @@
 	agentCount  = 2
 	workerCount = 2
 
-	startPhase    = 1200 * time.Millisecond // before the first fault
+	startPhase        = 1200 * time.Millisecond // before the first fault
 	faultPhase        = 2 * time.Second         // in which faults begin
 	recoveryPhase     = 1500 * time.Millisecond // without faults, after the last fault has ended
 	longestFault      = 3500 * time.Millisecond // duration of one fault
