--- a/internal/fakes/cluster/calls.go
+++ b/internal/fakes/cluster/calls.go
@@ -52,18 +52,18 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	var q request
-	if json.Unmarshal(body, &q) != nil || !s.decode(CallKind(r.URL.Path), &q) {
+	var req request
+	if json.Unmarshal(body, &req) != nil || !s.decode(CallKind(r.URL.Path), &req) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	switch fault.Kind {
 	case NoFault:
-		s.answer(w, r, incarnation, q, 0)
+		s.answer(w, r, incarnation, req, 0)
 	case DelayAnswer:
-		s.answer(w, r, incarnation, q, fault.Delay)
+		s.answer(w, r, incarnation, req, fault.Delay)
 	default:
-		s.applyFault(w, r, incarnation, q, fault)
+		s.applyFault(w, r, incarnation, req, fault)
 	}
 }
 
@@ -77,16 +77,16 @@
 }
 
 // decode parses the task of a start or stop call. It reports whether the call is valid.
-func (s *Worker) decode(call CallKind, q *request) bool {
+func (s *Worker) decode(call CallKind, req *request) bool {
 	if call == LeaseCall {
-		return q.WaitMS <= maxPollWait.Milliseconds() && q.WaitMS >= 0
+		return req.WaitMS <= maxPollWait.Milliseconds() && req.WaitMS >= 0
 	}
-	task, err := job.ParseTaskID(q.Task)
-	q.task = task
-	return err == nil && (call == StartCall || call == StopCall) && (call == StopCall || q.ValidUntilMS != nil)
+	task, err := job.ParseTaskID(req.Task)
+	req.task = task
+	return err == nil && (call == StartCall || call == StopCall) && (call == StopCall || req.ValidUntilMS != nil)
 }
 
-func (s *Worker) applyFault(w http.ResponseWriter, r *http.Request, incarnation *incarnation, q request, fault Fault) {
+func (s *Worker) applyFault(w http.ResponseWriter, r *http.Request, incarnation *incarnation, req request, fault Fault) {
 	switch fault.Kind {
 	case Reject:
 		w.WriteHeader(fault.Status)
@@ -94,9 +94,9 @@
 	case ResetConnection:
 		panic(http.ErrAbortHandler)
 	case DropAnswer:
-		s.execute(incarnation, CallKind(r.URL.Path), q)
+		s.execute(incarnation, CallKind(r.URL.Path), req)
 	case DelayExecution:
-		s.executeLate(incarnation, CallKind(r.URL.Path), q, fault)
+		s.executeLate(incarnation, CallKind(r.URL.Path), req, fault)
 	}
 	select { // wait without an answer until the caller or the worker ends the call
 	case <-r.Context().Done():
@@ -106,28 +106,28 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Worker) executeLate(incarnation *incarnation, call CallKind, q request, fault Fault) {
+func (s *Worker) executeLate(incarnation *incarnation, call CallKind, req request, fault Fault) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	arrived := s.clockNow()
-	q.late = true
+	req.late = true
 	s.cluster.clock.AfterFunc(fault.Delay, func() {
-		if fault.FromArrival && q.ValidUntilMS != nil {
+		if fault.FromArrival && req.ValidUntilMS != nil {
 			s.cluster.mu.Lock()
-			shifted := *q.ValidUntilMS + (s.clockNow() - arrived).Milliseconds()
+			shifted := *req.ValidUntilMS + (s.clockNow() - arrived).Milliseconds()
 			s.cluster.mu.Unlock()
-			q.ValidUntilMS = &shifted
+			req.ValidUntilMS = &shifted
 		}
-		s.execute(incarnation, call, q)
+		s.execute(incarnation, call, req)
 	})
 }
 
 // answer executes a call and answers it after the delay. A poll is answered when a completion is available or its wait is over.
-func (s *Worker) answer(w http.ResponseWriter, r *http.Request, incarnation *incarnation, q request, delay time.Duration) {
+func (s *Worker) answer(w http.ResponseWriter, r *http.Request, incarnation *incarnation, req request, delay time.Duration) {
 	call := CallKind(r.URL.Path)
-	status, answer := s.execute(incarnation, call, q)
+	status, answer := s.execute(incarnation, call, req)
 	if call == LeaseCall && status == http.StatusOK {
-		s.awaitCompletion(r, incarnation, time.Duration(q.WaitMS)*time.Millisecond)
+		s.awaitCompletion(r, incarnation, time.Duration(req.WaitMS)*time.Millisecond)
 		answer = s.leaseResponse(incarnation)
 	}
 	body, err := json.Marshal(answer)
@@ -158,25 +158,25 @@
 }
 
 // execute executes a call, unless the worker has crashed since the call arrived or the call's fencing token is outdated.
-func (s *Worker) execute(incarnation *incarnation, call CallKind, q request) (int, response) {
+func (s *Worker) execute(incarnation *incarnation, call CallKind, req request) (int, response) {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
 	if s.incarnation != incarnation {
 		return http.StatusMisdirectedRequest, response{}
 	}
-	if q.FencingToken < incarnation.fencingToken {
+	if req.FencingToken < incarnation.fencingToken {
 		return s.reject("fence")
 	}
-	incarnation.fencingToken = q.FencingToken
+	incarnation.fencingToken = req.FencingToken
 	switch call {
 	case StartCall:
-		return s.start(q)
+		return s.start(req)
 	case StopCall:
-		s.stop(q)
+		s.stop(req)
 	case LeaseCall:
-		s.acknowledge(q.LastSeen)
-		if q.ValidUntilMS != nil {
-			s.renewLease(time.Duration(*q.ValidUntilMS) * time.Millisecond)
+		s.acknowledge(req.LastSeen)
+		if req.ValidUntilMS != nil {
+			s.renewLease(time.Duration(*req.ValidUntilMS) * time.Millisecond)
 		}
 	}
 	return http.StatusOK, response{ClockMS: s.clockNow().Milliseconds()}
@@ -186,51 +186,51 @@
 	return http.StatusConflict, response{ClockMS: s.clockNow().Milliseconds(), Reason: reason}
 }
 
-func (s *Worker) start(q request) (int, response) {
+func (s *Worker) start(req request) (int, response) {
 	accepted := response{ClockMS: s.clockNow().Milliseconds()}
-	validUntil := time.Duration(*q.ValidUntilMS) * time.Millisecond
+	validUntil := time.Duration(*req.ValidUntilMS) * time.Millisecond
 	if validUntil <= s.clockNow() {
 		return s.reject("late")
 	}
 	s.renewLease(validUntil)
 	for _, r := range s.incarnation.running {
-		if r.record.Task == q.task && r.record.Number == q.AttemptNumber {
+		if r.record.Task == req.task && r.record.Number == req.AttemptNumber {
 			return http.StatusOK, accepted
 		}
 	}
-	if q.AttemptNumber <= s.incarnation.highestFinished[q.task] {
+	if req.AttemptNumber <= s.incarnation.highestFinished[req.task] {
 		return s.reject("old")
 	}
-	profile := s.profile(q)
+	profile := s.profile(req)
 	fits := s.config.Capacity.Subtract(s.used()).Fits(profile.Resources)
 	if s.config.EnforcesCapacity && !fits {
 		return s.reject("room")
 	}
-	s.begin(q, profile, !fits)
+	s.begin(req, profile, !fits)
 	return http.StatusOK, accepted
 }
 
-func (s *Worker) profile(q request) Profile {
+func (s *Worker) profile(req request) Profile {
 	if s.cluster.settings.TaskProfile == nil {
 		return Profile{}
 	}
-	return s.cluster.settings.TaskProfile(q.task, q.Specification)
+	return s.cluster.settings.TaskProfile(req.task, req.Specification)
 }
 
-func (s *Worker) begin(q request, profile Profile, overCapacity bool) {
+func (s *Worker) begin(req request, profile Profile, overCapacity bool) {
 	r := &attempt{worker: s, incarnation: s.incarnation, profile: profile}
 	r.record = AttemptRecord{
-		Worker: s.incarnation.id, Task: q.task, Number: q.AttemptNumber, FencingToken: q.FencingToken,
-		Specification: q.Specification, Checkpoint: q.Checkpoint, Late: q.late,
+		Worker: s.incarnation.id, Task: req.task, Number: req.AttemptNumber, FencingToken: req.FencingToken,
+		Specification: req.Specification, Checkpoint: req.Checkpoint, Late: req.late,
 		StartedAt: s.cluster.clock.Now(), OverCapacity: overCapacity,
 	}
 	r.begin()
 }
 
-func (s *Worker) stop(q request) {
-	s.incarnation.highestFinished[q.task] = max(s.incarnation.highestFinished[q.task], q.AttemptNumber)
+func (s *Worker) stop(req request) {
+	s.incarnation.highestFinished[req.task] = max(s.incarnation.highestFinished[req.task], req.AttemptNumber)
 	for _, r := range slices.Clone(s.incarnation.running) {
-		if r.record.Task == q.task && r.record.Number == q.AttemptNumber {
+		if r.record.Task == req.task && r.record.Number == req.AttemptNumber {
 			r.stop()
 		}
 	}
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -34,10 +34,10 @@
 
 // call calls a worker's current incarnation. It returns the status and the decoded body. Only answers
 // with status 200 and 409 have one.
-func (c client) call(s *Worker, kind CallKind, body string) (int, response) {
+func (c client) call(worker *Worker, kind CallKind, body string) (int, response) {
 	c.t.Helper()
-	request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(kind), bytes.NewReader([]byte(body)))
-	request.Header.Set("Expect-Instance", s.ID())
+	request, _ := http.NewRequest(http.MethodPost, "http://"+worker.Address()+string(kind), bytes.NewReader([]byte(body)))
+	request.Header.Set("Expect-Instance", worker.ID())
 	answer, err := c.http.Do(request)
 	if err != nil {
 		c.t.Fatal(err)
@@ -78,26 +78,26 @@
 				return Profile{Duration: 2 * time.Second, Checkpoints: true, Resources: job.Resources{Processors: 1000}}
 			},
 		})
-		s := c.AddWorker(WorkerConfig{ID: "i-1", EnforcesCapacity: true, Capacity: job.Resources{Processors: 2000}})
+		worker := c.AddWorker(WorkerConfig{ID: "i-1", EnforcesCapacity: true, Capacity: job.Resources{Processors: 2000}})
 		calls := newClient(t)
-		status, _ := calls.call(s, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
+		status, _ := calls.call(worker, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
 		convey.So(status, convey.ShouldEqual, http.StatusOK)
 
 		convey.Convey("they end by themselves, and each completion is listed until it is acknowledged", func() {
 			clock.Advance(2 * time.Second)
-			_, answer := calls.call(s, LeaseCall, `{"fencingToken":7}`)
+			_, answer := calls.call(worker, LeaseCall, `{"fencingToken":7}`)
 			convey.So(answer.Finished, convey.ShouldResemble, [][]any{
 				{1.0, task(0).String(), 1.0, "done", checkpointText(task(0), 2*time.Second)}})
-			_, answer = calls.call(s, LeaseCall, `{"fencingToken":7,"lastSeen":1}`)
+			_, answer = calls.call(worker, LeaseCall, `{"fencingToken":7,"lastSeen":1}`)
 			convey.So(answer.Finished, convey.ShouldBeEmpty)
 			convey.So(c.Attempts()[0].Acknowledged, convey.ShouldBeTrue)
 		})
 		convey.Convey("they write checkpoints, and a start with a checkpoint continues from its progress", func() {
 			clock.Advance(1200 * time.Millisecond)
-			_, answer := calls.call(s, LeaseCall, `{"fencingToken":7}`)
+			_, answer := calls.call(worker, LeaseCall, `{"fencingToken":7}`)
 			saved := checkpointText(task(0), time.Second)
 			convey.So(answer.Running, convey.ShouldResemble, [][]any{{task(0).String(), 1.0, saved, 60.0}})
-			calls.call(s, StartCall, startBody("1", `,"execution":1,"fencingToken":7,"checkpointed":"`+saved+`"`))
+			calls.call(worker, StartCall, startBody("1", `,"execution":1,"fencingToken":7,"checkpointed":"`+saved+`"`))
 			clock.Advance(1090 * time.Millisecond)
 			convey.So(c.Attempts()[1].Outcome, convey.ShouldBeEmpty)
 			clock.Advance(10 * time.Millisecond)
@@ -105,42 +105,42 @@
 		})
 		convey.Convey("a stop takes StopDuration, writes a checkpoint and prevents another start with that attempt number", func() {
 			clock.Advance(700 * time.Millisecond)
-			calls.call(s, StopCall, `{"task":"00000000000000aa.0.0.0","execution":1,"fencingToken":7}`)
+			calls.call(worker, StopCall, `{"task":"00000000000000aa.0.0.0","execution":1,"fencingToken":7}`)
 			clock.Advance(300 * time.Millisecond)
 			convey.So(c.Attempts()[0].Outcome, convey.ShouldBeEmpty)
 			clock.Advance(100 * time.Millisecond)
 			convey.So(c.Attempts()[0].Outcome, convey.ShouldEqual, job.OutcomeStopped)
-			status, answer := calls.call(s, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
+			status, answer := calls.call(worker, StartCall, startBody("0", `,"execution":1,"fencingToken":7`))
 			convey.So(status, convey.ShouldEqual, http.StatusConflict)
 			convey.So(answer.Reason, convey.ShouldEqual, "old")
 		})
 		convey.Convey("a lease is limited to the maximum, and a shorter one does not shorten it", func() {
-			calls.call(s, LeaseCall, `{"fencingToken":7,"validUntilMs":9000}`)
-			convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(testMaxLease))
-			calls.call(s, LeaseCall, `{"fencingToken":7,"validUntilMs":100}`)
-			convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(testMaxLease))
+			calls.call(worker, LeaseCall, `{"fencingToken":7,"validUntilMs":9000}`)
+			convey.So(worker.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(testMaxLease))
+			calls.call(worker, LeaseCall, `{"fencingToken":7,"validUntilMs":100}`)
+			convey.So(worker.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(testMaxLease))
 		})
 		convey.Convey("it rejects starts beyond its capacity, with an old fencing token or with an expired lease, and invalid ones", func() {
-			calls.call(s, StartCall, startBody("1", `,"execution":1,"fencingToken":7`))
+			calls.call(worker, StartCall, startBody("1", `,"execution":1,"fencingToken":7`))
 			for rest, reason := range map[string]string{`,"execution":1,"fencingToken":8`: "room", `,"execution":1`: "fence"} {
-				status, answer := calls.call(s, StartCall, startBody("2", rest))
+				status, answer := calls.call(worker, StartCall, startBody("2", rest))
 				convey.So(status, convey.ShouldEqual, http.StatusConflict)
 				convey.So(answer.Reason, convey.ShouldEqual, reason)
 			}
 			clock.Advance(5 * time.Second)
-			_, answer := calls.call(s, StartCall, startBody("3", `,"execution":1,"fencingToken":9`))
+			_, answer := calls.call(worker, StartCall, startBody("3", `,"execution":1,"fencingToken":9`))
 			convey.So(answer.Reason, convey.ShouldEqual, "late")
-			status, _ := calls.call(s, StartCall, `{"task":"nothing"}`)
+			status, _ := calls.call(worker, StartCall, `{"task":"nothing"}`)
 			convey.So(status, convey.ShouldEqual, http.StatusBadRequest)
 		})
 		convey.Convey("a crash ends them and starts a new incarnation", func() {
-			s.Crash("i-2")
+			worker.Crash("i-2")
 			convey.So(c.Attempts()[0].EndedAt.IsZero(), convey.ShouldBeFalse)
-			convey.So(s.ID(), convey.ShouldEqual, "i-2")
+			convey.So(worker.ID(), convey.ShouldEqual, "i-2")
 			calls.http.CloseIdleConnections() // the client may not have noticed yet that they are closed
-			_, answer := calls.call(s, LeaseCall, `{}`)
+			_, answer := calls.call(worker, LeaseCall, `{}`)
 			convey.So(answer.Finished, convey.ShouldBeEmpty)
-			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(LeaseCall), bytes.NewReader([]byte(`{}`)))
+			request, _ := http.NewRequest(http.MethodPost, "http://"+worker.Address()+string(LeaseCall), bytes.NewReader([]byte(`{}`)))
 			request.Header.Set("Expect-Instance", "i-1")
 			other, err := calls.http.Do(request)
 			convey.So(err, convey.ShouldBeNil)
@@ -153,8 +153,8 @@
 func TestLeaseExpiresOnWorkerClock(t *testing.T) {
 	convey.Convey("A worker with a slow clock keeps its lease longer", t, func() {
 		clock, c := newVirtualCluster(Settings{})
-		s := c.AddWorker(WorkerConfig{ID: "i-1", ClockRate: 0.98})
-		newClient(t).call(s, StartCall, startBody("0", `,"execution":1`))
+		worker := c.AddWorker(WorkerConfig{ID: "i-1", ClockRate: 0.98})
+		newClient(t).call(worker, StartCall, startBody("0", `,"execution":1`))
 		clock.Advance(5050 * time.Millisecond)
 		convey.So(c.Attempts()[0].Outcome, convey.ShouldBeEmpty)
 		clock.Advance(100 * time.Millisecond)
@@ -196,10 +196,10 @@
 func TestDelayedCallIsExecutedAfterCallerCancels(t *testing.T) {
 	convey.Convey("A call may be executed long after its caller has canceled it", t, func() {
 		clock, c := newVirtualCluster(Settings{})
-		s := c.AddWorker(WorkerConfig{ID: "i-1"})
-		s.SetFaults(Only(StartCall, Fault{Kind: DelayExecution, Delay: 7 * time.Second, FromArrival: true}))
+		worker := c.AddWorker(WorkerConfig{ID: "i-1"})
+		worker.SetFaults(Only(StartCall, Fault{Kind: DelayExecution, Delay: 7 * time.Second, FromArrival: true}))
 		ctx, cancel := context.WithCancel(t.Context())
-		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Address()+string(StartCall),
+		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+worker.Address()+string(StartCall),
 			bytes.NewReader([]byte(startBody("0", `,"execution":1`))))
 		request.Header.Set("Expect-Instance", "i-1")
 		calls := newClient(t)
@@ -218,7 +218,7 @@
 		clock.Advance(7 * time.Second)
 		convey.So(c.Attempts(), convey.ShouldHaveLength, 1)
 		convey.So(c.Attempts()[0].Late, convey.ShouldBeTrue)
-		convey.So(s.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(5*time.Second))
+		convey.So(worker.LeaseExpiry(), convey.ShouldEqual, clock.Now().Add(5*time.Second))
 	})
 }
 
@@ -242,12 +242,12 @@
 func TestPlatformListsWorkersWithLagAndRateLimit(t *testing.T) {
 	convey.Convey("Given a platform with a lag and a low rate limit", t, func() {
 		clock, c := newVirtualCluster(Settings{})
-		p := c.AddPlatform(PlatformConfig{PageSize: 1, RatePerS: 2, Lag: 800 * time.Millisecond})
+		platform := c.AddPlatform(PlatformConfig{PageSize: 1, RatePerS: 2, Lag: 800 * time.Millisecond})
 		c.AddWorker(WorkerConfig{ID: "i-1", Zone: "a"})
-		s := c.AddWorker(WorkerConfig{ID: "i-2", Zone: "b"})
+		worker := c.AddWorker(WorkerConfig{ID: "i-2", Zone: "b"})
 		calls := newClient(t)
 		list := func(query string) (int, listPage) {
-			answer, err := calls.http.Get("http://" + p.Address() + "/instances" + query)
+			answer, err := calls.http.Get("http://" + platform.Address() + "/instances" + query)
 			convey.So(err, convey.ShouldBeNil)
 			defer answer.Body.Close()
 			var page listPage
@@ -267,12 +267,12 @@
 			convey.So(page.NextPageToken, convey.ShouldBeNil)
 		})
 		convey.Convey("a draining worker is listed with its remaining time until it leaves", func() {
-			s.Drain(3 * time.Second)
+			worker.Drain(3 * time.Second)
 			clock.Advance(time.Second)
 			_, page := list("?zone=b")
 			convey.So(page.Instances[0].State, convey.ShouldEqual, "draining")
 			convey.So(page.Instances[0].RemainingMS, convey.ShouldEqual, 2000)
-			s.Leave()
+			worker.Leave()
 			clock.Advance(time.Second)
 			_, page = list("?zone=b")
 			convey.So(page.Instances, convey.ShouldBeEmpty)
@@ -307,15 +307,15 @@
 			}
 		})
 		address := func(server *httptest.Server) string { return server.Listener.Addr().String() }
-		o := &Operator{Addresses: []string{address(failing), address(redirecting)}, HTTP: calls.http}
-		status, err := o.Put(t.Context(), 5, []byte("{}"))
+		operator := &Operator{Addresses: []string{address(failing), address(redirecting)}, HTTP: calls.http}
+		status, err := operator.Put(t.Context(), 5, []byte("{}"))
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(status, convey.ShouldEqual, http.StatusOK)
-		read, err := o.Get(t.Context())
+		read, err := operator.Get(t.Context())
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(string(read), convey.ShouldEqual, "{}5")
-		o.Addresses = o.Addresses[:1]
-		_, err = o.Put(t.Context(), 5, nil)
+		operator.Addresses = operator.Addresses[:1]
+		_, err = operator.Put(t.Context(), 5, nil)
 		convey.So(err, convey.ShouldWrap, ErrOutcomeUnknown)
 	})
 }
--- a/internal/fakes/cluster/memory.go
+++ b/internal/fakes/cluster/memory.go
@@ -90,9 +90,9 @@
 func (c *Cluster) workerAt(address string) *Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range c.workers {
-		if s.Address() == address {
-			return s
+	for _, worker := range c.workers {
+		if worker.Address() == address {
+			return worker
 		}
 	}
 	return nil
--- a/internal/fakes/cluster/memory_test.go
+++ b/internal/fakes/cluster/memory_test.go
@@ -15,10 +15,10 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		c := New(RealClock{}, Settings{MaxLease: testMaxLease, InMemory: true})
 		defer c.Close()
-		s := c.AddWorker(WorkerConfig{ID: "i-1"})
+		worker := c.AddWorker(WorkerConfig{ID: "i-1"})
 		client := c.MemoryClient(3 * time.Millisecond)
 		pollWorker := func() (status int, err error) {
-			request, _ := http.NewRequest(http.MethodPost, "http://"+s.Address()+string(LeaseCall), strings.NewReader(`{}`))
+			request, _ := http.NewRequest(http.MethodPost, "http://"+worker.Address()+string(LeaseCall), strings.NewReader(`{}`))
 			request.Header.Set("Expect-Instance", "i-1")
 			answer, err := client.Do(request)
 			if err != nil {
@@ -33,15 +33,15 @@
 			convey.So(status, convey.ShouldEqual, http.StatusOK)
 			convey.So(time.Since(began), convey.ShouldEqual, 3*time.Millisecond)
 
-			s.SetFaults(Always(Fault{Kind: DelayAnswer, Delay: time.Second}))
+			worker.SetFaults(Always(Fault{Kind: DelayAnswer, Delay: time.Second}))
 			_, err = pollWorker()
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(time.Since(began), convey.ShouldEqual, 1006*time.Millisecond)
 
-			s.SetFaults(Always(Fault{Kind: ResetConnection}))
+			worker.SetFaults(Always(Fault{Kind: ResetConnection}))
 			_, err = pollWorker()
 			convey.So(err, convey.ShouldWrap, errReset)
-			s.Leave()
+			worker.Leave()
 			_, err = pollWorker()
 			convey.So(err, convey.ShouldWrap, errRefused)
 		})
--- a/internal/fakes/cluster/platform.go
+++ b/internal/fakes/cluster/platform.go
@@ -105,16 +105,16 @@
 
 func (c *Cluster) list() []listEntry {
 	entries := make([]listEntry, 0, len(c.workers))
-	for _, s := range c.workers {
-		if s.incarnation.id != "" {
-			entries = append(entries, s.listEntry())
+	for _, worker := range c.workers {
+		if worker.incarnation.id != "" {
+			entries = append(entries, worker.listEntry())
 		}
 	}
 	return entries
 }
 
-func (c *Cluster) removeWorker(s *Worker) {
-	c.workers = slices.DeleteFunc(c.workers, func(other *Worker) bool { return other == s })
+func (c *Cluster) removeWorker(worker *Worker) {
+	c.workers = slices.DeleteFunc(c.workers, func(other *Worker) bool { return other == worker })
 	c.listChanged()
 }
 
--- a/internal/fakes/cluster/worker.go
+++ b/internal/fakes/cluster/worker.go
@@ -59,18 +59,18 @@
 	if config.ClockRate == 0 {
 		config.ClockRate = 1
 	}
-	s := &Worker{
+	worker := &Worker{
 		cluster: c, config: config, startedAt: c.clock.Now(), incarnation: newIncarnation(config.ID), calls: make(map[CallKind]int),
 	}
-	s.server = &server{address: config.ID}
+	worker.server = &server{address: config.ID}
 	if !c.settings.InMemory {
-		s.server = listen(s)
+		worker.server = listen(worker)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.workers = append(c.workers, s)
+	c.workers = append(c.workers, worker)
 	c.listChanged()
-	return s
+	return worker
 }
 
 // Address returns the address at which the worker listens. For a worker without sockets it is the address for MemoryClient.
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -158,21 +158,21 @@
 	}
 }
 
-func (r *Registry) serve(out http.ResponseWriter, q *http.Request) {
+func (r *Registry) serve(writer http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
-	if r.down || q.URL.Path != "/discovery/hosts" {
+	if r.down || request.URL.Path != "/discovery/hosts" {
 		r.mu.Unlock()
-		http.Error(out, "not here, or down", http.StatusServiceUnavailable)
+		http.Error(writer, "not here, or down", http.StatusServiceUnavailable)
 		return
 	}
-	if q.FormValue("stream") == "" {
+	if request.FormValue("stream") == "" {
 		line := r.encode(true, r.entries)
 		r.mu.Unlock()
-		out.Write(line)
+		writer.Write(line)
 		return
 	}
 	watcher := &watch{make(chan []byte, 1000), make(chan struct{})}
-	if knownVersion, _ := strconv.ParseInt(q.FormValue("index"), 10, 64); knownVersion != r.version {
+	if knownVersion, _ := strconv.ParseInt(request.FormValue("index"), 10, 64); knownVersion != r.version {
 		watcher.lines <- r.encode(true, r.entries)
 	}
 	r.watches[watcher] = true
@@ -182,7 +182,7 @@
 		delete(r.watches, watcher)
 		r.mu.Unlock()
 	}()
-	flush := http.NewResponseController(out)
+	flush := http.NewResponseController(writer)
 	if flush.Flush() != nil {
 		return
 	}
@@ -191,12 +191,12 @@
 	for {
 		select {
 		case line := <-watcher.lines:
-			out.Write(line)
+			writer.Write(line)
 		case <-tick.C:
-			out.Write([]byte("\n"))
+			writer.Write([]byte("\n"))
 		case <-watcher.end:
 			return
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 		if flush.Flush() != nil { // the aggregator has closed the connection
--- a/internal/systemtest/checker/answers.go
+++ b/internal/systemtest/checker/answers.go
@@ -10,64 +10,64 @@
 func (c *checker) checkJobs() {
 	for i := range c.Requests {
 		request := &c.Requests[i]
-		if j := c.jobs[jobID(request.Path)]; j != nil && j.submitted && request.Method == http.MethodGet {
-			c.checkStatus(j, request)
+		if job := c.jobs[jobID(request.Path)]; job != nil && job.submitted && request.Method == http.MethodGet {
+			c.checkStatus(job, request)
 		}
 	}
 	if c.LoadEndedAt.IsZero() {
 		return
 	}
-	for _, j := range c.jobs {
-		c.checkFinalState(j)
+	for _, job := range c.jobs {
+		c.checkFinalState(job)
 	}
 }
 
 // checkStatus checks one answer about a job's state.
-func (c *checker) checkStatus(j *jobRecord, request *Request) {
+func (c *checker) checkStatus(job *jobRecord, request *Request) {
 	switch {
 	case request.Status == statusGone:
-		c.checkNotFound(j, request)
+		c.checkNotFound(job, request)
 	case request.Status != statusOK:
 	default:
-		c.checkState(j, request, stateOf(request))
+		c.checkState(job, request, stateOf(request))
 	}
 }
 
-func (c *checker) checkNotFound(j *jobRecord, request *Request) {
-	uncancelled := j.cancelSentAt.IsZero() || j.cancelSentAt.After(request.AnsweredAt)
-	if j.acceptedAt.IsZero() || !uncancelled || !j.acceptedAt.Add(c.Bounds.JobVisibility).Before(request.SentAt) {
+func (c *checker) checkNotFound(job *jobRecord, request *Request) {
+	uncancelled := job.cancelSentAt.IsZero() || job.cancelSentAt.After(request.AnsweredAt)
+	if job.acceptedAt.IsZero() || !uncancelled || !job.acceptedAt.Add(c.Bounds.JobVisibility).Before(request.SentAt) {
 		return
 	}
 	if c.inContact(request.Machine, request.SentAt) {
-		c.report(Lost, j.id, request.AnsweredAt, "an accepted job is not known at "+request.Machine)
+		c.report(Lost, job.id, request.AnsweredAt, "an accepted job is not known at "+request.Machine)
 	}
 }
 
-func (c *checker) checkState(j *jobRecord, request *Request, state string) {
+func (c *checker) checkState(job *jobRecord, request *Request, state string) {
 	switch state {
 	case "queued", "running":
 	case "completed":
-		if missing := c.firstUnfinishedStage(j, request.AnsweredAt); missing != "" {
-			c.report(InconsistentState, j.id, request.AnsweredAt, "shown as completed, but no attempt of "+missing+" has ended done")
+		if missing := c.firstUnfinishedStage(job, request.AnsweredAt); missing != "" {
+			c.report(InconsistentState, job.id, request.AnsweredAt, "shown as completed, but no attempt of "+missing+" has ended done")
 		}
 	case "failed":
-		if !c.attemptsExhausted(j, request.AnsweredAt) {
-			c.report(Lost, j.id, request.AnsweredAt, "shown as failed although no task has used up its attempts")
+		if !c.attemptsExhausted(job, request.AnsweredAt) {
+			c.report(Lost, job.id, request.AnsweredAt, "shown as failed although no task has used up its attempts")
 		}
 	case "cancelled":
-		if j.cancelSentAt.IsZero() || j.cancelSentAt.After(request.AnsweredAt) {
-			c.report(Lost, j.id, request.AnsweredAt, "shown as cancelled although nobody has cancelled it")
+		if job.cancelSentAt.IsZero() || job.cancelSentAt.After(request.AnsweredAt) {
+			c.report(Lost, job.id, request.AnsweredAt, "shown as cancelled although nobody has cancelled it")
 		}
 	default:
-		c.report(InconsistentState, j.id, request.AnsweredAt, fmt.Sprintf("its state cannot be read: %q", request.Answer))
+		c.report(InconsistentState, job.id, request.AnsweredAt, fmt.Sprintf("its state cannot be read: %q", request.Answer))
 	}
 }
 
 // firstUnfinishedStage names the first stage that was not done by an instant, or returns an empty string if all were done.
-func (c *checker) firstUnfinishedStage(j *jobRecord, by time.Time) string {
-	for repetition := range j.spec.repetitions() {
-		for number := range j.spec.Stages {
-			if !c.stageDone(j, repetition, number, by) {
+func (c *checker) firstUnfinishedStage(job *jobRecord, by time.Time) string {
+	for repetition := range job.spec.repetitions() {
+		for number := range job.spec.Stages {
+			if !c.stageDone(job, repetition, number, by) {
 				return fmt.Sprintf("stage %d of repetition %d", number, repetition)
 			}
 		}
@@ -76,13 +76,13 @@
 }
 
 // attemptsExhausted reports whether a task, or the members of a gang together, had used all permitted attempts by an instant.
-func (c *checker) attemptsExhausted(j *jobRecord, by time.Time) bool {
-	least, _ := c.attemptLimits(j)
-	for repetition := range j.spec.repetitions() {
-		for number, stage := range j.spec.Stages {
+func (c *checker) attemptsExhausted(job *jobRecord, by time.Time) bool {
+	least, _ := c.attemptLimits(job)
+	for repetition := range job.spec.repetitions() {
+		for number, stage := range job.spec.Stages {
 			gang := map[uint64]bool{}
 			for index := range stage.Count {
-				failed := c.failedAttempts(task{j.id, repetition, number, index}, by)
+				failed := c.failedAttempts(task{job.id, repetition, number, index}, by)
 				if !stage.GangScheduled {
 					gang = map[uint64]bool{}
 				}
@@ -101,9 +101,9 @@
 // failedAttempts returns the numbers of a task's attempts that had failed by an instant.
 func (c *checker) failedAttempts(t task, by time.Time) []uint64 {
 	var attemptNumbers []uint64
-	for _, r := range c.byTask[t] {
-		if r.Outcome == "failed" && !r.EndedAt.After(by) {
-			attemptNumbers = append(attemptNumbers, r.Number)
+	for _, attempt := range c.byTask[t] {
+		if attempt.Outcome == "failed" && !attempt.EndedAt.After(by) {
+			attemptNumbers = append(attemptNumbers, attempt.Number)
 		}
 	}
 	return attemptNumbers
@@ -128,15 +128,15 @@
 }
 
 // checkFinalState checks that the last answer about an accepted job has a final state and was requested after the load.
-func (c *checker) checkFinalState(j *jobRecord) {
-	if j.acceptedAt.IsZero() || j.runsUntilCancelled() {
+func (c *checker) checkFinalState(job *jobRecord) {
+	if job.acceptedAt.IsZero() || job.runsUntilCancelled() {
 		return
 	}
 	seenUntil := c.SeenUntil
 	last, answered := "", false
 	for i := range c.Requests {
 		request := &c.Requests[i]
-		if request.Method != http.MethodGet || jobID(request.Path) != j.id || !succeeded(request.Status) && request.Status != statusGone {
+		if request.Method != http.MethodGet || jobID(request.Path) != job.id || !succeeded(request.Status) && request.Status != statusGone {
 			continue
 		}
 		answered = answered || !request.SentAt.Before(c.LoadEndedAt)
@@ -147,11 +147,11 @@
 	}
 	switch {
 	case !answered:
-		c.report(Lost, j.id, seenUntil, "no answer about an accepted job at the end")
-	case last == "gone" && j.cancelSentAt.IsZero():
-		c.report(Lost, j.id, seenUntil, "an accepted job is not known at the end")
+		c.report(Lost, job.id, seenUntil, "no answer about an accepted job at the end")
+	case last == "gone" && job.cancelSentAt.IsZero():
+		c.report(Lost, job.id, seenUntil, "an accepted job is not known at the end")
 	case last == "queued", last == "running":
-		c.report(Lost, j.id, seenUntil, "an accepted job has not ended: "+last)
+		c.report(Lost, job.id, seenUntil, "an accepted job has not ended: "+last)
 	}
 }
 
--- a/internal/systemtest/checker/checker.go
+++ b/internal/systemtest/checker/checker.go
@@ -57,8 +57,8 @@
 	c.indexAttempts()
 	c.checkOperatorRequests()
 	c.checkActiveConfiguration()
-	for _, r := range c.attempts {
-		c.checkAttempt(r)
+	for _, attempt := range c.attempts {
+		c.checkAttempt(attempt)
 	}
 	c.checkJobs()
 	c.checkAbortedRequests()
@@ -73,36 +73,36 @@
 // indexAttempts sorts the attempts by their start and finds the task, stage and job of each.
 func (c *checker) indexAttempts() {
 	for i := range c.Attempts {
-		r := &attemptRecord{Attempt: &c.Attempts[i]}
-		r.task, r.requested = parseTask(r.Task)
-		r.job = c.jobs[r.task.job]
-		r.requested = r.requested && r.job != nil && r.job.submitted && r.task.stage < len(r.job.spec.Stages) && r.task.repetition < r.job.spec.repetitions()
-		if r.requested {
-			r.stage = &r.job.spec.Stages[r.task.stage]
-			r.requested = r.task.index < r.stage.Count
+		attempt := &attemptRecord{Attempt: &c.Attempts[i]}
+		attempt.task, attempt.requested = parseTask(attempt.Task)
+		attempt.job = c.jobs[attempt.task.job]
+		attempt.requested = attempt.requested && attempt.job != nil && attempt.job.submitted && attempt.task.stage < len(attempt.job.spec.Stages) && attempt.task.repetition < attempt.job.spec.repetitions()
+		if attempt.requested {
+			attempt.stage = &attempt.job.spec.Stages[attempt.task.stage]
+			attempt.requested = attempt.task.index < attempt.stage.Count
 		}
-		c.attempts = append(c.attempts, r)
+		c.attempts = append(c.attempts, attempt)
 	}
 	slices.SortStableFunc(c.attempts, func(a, b *attemptRecord) int { return a.StartedAt.Compare(b.StartedAt) })
-	for _, r := range c.attempts {
-		c.byTask[r.task] = append(c.byTask[r.task], r)
-		c.byWorker[r.Worker] = append(c.byWorker[r.Worker], r)
+	for _, attempt := range c.attempts {
+		c.byTask[attempt.task] = append(c.byTask[attempt.task], attempt)
+		c.byWorker[attempt.Worker] = append(c.byWorker[attempt.Worker], attempt)
 	}
 }
 
 // checkAttempt checks one attempt against all rules about attempts.
-func (c *checker) checkAttempt(r *attemptRecord) {
-	if !c.checkRequested(r) {
+func (c *checker) checkAttempt(attempt *attemptRecord) {
+	if !c.checkRequested(attempt) {
 		return
 	}
-	c.checkCapacity(r)
-	c.checkConcurrentAttempts(r)
-	c.checkAfterCompletion(r)
-	c.checkStageOrder(r)
-	c.checkPlacement(r)
-	c.checkAttemptBudget(r)
-	c.checkGang(r)
-	c.checkCancelled(r)
-	c.checkRejectedJob(r)
-	c.checkDrainingWorker(r)
+	c.checkCapacity(attempt)
+	c.checkConcurrentAttempts(attempt)
+	c.checkAfterCompletion(attempt)
+	c.checkStageOrder(attempt)
+	c.checkPlacement(attempt)
+	c.checkAttemptBudget(attempt)
+	c.checkGang(attempt)
+	c.checkCancelled(attempt)
+	c.checkRejectedJob(attempt)
+	c.checkDrainingWorker(attempt)
 }
--- a/internal/systemtest/checker/configurations.go
+++ b/internal/systemtest/checker/configurations.go
@@ -38,9 +38,9 @@
 func (c *configuration) matchRoute(host, path string) (route, bool) {
 	var best route
 	found := false
-	for _, r := range c.Routes {
-		if r.Host == host && strings.HasPrefix(path, r.PathPrefix) && (!found || len(r.PathPrefix) > len(best.PathPrefix)) {
-			best, found = r, true
+	for _, attempt := range c.Routes {
+		if attempt.Host == host && strings.HasPrefix(path, attempt.PathPrefix) && (!found || len(attempt.PathPrefix) > len(best.PathPrefix)) {
+			best, found = attempt, true
 		}
 	}
 	return best, found
@@ -63,9 +63,9 @@
 	}
 	type routeKey struct{ host, prefix string }
 	seen := map[routeKey]bool{}
-	for _, r := range c.Routes {
-		key := routeKey{r.Host, r.PathPrefix}
-		if !services[r.Service] || seen[key] || r.TimeoutMS <= 0 {
+	for _, attempt := range c.Routes {
+		key := routeKey{attempt.Host, attempt.PathPrefix}
+		if !services[attempt.Service] || seen[key] || attempt.TimeoutMS <= 0 {
 			return false
 		}
 		seen[key] = true
--- a/internal/systemtest/checker/jobs.go
+++ b/internal/systemtest/checker/jobs.go
@@ -123,12 +123,12 @@
 		if id == "" {
 			continue
 		}
-		j := c.jobs[id]
-		if j == nil {
-			j = &jobRecord{id: id, rejectedOnly: true}
-			c.jobs[id] = j
+		job := c.jobs[id]
+		if job == nil {
+			job = &jobRecord{id: id, rejectedOnly: true}
+			c.jobs[id] = job
 		}
-		j.addRequest(request)
+		job.addRequest(request)
 	}
 }
 
