--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -98,7 +98,7 @@
 // SetFailing sets whether the backend answers each executed subquery with a failure.
 func (s *Backend) SetFailing(on bool) { s.failing.Store(on) }
 
-// SetUnresponsive sets whether the backend leaves all subqueries and health checks unanswered.
+// SetUnresponsive sets whether the backend leaves all subqueries and other requests unanswered.
 func (s *Backend) SetUnresponsive(on bool) { s.unresponsive.Store(on) }
 
 // Calls returns the number of subqueries received so far.
@@ -249,13 +249,13 @@
 			s.OnCall(string(after[:n]), shard)
 		}
 		s.recordArrival(subqueryName(string(fields[0]), string(after[:n])))
-		go s.execute(conn, string(fields[0]), string(after[:n]), canceled)
+		go s.work(conn, string(fields[0]), string(after[:n]), canceled)
 		remaining = after[n:]
 	}
 	return true
 }
 
-func (s *Backend) execute(conn *connection, id, query string, canceled *sync.Map) {
+func (s *Backend) work(conn *connection, id, query string, canceled *sync.Map) {
 	defer s.inFlight.Add(-1)
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
--- a/internal/fakes/cluster/calls.go
+++ b/internal/fakes/cluster/calls.go
@@ -112,7 +112,7 @@
 	arrived := s.clockNow()
 	req.late = true
 	s.cluster.clock.AfterFunc(fault.Delay, func() {
-		if fault.FromArrival && req.ValidUntilMS != nil {
+		if fault.LeaseFromExecution && req.ValidUntilMS != nil {
 			s.cluster.mu.Lock()
 			shifted := *req.ValidUntilMS + (s.clockNow() - arrived).Milliseconds()
 			s.cluster.mu.Unlock()
--- a/internal/fakes/cluster/cluster.go
+++ b/internal/fakes/cluster/cluster.go
@@ -11,11 +11,11 @@
 
 // Profile describes the resources and the behavior of a task.
 type Profile struct {
-	Resources   job.Resources
-	Duration    time.Duration // how long it works; 0 means until Finish is called
-	Outcome     job.Outcome   // of an attempt that is not interrupted; empty means job.OutcomeDone
-	GangSize    int           // number of members; 0 for a task that is not gang-scheduled
-	Checkpoints bool
+	Resources         job.Resources
+	Duration          time.Duration // how long it works; 0 means until Finish is called
+	Outcome           job.Outcome   // of an attempt that is not interrupted; empty means job.OutcomeDone
+	GangSize          int           // number of members; 0 for a task that is not gang-scheduled
+	WritesCheckpoints bool
 }
 
 // Settings apply to all workers of a cluster. A duration of 0 means no delay, but for CheckpointInterval it means no periodic
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -75,7 +75,7 @@
 		clock, c := newVirtualCluster(Settings{
 			CheckpointInterval: 500 * time.Millisecond, RestoreDuration: 100 * time.Millisecond, StopDuration: 400 * time.Millisecond,
 			TaskProfile: func(job.TaskID, string) Profile {
-				return Profile{Duration: 2 * time.Second, Checkpoints: true, Resources: job.Resources{Processors: 1000}}
+				return Profile{Duration: 2 * time.Second, WritesCheckpoints: true, Resources: job.Resources{Processors: 1000}}
 			},
 		})
 		worker := c.AddWorker(WorkerConfig{ID: "i-1", EnforcesCapacity: true, Capacity: job.Resources{Processors: 2000}})
@@ -197,7 +197,7 @@
 	convey.Convey("A call may be executed long after its caller has canceled it", t, func() {
 		clock, c := newVirtualCluster(Settings{})
 		worker := c.AddWorker(WorkerConfig{ID: "i-1"})
-		worker.SetFaults(Only(StartCall, Fault{Kind: DelayExecution, Delay: 7 * time.Second, FromArrival: true}))
+		worker.SetFaults(OnCallsOfKind(StartCall, Fault{Kind: DelayExecution, Delay: 7 * time.Second, LeaseFromExecution: true}))
 		ctx, cancel := context.WithCancel(t.Context())
 		request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+worker.Address()+string(StartCall),
 			bytes.NewReader([]byte(startBody("0", `,"execution":1`))))
--- a/internal/fakes/cluster/faults.go
+++ b/internal/fakes/cluster/faults.go
@@ -37,15 +37,15 @@
 	Kind   FaultKind
 	Status int           // of Reject
 	Delay  time.Duration // of DelayExecution and DelayAnswer
-	// FromArrival makes the lease of a DelayExecution call begin when the call is executed, not when it arrives.
-	FromArrival bool
+	// LeaseFromExecution makes the lease of a DelayExecution call begin when the call is executed, not when it arrives.
+	LeaseFromExecution bool
 }
 
-// Always returns a function for SetFaults that returns the same fault for every call.
-func Always(fault Fault) func(CallKind) Fault { return func(CallKind) Fault { return fault } }
+// OnEveryCall returns a function for SetFaults that returns the same fault for every call.
+func OnEveryCall(fault Fault) func(CallKind) Fault { return func(CallKind) Fault { return fault } }
 
-// Only returns a function for SetFaults that returns the fault for one kind of call, and no fault for the others.
-func Only(kind CallKind, fault Fault) func(CallKind) Fault {
+// OnCallsOfKind returns a function for SetFaults that returns the fault for one kind of call, and no fault for the others.
+func OnCallsOfKind(kind CallKind, fault Fault) func(CallKind) Fault {
 	return func(call CallKind) Fault {
 		if call == kind {
 			return fault
--- a/internal/fakes/cluster/memory_test.go
+++ b/internal/fakes/cluster/memory_test.go
@@ -33,12 +33,12 @@
 			convey.So(status, convey.ShouldEqual, http.StatusOK)
 			convey.So(time.Since(began), convey.ShouldEqual, 3*time.Millisecond)
 
-			worker.SetFaults(Always(Fault{Kind: DelayAnswer, Delay: time.Second}))
+			worker.SetFaults(OnEveryCall(Fault{Kind: DelayAnswer, Delay: time.Second}))
 			_, err = pollWorker()
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(time.Since(began), convey.ShouldEqual, 1006*time.Millisecond)
 
-			worker.SetFaults(Always(Fault{Kind: ResetConnection}))
+			worker.SetFaults(OnEveryCall(Fault{Kind: ResetConnection}))
 			_, err = pollWorker()
 			convey.So(err, convey.ShouldWrap, errReset)
 			worker.Leave()
--- a/internal/fakes/cluster/platform.go
+++ b/internal/fakes/cluster/platform.go
@@ -89,8 +89,8 @@
 	return p.calls
 }
 
-// Fail makes the platform answer every call with a status. With status 0 it serves the list again.
-func (p *Platform) Fail(status int) {
+// SetFailureStatus makes the platform answer every call with a status. With status 0 it serves the list again.
+func (p *Platform) SetFailureStatus(status int) {
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
 	p.failureStatus = status
--- a/internal/fakes/cluster/runs.go
+++ b/internal/fakes/cluster/runs.go
@@ -174,7 +174,7 @@
 // checkpoint returns the newest checkpoint: one of the current progress with now, else the last periodic one.
 func (r *attempt) checkpoint(now bool) string {
 	every := r.worker.cluster.settings.CheckpointInterval
-	if !r.profile.Checkpoints || !r.working || every == 0 && !now {
+	if !r.profile.WritesCheckpoints || !r.working || every == 0 && !now {
 		return r.lastCheckpoint
 	}
 	progress := r.progress()
--- a/internal/fakes/cluster/worker.go
+++ b/internal/fakes/cluster/worker.go
@@ -102,13 +102,13 @@
 
 // NotRunningError reports that a worker does not run a task.
 type NotRunningError struct {
-	Backend string
-	Task    job.TaskID
+	Worker string
+	Task   job.TaskID
 }
 
 // Error implements error.
 func (e NotRunningError) Error() string {
-	return fmt.Sprintf("worker %s does not run task %v", e.Backend, e.Task)
+	return fmt.Sprintf("worker %s does not run task %v", e.Worker, e.Task)
 }
 
 // Finish ends the running attempt of a task with an outcome, as if the task had ended by itself.
--- a/internal/jobs/inventory/reader_test.go
+++ b/internal/jobs/inventory/reader_test.go
@@ -87,10 +87,10 @@
 			convey.So(platform.Calls(), convey.ShouldEqual, 3)
 		})
 		convey.Convey("an error status is returned as an error", func() {
-			platform.Fail(http.StatusTooManyRequests)
+			platform.SetFailureStatus(http.StatusTooManyRequests)
 			_, _, err := reader.ReadAll(t.Context())
 			convey.So(err, convey.ShouldWrap, ErrRateLimited)
-			platform.Fail(http.StatusInternalServerError)
+			platform.SetFailureStatus(http.StatusInternalServerError)
 			_, _, err = reader.ReadAll(t.Context())
 			var statusErr *StatusError
 			convey.So(errors.As(err, &statusErr), convey.ShouldBeTrue)
--- a/internal/jobs/workerclient/failure_test.go
+++ b/internal/jobs/workerclient/failure_test.go
@@ -29,7 +29,7 @@
 			noResponse, renewalLost := faultWithSignal(cluster.LeaseCall, cluster.Fault{Kind: cluster.DropCall})
 			f.worker.SetFaults(noResponse)
 			<-renewalLost // no renewal in flight will be answered
-			f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.DropCall}))
+			f.worker.SetFaults(cluster.OnEveryCall(cluster.Fault{Kind: cluster.DropCall}))
 			before := time.Now()
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
@@ -54,7 +54,7 @@
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a start that is executed late is unclear, and its attempt is listed later", func() {
 			late := cluster.Fault{Kind: cluster.DelayExecution, Delay: 1200 * time.Millisecond}
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, late))
+			f.worker.SetFaults(cluster.OnCallsOfKind(cluster.StartCall, late))
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 			awaitEvent(t, f.events, func(l Listing) bool { return len(l.Running) == 2 })
 			convey.So(f.cluster.Attempts()[1].Late, convey.ShouldBeTrue)
@@ -83,7 +83,7 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a connection that breaks makes the start unclear", func() {
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.ResetConnection}))
+			f.worker.SetFaults(cluster.OnCallsOfKind(cluster.StartCall, cluster.Fault{Kind: cluster.ResetConnection}))
 			convey.So(f.start(startCommand(1, 1)), convey.ShouldEqual, Unclear)
 		})
 	})
@@ -104,7 +104,7 @@
 	t.Parallel()
 	givenRunningTask(t, func(f *fixture) {
 		convey.Convey("a worker that refuses renewals is unreachable until it accepts them", func() {
-			f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
+			f.worker.SetFaults(cluster.OnCallsOfKind(cluster.LeaseCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
 			awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
 			f.worker.SetFaults(nil)
 			awaitEventAfter(t, f.events, 2, func(r ReachabilityChange) bool { return r.Reachable })
--- a/internal/jobs/workerclient/hedging_test.go
+++ b/internal/jobs/workerclient/hedging_test.go
@@ -78,7 +78,7 @@
 
 func TestNoHedgeIsSentAfterLeaderLeaseExpiry(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.DropCall}))
+		f.worker.SetFaults(cluster.OnCallsOfKind(cluster.StopCall, cluster.Fault{Kind: cluster.DropCall}))
 		f.link.Stop(StopCommand{task(0), 1})
 		time.Sleep(hedgeMargin / 2)
 		f.leaderLeaseExpired.Store(true)
@@ -90,7 +90,7 @@
 
 func TestHedgesAreBounded(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(_ *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Only(cluster.StopCall, cluster.Fault{Kind: cluster.DropCall}))
+		f.worker.SetFaults(cluster.OnCallsOfKind(cluster.StopCall, cluster.Fault{Kind: cluster.DropCall}))
 		for i := range 3 * maxCommandsInFlight {
 			f.link.Stop(StopCommand{task(i), 1})
 		}
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -15,7 +15,7 @@
 // coresPerTask returns cluster settings in which a task with index i needs i+1 cores.
 func coresPerTask() cluster.Settings {
 	return cluster.Settings{TaskProfile: func(task job.TaskID, _ string) cluster.Profile {
-		return cluster.Profile{Resources: job.Resources{Processors: int64(1000 * (1 + task.Index))}, Checkpoints: true}
+		return cluster.Profile{Resources: job.Resources{Processors: int64(1000 * (1 + task.Index))}, WritesCheckpoints: true}
 	}}
 }
 
@@ -48,14 +48,14 @@
 			convey.So(f.start(StartCommand{Task: job.TaskID{Job: "a.b"}, AttemptNumber: 1}), convey.ShouldEqual, RejectedInvalid)
 		})
 		convey.Convey("an unhealthy worker executes nothing", func() {
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
+			f.worker.SetFaults(cluster.OnCallsOfKind(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 429}))
+			f.worker.SetFaults(cluster.OnCallsOfKind(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 429}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedUnhealthy)
 			convey.So(f.cluster.Attempts(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("any other status is unclear", func() {
-			f.worker.SetFaults(cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 500}))
+			f.worker.SetFaults(cluster.OnCallsOfKind(cluster.StartCall, cluster.Fault{Kind: cluster.Reject, Status: 500}))
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, Unclear)
 		})
 		convey.Convey("a start without a valid leader lease is not sent", func() {
@@ -177,7 +177,7 @@
 		for i := range runs {
 			awaitEvent(t, f.events, func(r StartResult) bool { return r.Command.Task == task(i) && r.Outcome == Started })
 		}
-		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
+		f.worker.SetFaults(cluster.OnCallsOfKind(cluster.LeaseCall, cluster.Fault{Kind: cluster.Reject, Status: 503}))
 		for i := range runs {
 			convey.So(f.worker.Finish(task(i), job.OutcomeDone), convey.ShouldBeNil)
 		}
--- a/internal/jobs/workerclient/poll_test.go
+++ b/internal/jobs/workerclient/poll_test.go
@@ -129,7 +129,7 @@
 
 func TestSilentWorkerIsUnreachableAfterOverdueRenewalAndPoll(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Only(cluster.LeaseCall, cluster.Fault{Kind: cluster.DropCall}))
+		f.worker.SetFaults(cluster.OnCallsOfKind(cluster.LeaseCall, cluster.Fault{Kind: cluster.DropCall}))
 		f.awaitRenewal()
 		lost := time.Now()
 		awaitEvent(t, f.events, func(r ReachabilityChange) bool { return !r.Reachable })
@@ -169,7 +169,7 @@
 
 func TestNoFurtherStartIsSentToUnresponsiveWorker(t *testing.T) {
 	runWithTask(t, oneWayDelay, func(t *testing.T, f *fixture) {
-		f.worker.SetFaults(cluster.Always(cluster.Fault{Kind: cluster.DropCall}))
+		f.worker.SetFaults(cluster.OnEveryCall(cluster.Fault{Kind: cluster.DropCall}))
 		f.awaitRenewal()
 		unresponsive := time.Now()
 		starts := f.worker.Calls(cluster.StartCall)
--- a/internal/systemtest/checker/attempts.go
+++ b/internal/systemtest/checker/attempts.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// acknowledged reports whether a completion was acknowledged before the worker's lease expired.
+// completionAcknowledged reports whether the completion of an attempt was acknowledged before the worker's lease expired.
 func (c *checker) completionAcknowledged(attempt *attemptRecord) bool {
 	if attempt.AcknowledgedAt.IsZero() {
 		return false
--- a/internal/systemtest/controlmodel/processorquota_test.go
+++ b/internal/systemtest/controlmodel/processorquota_test.go
@@ -108,8 +108,9 @@
 	return s, violations
 }
 
-// Guards against lost leadership of a process with a small processor quota. No lease, failure detector, election or time limit may
-// treat one or several successive pauses by the quota as a failure: the first leader must lead to the end without violations.
+// TestLeaderSurvivesProcessorQuota guards against a leader that loses its leadership because of a small processor quota. No lease,
+// failure detector, election or time limit may treat a pause until the next period as a failure, nor several such pauses in a row.
+// The first leader must lead to the end, without violations.
 func TestLeaderSurvivesProcessorQuota(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		s, violations := runUnderQuota(t, seed, longestUninterruptedWork)
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -98,8 +98,8 @@
 		return err
 	}
 	const lateBy, upset = 2 * time.Second, 3 * time.Second
-	s.beginCallFaults(s.workers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.DelayExecution, Delay: lateBy, FromArrival: true}))
-	s.beginCallFaults(s.workers[2], cluster.Always(cluster.Fault{Kind: cluster.DropCall}))
+	s.beginCallFaults(s.workers[1], cluster.OnCallsOfKind(cluster.StartCall, cluster.Fault{Kind: cluster.DelayExecution, Delay: lateBy, LeaseFromExecution: true}))
+	s.beginCallFaults(s.workers[2], cluster.OnEveryCall(cluster.Fault{Kind: cluster.DropCall}))
 	s.drain(s.workers[3])
 	if err := sleep(ctx, upset); err != nil {
 		return err
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -68,7 +68,7 @@
 		return cluster.Profile{Duration: time.Second}
 	}
 	stage := plan.body.Stages[task.Stage]
-	profile := cluster.Profile{Resources: stage.Resources, Duration: plan.work, Checkpoints: stage.Checkpoints}
+	profile := cluster.Profile{Resources: stage.Resources, Duration: plan.work, WritesCheckpoints: stage.Checkpoints}
 	if stage.GangScheduled {
 		profile.GangSize = stage.Count
 	}
--- a/internal/tools/demo/cluster/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -84,7 +84,7 @@
 	}
 	stage := handed.specification.Stages[task.Stage]
 	profile := cluster.Profile{
-		Resources: stage.Resources, Duration: time.Duration(stage.EstimatedDurationMS) * time.Millisecond, Checkpoints: stage.Checkpoints,
+		Resources: stage.Resources, Duration: time.Duration(stage.EstimatedDurationMS) * time.Millisecond, WritesCheckpoints: stage.Checkpoints,
 	}
 	if stage.GangScheduled {
 		profile.GangSize = stage.Count
