--- a/internal/systemtest/checker/checker.go
+++ b/internal/systemtest/checker/checker.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// checker holds what was read from a history, and gathers the violations.
+// checker holds a history, indexes of it, and the violations found so far.
 type checker struct {
 	History
-	core       map[string]bool
-	jobs       map[string]*jobRecord
-	changes    []*configuration // by version
-	workers    map[string]*Worker
-	byTask     map[task][]*attemptRecord
-	byWorker   map[string][]*attemptRecord
-	attempts   []*attemptRecord
-	violations []Violation
+	core           map[string]bool
+	jobs           map[string]*jobRecord
+	configurations []*configuration // sent by operators, sorted by version
+	workers        map[string]*Worker
+	byTask         map[task][]*attemptRecord
+	byWorker       map[string][]*attemptRecord
+	attempts       []*attemptRecord
+	violations     []Violation
 }
 
-// attemptRecord is an attempt with what its name says.
+// attemptRecord is an attempt with the task, stage and job that its task name refers to.
 type attemptRecord struct {
 	*Attempt
-	task  task
-	known bool   // the task belongs to a job that a client sent
-	stage *stage // nil where it is not known
-	job   *jobRecord
+	task      task
+	requested bool   // the task belongs to a job that a client submitted
+	stage     *stage // nil if the name refers to no stage of a submitted job
+	job       *jobRecord
 }
 
-// endOrForever is when an attempt was over; a moment after everything while it runs.
-func (r *attemptRecord) endOrForever() time.Time {
+// endOrFarFuture returns the end of an attempt, or farFuture if it had not ended.
+func (r *attemptRecord) endOrFarFuture() time.Time {
 	if r.EndedAt.IsZero() {
-		return forever
+		return farFuture
 	}
 	return r.EndedAt
 }
 
-var forever = time.Unix(1<<40, 0)
+// farFuture is later than any time in a history.
+var farFuture = time.Unix(1<<40, 0)
 
-// Check returns the broken rules of a history, by time.
+// Check returns the violations of the rules in a history, sorted by time.
 func Check(history History) []Violation {
 	c := &checker{
 		History: history, core: map[string]bool{}, jobs: map[string]*jobRecord{}, workers: map[string]*Worker{},
@@ -52,12 +53,12 @@
 	}
 	slices.SortStableFunc(c.Requests, func(a, b Request) int { return a.SentAt.Compare(b.SentAt) })
 	c.indexRequests()
-	c.indexChanges()
+	c.indexConfigurations()
 	c.indexAttempts()
 	c.checkOperatorRequests()
 	c.checkActiveConfiguration()
-	for _, r := range c.attempts {
-		c.checkAttempt(r)
+	for _, attempt := range c.attempts {
+		c.checkAttempt(attempt)
 	}
 	c.checkJobs()
 	c.checkAbortedRequests()
@@ -69,39 +70,39 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Subject: subject, Detail: detail, At: at})
 }
 
-// indexAttempts names the runs, by the time of their start.
+// indexAttempts sorts the attempts by their start and finds the task, stage and job of each.
 func (c *checker) indexAttempts() {
 	for i := range c.Attempts {
-		r := &attemptRecord{Attempt: &c.Attempts[i]}
-		r.task, r.known = parseTask(r.Task)
-		r.job = c.jobs[r.task.job]
-		r.known = r.known && r.job != nil && r.job.submitted && r.task.stage < len(r.job.spec.Stages) && r.task.repetition < r.job.spec.repetitions()
-		if r.known {
-			r.stage = &r.job.spec.Stages[r.task.stage]
-			r.known = r.task.index < r.stage.Count
+		attempt := &attemptRecord{Attempt: &c.Attempts[i]}
+		attempt.task, attempt.requested = parseTask(attempt.Task)
+		attempt.job = c.jobs[attempt.task.job]
+		attempt.requested = attempt.requested && attempt.job != nil && attempt.job.submitted && attempt.task.stage < len(attempt.job.spec.Stages) && attempt.task.repetition < attempt.job.spec.repetitions()
+		if attempt.requested {
+			attempt.stage = &attempt.job.spec.Stages[attempt.task.stage]
+			attempt.requested = attempt.task.index < attempt.stage.Count
 		}
-		c.attempts = append(c.attempts, r)
+		c.attempts = append(c.attempts, attempt)
 	}
 	slices.SortStableFunc(c.attempts, func(a, b *attemptRecord) int { return a.StartedAt.Compare(b.StartedAt) })
-	for _, r := range c.attempts {
-		c.byTask[r.task] = append(c.byTask[r.task], r)
-		c.byWorker[r.Worker] = append(c.byWorker[r.Worker], r)
+	for _, attempt := range c.attempts {
+		c.byTask[attempt.task] = append(c.byTask[attempt.task], attempt)
+		c.byWorker[attempt.Worker] = append(c.byWorker[attempt.Worker], attempt)
 	}
 }
 
-// checkAttempt checks all rules on a start.
-func (c *checker) checkAttempt(r *attemptRecord) {
-	if !c.checkRequested(r) {
+// checkAttempt checks one attempt against all rules about attempts.
+func (c *checker) checkAttempt(attempt *attemptRecord) {
+	if !c.checkRequested(attempt) {
 		return
 	}
-	c.checkCapacity(r)
-	c.checkConcurrentAttempts(r)
-	c.checkAfterCompletion(r)
-	c.checkStageOrder(r)
-	c.checkPlacement(r)
-	c.checkAttemptBudget(r)
-	c.checkGang(r)
-	c.checkCancelled(r)
-	c.checkRejectedJob(r)
-	c.checkDrainingWorker(r)
+	c.checkCapacity(attempt)
+	c.checkConcurrentAttempts(attempt)
+	c.checkAfterCompletion(attempt)
+	c.checkStageOrder(attempt)
+	c.checkPlacement(attempt)
+	c.checkAttemptBudget(attempt)
+	c.checkGang(attempt)
+	c.checkCancelled(attempt)
+	c.checkRejectedJob(attempt)
+	c.checkDrainingWorker(attempt)
 }
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -68,15 +68,15 @@
 		return cluster.Profile{Duration: time.Second}
 	}
 	stage := plan.body.Stages[task.Stage]
-	profile := cluster.Profile{Resources: stage.Resources, Duration: plan.work, Checkpoints: stage.Checkpoints}
+	profile := cluster.Profile{Resources: stage.Resources, Duration: plan.work, WritesCheckpoints: stage.Checkpoints}
 	if stage.GangScheduled {
-		profile.Gang = stage.Count
+		profile.GangSize = stage.Count
 	}
 	if stage.LongRunning {
 		profile.Duration = 0
 	}
 	if plan.alwaysFails {
-		profile.Ends = job.OutcomeFailed
+		profile.Outcome = job.OutcomeFailed
 	}
 	return profile
 }
