--- a/internal/controlplane/configuration/simulation_test.go
+++ b/internal/controlplane/configuration/simulation_test.go
@@ -215,7 +215,7 @@
 // confirmed update is rejected or lost, no rejected update comes into force, and no read returns an outdated version.
 func TestSimulatedOperatorsUpdateLinearizably(t *testing.T) {
 	scheduleCount := 2000
-	if raceflag.On {
+	if raceflag.Enabled {
 		scheduleCount = 100 // the race detector finds little here, as virtual time leaves little concurrency
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(800)) // the heap stays small
--- a/internal/controlplane/fleet/quota/quota_test.go
+++ b/internal/controlplane/fleet/quota/quota_test.go
@@ -268,7 +268,7 @@
 // The quota holds in every window of up to 1000 simulated runs of 40 seconds under faults, one for each seed.
 func TestQuotaHoldsInEveryWindowUnderFaults(t *testing.T) {
 	seeds := uint64(1000)
-	if raceflag.On || testing.Short() {
+	if raceflag.Enabled || testing.Short() {
 		seeds = 600
 	}
 	admitted := 0.0
--- a/internal/controlplane/fleet/residency/residency_test.go
+++ b/internal/controlplane/fleet/residency/residency_test.go
@@ -191,7 +191,7 @@
 
 func TestNarrowedContractIsEnforcedOnceReportedAsApplied(t *testing.T) {
 	seeds := uint64(1000)
-	if raceflag.On || testing.Short() {
+	if raceflag.Enabled || testing.Short() {
 		seeds = 500
 	}
 	for seed := range seeds {
--- a/internal/controlplane/register/modelcheck_test.go
+++ b/internal/controlplane/register/modelcheck_test.go
@@ -132,7 +132,7 @@
 		t.Run(check.name, func(t *testing.T) {
 			t.Parallel()
 			depth := check.depth + extra
-			if raceflag.On {
+			if raceflag.Enabled {
 				depth -= 4 // a model check is sequential, so the race detector finds nothing in deeper layers
 			}
 			began := time.Now()
@@ -168,7 +168,7 @@
 		{"a member learns the joining member's view before it gives that member a copy", omittedRules{copiesBeforeLearningView: true}, faultBudget{attempts: 1, replacement: true, secondProposerReads: true}},
 	}
 	for _, rule := range rules {
-		if raceflag.On && rule.allowed.replacement {
+		if raceflag.Enabled && rule.allowed.replacement {
 			continue // too slow with the race detector, and nothing is concurrent
 		}
 		began := time.Now()
--- a/internal/controlplane/register/restarttime_test.go
+++ b/internal/controlplane/register/restarttime_test.go
@@ -57,7 +57,7 @@
 // after 2,000.
 func TestRestartTimeStaysBoundedAfterManyChanges(t *testing.T) {
 	for _, changes := range []int{200, 2_000, 20_000} {
-		if changes > 2_000 && (raceflag.On || testing.Short()) {
+		if changes > 2_000 && (raceflag.Enabled || testing.Short()) {
 			continue
 		}
 		Convey("Given a member that has accepted many changes", t, func() {
--- a/internal/controlplane/replicaset/linearizability_test.go
+++ b/internal/controlplane/replicaset/linearizability_test.go
@@ -194,7 +194,7 @@
 // sizes returns the numbers of members to simulate. Little runs concurrently in simulated time, so one size is enough under the
 // race detector.
 func sizes() []int {
-	if raceflag.On {
+	if raceflag.Enabled {
 		return []int{3}
 	}
 	return []int{3, 4, 5}
--- a/internal/controlplane/replicaset/losses_test.go
+++ b/internal/controlplane/replicaset/losses_test.go
@@ -41,7 +41,7 @@
 		}
 		return count
 	}
-	if raceflag.On {
+	if raceflag.Enabled {
 		return scheduleCountRace
 	}
 	return scheduleCount
--- a/internal/controlplane/replicaset/simultaneous_test.go
+++ b/internal/controlplane/replicaset/simultaneous_test.go
@@ -177,7 +177,7 @@
 			t.Run(fmt.Sprint(worker), func(t *testing.T) {
 				t.Parallel()
 				for i := worker; i < len(all); i += scheduleWorkers {
-					if raceflag.On && i%raceScheduleStride != 0 {
+					if raceflag.Enabled && i%raceScheduleStride != 0 {
 						continue
 					}
 					if s := runSimultaneousFaults(t, all[i]); len(s.violations) > 0 {
--- a/internal/controlplane/replication/chunkfaults_test.go
+++ b/internal/controlplane/replication/chunkfaults_test.go
@@ -28,7 +28,7 @@
 // hugeEntryCount returns the number of entries in the group. Their size exceeds the limit of one message. Under the race detector,
 // which needs several times the memory, and in short mode it is only 12 MB.
 func hugeEntryCount() int {
-	if raceflag.On || testing.Short() {
+	if raceflag.Enabled || testing.Short() {
 		return raceEntries
 	}
 	return hugeEntries
@@ -199,7 +199,7 @@
 
 		state := stores[lagging.address].Table(stateTable("jobs/x"))
 		So(wrongEntries(state), ShouldBeEmpty)
-		if !raceflag.On && !testing.Short() {
+		if !raceflag.Enabled && !testing.Short() {
 			So(stateBytes(state), ShouldBeGreaterThan, maxMessageBytes)
 		}
 		faults.check()
--- a/internal/controlplane/replication/chunks_test.go
+++ b/internal/controlplane/replication/chunks_test.go
@@ -96,7 +96,7 @@
 	switch {
 	case *chunkSchedules > 0:
 		return uint64(*chunkSchedules)
-	case raceflag.On || testing.Short():
+	case raceflag.Enabled || testing.Short():
 		return 100
 	}
 	return 2000
--- a/internal/controlplane/replication/exploration_test.go
+++ b/internal/controlplane/replication/exploration_test.go
@@ -157,7 +157,7 @@
 	switch {
 	case *exploreDepth > 0:
 		return *exploreDepth
-	case raceflag.On || testing.Short():
+	case raceflag.Enabled || testing.Short():
 		return defaultDepth - 4
 	}
 	return defaultDepth
--- a/internal/controlplane/replication/largestate_test.go
+++ b/internal/controlplane/replication/largestate_test.go
@@ -23,7 +23,7 @@
 )
 
 func largeEntryCount() int {
-	if raceflag.On || testing.Short() {
+	if raceflag.Enabled || testing.Short() {
 		return largeEntries / 10
 	}
 	return largeEntries
--- a/internal/controlplane/replication/randomfaults_test.go
+++ b/internal/controlplane/replication/randomfaults_test.go
@@ -161,7 +161,7 @@
 	if *randomFaultSeeds > 0 {
 		return uint64(*randomFaultSeeds)
 	}
-	if raceflag.On || testing.Short() {
+	if raceflag.Enabled || testing.Short() {
 		return 2
 	}
 	return uint64(defaultCount)
--- a/internal/goldentest/fill.go
+++ b/internal/goldentest/fill.go
@@ -9,15 +9,17 @@
 
 var timeType = reflect.TypeFor[time.Time]()
 
-// Fill sets every exported field below a pointer to a value other than zero. The values depend on the fields' order only.
-// Fields that the codec's tag leaves out, by "-", stay as they are. A field that can't be set is an error.
+// Fill sets every exported field of the value that the pointer refers to, recursively, to a value other than zero. The values
+// depend only on the fields' types and order. Fields that the codec's tag excludes by "-" stay as they are. Fill returns a
+// FillError if a field cannot be set.
 func (c Codec) Fill(pointer any) error {
 	filler := filler{codec: c}
 	value := reflect.ValueOf(pointer).Elem()
 	return filler.fill(value, value.Type().String())
 }
 
-// filler counts the values that it has set, so that no two of them are alike.
+// filler fills values. It derives each value from the count of the values set so far, so that different numbers, texts and
+// times are distinct.
 type filler struct {
 	codec Codec
 	count int
@@ -25,7 +27,7 @@
 
 func (f *filler) fill(value reflect.Value, path string) error {
 	if !value.CanSet() {
-		return unfit("%s can't be set", path)
+		return fillErrorf("%s can't be set", path)
 	}
 	if value.Type() == timeType {
 		f.count++
@@ -50,7 +52,7 @@
 	case reflect.Map:
 		return f.fillMap(value, path)
 	}
-	return f.fillPlain(value, path)
+	return f.fillBasic(value, path)
 }
 
 func (f *filler) fillStruct(value reflect.Value, path string) error {
@@ -66,7 +68,7 @@
 		}
 	}
 	if exported == 0 && value.NumField() > 0 {
-		return unfit("%s has no field that can be set", path)
+		return fillErrorf("%s has no field that can be set", path)
 	}
 	return nil
 }
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// fillMap makes one entry, as the order of more is not the same in each encoding.
+// fillMap sets a map with a single entry, because the order of several entries may differ from one encoding to the next.
 func (f *filler) fillMap(value reflect.Value, path string) error {
 	key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 	if err := f.fill(key, path+"[key]"); err != nil {
@@ -94,7 +96,7 @@
 	return nil
 }
 
-func (f *filler) fillPlain(value reflect.Value, path string) error {
+func (f *filler) fillBasic(value reflect.Value, path string) error {
 	f.count++
 	switch {
 	case value.Kind() == reflect.Bool:
@@ -108,19 +110,20 @@
 	case value.CanFloat():
 		value.SetFloat(float64(f.count) + 0.5)
 	default:
-		return unfit("%s has the kind %s, which can't be filled", path, value.Kind())
+		return fillErrorf("%s has the kind %s, which can't be filled", path, value.Kind())
 	}
 	return nil
 }
 
-// tagTester is the part of testing.T that checkTags needs.
-type tagTester interface {
+// tagReporter is the part of testing.T that checkTags needs.
+type tagReporter interface {
 	Helper()
 	Errorf(format string, arguments ...any)
 }
 
-// checkTags fails for each exported field, of a type and of those below it, whose name on the wire is its Go name.
-func checkTags(t tagTester, codec Codec, root reflect.Type) {
+// checkTags reports an error for each exported field of a type, and of the types in it, that has no name in a tag of the
+// codec. Such a field would be encoded under its Go name.
+func checkTags(t tagReporter, codec Codec, root reflect.Type) {
 	t.Helper()
 	visited := make(map[reflect.Type]bool)
 	var visit func(reflect.Type)
@@ -141,7 +144,7 @@
 					continue
 				}
 				name, _, _ := strings.Cut(field.Tag.Get(codec.Tag), ",")
-				if name == "" && !field.Anonymous && !isArray(current, codec.Tag) {
+				if name == "" && !field.Anonymous && !isEncodedAsArray(current, codec.Tag) {
 					t.Errorf("%s.%s has no name in a tag %q", current, field.Name, codec.Tag)
 				}
 				visit(field.Type)
@@ -151,9 +154,9 @@
 	visit(root)
 }
 
-// isArray tells whether a struct is encoded without its fields' names: by as_array or toarray in the tag of a blank or
-// unexported marker field.
-func isArray(structure reflect.Type, tagKey string) bool {
+// isEncodedAsArray reports whether a struct is encoded as an array without field names. This is the case if it has a field
+// named _msgpack or _ whose tag contains as_array or toarray.
+func isEncodedAsArray(structure reflect.Type, tagKey string) bool {
 	for _, name := range []string{"_msgpack", "_"} {
 		marker, found := structure.FieldByName(name)
 		if found && strings.Contains(marker.Tag.Get(tagKey), "array") {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,6 @@
-// Package goldentest compares the encoded forms of Go types with files of a package's testdata directory. The files hold
-// the forms of before, so that a change of a Go name or a tag that changes the bytes is found.
+// Package goldentest compares the encoded forms of Go types with golden files in a package's testdata directory. It detects
+// changes of Go names or tags that change the encoded bytes. Only tests import it. It writes golden files only if
+// GOLDEN_UPDATE is 1.
 package goldentest
 
 import (
@@ -12,44 +13,44 @@
 	"testing"
 )
 
-// UpdateVariable is the environment variable that, set to 1, has golden files written rather than compared.
+// UpdateVariable is the environment variable that makes Check write golden files instead of comparing them, if it is set to 1.
 const UpdateVariable = "GOLDEN_UPDATE"
 
-// Codec is an encoding as production code sets it up.
+// Codec is an encoding with the options that production code uses.
 type Codec struct {
-	Name   string // of the golden file
+	Name   string // part of the golden file's name: wire.NAME.txt
 	Tag    string // key of the struct tags that name the fields
-	Text   bool   // the encoded form is one line of text
+	Text   bool   // the encoded form is one line of text; otherwise the golden file holds it in hexadecimal
 	Encode func(value any) ([]byte, error)
 	Decode func(encoded []byte, value any) error
-	// Values are those of types that have an encoding of their own and no fields that Fill could set.
+	// Values holds the values that Fill sets for types with their own encoding and without fields that Fill could set.
 	Values map[reflect.Type]any
 }
 
-// Form is a type with the name that it has in the golden file. The name does not follow the type's Go name.
+// Form is a type whose encoded form is checked. Its name in the golden file stays the same if the Go type is renamed.
 type Form struct {
 	Name  string
 	Value any // a pointer to a zero value
 }
 
-// Check fills each form, encodes it, compares the bytes with the golden file, and decodes these again. Every exported
-// field must have a tag of the codec, so that no name on the wire comes from a Go name.
+// Check fills and encodes each form, compares the bytes with the golden file, and checks that decoding the golden bytes
+// returns the form's value. Every exported field must have a tag of the codec, so that no encoded name comes from a Go name.
 func Check(t *testing.T, codec Codec, forms ...Form) {
 	t.Helper()
 	path := filepath.Join("testdata", "wire."+codec.Name+".txt")
 	encoded := encodeAll(t, codec, forms)
 	if os.Getenv(UpdateVariable) == "1" {
-		write(t, path, codec, forms, encoded)
+		writeGoldenFile(t, path, codec, forms, encoded)
 		return
 	}
-	golden := read(t, path, codec)
+	golden := readGoldenFile(t, path, codec)
 	if len(golden) != len(forms) {
 		t.Errorf("%s has %d forms, the test %d", path, len(golden), len(forms))
 	}
 	for i, form := range forms {
 		t.Run(codec.Name+"/"+form.Name, func(t *testing.T) {
 			checkTags(t, codec, reflect.TypeOf(form.Value).Elem())
-			compare(t, codec, form, encoded[i], golden[form.Name])
+			compareForm(t, codec, form, encoded[i], golden[form.Name])
 		})
 	}
 }
@@ -70,11 +71,11 @@
 	return encoded
 }
 
-// compare checks one form in both directions.
-func compare(t *testing.T, codec Codec, form Form, encoded, golden []byte) {
+// compareForm compares the encoded bytes of one form with the golden ones, and the decoded golden bytes with the form's value.
+func compareForm(t *testing.T, codec Codec, form Form, encoded, golden []byte) {
 	t.Helper()
 	if golden == nil {
-		t.Fatal("it has no golden form")
+		t.Fatal("the golden file does not contain this form")
 	}
 	if !bytes.Equal(encoded, golden) {
 		t.Errorf("encoded as\n%q\nwant\n%q", encoded, golden)
@@ -88,8 +89,8 @@
 	}
 }
 
-// write makes a golden file: a line for each form, with its name, a tab and its encoded form.
-func write(t *testing.T, path string, codec Codec, forms []Form, encoded [][]byte) {
+// writeGoldenFile writes a golden file. It has a line for each form, with the form's name, a tab and the encoded form.
+func writeGoldenFile(t *testing.T, path string, codec Codec, forms []Form, encoded [][]byte) {
 	t.Helper()
 	var lines bytes.Buffer
 	for i, form := range forms {
@@ -110,8 +111,8 @@
 	}
 }
 
-// read returns the encoded forms of a golden file by their names.
-func read(t *testing.T, path string, codec Codec) map[string][]byte {
+// readGoldenFile returns the encoded forms in a golden file by their names.
+func readGoldenFile(t *testing.T, path string, codec Codec) map[string][]byte {
 	t.Helper()
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -134,13 +135,13 @@
 	return golden
 }
 
-// Constant is a constant that goes over the wire or to disk: a header, a path, a key of a record, or a number.
+// Constant is a constant that is sent over the wire or written to disk: a header, a path, a key of a record, or a number.
 type Constant struct {
 	Have any // the constant, of any type based on a string or an integer
-	Want any // its value as a literal: a string or an int
+	Want any // its expected value as a literal: a string or an int
 }
 
-// CheckConstants compares constants with the literal values that they had before.
+// CheckConstants checks that constants have their expected literal values.
 func CheckConstants(t *testing.T, constants ...Constant) {
 	t.Helper()
 	for _, constant := range constants {
@@ -151,7 +152,7 @@
 			continue
 		}
 		if have := have.Convert(want.Type()).Interface(); have != constant.Want {
-			t.Errorf("%v was %v on the wire", have, constant.Want)
+			t.Errorf("constant is %v, want %v as on the wire", have, constant.Want)
 		}
 	}
 }
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -14,12 +14,12 @@
 
 type outer struct {
 	inner
-	Inner   *inner     `json:"i"`
-	Numbers [2]float32 `json:"n"`
-	At      time.Time  `json:"a"`
-	Skipped func()     `json:"-"`
-	Untold  int
-	hidden  int
+	Inner    *inner     `json:"i"`
+	Numbers  [2]float32 `json:"n"`
+	At       time.Time  `json:"a"`
+	Skipped  func()     `json:"-"`
+	Untagged int
+	hidden   int
 }
 
 // errorCounter counts the failures that checkTags reports.
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if filled.Inner == nil || !filled.Inner.Flag || len(filled.Inner.Texts) != 1 || filled.Numbers[1] == 0 ||
-		filled.At.IsZero() || filled.Untold == 0 || filled.Skipped != nil || filled.hidden != 0 {
+		filled.At.IsZero() || filled.Untagged == 0 || filled.Skipped != nil || filled.hidden != 0 {
 		t.Errorf("filled as %+v", filled)
 	}
 	var again outer
@@ -56,7 +56,7 @@
 func TestCheckTagsFindsGoNames(t *testing.T) {
 	var found errorCounter
 	checkTags(&found, JSON, reflect.TypeFor[[]outer]())
-	want := []string{`goldentest.outer.Untold has no name in a tag "json"`}
+	want := []string{`goldentest.outer.Untagged has no name in a tag "json"`}
 	if !reflect.DeepEqual(found.texts, want) {
 		t.Errorf("found %q, want %q", found.texts, want)
 	}
--- a/internal/leaktest/leaktest.go
+++ b/internal/leaktest/leaktest.go
@@ -1,5 +1,5 @@
-// Package leaktest ends a package's tests by what they have left: goroutines and descriptors. Only tests import it; it is a package of its
-// own as those of several packages do.
+// Package leaktest fails a package's tests if they leak goroutines or file descriptors. The TestMain functions of several
+// packages call Main. Only tests import this package.
 package leaktest
 
 import (
@@ -12,15 +12,17 @@
 	"go.uber.org/goleak"
 )
 
-// closeTimeout bounds the wait for what closes behind a test, which does at once unless it is leaked.
+// closeTimeout limits the wait for descriptors that are closed in the background after a test. They are closed at once unless
+// they are leaked.
 const closeTimeout = 10 * time.Second
 
-// Main runs tests. Where they pass it fails if a goroutine is left, but for those that the options name, or a descriptor.
+// Main runs the tests and exits the process. If the tests pass, the exit code is 1 if they leaked a descriptor, or a goroutine
+// that the options do not exclude.
 func Main(m *testing.M, options ...goleak.Option) {
-	if l, err := net.Listen("tcp", "127.0.0.1:0"); err == nil { // what the runtime itself opens for sockets is there from now on
+	if l, err := net.Listen("tcp", "127.0.0.1:0"); err == nil { // makes the runtime open its own descriptors before the count
 		l.Close()
 	}
-	before := descriptors()
+	before := countDescriptors()
 	code := m.Run()
 	if code == 0 {
 		if err := findLeaks(before, closeTimeout, options); err != nil {
@@ -31,27 +33,28 @@
 	os.Exit(code)
 }
 
-// descriptorLeakError says that tests have left descriptors open.
-type descriptorLeakError struct{ open, before int }
+// descriptorLeakError reports that tests left descriptors open.
+type descriptorLeakError struct{ open, expected int }
 
 func (e descriptorLeakError) Error() string {
-	return fmt.Sprintf("%d descriptors are open, expected the %d before the tests", e.open, e.before)
+	return fmt.Sprintf("%d descriptors are open, expected the %d before the tests", e.open, e.expected)
 }
 
-func findLeaks(before int, patience time.Duration, options []goleak.Option) error {
+// findLeaks returns an error if a goroutine is leaked, or if more descriptors than before are still open after the timeout.
+func findLeaks(before int, timeout time.Duration, options []goleak.Option) error {
 	if err := goleak.Find(options...); err != nil {
 		return err
 	}
-	for late := time.Now().Add(patience); descriptors() > before; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(late) {
-			return descriptorLeakError{descriptors(), before}
+	for deadline := time.Now().Add(timeout); countDescriptors() > before; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return descriptorLeakError{countDescriptors(), before}
 		}
 	}
 	return nil
 }
 
-// descriptors counts those that are open; 0 where the system does not list them.
-func descriptors() int {
+// countDescriptors returns the number of open file descriptors; 0 on systems without /proc/self/fd.
+func countDescriptors() int {
 	names, _ := os.ReadDir("/proc/self/fd")
 	return len(names)
 }
--- a/internal/leaktest/leaktest_test.go
+++ b/internal/leaktest/leaktest_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// What is left is found, and what was closed is not.
 func TestLeaksAreFound(t *testing.T) {
-	before := descriptors()
+	before := countDescriptors()
 	f, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
@@ -18,12 +17,12 @@
 	ended := make(chan struct{})
 	go func() { <-stop; close(ended) }()
 	if err := findLeaks(before, 50*time.Millisecond, nil); err == nil || !strings.Contains(err.Error(), "unexpected goroutines") {
-		t.Errorf("got %v with a goroutine left", err)
+		t.Errorf("got %v with a leaked goroutine", err)
 	}
 	close(stop)
 	<-ended
 	if err := findLeaks(before, 50*time.Millisecond, nil); before > 0 && (err == nil || !strings.Contains(err.Error(), "descriptors are open")) {
-		t.Errorf("got %v with a descriptor left", err)
+		t.Errorf("got %v with a leaked descriptor", err)
 	}
 	f.Close()
 	if err := findLeaks(before, 50*time.Millisecond, nil); err != nil {
--- a/internal/operators/override/override_test.go
+++ b/internal/operators/override/override_test.go
@@ -341,7 +341,7 @@
 
 func TestSeededHistoriesAgainstTheModel(t *testing.T) {
 	histories := 100_000
-	if testing.Short() || raceflag.On {
+	if testing.Short() || raceflag.Enabled {
 		histories = 3_000 // the race detector has nothing to find in a package without a goroutine
 	}
 	for seed := range uint64(histories) {
@@ -361,7 +361,7 @@
 			newWorld().play(t, []int{a, b}, func() float64 { return 1 })
 		}
 	}
-	if raceflag.On {
+	if raceflag.Enabled {
 		return
 	}
 	for a := range 13 {
--- a/internal/raceflag/off.go
+++ b/internal/raceflag/off.go
@@ -1,8 +1,8 @@
 //go:build !race
 
-// Package raceflag tells tests of pure modules whether the race detector is on, which finds nothing where there is no
-// goroutine and takes ten times as long.
+// Package raceflag reports whether the race detector is enabled. Tests of code without goroutines use it to do less work
+// under the race detector, which cannot find anything there and makes them ten times as slow.
 package raceflag
 
-// On is whether it is.
-const On = false
+// Enabled reports whether the program was built with the race detector.
+const Enabled = false
--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -23,16 +23,16 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// childSpecVariable is the environment variable with the childSpec of a process, as JSON.
+// childSpecVariable is the environment variable that holds the childSpec of a process as JSON.
 const childSpecVariable = "PUFFINLINK_SYSTEMTEST_CHILD"
 
-// childFailedMarker begins the line that a child process writes to standard error when it fails.
+// childFailedMarker is the prefix of the line that a child process writes to standard error when it fails.
 const childFailedMarker = "child process failed:"
 
-// readyLine is written to standard output once a child process listens.
+// readyLine is the line that a child process writes to standard output once it is listening.
 const readyLine = "ready"
 
-// role is a kind of process.
+// role is the role of a process in the system.
 type role string
 
 const (
@@ -41,17 +41,18 @@
 	proxyRole       role = "proxy"
 )
 
-// childSpec is what one process starts with. Its addresses are those at which it listens; others know those of the relays
-// before it.
+// childSpec holds the start parameters of a child process. Its addresses are those on which the process itself listens.
+// Callers use the addresses of the relays in front of it.
 type childSpec struct {
 	Role      role
-	Settings  string // lines of a settings file
-	Primary   string // internal calls of a coordinator or an agent; clients of a proxy
-	Secondary string // operators of a coordinator; the proxy of an agent; readiness of a proxy
-	Agent     string // of a proxy: its agent's address
+	Settings  string // content of the settings file
+	Primary   string // address for internal calls (coordinator, agent) or for clients (proxy)
+	Secondary string // address for operators (coordinator), for the local proxy (agent) or for readiness checks (proxy)
+	Agent     string // address of the proxy's agent; empty for other roles
 }
 
-// runChild runs one process of the system from its start to its exit code.
+// runChild runs a child process until it receives SIGTERM or fails, and returns its exit code. The text is its childSpec as
+// JSON.
 func runChild(text string) (code int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -62,6 +63,7 @@
 	return 0
 }
 
+// startChild parses the childSpec, opens the listeners and runs the role until the context ends.
 func startChild(ctx context.Context, text string) error {
 	var spec childSpec
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
@@ -102,37 +104,37 @@
 	return core.Run(ctx, coordinator.Listeners{Internal: internal, Control: control})
 }
 
-// agentLinger is how long an agent serves on after it was asked to shut down, as its proxy needs it while it drains.
-const agentLinger = 3500 * time.Millisecond
+// agentShutdownDelay is how long an agent keeps serving after SIGTERM, because its proxy needs it while it drains.
+const agentShutdownDelay = 3500 * time.Millisecond
 
 func runAgent(ctx context.Context, _ childSpec, settings nodesettings.Settings, log *zap.Logger, peers, local net.Listener) error {
-	link := agent.New(agent.Config{
+	localAgent := agent.New(agent.Config{
 		Address: settings.InternalAddress(agentOffset), Seeds: settings.SeedInternalAddresses(), Caller: transport.NewClientFor(settings.Cluster), Logger: log,
 	})
 	self := transport.NewIdentity(settings.Cluster, settings.NodeName)
 	peerMux, localMux := transport.NewMuxFor(self), transport.NewMuxFor(self)
-	link.Mount(peerMux)
-	link.MountLocal(localMux)
+	localAgent.Mount(peerMux)
+	localAgent.MountLocal(localMux)
 	go http.Serve(peers, peerMux)
 	go http.Serve(local, localMux)
 	fmt.Println(readyLine)
 	lingering, stop := context.WithCancel(context.WithoutCancel(ctx))
-	context.AfterFunc(ctx, func() { time.AfterFunc(agentLinger, stop) })
-	return link.Run(lingering)
+	context.AfterFunc(ctx, func() { time.AfterFunc(agentShutdownDelay, stop) })
+	return localAgent.Run(lingering)
 }
 
 func runProxy(ctx context.Context, spec childSpec, settings nodesettings.Settings, log *zap.Logger, front, readiness net.Listener) error {
-	const mostConnections, mostBytes = 500, 16 << 20
+	const maxConnections, maxBodyBytes = 500, 16 << 20
 	server := proxy.New(proxy.Config{
 		AgentAddress: spec.Agent, Caller: transport.NewClientFor(settings.Cluster), BuildRouter: buildRouter, GracePeriod: settings.Bounds.GracePeriod,
-		MaxConnections: mostConnections, MaxBodyBytes: mostBytes, Log: log,
+		MaxConnections: maxConnections, MaxBodyBytes: maxBodyBytes, Log: log,
 	})
 	fmt.Println(readyLine)
 	server.Serve(ctx, front, readiness)
 	return nil
 }
 
-// router adapts a table of the configuration for the proxy, as the program does.
+// router adapts a routing table to proxy.Router, in the same way as the production program.
 type router struct{ table *configuration.RoutingTable }
 
 func buildRouter(raw []byte) (proxy.Router, error) {
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	clientDeadline    = 3 * time.Second
-	clientTimeout     = 30 * time.Second // from the first attempt to the last
+	clientDeadline    = 3 * time.Second  // of one request, as sent in its Deadline-Remaining header
+	clientTimeout     = 30 * time.Second // of one request with all its retries
 	retryInterval     = 150 * time.Millisecond
 	statePollInterval = 300 * time.Millisecond
-	completionTimeout = 45 * time.Second // from a job's first send until its end
+	completionTimeout = 45 * time.Second // for polling a job until its state is final
 )
 
-// clientRequest makes one call of a client and records it.
+// clientRequest sends one client request to a front and records it for the checker.
 func (s *system) clientRequest(ctx context.Context, front *machine, method, path string, body []byte) checker.Request {
 	ctx, cancel := context.WithTimeout(ctx, clientDeadline+time.Second)
 	defer cancel()
@@ -34,12 +34,12 @@
 	return record
 }
 
-// send makes a client's call.
+// send sends a client request with its deadline header.
 func (s *system) send(ctx context.Context, method, url string, body []byte) (status int, answer []byte) {
 	return s.sendWith(ctx, http.Header{"Deadline-Remaining": {"3000"}}, method, url, body)
 }
 
-// sendWith makes a call; the status is 0 without a complete reply.
+// sendWith sends a request with the given header. The status is 0 if no complete reply arrived.
 func (s *system) sendWith(ctx context.Context, header http.Header, method, url string, body []byte) (status int, answer []byte) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -60,7 +60,7 @@
 	return response.StatusCode, answer
 }
 
-// sleep waits, or ends with the context.
+// sleep waits for the given time, or returns the context's error if the context ends first.
 func sleep(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -72,13 +72,13 @@
 	}
 }
 
-// retryUntil sends a request to one front after the other until an answer's status is accepted.
-func (s *system) retryUntil(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (checker.Request, error) {
+// retryUntil sends a request to the fronts in turn until accept returns true for the status of an answer.
+func (s *system) retryUntil(ctx context.Context, random *rand.Rand, method, path string, body []byte, accept func(status int) bool) (checker.Request, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	for attempt := random.IntN(len(s.fronts)); ; attempt++ {
 		answer := s.clientRequest(ctx, s.fronts[attempt%len(s.fronts)], method, path, body)
-		if serves(answer.Status) {
+		if accept(answer.Status) {
 			return answer, nil
 		}
 		if err := sleep(ctx, retryInterval); err != nil {
@@ -89,7 +89,8 @@
 
 func isSuccess(status int) bool { return status == http.StatusOK }
 
-// runJob submits a job, follows it to its end, and cancels it where that is planned. It reports whether the job was accepted.
+// runJob submits a job, cancels it if its plan says so, and polls it until its state is final. A long-running job is not
+// polled. runJob reports whether the job was accepted.
 func (s *system) runJob(ctx context.Context, random *rand.Rand, plan jobPlan) bool {
 	if s.submit(ctx, random, plan) != nil {
 		return false
@@ -103,7 +104,7 @@
 	return true
 }
 
-// submit submits a job until a front accepts it.
+// submit sends a job to the fronts in turn until one accepts it.
 func (s *system) submit(ctx context.Context, random *rand.Rand, plan jobPlan) error {
 	s.plans.add(plan)
 	if _, err := s.retryUntil(ctx, random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
@@ -133,7 +134,7 @@
 	return state == "completed" || state == "failed" || state == "cancelled"
 }
 
-// stateOf is the state of a job in an answer to a client.
+// stateOf returns the job state in an answer to a client.
 func stateOf(answer []byte) string {
 	var content struct{ State string }
 	json.Unmarshal(answer, &content)
--- a/internal/systemtest/commandchecker_test.go
+++ b/internal/systemtest/commandchecker_test.go
@@ -16,19 +16,23 @@
 	"puffinlink.example/puffinlink/internal/controlplane/storage"
 )
 
-// checkDeliveries compares all replies of core machines, also the dropped ones, with each other: a command that was accepted
-// is refused nowhere and at no time, and no version is confirmed for two bodies, nor are two bodies on top of
-// one version.
+// checkDeliveries checks that the replies of all core machines are consistent, including replies that a relay dropped. It
+// returns the violations of these rules:
+//
+//   - A command that one machine accepted is never refused by any machine, before or after.
+//   - A version is confirmed for one command only.
+//   - Only one command is confirmed on top of a version.
+//   - A confirmation names the version of the command's body.
 func checkDeliveries(deliveries []delivery) (violations []string) {
 	accepted := map[commandKey]delivery{}
-	for _, one := range deliveries {
-		if one.status == http.StatusOK && one.method != http.MethodGet {
-			accepted[one.key()] = one
+	for _, reply := range deliveries {
+		if reply.status == http.StatusOK && reply.method != http.MethodGet {
+			accepted[reply.key()] = reply
 		}
 	}
 	for _, one := range deliveries {
-		if confirmed, found := accepted[one.key()]; found && isDefinite(one.status) && one.status != http.StatusOK {
-			violations = append(violations, fmt.Sprintf("refused though it was accepted: %v; accepted: %v", one, confirmed))
+		if acceptance, found := accepted[one.key()]; found && isDefinite(one.status) && one.status != http.StatusOK {
+			violations = append(violations, fmt.Sprintf("refused though it was accepted: %v; accepted: %v", one, acceptance))
 		}
 	}
 	byNumber, byBase := map[int64]commandKey{}, map[string]commandKey{}
@@ -51,32 +55,31 @@
 	return violations
 }
 
-// TestDeliveryChecker shows that each rule finds what breaks it.
-func TestDeliveryChecker(t *testing.T) {
+func TestCheckDeliveriesFindsEachViolation(t *testing.T) {
 	put := func(ifMatch int64, body string, status int) delivery {
 		one := putCommand(ifMatch, []byte(body))
 		one.status, one.answer = status, body
 		return one
 	}
-	one, other := `{"version":3}`, `{"version":3,"routes":[]}`
-	Convey("Confirmed, refused and indefinite replies that agree break no rule", t, func() {
-		So(checkDeliveries([]delivery{put(2, one, 200), put(2, one, 503), put(2, one, 0), put(2, one, 200), put(2, other, 412)}), ShouldBeEmpty)
+	body, otherBody := `{"version":3}`, `{"version":3,"routes":[]}`
+	Convey("Consistent confirmed, refused and indefinite replies break no rule", t, func() {
+		So(checkDeliveries([]delivery{put(2, body, 200), put(2, body, 503), put(2, body, 0), put(2, body, 200), put(2, otherBody, 412)}), ShouldBeEmpty)
 	})
 	Convey("A refusal of an accepted command is found, before and after its confirmation", t, func() {
-		So(checkDeliveries([]delivery{put(2, one, 200), put(2, one, 412)}), ShouldHaveLength, 1)
-		So(checkDeliveries([]delivery{put(2, one, 412), put(2, one, 200)}), ShouldHaveLength, 1)
+		So(checkDeliveries([]delivery{put(2, body, 200), put(2, body, 412)}), ShouldHaveLength, 1)
+		So(checkDeliveries([]delivery{put(2, body, 412), put(2, body, 200)}), ShouldHaveLength, 1)
 		cancel := delivery{method: http.MethodDelete, path: "/-/jobs/1", status: 200}
 		retried := cancel
 		retried.status = 409
 		So(checkDeliveries([]delivery{cancel, retried}), ShouldHaveLength, 1)
 	})
-	Convey("A version that is confirmed for two bodies is found, and two bodies on top of one version", t, func() {
-		So(checkDeliveries([]delivery{put(1, one, 200), put(2, other, 200)}), ShouldHaveLength, 1)
-		So(checkDeliveries([]delivery{put(2, one, 200), put(2, `{"version":4}`, 200)}), ShouldHaveLength, 1)
+	Convey("Two bodies confirmed as one version or on top of one version are found", t, func() {
+		So(checkDeliveries([]delivery{put(1, body, 200), put(2, otherBody, 200)}), ShouldHaveLength, 1)
+		So(checkDeliveries([]delivery{put(2, body, 200), put(2, `{"version":4}`, 200)}), ShouldHaveLength, 1)
 	})
 }
 
-// confirmedChanges are the changes that some machine confirmed, by version.
+// confirmedChanges returns the configuration changes that at least one machine confirmed, by version.
 func confirmedChanges(deliveries []delivery) map[int64]delivery {
 	confirmed := map[int64]delivery{}
 	for _, one := range deliveries {
@@ -87,7 +90,8 @@
 	return confirmed
 }
 
-// historyOnDisk reads the history of applied changes from the disk of a core machine that has ended.
+// historyOnDisk reads the configuration state from the disk of a core machine that is not running. The state includes the
+// history of applied changes.
 func historyOnDisk(m *machine) (state configuration.State, err error) {
 	store, _, err := storage.Open(storage.OSFileSystem{}, m.dataDirectory, storage.Options{})
 	if err != nil {
@@ -101,8 +105,9 @@
 	return configuration.DecodeState(value)
 }
 
-// checkAppliedHistory returns what in a history contradicts the confirmations: it must hold each confirmed change, under its number
-// and on top of its version, and nothing that was refused.
+// checkAppliedHistory compares a history of applied changes with the replies and returns the contradictions. Each change
+// must build on the one before it. The history must hold each confirmed change with its version, base version and checksum,
+// and no change that was refused.
 func checkAppliedHistory(state configuration.State, deliveries []delivery) (violations []string) {
 	recorded := map[uint64]configuration.AppliedUpdate{}
 	for i, one := range state.Applied {
@@ -129,7 +134,7 @@
 	return violations
 }
 
-// acceptedValue is the value of the configuration's register that one disk holds.
+// acceptedValue reads the value of the configuration register from one store, as a replica set of one member.
 func acceptedValue(store storage.Store) ([]byte, error) {
 	alone := replicaset.View{Version: 1, Members: []string{"disk"}}
 	view := func() replicaset.View { return alone }
@@ -139,7 +144,7 @@
 	return register.New(register.Config{Name: "configuration", Self: "disk", Acceptor: acceptor, View: view}).Read(context.Background())
 }
 
-// checksumOf is the checksum under which the history names a body.
+// checksumOf returns the checksum by which the history identifies a body: the first 16 bytes of its SHA-256.
 func checksumOf(body string) (sum [16]byte) {
 	full := sha256.Sum256([]byte(body))
 	copy(sum[:], full[:])
--- a/internal/systemtest/controlmodel/schedules_test.go
+++ b/internal/systemtest/controlmodel/schedules_test.go
@@ -22,7 +22,7 @@
 // TestSchedules plays seeded schedules of faults. A failure names its seed; with seedVariable it is played alone.
 func TestSchedules(t *testing.T) {
 	first, count := uint64(1), uint64(schedules)
-	if raceflag.On {
+	if raceflag.Enabled {
 		count = underRaceDetector
 	}
 	if text := os.Getenv(schedulesVariable); text != "" {
--- a/internal/systemtest/doc.go
+++ b/internal/systemtest/doc.go
@@ -1,13 +1,17 @@
-// Package systemtest runs the whole system, one process for each role, on loopback addresses before fakes for
-// workers, the platform, clients and operators. A relay stands between every two processes: it can partition, delay and drop, and
-// injects faults at numbered calls. What clients, operators and workers have seen is checked afterwards. It has only tests.
+// Package systemtest tests the whole system end to end. It contains only tests.
 //
-// By default a run plays a few scenarios. These variables of the environment change that:
+// Each test starts one process per role on loopback addresses. Workers, the platform, clients and operators are fakes that
+// run in the test's own process. Calls between processes pass through relays, which can partition, delay and drop them, and
+// can inject a fault at the n-th call on a path. After the run a checker examines what clients, operators and workers
+// observed.
 //
-//   - PUFFINLINK_SYSTEMTEST_ALL=1 plays all scenarios: each fault at each numbered call in turn, and randomly drawn pairs of them.
-//   - PUFFINLINK_SYSTEMTEST_SEED is the seed of the pairs.
-//   - PUFFINLINK_SYSTEMTEST_ONLY plays those whose names match one of the patterns, joined by commas.
-//   - PUFFINLINK_SYSTEMTEST_KEEP is a folder for the processes' logs and disks, and for the report on each violation.
-//   - PUFFINLINK_OTHER_BUILD is the path of a puffinlink program of another build, which the tests of two builds at once
-//     start beside this one; without it they start this build in its place.
+// By default TestScenarios runs a few scenarios. These environment variables change what is run:
+//
+//   - PUFFINLINK_SYSTEMTEST_ALL=1 adds the extended scenarios, each kind of fault at each call point, and random pairs of
+//     such faults.
+//   - PUFFINLINK_SYSTEMTEST_SEED is the seed of the random pairs.
+//   - PUFFINLINK_SYSTEMTEST_ONLY runs only the scenarios whose names match one of these comma-separated patterns.
+//   - PUFFINLINK_SYSTEMTEST_KEEP is a directory that keeps the logs and disks of the processes, and a report on violations.
+//   - PUFFINLINK_OTHER_BUILD is the path of a puffinlink program of another build. The tests of mixed versions and of
+//     upgrades run it together with this build. If it is not set, they run this build in its place.
 package systemtest
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -14,32 +14,32 @@
 
 const (
 	shortOutage       = 500 * time.Millisecond
-	outageBeyondLease = 3 * time.Second // longer than any lease
+	outageBeyondLease = 3 * time.Second // longer than the lease of a replication leader
 	partitionLength   = 4 * time.Second
 
 	pollInterval = 50 * time.Millisecond
 )
 
-// faultFunc injects faults while the load runs.
+// faultFunc injects faults while the load is running.
 type faultFunc = func(ctx context.Context, s *system) error
 
-// onLeader does something to the machine that leads the guarded service's jobs.
-func onLeader(do func(ctx context.Context, s *system, leader *machine)) faultFunc {
+// onLeader returns a faultFunc that applies an action to the machine that leads the guarded service's jobs.
+func onLeader(action func(ctx context.Context, s *system, leader *machine)) faultFunc {
 	return func(ctx context.Context, s *system) error {
 		if err := s.awaitLeader(ctx, guardedService); err != nil {
 			return err
 		}
-		do(ctx, s, s.leaderOf(guardedService))
+		action(ctx, s, s.leaderOf(guardedService))
 		return nil
 	}
 }
 
-// onFollower does something to a core machine that leads nothing.
-func onFollower(do func(ctx context.Context, s *system, follower *machine)) faultFunc {
+// onFollower returns a faultFunc that applies an action to a core machine that leads no service.
+func onFollower(action func(ctx context.Context, s *system, follower *machine)) faultFunc {
 	return func(ctx context.Context, s *system) error {
 		for _, m := range s.core {
 			if m != s.leaderOf(guardedService) && m != s.leaderOf(unguardedService) {
-				do(ctx, s, m)
+				action(ctx, s, m)
 				return nil
 			}
 		}
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// crashGangMember crashes a worker on which a member of a gang has worked for long enough to have saved.
+// crashGangMember crashes a worker that runs a member of a gang. It waits until the member has run long enough to have
+// written a checkpoint.
 func crashGangMember(ctx context.Context, s *system) error {
 	for {
 		for _, run := range s.cluster.Runs() {
@@ -92,16 +93,17 @@
 	}
 }
 
-// workerFaults crashes one worker, lets another carry commands out late, a third be silent, and a fourth drain and leave.
+// workerFaults makes several workers fail at once: one that runs a gang member crashes, one executes start commands late,
+// one does not answer, and one drains and leaves. A further worker crashes afterwards.
 func workerFaults(ctx context.Context, s *system) error {
 	if err := crashGangMember(ctx, s); err != nil {
 		return err
 	}
-	const lateBy, upset = 2 * time.Second, 3 * time.Second
-	s.beginCallFaults(s.workers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: lateBy, FromArrival: true}))
+	const startDelay, faultLength = 2 * time.Second, 3 * time.Second
+	s.beginCallFaults(s.workers[1], cluster.Only(cluster.StartCall, cluster.Fault{Kind: cluster.Late, Delay: startDelay, FromArrival: true}))
 	s.beginCallFaults(s.workers[2], cluster.Always(cluster.Fault{Kind: cluster.Silent}))
 	s.drain(s.workers[3])
-	if err := sleep(ctx, upset); err != nil {
+	if err := sleep(ctx, faultLength); err != nil {
 		return err
 	}
 	s.endCallFaults(s.workers[1])
@@ -111,7 +113,8 @@
 	return nil
 }
 
-// drainWithoutLeaving lists a worker of each service as draining, lets them stay, and submits more jobs much later.
+// drainWithoutLeaving marks one worker of each service as draining but keeps it running past the drain time. Then it runs
+// the load once more.
 func drainWithoutLeaving(ctx context.Context, s *system) error {
 	s.drain(s.workers[1])
 	s.drain(s.workers[len(s.workers)-1])
@@ -123,7 +126,8 @@
 	return nil
 }
 
-// changeConfiguration adds a route, lets two operators race with answers lost, sends an invalid change, and drops the route.
+// changeConfiguration adds a route, lets two operators change the configuration concurrently, sends invalid changes, resends
+// the newest change and removes the route. Some of the answers are lost on the way.
 func changeConfiguration(ctx context.Context, s *system) error {
 	added := routePlan{"/added/", guardedService}
 	one, other := routePlan{"/one/", guardedService}, routePlan{"/other/", unguardedService}
@@ -133,20 +137,20 @@
 		s.recoveries.Go(func() { s.pollRoutes(probing, front, added, one, other) })
 	}
 	s.network.arm(injection{path: controlPath, number: 1, phase: beforeReply, drop: true})
-	if !s.configured.set(ctx, 1, renderRoute, mailRoute, added) {
+	if !s.configurations.set(ctx, 1, renderRoute, mailRoute, added) {
 		return fmt.Errorf("a change was not acknowledged")
 	}
 	s.network.arm(injection{path: controlPath, number: 2, phase: beforeReply, drop: true})
-	s.configured.race(ctx, []routePlan{renderRoute, mailRoute, added, one}, []routePlan{renderRoute, mailRoute, added, other})
-	s.configured.sendInvalid(ctx)
-	s.configured.resend(ctx)
-	if !s.configured.set(ctx, 2, renderRoute, mailRoute) {
+	s.configurations.race(ctx, []routePlan{renderRoute, mailRoute, added, one}, []routePlan{renderRoute, mailRoute, added, other})
+	s.configurations.sendInvalid(ctx)
+	s.configurations.resend(ctx)
+	if !s.configurations.set(ctx, 2, renderRoute, mailRoute) {
 		return fmt.Errorf("a change was not acknowledged")
 	}
 	return s.awaitRouteRemoved(ctx, added)
 }
 
-// pollRoutes counts the jobs of some routes over and over.
+// pollRoutes requests the job lists of some routes from a front until the context ends.
 func (s *system) pollRoutes(ctx context.Context, front *machine, routes ...routePlan) {
 	for sleep(ctx, retryInterval) == nil {
 		for _, route := range routes {
@@ -155,7 +159,7 @@
 	}
 }
 
-// awaitRouteRemoved waits until all fronts refuse a route.
+// awaitRouteRemoved waits until all fronts answer 404 for a route.
 func (s *system) awaitRouteRemoved(ctx context.Context, route routePlan) error {
 	for _, front := range s.fronts {
 		for s.clientRequest(ctx, front, http.MethodGet, route.prefix, nil).Status != http.StatusNotFound {
@@ -167,14 +171,14 @@
 	return nil
 }
 
-// restartInTurn stops and starts all machines in turn.
+// restartInTurn shuts down and restarts all machines, one after the other.
 func restartInTurn(ctx context.Context, s *system) error { return s.rollingRestart(ctx, s.machines()) }
 
-// slowCore delays all messages between core machines.
+// slowCore delays all calls between core machines, and their answers.
 func slowCore(_ context.Context, s *system) error {
 	const slow = 120 * time.Millisecond
 	for _, from := range s.core {
-		s.faultBegan(from.name)
+		s.recordFaultStart(from.name)
 		for _, to := range s.core {
 			s.network.setDelay(from.name, to.name, slow)
 		}
@@ -182,7 +186,7 @@
 	return nil
 }
 
-// inSequence makes several faults one after the other.
+// inSequence returns a faultFunc that injects several faults one after the other.
 func inSequence(faults ...faultFunc) faultFunc {
 	return func(ctx context.Context, s *system) error {
 		for _, fault := range faults {
@@ -194,7 +198,7 @@
 	}
 }
 
-// afterRecovery makes a fault once those before it are over.
+// afterRecovery returns a faultFunc that injects a fault once all machines have recovered from earlier ones.
 func afterRecovery(fault faultFunc) faultFunc {
 	return func(ctx context.Context, s *system) error {
 		s.recoveries.Wait()
@@ -202,9 +206,9 @@
 	}
 }
 
-// killCoreAfterChange kills all core machines right after a configuration was acknowledged, and empties the disk of one.
+// killCoreAfterChange kills all core machines right after a configuration change was acknowledged, and erases one disk.
 func killCoreAfterChange(ctx context.Context, s *system) error {
-	if !s.configured.set(ctx, 1, renderRoute, mailRoute, routePlan{"/last/", guardedService}) {
+	if !s.configurations.set(ctx, 1, renderRoute, mailRoute, routePlan{"/last/", guardedService}) {
 		return fmt.Errorf("a change was not acknowledged")
 	}
 	var all sync.WaitGroup
@@ -215,7 +219,7 @@
 	return nil
 }
 
-// defaultScenarios are the scenarios of every run.
+// defaultScenarios are the scenarios that every run includes.
 var defaultScenarios = []scenario{
 	{name: "leader-killed", seed: 2, faults: killLeader(false)},
 	{name: "leader-paused", seed: 3, faults: pauseLeader},
@@ -225,7 +229,7 @@
 	{name: "configuration-and-wiped-disk", seed: 7, faults: inSequence(killFollower(true), changeConfiguration)},
 }
 
-// extendedScenarios are the further ones of a run with PUFFINLINK_SYSTEMTEST_ALL.
+// extendedScenarios are the additional scenarios of a run with PUFFINLINK_SYSTEMTEST_ALL.
 var extendedScenarios = []scenario{
 	{name: "calm", seed: 1},
 	{name: "follower-killed", seed: 11, faults: killFollower(false)},
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -17,47 +17,49 @@
 )
 
 const (
-	handOverTimeout = 3 * time.Minute
-	handOverGrace   = 40 * time.Second // of the core machines: a busy machine needs more than the usual 6 s
-	minAnnounceSpan = 500 * time.Millisecond
-	announcePath    = "/replicaset/announce"
-	readyPath       = "/rebuild/ready"
+	handOverTimeout     = 3 * time.Minute
+	handOverGracePeriod = 40 * time.Second // of the core machines; a busy host needs more than the usual 6 s
+	minAnnouncementSpan = 500 * time.Millisecond
+	announcePath        = "/replicaset/announce"
+	readyPath           = "/rebuild/ready"
 )
 
-// readyField is the field of a reply to readyPath that is true, in msgpack.
+// readyField is the msgpack encoding of the field r = true in a reply to readyPath.
 var readyField = []byte{0xa1, 'r', 0xc3}
 
-// handOver is a system of three core machines of which one is asked to shut down while a fourth waits to become a member.
+// handOver is a system with three core machines as members and a fourth that waits to join. One member is asked to shut down
+// and has to hand its membership over to the fourth machine.
 type handOver struct {
 	*system
 	departing, lagging, failing, joiningMember *machine
 
-	mu                sync.Mutex
-	announced         map[string][2]time.Time // the joining member's first and last announcement, by receiver
-	rebuilt           time.Time               // when the joining member first reported to the departing member that it may vote
-	ended             time.Time               // when the leaving member's process had ended
-	shutdownRequested time.Time               // when it was asked to shut down
+	mu                  sync.Mutex
+	announcements       map[string][2]time.Time // the joining member's first and last announcement, by receiver
+	rebuiltAt           time.Time               // when the joining member first reported to the departing member that it may vote
+	departedAt          time.Time               // when the leaving member's process had ended
+	shutdownRequestedAt time.Time               // when it was asked to shut down
 }
 
-// A member leads a group and holds its newest batch and the newest configuration together with one other, which fails in
-// that moment; the third member got neither. The first is asked to shut down while a joining member waits. It stays until the joining member
-// has been rebuilt and may vote, within its grace period, and what was acknowledged is there at the two that are left.
+// TestGracefulShutdownHandsOverMembership guards against losing acknowledged data when a member shuts down. The newest job
+// and configuration are stored only on the departing member and on one that is killed just before the shutdown; the third
+// member lags behind both. The departing member must keep running, within its grace period, until the joining member has
+// been rebuilt and may vote. The two remaining machines must then hold everything that was acknowledged.
 func TestGracefulShutdownHandsOverMembership(t *testing.T) {
 	t.Parallel()
 	ctx, s := startSystem(t, "member-hands-over", smallSize, handOverTimeout)
-	h := &handOver{system: s, announced: map[string][2]time.Time{}}
+	h := &handOver{system: s, announcements: map[string][2]time.Time{}}
 	failure := h.run(ctx)
 	s.stop()
-	if !h.rebuilt.IsZero() {
+	if !h.rebuiltAt.IsZero() {
 		t.Logf("the joining member could vote %v and the member had ended %v after it was asked to shut down",
-			h.rebuilt.Sub(h.shutdownRequested).Round(time.Millisecond), h.ended.Sub(h.shutdownRequested).Round(time.Millisecond))
+			h.rebuiltAt.Sub(h.shutdownRequestedAt).Round(time.Millisecond), h.departedAt.Sub(h.shutdownRequestedAt).Round(time.Millisecond))
 	}
 	Convey("The joining member votes before the member that it replaces has ended, and nothing acknowledged is lost", t, func() {
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
-		So(h.rebuilt, ShouldHappenBetween, h.shutdownRequested, h.ended)
-		So(h.ended.Sub(h.shutdownRequested), ShouldBeLessThan, handOverGrace)
+		So(h.rebuiltAt, ShouldHappenBetween, h.shutdownRequestedAt, h.departedAt)
+		So(h.departedAt.Sub(h.shutdownRequestedAt), ShouldBeLessThan, handOverGracePeriod)
 	})
 }
 
@@ -76,46 +78,47 @@
 		return err
 	}
 	random := rand.New(rand.NewPCG(9, 1))
-	acknowledged, version, err := h.writeWithoutLagging(ctx, random)
+	acknowledged, version, err := h.writeWithoutLaggingMember(ctx, random)
 	if err != nil {
 		return err
 	}
-	h.stopMember()
+	h.stopTwoMembers()
 	if lost := h.network.setDropFilter(nil); lost == 0 {
-		return errors.New("no call to the member that lags was lost")
+		return errors.New("no call to or from the lagging member was dropped")
 	}
-	if err := h.checkLog(); err != nil {
+	if err := h.checkHandOverLog(); err != nil {
 		return err
 	}
 	return h.checkRemaining(ctx, random, acknowledged, version)
 }
 
-// prepare gives a core machine its grace period, and watches the calls that it answers.
+// prepare sets the grace period of a core machine and observes the calls that it answers.
 func (h *handOver) prepare(core *machine) {
 	for _, p := range core.processes {
-		p.spec.Settings += fmt.Sprintf("bounds.gracePeriodS=%d\n", int(handOverGrace.Seconds()))
+		p.spec.Settings += fmt.Sprintf("bounds.gracePeriodS=%d\n", int(handOverGracePeriod.Seconds()))
 		for _, r := range core.relays[p] {
 			r.onReply = h.observe
 		}
 	}
 }
 
-// observe records the joining member's announcements, and its report that it may vote.
+// observe records when the joining member announces itself, and when it first answers the departing member that it has been
+// rebuilt.
 func (h *handOver) observe(c call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	switch {
 	case c.path == announcePath && h.joiningMember != nil && c.from == h.joiningMember.name && c.status == http.StatusOK:
-		times := h.announced[c.to]
+		times := h.announcements[c.to]
 		if times[0].IsZero() {
 			times[0] = now
 		}
 		times[1] = now
-		h.announced[c.to] = times
+		h.announcements[c.to] = times
 	case c.path == readyPath && h.joiningMember != nil && c.to == h.joiningMember.name && c.from == h.departing.name && bytes.Contains(c.answer, readyField):
-		if h.rebuilt.IsZero() {
-			h.rebuilt = now
+		if h.rebuiltAt.IsZero() {
+			h.rebuiltAt = now
 		}
 	}
 }
@@ -139,7 +142,8 @@
 	return m.startAll(false)
 }
 
-// chooseRoles lets the leader of the guarded service's jobs be the one that is asked to shut down.
+// chooseRoles makes the leader of the guarded service's jobs the departing member, and one of the other members the lagging
+// and one the failing member.
 func (h *handOver) chooseRoles() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,7 +159,8 @@
 	}
 }
 
-// awaitJoiningMember waits until the members that vote on its admission have received its announcements for long enough.
+// awaitJoiningMember waits until the departing and the lagging member have received announcements of the joining member over
+// minAnnouncementSpan. These two vote on its admission.
 func (h *handOver) awaitJoiningMember(ctx context.Context) error {
 	for !h.hasAnnounced(h.departing) || !h.hasAnnounced(h.lagging) {
 		if err := sleep(ctx, pollInterval); err != nil {
@@ -168,13 +173,13 @@
 func (h *handOver) hasAnnounced(at *machine) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	times := h.announced[at.name]
-	return times[1].Sub(times[0]) >= minAnnounceSpan
+	times := h.announcements[at.name]
+	return times[1].Sub(times[0]) >= minAnnouncementSpan
 }
 
-// writeWithoutLagging submits a job and changes the configuration while the lagging member receives neither. Both are
-// acknowledged by the other two.
-func (h *handOver) writeWithoutLagging(ctx context.Context, random *rand.Rand) (acknowledged jobPlan, version int64, err error) {
+// writeWithoutLaggingMember submits a job and changes the configuration while the lagging member receives neither. The other
+// two members acknowledge both.
+func (h *handOver) writeWithoutLaggingMember(ctx context.Context, random *rand.Rand) (acknowledged jobPlan, version int64, err error) {
 	lagging := h.lagging.name
 	h.network.setDropFilter(func(c call) bool {
 		replicates := strings.HasPrefix(c.path, "/replication/") && c.path != "/replication/ping"
@@ -184,31 +189,31 @@
 	if err := h.submit(ctx, random, acknowledged); err != nil {
 		return acknowledged, 0, err
 	}
-	if !h.configured.set(ctx, 0, renderRoute, mailRoute, routePlan{"/newest/", guardedService}) {
+	if !h.configurations.set(ctx, 0, renderRoute, mailRoute, routePlan{"/newest/", guardedService}) {
 		return acknowledged, 0, errors.New("the change was not acknowledged")
 	}
-	return acknowledged, h.configured.newest, nil
+	return acknowledged, h.configurations.newest, nil
 }
 
-// stopMember kills the member with the same state, asks the departing one to shut down, and waits for its end.
-func (h *handOver) stopMember() {
+// stopTwoMembers kills the failing member, asks the departing member to shut down, and waits until its process has exited.
+func (h *handOver) stopTwoMembers() {
 	h.failing.kill()
 	h.mu.Lock()
-	h.shutdownRequested = time.Now()
+	h.shutdownRequestedAt = time.Now()
 	h.mu.Unlock()
 	for _, p := range h.departing.processes {
-		p.terminate(handOverGrace)
+		p.terminate(handOverGracePeriod)
 	}
 	h.mu.Lock()
-	h.ended = time.Now()
+	h.departedAt = time.Now()
 	h.mu.Unlock()
 	for _, p := range h.departing.processes {
 		h.departing.closeRelays(p)
 	}
 }
 
-// checkLog looks whether the member wrote, before it ended, that its joining member may vote.
-func (h *handOver) checkLog() error {
+// checkHandOverLog checks the departing member's log for the line that it ended after the joining member was rebuilt.
+func (h *handOver) checkHandOverLog() error {
 	log, err := os.ReadFile(h.departing.processes[0].log.Name())
 	if err != nil {
 		return err
@@ -219,7 +224,7 @@
 	return nil
 }
 
-// checkRemaining checks that the two remaining members have what was acknowledged, and that they accept more.
+// checkRemaining checks that the two remaining members hold the acknowledged job and configuration, and accept new ones.
 func (h *handOver) checkRemaining(ctx context.Context, random *rand.Rand, acknowledged jobPlan, version int64) error {
 	for _, core := range []*machine{h.lagging, h.joiningMember} {
 		if err := h.awaitConfiguration(ctx, core, version); err != nil {
@@ -229,13 +234,13 @@
 	if err := h.awaitJob(ctx, acknowledged); err != nil {
 		return err
 	}
-	if !h.configured.set(ctx, 0, renderRoute, mailRoute) {
-		return errors.New("the members that are left take no change")
+	if !h.configurations.set(ctx, 0, renderRoute, mailRoute) {
+		return errors.New("the remaining members do not accept a change")
 	}
 	return h.submit(ctx, random, newJobPlan(random, plainJob, renderRoute))
 }
 
-// awaitConfiguration waits until a machine answers with the configuration, which is the one that was acknowledged last.
+// awaitConfiguration waits until a machine answers with the given version. Any other definite answer is an error.
 func (h *handOver) awaitConfiguration(ctx context.Context, core *machine, version int64) error {
 	for {
 		read := h.operatorRequest(ctx, core, http.MethodGet, 0, nil)
@@ -251,7 +256,7 @@
 	}
 }
 
-// awaitJob waits until a front knows the job's state, which must not be that there is none.
+// awaitJob waits until a front answers with the job's state. Any other definite answer, such as 404, is an error.
 func (h *handOver) awaitJob(ctx context.Context, acknowledged jobPlan) error {
 	for {
 		got := h.clientRequest(ctx, h.fronts[0], http.MethodGet, acknowledged.path(), nil)
@@ -262,7 +267,7 @@
 			return fmt.Errorf("job %s was acknowledged, and the front answers %d %s", acknowledged.id, got.Status, got.Answer)
 		}
 		if err := sleep(ctx, retryInterval); err != nil {
-			return fmt.Errorf("nobody knows job %s: %w", acknowledged.id, err)
+			return fmt.Errorf("the front does not answer with the state of job %s: %w", acknowledged.id, err)
 		}
 	}
 }
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -22,18 +22,18 @@
 	controlPath = "/-/configuration"
 )
 
-// callPoint is a kind of internal call, and the phase of it, at which faults are injected.
+// callPoint is a point at which faults are injected: a phase of the calls on one path that pass the filter.
 type callPoint struct {
-	name  string
-	path  string
-	phase phase
-	only  func(call) bool
+	name   string
+	path   string
+	phase  phase
+	filter func(call) bool // nil for all calls on the path
 }
 
 func reportsCompletions(c call) bool      { return bytes.Contains(c.answer, []byte(`"finished":[[`)) }
 func acknowledgesCompletions(c call) bool { return !bytes.Contains(c.body, []byte(`"lastSeen":0,`)) }
 
-// callPoints are all of them: before and after what is written, sent, listed and acknowledged.
+// callPoints are all call points. They lie before and after each step that writes, sends, lists or acknowledges something.
 var callPoints = []callPoint{
 	{"submit-sent", jobapi.SubmitCall.Path(), beforeDelivery, nil},
 	{"submit-durable", jobapi.SubmitCall.Path(), beforeReply, nil},
@@ -55,14 +55,15 @@
 	{"feed-sent", feed.WatchCall.Path(), beforeReply, nil},
 }
 
-// faultKind is what an injection does at a call point.
+// faultKind is a kind of fault that is injected at a call point.
 type faultKind struct {
 	name   string
-	drop   bool
-	action func(ctx context.Context, s *system, c call)
+	drop   bool                                         // the call or its answer is lost
+	action func(ctx context.Context, s *system, c call) // nil for none
 }
 
-// faultKinds are all kinds. Those on a machine are left out where the call has none on that side.
+// faultKinds are all kinds of faults. A fault of the caller or the callee does nothing if that side is neither a machine nor
+// a worker.
 var faultKinds = []faultKind{
 	{"dropped", true, nil},
 	{"caller-killed", true, func(ctx context.Context, s *system, c call) { s.crashNamed(ctx, c.from, false) }},
@@ -77,7 +78,8 @@
 	{"core-killed", true, func(ctx context.Context, s *system, _ call) { killAllCore(ctx, s) }},
 }
 
-// crashNamed kills a machine; only a core machine has a disk to lose, and a worker is restarted as another incarnation.
+// crashNamed crashes the machine or worker with a name. Only a core machine has a disk that can be erased. A worker comes
+// back as another incarnation.
 func (s *system) crashNamed(ctx context.Context, name string, eraseDisk bool) {
 	if m := s.machineNamed(name); m != nil {
 		s.crashMachine(ctx, m, shortOutage, eraseDisk && m.dataDirectory != "")
@@ -90,33 +92,34 @@
 	}
 }
 
-// plannedInjection is a fault at the n-th call that reaches a call point.
+// plannedInjection is a kind of fault at the n-th call that reaches a call point.
 type plannedInjection struct {
-	at     callPoint
-	by     faultKind
+	point  callPoint
+	fault  faultKind
 	number int
 }
 
-// arm registers the injection.
+// arm registers the injection with the system's network.
 func (one plannedInjection) arm(ctx context.Context, s *system) *injection {
-	return s.network.arm(injection{path: one.at.path, phase: one.at.phase, only: one.at.only, number: one.number, drop: one.by.drop, action: func(c call) {
-		if one.by.action != nil {
-			one.by.action(ctx, s, c)
+	return s.network.arm(injection{path: one.point.path, phase: one.point.phase, filter: one.point.filter, number: one.number, drop: one.fault.drop, action: func(c call) {
+		if one.fault.action != nil {
+			one.fault.action(ctx, s, c)
 		}
 	}})
 }
 
-// injectAll arms injections, changes the configuration where one of them concerns that, and waits until all have fired.
-func injectAll(strikes ...plannedInjection) faultFunc {
+// injectFaults returns a faultFunc that arms injections and waits until all have fired. It changes the configuration if one
+// of them is at a call of a configuration change, as no such call would be made otherwise.
+func injectFaults(planned ...plannedInjection) faultFunc {
 	return func(ctx context.Context, s *system) error {
 		var armed []*injection
 		configures := false
-		for _, one := range strikes {
+		for _, one := range planned {
 			armed = append(armed, one.arm(ctx, s))
-			configures = configures || concernsConfiguration(one.at)
+			configures = configures || concernsConfiguration(one.point)
 		}
 		if configures {
-			s.configured.set(ctx, 0, renderRoute, mailRoute, routePlan{"/added/", guardedService})
+			s.configurations.set(ctx, 0, renderRoute, mailRoute, routePlan{"/added/", guardedService})
 		}
 		var failures []error
 		for _, one := range armed {
@@ -139,13 +142,13 @@
 	case <-p.fired:
 		return nil
 	case <-timer.C:
-		return fmt.Errorf("nothing came to %s for the %d. time", p.path, p.number)
+		return fmt.Errorf("injection at call %d on %s did not fire", p.number, p.path)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// minCalls is how many calls reach the point in every run.
+// minCalls returns how many calls reach the call point in every run.
 func (p callPoint) minCalls() int {
 	switch p.path {
 	case controlPath, jobapi.CancelCall.Path():
@@ -156,27 +159,27 @@
 	return 3
 }
 
-// everyInjection is a scenario for each call point and kind of fault.
-func everyInjection() []scenario {
+// singleInjectionScenarios returns a scenario for each combination of a call point and a kind of fault.
+func singleInjectionScenarios() []scenario {
 	var all []scenario
 	for i, at := range callPoints {
 		for j, by := range faultKinds {
 			name := at.name + "-" + by.name
-			all = append(all, scenario{name: name, seed: uint64(1000 + 10*i + j), faults: injectAll(plannedInjection{at, by, 1 + j%at.minCalls()})})
+			all = append(all, scenario{name: name, seed: uint64(1000 + 10*i + j), faults: injectFaults(plannedInjection{at, by, 1 + j%at.minCalls()})})
 		}
 	}
 	return all
 }
 
-// randomPairs are scenarios with two randomly drawn injections.
-func randomPairs(seed uint64, count int) []scenario {
+// randomPairScenarios returns scenarios with two randomly drawn injections each.
+func randomPairScenarios(seed uint64, count int) []scenario {
 	random := rand.New(rand.NewPCG(seed, 4))
 	var all []scenario
 	for i := range count {
 		one, other := callPoints[random.IntN(len(callPoints))], callPoints[random.IntN(len(callPoints))]
 		by, then := faultKinds[random.IntN(len(faultKinds))], faultKinds[random.IntN(len(faultKinds))]
 		name := fmt.Sprintf("pair-%d-%d-%s-%s-%s-%s", seed, i, one.name, by.name, other.name, then.name)
-		all = append(all, scenario{name: name, seed: seed + uint64(i), faults: injectAll(plannedInjection{one, by, 1}, plannedInjection{other, then, 1})})
+		all = append(all, scenario{name: name, seed: seed + uint64(i), faults: injectFaults(plannedInjection{one, by, 1}, plannedInjection{other, then, 1})})
 	}
 	return all
 }
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -11,18 +11,18 @@
 	"puffinlink.example/puffinlink/internal/jobs/job"
 )
 
-// jobPlan is one job of the load: what the client sends, and what its tasks do.
+// jobPlan is a job of the load: what the client sends, and how its tasks behave on the fake workers.
 type jobPlan struct {
 	id          job.ID
 	kind        jobKind
 	route       routePlan
 	body        job.Specification
-	work        time.Duration
-	alwaysFails bool // each attempt fails
-	cancelAfter time.Duration
+	work        time.Duration // run time of a task
+	alwaysFails bool          // every attempt fails
+	cancelAfter time.Duration // from the job's acceptance; 0 if it is not cancelled
 }
 
-// path is the path of the job at a front.
+// path returns the URL path of the job at a front.
 func (p jobPlan) path() string { return p.route.prefix + string(p.id) }
 
 // jobKind is a kind of job of the load.
@@ -38,10 +38,10 @@
 	failingJob
 	cancelledJob
 	antiAffinityJob
-	jobKinds
+	jobKindCount
 )
 
-// plans describes to the fake workers what tasks need and do.
+// plans holds the jobs that were submitted. From them the fake workers learn which resources a task needs and how it ends.
 type plans struct {
 	mu    sync.Mutex
 	byJob map[string]jobPlan
@@ -125,11 +125,11 @@
 	}
 }
 
-// encode is the job as its client sends it, without what is 0, false or empty.
+// encode returns the job as its client sends it: as JSON without fields that are 0, false or empty.
 func (p jobPlan) encode() []byte {
 	content, err := json.Marshal(p.body)
 	if err != nil {
-		panic(err) // the types of a specification can all be written
+		panic(err) // cannot happen: every type in a specification can be encoded
 	}
 	var fields any
 	if err := json.Unmarshal(content, &fields); err != nil {
@@ -142,7 +142,8 @@
 	return content
 }
 
-// withoutEmpty leaves out fields that are 0, false, empty or missing, but for the stages' own numbers.
+// withoutEmpty removes object fields that are null, 0, false or an empty string from a decoded JSON value. Elements of arrays
+// are kept.
 func withoutEmpty(value any) any {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/systemtest/lossyrelay_test.go
+++ b/internal/systemtest/lossyrelay_test.go
@@ -12,31 +12,33 @@
 	"time"
 )
 
-// Times of a lossy relay. A duplicate comes later than the first attempt's own bound of 3 s for some commands, and earlier for others.
+// Delays and timeouts of a lossy relay. The delays of duplicates are spread so that a duplicate arrives before the first
+// attempt's deadline of 3 s for some commands and after it for others.
 const (
 	firstDuplicateDelay = 700 * time.Millisecond
 	duplicateDelayStep  = 800 * time.Millisecond
 	duplicateDelaySteps = 4
-	deliveryTimeout     = 20 * time.Second // for one request at the machine behind, also where its sender is gone
-	commandRetryTimeout = 60 * time.Second // from the first attempt of a command to the last
+	deliveryTimeout     = 20 * time.Second // for one request at the core machine, even if its sender has disconnected
+	commandRetryTimeout = 60 * time.Second // for one command with all its retries
 )
 
-// delivery is one delivery of a command to a core machine, with the machine's reply, also where that was dropped.
+// delivery is one delivery of a command to a core machine, with the machine's reply. The reply is recorded even if a relay
+// dropped it.
 type delivery struct {
 	machine      string
 	method       string
 	path         string
 	ifMatch      string
 	body         string
-	duplicate    bool // delivered by the relay a second time
-	replyDropped bool // its answer was thrown away
-	status       int  // 0 without an answer
+	duplicate    bool // the relay's own second delivery of a request
+	replyDropped bool
+	status       int // 0 if no reply arrived
 	answer       string
 	sentAt       time.Time
 	answeredAt   time.Time
 }
 
-// commandKey names a command: deliveries with the same key are of the same command.
+// commandKey identifies a command. Deliveries with the same key are deliveries of the same command.
 type commandKey struct{ method, path, ifMatch, body string }
 
 func (a delivery) key() commandKey { return commandKey{a.method, a.path, a.ifMatch, a.body} }
@@ -46,8 +48,8 @@
 		a.method, a.path, a.ifMatch, a.machine, a.duplicate, a.replyDropped, a.status, a.answer, a.answeredAt.Sub(a.sentAt).Round(time.Millisecond))
 }
 
-// lossyRelays stand between operators and the core machines' control addresses. They drop the first confirmation of
-// each command and each third reply after that, and deliver a duplicate of each command's first request seconds later.
+// lossyRelays are relays between operators and the control addresses of the core machines. They drop the first confirmation
+// of each command and every third reply. They also deliver a duplicate of each command's first request after a delay.
 type lossyRelays struct {
 	client     *http.Client
 	servers    []*httptest.Server
@@ -56,14 +58,14 @@
 	mu         sync.Mutex
 	deliveries []delivery
 	commands   map[commandKey]*commandState
-	duplicated int // commands that were copied
-	replies    int // to operators
+	duplicated int // number of commands that were duplicated
+	replies    int // number of replies to operators, including dropped ones
 }
 
-// commandState is what the relays remember of a command.
+// commandState is the relays' state of a command.
 type commandState struct{ duplicated, confirmed bool }
 
-// newLossyRelays opens a relay before each core machine.
+// newLossyRelays opens a relay in front of each core machine.
 func newLossyRelays(s *system) *lossyRelays {
 	l := &lossyRelays{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}, commands: map[commandKey]*commandState{}}
 	for _, core := range s.core {
@@ -80,7 +82,7 @@
 	l.client.CloseIdleConnections()
 }
 
-// serve delivers one request. A request whose sender gives up is carried out all the same.
+// serve delivers one request and returns the reply unless it is dropped. The delivery continues if the sender disconnects.
 func (l *lossyRelays) serve(w http.ResponseWriter, r *http.Request, core *machine) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -97,7 +99,7 @@
 	io.WriteString(w, got.answer)
 }
 
-// duplicateLater delivers a command's first request a second time, later.
+// duplicateLater schedules a second delivery of a command's first request.
 func (l *lossyRelays) duplicateLater(command delivery, core *machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +117,7 @@
 	})
 }
 
-// stateOf is what is remembered of a delivery's command. The mutex is held.
+// stateOf returns the state of a delivery's command, and creates it if there is none. The caller holds the mutex.
 func (l *lossyRelays) stateOf(one delivery) *commandState {
 	if l.commands[one.key()] == nil {
 		l.commands[one.key()] = &commandState{}
@@ -123,7 +125,7 @@
 	return l.commands[one.key()]
 }
 
-// deliver sends an attempt to its machine and returns it with the answer.
+// deliver sends a command to a core machine and returns it with the reply.
 func (l *lossyRelays) deliver(command delivery, core *machine) (answered delivery) {
 	ctx, cancel := context.WithTimeout(context.Background(), deliveryTimeout)
 	defer cancel()
@@ -151,9 +153,9 @@
 func (l *lossyRelays) dropsReply(got *delivery) bool {
 	l.mu.Lock()
 	l.replies++
-	order := l.stateOf(*got)
-	firstConfirmation := got.status == http.StatusOK && !order.confirmed && got.method != http.MethodGet
-	order.confirmed = order.confirmed || got.status == http.StatusOK
+	state := l.stateOf(*got)
+	firstConfirmation := got.status == http.StatusOK && !state.confirmed && got.method != http.MethodGet
+	state.confirmed = state.confirmed || got.status == http.StatusOK
 	got.replyDropped = got.status == 0 || firstConfirmation || l.replies%3 == 0
 	l.mu.Unlock()
 	l.record(*got)
@@ -166,16 +168,16 @@
 	l.deliveries = append(l.deliveries, got)
 }
 
-// allDeliveries are the deliveries so far, in the order of their replies.
+// allDeliveries returns the deliveries so far, in the order of their replies.
 func (l *lossyRelays) allDeliveries() []delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]delivery{}, l.deliveries...)
 }
 
-// sendUntilClear sends a command through the relay before one core machine after the other until a definite reply arrives. It
-// returns the status, 0 where none was clear, and how many attempts that took.
-func (l *lossyRelays) sendUntilClear(ctx context.Context, s *system, first int, command delivery) (status int, answer []byte, attempts int) {
+// sendUntilDefinite sends a command through the relays of the core machines in turn until a definite reply arrives. It
+// returns the status, which is 0 without a definite reply, and the number of attempts.
+func (l *lossyRelays) sendUntilDefinite(ctx context.Context, s *system, first int, command delivery) (status int, answer []byte, attempts int) {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -190,7 +192,7 @@
 	return 0, nil, attempts
 }
 
-// sendCommandOnce sends a command once, with an operator's time-out.
+// sendCommandOnce sends a command once, with the timeout of an operator.
 func (s *system) sendCommandOnce(ctx context.Context, server string, command delivery) (status int, answer []byte) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -201,7 +203,7 @@
 	return s.sendWith(ctx, header, command.method, server+command.path, []byte(command.body))
 }
 
-// putCommand is the command that replaces a version by a body.
+// putCommand returns the command that replaces the configuration of a version by a body.
 func putCommand(ifMatch int64, body []byte) delivery {
 	return delivery{method: http.MethodPut, path: controlPath, ifMatch: strconv.FormatInt(ifMatch, 10), body: string(body)}
 }
--- a/internal/systemtest/machine_test.go
+++ b/internal/systemtest/machine_test.go
@@ -12,7 +12,8 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-// Offsets from the first internal port, and to the ports at which processes listen behind their relays.
+// Port offsets, relative to the system's first port. targetPortOffset is added for the port on which a process listens
+// behind its relay.
 const (
 	coordinatorOffset = 0
 	agentOffset       = 1
@@ -23,21 +24,21 @@
 	targetPortOffset  = 100
 )
 
-// machine is one machine of the system: its processes and the relays before them.
+// machine is one machine of the system, with its processes and the relays in front of them.
 type machine struct {
 	system        *system
 	name          string
 	ip            string
-	dataDirectory string // the data directory; empty without a disk
+	dataDirectory string // empty without a disk
 	processes     []*process
 	relays        map[*process][]*relay
-	incarnations  int // starts of the machine
+	incarnations  int // number of starts of the machine or one of its processes
 
-	mu     sync.Mutex
-	faulty bool // ended, paused, or being restarted
+	mu       sync.Mutex
+	reserved bool // a fault holds the machine: it is down, paused, partitioned or being restarted
 }
 
-// address is one of the machine's, at an offset from the first port.
+// address returns the machine's address with the port at an offset from the first port.
 func (m *machine) address(offset int) string { return fmt.Sprintf("%s:%d", m.ip, m.system.port+offset) }
 
 func (s *system) newMachine(name string) (*machine, error) {
@@ -46,7 +47,7 @@
 	return m, os.MkdirAll(filepath.Join(s.folder, name), 0o755)
 }
 
-// newCoreMachine makes a machine with a data directory.
+// newCoreMachine creates a machine with a data directory.
 func (s *system) newCoreMachine(name string) (*machine, error) {
 	m, err := s.newMachine(name)
 	if err != nil {
@@ -56,7 +57,8 @@
 	return m, os.Mkdir(m.dataDirectory, 0o755)
 }
 
-// addProcess gives the machine a process, with a relay before each of the offsets named.
+// addProcess adds a process to the machine, with a relay in front of the port at each of the offsets. The process is not
+// started yet.
 func (m *machine) addProcess(spec childSpec, offsets ...int) error {
 	log, err := os.Create(filepath.Join(m.system.folder, m.name, string(spec.Role)+".log"))
 	if err != nil {
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// addCoordinator gives a core machine its coordinator.
+// addCoordinator adds the coordinator process to a core machine.
 func (m *machine) addCoordinator(firstStart bool) error {
 	return m.addProcess(childSpec{
 		Role: coordinatorRole, Settings: m.system.settings(m, firstStart),
@@ -86,12 +88,12 @@
 	}, coordinatorOffset, controlOffset)
 }
 
-// start starts a process and lets callers in.
+// start starts a process and opens its relays.
 func (m *machine) start(p *process) error {
 	if err := p.start(); err != nil {
 		return err
 	}
-	if p.otherBuild != "" { // it listens where callers look for it
+	if p.otherBuild != "" { // it listens on its own address, without relays
 		return nil
 	}
 	for _, r := range m.relays[p] {
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// startAll starts the machine's processes; planned says that they had been shut down gracefully.
+// startAll starts the machine's processes. planned tells the checker that they had been shut down gracefully.
 func (m *machine) startAll(planned bool) error {
 	var failures []error
 	m.system.addFault(checker.Fault{Machine: m.name, Planned: planned})
@@ -110,39 +112,39 @@
 	for _, p := range m.processes {
 		failures = append(failures, m.start(p))
 	}
-	m.system.faultEnded(m.name)
+	m.system.recordFaultEnd(m.name)
 	return errors.Join(failures...)
 }
 
-// nextIncarnation counts a start of the machine, or of one of its processes.
+// nextIncarnation begins a new incarnation, at each start of the machine or of one of its processes.
 func (m *machine) nextIncarnation() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.incarnations++
 }
 
-// incarnation is the number of the machine's current incarnation.
+// incarnation returns the number of the machine's current incarnation.
 func (m *machine) incarnation() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.incarnations
 }
 
-// endProcess ends a process by a signal: SIGKILL, or SIGTERM for a graceful shutdown.
+// endProcess ends a process with a signal, waits until it has exited, and closes its relays.
 func (m *machine) endProcess(p *process, signal syscall.Signal) {
-	m.system.faultBegan(m.name)
+	m.system.recordFaultStart(m.name)
 	p.end(signal)
 	m.closeRelays(p)
 }
 
-// closeRelays closes the relays before a process.
+// closeRelays closes the relays in front of a process.
 func (m *machine) closeRelays(p *process) {
 	for _, r := range m.relays[p] {
 		r.close()
 	}
 }
 
-// shutDown ends all processes of the machine gracefully, and by force after the grace period.
+// shutDown asks all processes of the machine to shut down, and kills those that are running after the grace period.
 func (m *machine) shutDown() {
 	m.system.addFault(checker.Fault{Machine: m.name, Planned: true})
 	var all sync.WaitGroup
@@ -155,14 +157,14 @@
 	all.Wait()
 }
 
-// kill ends all processes of the machine at once.
+// kill kills all processes of the machine.
 func (m *machine) kill() {
 	for _, p := range m.processes {
 		m.endProcess(p, syscall.SIGKILL)
 	}
 }
 
-// restart starts the machine's processes anew, on the disk that it has.
+// restart starts the machine's processes again on its existing disk.
 func (m *machine) restart(planned bool) error {
 	for _, p := range m.processes {
 		p.spec.Settings = m.system.settings(m, false)
@@ -170,7 +172,7 @@
 	return m.startAll(planned)
 }
 
-// eraseDisk empties the disk of a machine that does not run.
+// eraseDisk empties the data directory of a machine that is not running.
 func (m *machine) eraseDisk() error {
 	if err := os.RemoveAll(m.dataDirectory); err != nil {
 		return err
@@ -178,9 +180,9 @@
 	return os.Mkdir(m.dataDirectory, 0o755)
 }
 
-// pause stops the machine's processes until resume.
+// pause suspends the machine's processes until resume is called.
 func (m *machine) pause() {
-	m.system.faultBegan(m.name)
+	m.system.recordFaultStart(m.name)
 	for _, p := range m.processes {
 		p.signal(syscall.SIGSTOP)
 	}
@@ -190,21 +192,21 @@
 	for _, p := range m.processes {
 		p.signal(syscall.SIGCONT)
 	}
-	m.system.faultEnded(m.name)
+	m.system.recordFaultEnd(m.name)
 }
 
-// partition closes the links between machines, in both directions or only from the first to the others.
+// partition blocks the links from a machine to others, and with bothWays also the links from the others to it.
 func (s *system) partition(from *machine, others []*machine, bothWays bool) {
 	s.setPartitions(from, others, bothWays, true)
 	for _, other := range append([]*machine{from}, others...) {
-		s.faultBegan(other.name)
+		s.recordFaultStart(other.name)
 	}
 }
 
 func (s *system) heal(from *machine, others []*machine, bothWays bool) {
 	s.setPartitions(from, others, bothWays, false)
 	for _, other := range append([]*machine{from}, others...) {
-		s.faultEnded(other.name)
+		s.recordFaultEnd(other.name)
 	}
 }
 
@@ -217,7 +219,8 @@
 	}
 }
 
-// callerName names the machine of the process that holds the other end of a connection; empty when it is gone.
+// callerName returns the name of the machine whose process owns the remote end of a connection, or an empty string if there
+// is none.
 func (s *system) callerName(connection net.Conn) string {
 	socket, err := socketOf(connection)
 	if err != nil {
--- a/internal/systemtest/machinefaults_test.go
+++ b/internal/systemtest/machinefaults_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// reserve reserves a machine for a fault; it is false while another one holds it.
+// reserve reserves a machine for a fault. It returns false while another fault holds the machine.
 func (m *machine) reserve() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.faulty {
+	if m.reserved {
 		return false
 	}
-	m.faulty = true
+	m.reserved = true
 	return true
 }
 
 func (m *machine) release() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.faulty = false
+	m.reserved = false
 }
 
-// crashMachine kills a machine at once and brings it back after a while, perhaps with an empty disk.
+// crashMachine kills a machine and restarts it in the background after the outage, with an empty disk if eraseDisk is set.
 func (s *system) crashMachine(ctx context.Context, m *machine, outage time.Duration, eraseDisk bool) {
 	if m == nil || !m.reserve() {
 		return
@@ -40,13 +40,13 @@
 	})
 }
 
-// crashProcess kills one process of a machine at once and brings it back after a while.
-func (s *system) crashProcess(ctx context.Context, m *machine, of role, outage time.Duration) {
+// crashProcess kills a machine's process of one role and restarts it in the background after the outage.
+func (s *system) crashProcess(ctx context.Context, m *machine, target role, outage time.Duration) {
 	if !m.reserve() {
 		return
 	}
 	for _, p := range m.processes {
-		if p.spec.Role != of {
+		if p.spec.Role != target {
 			continue
 		}
 		m.endProcess(p, syscall.SIGKILL)
@@ -55,13 +55,13 @@
 			if sleep(ctx, outage) == nil {
 				m.nextIncarnation()
 				s.recordFailure(m.start(p))
-				s.faultEnded(m.name)
+				s.recordFaultEnd(m.name)
 			}
 		})
 	}
 }
 
-// rollingRestart shuts the machines down gracefully and restarts them, one after the other.
+// rollingRestart shuts down the machines gracefully and restarts them, one after the other.
 func (s *system) rollingRestart(ctx context.Context, machines []*machine) error {
 	for _, m := range machines {
 		if !m.reserve() {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// pauseMachine pauses a machine and resumes it after a while.
+// pauseMachine pauses a machine and resumes it in the background after the outage.
 func (s *system) pauseMachine(ctx context.Context, m *machine, outage time.Duration) {
 	if m == nil || !m.reserve() {
 		return
@@ -93,7 +93,8 @@
 	})
 }
 
-// partitionFor cuts a machine off from the other core machines for a while. Workers, platform and operators still reach it.
+// partitionFor partitions a machine from the other core machines for the length of the outage. It stays connected to workers,
+// the platform, clients and operators.
 func (s *system) partitionFor(ctx context.Context, m *machine, outage time.Duration, bothWays bool) {
 	if m == nil || !m.reserve() {
 		return
@@ -112,7 +113,7 @@
 	})
 }
 
-// machineNamed finds a machine; nil for what is none.
+// machineNamed returns the machine with a name; nil if there is none.
 func (s *system) machineNamed(name string) *machine {
 	for _, m := range s.machines() {
 		if m.name == name {
--- a/internal/systemtest/main_test.go
+++ b/internal/systemtest/main_test.go
@@ -7,7 +7,7 @@
 	"puffinlink.example/puffinlink/internal/leaktest"
 )
 
-// TestMain runs the tests, or one process of the system where this program was started as that.
+// TestMain runs the tests. If the test binary was started with a childSpec, it runs that child process instead.
 func TestMain(m *testing.M) {
 	if text := os.Getenv(childSpecVariable); text != "" {
 		os.Exit(runChild(text))
--- a/internal/systemtest/mixedversions_test.go
+++ b/internal/systemtest/mixedversions_test.go
@@ -22,12 +22,13 @@
 	"puffinlink.example/puffinlink/internal/nodesettings"
 )
 
-// otherBuildVariable names a puffinlink program of another build.
+// otherBuildVariable is the environment variable with the path of a puffinlink program of another build.
 const otherBuildVariable = "PUFFINLINK_OTHER_BUILD"
 
-// useOtherBuild lets processes of a machine be started from the other build, if there is one. That listens where its settings
-// say, without relays. Its agent and its proxy meet at the loopback address of the standard port, which is the same for all
-// machines: a system can have one such front.
+// useOtherBuild makes the machine's processes of the given roles start from the other build, if one is configured. These
+// processes listen on the addresses in their settings, without relays. Agent and proxy of the other build connect through
+// the standard port on 127.0.0.1, which all machines of a system share. So only one front of a system can use the other
+// build.
 func (m *machine) useOtherBuild(roles ...role) {
 	program := os.Getenv(otherBuildVariable)
 	if program == "" {
@@ -46,19 +47,19 @@
 	}
 }
 
-// useThisBuild lets the next start of all processes of a machine be of this build.
+// useThisBuild makes all processes of a machine start from this build the next time.
 func (m *machine) useThisBuild() {
 	for _, p := range m.processes {
 		p.otherBuild = ""
 	}
 }
 
-// loopback is where the agent and the proxy of a machine meet by the standard.
+// loopback returns the address at which the agent of the other build serves its proxy.
 func (m *machine) loopback() string { return fmt.Sprintf("127.0.0.1:%d", m.system.port+localOffset) }
 
-// listenSettings are the settings of the addresses at which a process listens.
-func (m *machine) listenSettings(of role) string {
-	switch of {
+// listenSettings returns the settings lines for the addresses on which a process of the given role listens.
+func (m *machine) listenSettings(target role) string {
+	switch target {
 	case coordinatorRole:
 		return "listenAddresses.control=" + m.address(controlOffset) + "\n"
 	case proxyRole:
@@ -67,8 +68,8 @@
 	return ""
 }
 
-// newOtherCommand is the command that starts the process from the other build.
-func (p *process) newOtherCommand() (*exec.Cmd, error) {
+// newOtherBuildCommand returns the command that starts the process from the other build. It writes the settings file.
+func (p *process) newOtherBuildCommand() (*exec.Cmd, error) {
 	path := strings.TrimSuffix(p.log.Name(), ".log") + ".conf"
 	if err := os.WriteFile(path, []byte(p.spec.Settings+p.listenSettings), 0o600); err != nil {
 		return nil, err
@@ -78,7 +79,7 @@
 	return command, nil
 }
 
-// awaitListening closes ready once a process of the other build takes connections.
+// awaitListening closes ready once a process of the other build accepts connections. It returns when the process ends.
 func (p *process) awaitListening(ready, ended chan struct{}) {
 	for {
 		connection, err := net.Dial("tcp", p.dialAddress)
@@ -95,12 +96,12 @@
 	}
 }
 
-// withBuilds checks that each process runs its build, and injects a fault then.
+// withBuilds returns a faultFunc that checks that each process runs the expected build and then injects a fault.
 func withBuilds(fault faultFunc) faultFunc {
 	return inSequence(func(_ context.Context, s *system) error { return s.checkBuilds() }, fault)
 }
 
-// mixedScenarios play a scenario with the processes of both builds side by side: by machines, and within machines.
+// mixedScenarios run processes of both builds in one system: on different machines, and on the same machine.
 var mixedScenarios = []scenario{
 	{name: "mixed-machines", seed: 31, faults: withBuilds(killLeader(false)), prepare: func(s *system) {
 		s.core[1].useOtherBuild(coordinatorRole)
@@ -117,16 +118,16 @@
 	}},
 }
 
-// logBuilds tells which builds take part.
+// logBuilds logs which build the test uses as the other one.
 func logBuilds(t *testing.T) {
 	if program := os.Getenv(otherBuildVariable); program != "" {
 		t.Logf("the other build is %s", program)
 		return
 	}
-	t.Logf("%s is not set: this build takes the place of the other one", otherBuildVariable)
+	t.Logf("%s is not set: this build is used in place of the other one", otherBuildVariable)
 }
 
-// TestMixedVersions plays scenarios with coordinators, agents and proxies of two builds in one system.
+// TestMixedVersions runs scenarios with coordinators, agents and proxies of two builds in one system.
 func TestMixedVersions(t *testing.T) {
 	t.Parallel()
 	logBuilds(t)
@@ -135,22 +136,22 @@
 
 const upgradeTimeout = 3 * time.Minute
 
-var oneFront = size{fronts: 1, workers: usualSize.workers}
+var oneFrontSize = systemSize{fronts: 1, workers: defaultSize.workers}
 
-// upgrade is a system that runs on the other build first and on this one afterwards, with the same disks.
+// upgrade is a system that first runs on the other build and then on this one, with the same disks.
 type upgrade struct {
 	*system
 	random       *rand.Rand
 	jobs         []jobPlan
-	statesBefore map[string]string // states of the jobs when the other build was asked to shut down, by identifier
+	statesBefore map[string]string // job states just before the other build was shut down, by job identifier
 }
 
-// TestUpgradeKeepsState starts a whole system on the other build, submits jobs, stops all of it, starts this build
-// on the same disks, and compares what is known.
+// TestUpgradeKeepsState starts a whole system on the other build, submits jobs, stops the system, and starts this build on
+// the same disks. Jobs, configuration and drained workers must be as before.
 func TestUpgradeKeepsState(t *testing.T) {
 	t.Parallel()
 	logBuilds(t)
-	ctx, s := startSystem(t, "upgraded", oneFront, upgradeTimeout)
+	ctx, s := startSystem(t, "upgraded", oneFrontSize, upgradeTimeout)
 	u := &upgrade{system: s, random: rand.New(rand.NewPCG(41, 1)), statesBefore: map[string]string{}}
 	failure := u.run(ctx)
 	s.stop()
@@ -170,7 +171,7 @@
 	if err := u.bringUp(ctx); err != nil {
 		return err
 	}
-	if !u.configured.set(ctx, 0, renderRoute, mailRoute, routePlan{"/second/", guardedService}) {
+	if !u.configurations.set(ctx, 0, renderRoute, mailRoute, routePlan{"/second/", guardedService}) {
 		return errors.New("the second configuration was not acknowledged")
 	}
 	if err := u.submitJobs(ctx); err != nil {
@@ -201,12 +202,12 @@
 	return u.check(ctx)
 }
 
-// submitJobs submits two jobs of each kind, cancels the ones that are to be, and lets most of the rest end.
+// submitJobs submits two jobs of each kind, cancels those whose kind says so, and waits 2 s so that most others end.
 func (u *upgrade) submitJobs(ctx context.Context) error {
-	for kind := range jobKinds {
+	for kind := range jobKindCount {
 		for _, route := range []routePlan{renderRoute, mailRoute} {
 			plan := newJobPlan(u.random, kind, route)
-			if kind == scheduledJob { // some repetitions are due after the change only
+			if kind == scheduledJob { // some repetitions become due only after the upgrade
 				plan.body.Repetitions, plan.body.IntervalMS = 4, 6000
 			}
 			u.jobs = append(u.jobs, plan)
@@ -221,7 +222,7 @@
 	return sleep(ctx, 2*time.Second)
 }
 
-// recordStates records all jobs' states.
+// recordStates records the states of all jobs before the upgrade.
 func (u *upgrade) recordStates(ctx context.Context) error {
 	for _, plan := range u.jobs {
 		answer, err := u.retryUntil(ctx, u.random, http.MethodGet, plan.path(), nil, isSuccess)
@@ -233,17 +234,17 @@
 	return nil
 }
 
-// drainedWorker names the worker that an operator drains: one that no job needs.
+// drainedWorker returns the identifier of the worker that the test drains. No job depends on it.
 func (u *upgrade) drainedWorker() string { return u.workers[2].ID() }
 
-// awaitOperations makes an operator's call until each core machine has given the expected answer.
-func (u *upgrade) awaitOperations(ctx context.Context, method, path string, serves func(answer string) bool) error {
+// awaitOperations sends an operator's request to each core machine until that machine gives an answer that accept allows.
+func (u *upgrade) awaitOperations(ctx context.Context, method, path string, accept func(answer string) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for _, core := range u.core {
 		for {
 			status, answer := u.sendWith(ctx, http.Header{}, method, "http://"+core.address(controlOffset)+path, nil)
-			if status == http.StatusOK && serves(string(answer)) {
+			if status == http.StatusOK && accept(string(answer)) {
 				break
 			}
 			if err := sleep(ctx, retryInterval); err != nil {
@@ -254,7 +255,7 @@
 	return nil
 }
 
-// checkBuilds checks that the processes run the program that they should.
+// checkBuilds checks that each process runs the program of the expected build.
 func (s *system) checkBuilds() error {
 	for _, m := range s.machines() {
 		for _, p := range m.processes {
@@ -281,7 +282,7 @@
 	}
 }
 
-// checkDisks checks that each core machine has a store.
+// checkDisks checks that each core machine has a store that is not empty.
 func (u *upgrade) checkDisks() error {
 	for _, m := range u.core {
 		info, err := os.Stat(filepath.Join(m.dataDirectory, "store.log"))
@@ -295,12 +296,12 @@
 	return nil
 }
 
-// restartAll starts all machines on the disks that they have.
+// restartAll starts all machines on their existing disks.
 func (u *upgrade) restartAll() error {
 	return u.onAllMachines(func(m *machine) error { return m.restart(true) })
 }
 
-// check compares the state after the upgrade with that before, waits for the jobs' ends, and submits a further one.
+// check compares the state after the upgrade with the state before, waits for the jobs' final states, and runs another job.
 func (u *upgrade) check(ctx context.Context) error {
 	for _, core := range u.core {
 		if err := u.awaitVersion(ctx, core); err != nil {
@@ -325,9 +326,9 @@
 	return u.awaitState(ctx, further, "completed")
 }
 
-// awaitVersion waits until a core machine answers with the complete configuration that was acknowledged last.
+// awaitVersion waits until a core machine answers with a configuration, and checks that it is the one acknowledged last.
 func (u *upgrade) awaitVersion(ctx context.Context, core *machine) error {
-	want := encodeConfiguration(u.configured.newest, u.configured.routes)
+	want := encodeConfiguration(u.configurations.newest, u.configurations.routes)
 	for {
 		read := u.operatorRequest(ctx, core, http.MethodGet, 0, nil)
 		if read.Status == http.StatusOK {
@@ -342,7 +343,7 @@
 	}
 }
 
-// checkJob checks that a job's state has not gone back, and that it reaches the final state that it should.
+// checkJob checks that a job's state has not moved backwards, and that the job reaches the final state expected for its kind.
 func (u *upgrade) checkJob(ctx context.Context, plan jobPlan) error {
 	answer, err := u.retryUntil(ctx, u.random, http.MethodGet, plan.path(), nil, isDefinite)
 	if err != nil || answer.Status != http.StatusOK {
@@ -356,7 +357,7 @@
 	switch plan.kind {
 	case longRunningJob:
 		if after != "running" {
-			return fmt.Errorf("lasting job %s was %s before and is %s now", plan.id, before, after)
+			return fmt.Errorf("long-running job %s was %s before and is %s now", plan.id, before, after)
 		}
 		u.cancel(ctx, u.random, plan.path())
 		return u.awaitState(ctx, plan, "cancelled")
--- a/internal/systemtest/network_test.go
+++ b/internal/systemtest/network_test.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// call is one call that passes a relay.
+// call is one call that passes through a relay.
 type call struct {
-	from, to    string // machines; outside for clients, operators and fakes
+	from, to    string // names of machines, workers or the platform; from is outside for clients and operators
 	path        string
-	incarnation string // the incarnation that a call to a worker expects
+	incarnation string // expected incarnation of the called worker
 	body        []byte
 	sentAt      time.Time
-	status      int // of the answer
+	status      int // status of the answer
 	answer      []byte
 }
 
-// outside is the name of all that is no machine of the system.
+// outside is the caller's name in calls that come from outside the system's machines.
 const outside = "outside"
 
-// phase is a phase of a call.
+// phase is a phase of a call at which a relay applies faults.
 type phase uint8
 
 const (
-	beforeDelivery phase = iota // it has not been delivered
-	beforeReply                 // it was carried out, and its answer has not been delivered
+	beforeDelivery phase = iota // the call has not been delivered to the callee
+	beforeReply                 // the callee has answered, and the answer has not been delivered to the caller
 )
 
-// injection injects a fault at the n-th call on a path, counted from when it is armed.
+// injection is a fault at the n-th matching call, counted from when it is armed.
 type injection struct {
 	path   string
 	from   string // the caller's machine; empty for any
 	to     string // the callee's machine; empty for any
-	number int    // from 1
+	number int    // which matching call fires it, from 1
 	phase  phase
-	drop   bool       // the call or its answer is lost
-	action func(call) // what happens meanwhile; may be nil
-	only   func(call) bool
+	drop   bool            // the call or its answer is lost
+	action func(call)      // called before the call continues; may be nil
+	filter func(call) bool // nil for all calls
 
-	seen  int
-	fired chan struct{}
+	seen  int           // matching calls so far
+	fired chan struct{} // closed when the injection fires
 }
 
 // link is one direction between two machines.
 type link struct{ from, to string }
 
-// network decides what passes the relays.
+// network holds the partitions, delays, drops and injections that the relays apply to calls.
 type network struct {
 	mu          sync.Mutex
 	partitioned map[link]bool
 	delays      map[link]time.Duration
 	injections  []*injection
-	changed     chan struct{} // closed at the next change of partitioned
-	dropFilter  func(call) bool
-	dropped     int // calls that loss has kept back
+	changed     chan struct{}   // closed at the next change of partitioned
+	dropFilter  func(call) bool // returns true for calls that are dropped; nil drops none
+	dropped     int             // calls dropped by dropFilter
 }
 
 func newNetwork() *network {
@@ -80,16 +80,17 @@
 	}
 }
 
-// setDropFilter loses all calls that a function picks, until it is set to nil, which returns how many were lost.
-func (n *network) setDropFilter(loss func(call) bool) (lost int) {
+// setDropFilter sets the function that selects the calls to drop; nil drops none. It returns how many calls have been dropped
+// so far.
+func (n *network) setDropFilter(filter func(call) bool) (dropped int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dropFilter = loss
+	n.dropFilter = filter
 	return n.dropped
 }
 
-// drops reports whether a call is lost on its way.
-func (n *network) drops(c call) bool {
+// dropsCall reports whether dropFilter drops a call, and counts it if so.
+func (n *network) dropsCall(c call) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.dropFilter == nil || !n.dropFilter(c) {
@@ -99,7 +100,7 @@
 	return true
 }
 
-// setPartition closes or opens the link from one machine to another.
+// setPartition blocks or unblocks the link from one machine to another.
 func (n *network) setPartition(from, to string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -108,14 +109,15 @@
 	n.changed = make(chan struct{})
 }
 
-// setDelay delays everything on a link.
+// setDelay sets the delay of each call and each answer on a link.
 func (n *network) setDelay(from, to string, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delays[link{from, to}] = delay
 }
 
-// awaitLink waits until the link is open; the error is the context's.
+// awaitLink waits for the link's delay and then until the link is not blocked. It returns the context's error if the context
+// ends first.
 func (n *network) awaitLink(ctx context.Context, from, to string) error {
 	if err := n.delay(ctx, from, to); err != nil {
 		return err
@@ -145,9 +147,9 @@
 	return sleep(ctx, delay)
 }
 
-// fireInjections fires the injections that a call has reached, and reports whether it is lost there.
+// fireInjections fires the injections that are due at a call in a phase, and reports whether one of them drops the call.
 func (n *network) fireInjections(c call, at phase) (dropped bool) {
-	var struck []*injection
+	var reached []*injection
 	n.mu.Lock()
 	for _, p := range n.injections {
 		if p.hasFired() || !p.matches(c, at) {
@@ -155,11 +157,11 @@
 		}
 		if p.seen++; p.seen == p.number {
 			close(p.fired)
-			struck = append(struck, p)
+			reached = append(reached, p)
 		}
 	}
 	n.mu.Unlock()
-	for _, p := range struck {
+	for _, p := range reached {
 		if p.action != nil {
 			p.action(c)
 		}
@@ -169,5 +171,5 @@
 }
 
 func (p *injection) matches(c call, at phase) bool {
-	return p.phase == at && p.path == c.path && (p.from == "" || p.from == c.from) && (p.to == "" || p.to == c.to) && (p.only == nil || p.only(c))
+	return p.phase == at && p.path == c.path && (p.from == "" || p.from == c.from) && (p.to == "" || p.to == c.to) && (p.filter == nil || p.filter(c))
 }
--- a/internal/systemtest/operators_test.go
+++ b/internal/systemtest/operators_test.go
@@ -13,12 +13,12 @@
 
 const (
 	routeHost            = "jobs.example"
-	operatorTimeout      = time.Second      // for one answer
-	operatorRetryTimeout = 40 * time.Second // from the first attempt to the last
+	operatorTimeout      = time.Second      // for one request
+	operatorRetryTimeout = 40 * time.Second // for one request with all its retries
 	maxAttempts          = 3
 )
 
-// routePlan is a route of the configurations.
+// routePlan is a route in a configuration.
 type routePlan struct{ prefix, service string }
 
 var (
@@ -26,17 +26,17 @@
 	mailRoute   = routePlan{"/mail/", unguardedService}
 )
 
-// configurations makes one version after the other.
+// configurations sets the versions of the system's configuration, and tracks the newest one that was acknowledged.
 type configurations struct {
 	system *system
 
 	mu      sync.Mutex
 	routes  []routePlan
-	newest  int64 // version acknowledged
-	builtOn int64 // what it was built on
+	newest  int64 // the newest acknowledged version
+	builtOn int64 // the version that it replaced
 }
 
-// encodeConfiguration writes a configuration.
+// encodeConfiguration returns a configuration with the given routes as JSON.
 func encodeConfiguration(version int64, routes []routePlan) []byte {
 	type service struct {
 		Name            string `json:"name"`
@@ -81,12 +81,12 @@
 	content.Limits = limits{16384, 262144, 3000, 15000}
 	body, err := json.Marshal(content)
 	if err != nil {
-		panic(err) // the types above can all be written
+		panic(err) // cannot happen: every type above can be encoded
 	}
 	return body
 }
 
-// operatorRequest makes one call of an operator to one machine and records it.
+// operatorRequest sends one request of an operator to a core machine and records it for the checker.
 func (s *system) operatorRequest(ctx context.Context, core *machine, method string, builtOn int64, body []byte) checker.OperatorRequest {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -107,8 +107,9 @@
 	return s.sendWith(ctx, header, method, "http://"+core.address(controlOffset)+controlPath, body)
 }
 
-// putUntilClear sends a change to one machine after the other until an answer is clear. It returns the status, 0 without a clear one.
-func (s *system) putUntilClear(ctx context.Context, first int, builtOn int64, body []byte) int {
+// putUntilDefinite sends a change to the core machines in turn until an answer is definite. It returns the status, which is 0
+// without a definite answer.
+func (s *system) putUntilDefinite(ctx context.Context, first int, builtOn int64, body []byte) int {
 	ctx, cancel := context.WithTimeout(ctx, operatorRetryTimeout)
 	defer cancel()
 	wait := retryInterval
@@ -124,23 +125,25 @@
 	}
 }
 
+// isDefinite reports whether a status tells that a request was either carried out or refused, so that it needs no retry.
 func isDefinite(status int) bool {
 	return status != 0 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// set brings the next version, with these routes, and reports whether it was acknowledged.
+// set replaces the newest version by one with the given routes, and reports whether the change was acknowledged. Attempts
+// begin at the core machine with the index first.
 func (c *configurations) set(ctx context.Context, first int, routes ...routePlan) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	version := c.newest + 2
-	if c.system.putUntilClear(ctx, first, c.newest, encodeConfiguration(version, routes)) != http.StatusOK {
+	if c.system.putUntilDefinite(ctx, first, c.newest, encodeConfiguration(version, routes)) != http.StatusOK {
 		return false
 	}
 	c.builtOn, c.newest, c.routes = c.newest, version, routes
 	return true
 }
 
-// race lets two operators change the newest version at once.
+// race lets two operators replace the newest version concurrently.
 func (c *configurations) race(ctx context.Context, one, other []routePlan) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +152,7 @@
 	proposals := [][]routePlan{one, other}
 	for i, routes := range proposals {
 		both.Go(func() {
-			statuses[i] = c.system.putUntilClear(ctx, i, c.newest, encodeConfiguration(c.newest+3+int64(i), routes))
+			statuses[i] = c.system.putUntilDefinite(ctx, i, c.newest, encodeConfiguration(c.newest+3+int64(i), routes))
 		})
 	}
 	both.Wait()
@@ -161,24 +164,26 @@
 	}
 }
 
-// sendInvalid sends changes that must be refused.
+// sendInvalid sends changes that must be refused: a route to an unknown service, a version that is not new, and malformed
+// JSON.
 func (c *configurations) sendInvalid(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.system.putUntilClear(ctx, 0, c.newest, encodeConfiguration(c.newest+1, []routePlan{{"/bad/", "nobody"}}))
-	c.system.putUntilClear(ctx, 1, c.newest, encodeConfiguration(c.newest, c.routes[:1]))
-	c.system.putUntilClear(ctx, 2, c.newest, []byte("{"))
+	c.system.putUntilDefinite(ctx, 0, c.newest, encodeConfiguration(c.newest+1, []routePlan{{"/bad/", "nobody"}}))
+	c.system.putUntilDefinite(ctx, 1, c.newest, encodeConfiguration(c.newest, c.routes[:1]))
+	c.system.putUntilDefinite(ctx, 2, c.newest, []byte("{"))
 }
 
-// resend sends the newest change once more.
+// resend sends the newest acknowledged change again.
 func (c *configurations) resend(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.system.putUntilClear(ctx, 2, c.builtOn, encodeConfiguration(c.newest, c.routes))
+	c.system.putUntilDefinite(ctx, 2, c.builtOn, encodeConfiguration(c.newest, c.routes))
 }
 
-// readBack reads the configuration at every core machine until one answers.
-func (s *system) readBack(ctx context.Context) {
+// awaitConfigurationRead reads the configuration from the core machines in turn until one answers. The checker examines the
+// answer.
+func (s *system) awaitConfigurationRead(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, operatorRetryTimeout)
 	defer cancel()
 	for {
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// startTimeout bounds the start of a process.
+// startTimeout is how long a process may take until it listens.
 const startTimeout = time.Minute
 
-// process is one process of the system, which may be ended and started again.
+// process is one process of the system, which can be ended and started again.
 type process struct {
-	name string // of its machine and its role
+	name string // the names of its machine and role
 	spec childSpec
 	log  *os.File
-	// otherBuild is a program of another build that is started in place of this one; empty for this build. It has no relays
-	// before it: listenSettings tell it where to listen, and dialAddress is where callers find it.
+	// otherBuild is the path of a program of another build to start; empty for this build. Such a process has no relays in
+	// front of it. listenSettings holds its listen addresses as settings lines, and dialAddress is the address for callers.
 	otherBuild, listenSettings, dialAddress string
 
 	mu          sync.Mutex
 	command     *exec.Cmd
-	ended       chan struct{} // closed when the present one has ended
-	endExpected bool          // its end was wanted
-	failure     error         // an end that was not
+	ended       chan struct{} // closed when the current command has exited
+	endExpected bool          // the test ends the process itself
+	failure     error         // the first unexpected exit
 }
 
 // start starts the process and waits until it listens.
@@ -70,16 +70,16 @@
 	case <-ready:
 		return nil
 	case <-ended:
-		return fmt.Errorf("%s ended before it listened", p.name)
+		return fmt.Errorf("%s exited before it listened", p.name)
 	case <-time.After(startTimeout):
-		return fmt.Errorf("%s does not listen", p.name)
+		return fmt.Errorf("%s does not listen after %v", p.name, startTimeout)
 	}
 }
 
-// newCommand is the command that starts the process.
+// newCommand returns the command that starts the process.
 func (p *process) newCommand() (*exec.Cmd, error) {
 	if p.otherBuild != "" {
-		return p.newOtherCommand()
+		return p.newOtherBuildCommand()
 	}
 	text, err := json.Marshal(p.spec)
 	if err != nil {
@@ -90,17 +90,18 @@
 	return command, nil
 }
 
+// wait waits until a command exits and records the exit as a failure if it was not expected.
 func (p *process) wait(command *exec.Cmd, ended chan struct{}) {
 	err := command.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.endExpected && p.failure == nil {
-		p.failure = fmt.Errorf("%s ended by itself: %v", p.name, err) //nolint:errorlint // nil where it ended with 0
+		p.failure = fmt.Errorf("%s exited unexpectedly: %v", p.name, err) //nolint:errorlint // err is nil if the exit code is 0
 	}
 	close(ended)
 }
 
-// signal sends a signal to the process if it runs.
+// signal sends a signal to the process if it has been started.
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// end ends the process by a signal and waits for that.
+// end sends the process a signal that ends it, and waits until it has exited.
 func (p *process) end(signal syscall.Signal) {
 	p.mu.Lock()
 	if p.command == nil {
@@ -126,14 +127,14 @@
 	p.command = nil
 }
 
-// terminate asks the process to shut down, kills it after a grace period, and waits for its end.
+// terminate asks the process to shut down, kills it if it is running after the grace period, and waits until it has exited.
 func (p *process) terminate(grace time.Duration) {
 	force := time.AfterFunc(grace, func() { p.signal(syscall.SIGKILL) })
 	defer force.Stop()
 	p.end(syscall.SIGTERM)
 }
 
-// pid is the process's number; 0 while there is none.
+// pid returns the process ID; 0 while the process is not running.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +144,7 @@
 	return p.command.Process.Pid
 }
 
-// problem is an end by itself, or a data race that the detector has found.
+// problem returns an error if the process exited unexpectedly or if its log shows a data race, a panic or a failure.
 func (p *process) problem() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/systemtest/recorder_test.go
+++ b/internal/systemtest/recorder_test.go
@@ -9,27 +9,28 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-const maxLease = 6 * time.Second // the longest time of a worker's lease
+// maxLease is the maximum duration of a worker's lease.
+const maxLease = 6 * time.Second
 
-// attemptKey names an attempt across all incarnations of workers.
+// attemptKey identifies an attempt across all incarnations of workers.
 type attemptKey struct {
 	incarnation, task string
 	number            uint64
 }
 
-// completionKey names a completion by its number.
+// completionKey identifies a completion by the number that the worker's incarnation gave it.
 type completionKey struct {
 	incarnation string
 	number      uint64
 }
 
-// recorder records the calls between machines and workers.
+// recorder records the calls between machines and workers, and the inventories of the platform.
 type recorder struct {
 	mu            sync.Mutex
-	senders       map[attemptKey]string
-	completions   map[completionKey]attemptKey
-	acknowledged  map[attemptKey]time.Time
-	leaseUntil    map[string]time.Time
+	senders       map[attemptKey]string        // machine that first sent the start command
+	completions   map[completionKey]attemptKey // attempt that each reported completion ended
+	acknowledged  map[attemptKey]time.Time     // time of the first acknowledged completion
+	leaseUntil    map[string]time.Time         // end of the current lease, by incarnation
 	leaseExpiries []checker.LeaseExpiry
 	checkpoints   map[checker.Checkpoint]bool
 	inventories   []checker.Inventory
@@ -37,7 +38,7 @@
 	leaders       map[string]string // the machine that last sent a command or a lease renewal, by worker
 }
 
-// recordedCall is one call for the report on a violation.
+// recordedCall is a call for the violation report, with the time when it was recorded.
 type recordedCall struct {
 	at   time.Time
 	call call
@@ -50,7 +51,7 @@
 	}
 }
 
-// workerCall is what the recorder reads of a call to a worker.
+// workerCall holds the fields of a call to a worker that the recorder reads.
 type workerCall struct {
 	Task         string `json:"task"`
 	Execution    uint64 `json:"execution"`
@@ -58,14 +59,14 @@
 	LastSeen     uint64 `json:"lastSeen"`
 }
 
-// workerReply is what the recorder reads of a worker's reply.
+// workerReply holds the fields of a worker's reply that the recorder reads.
 type workerReply struct {
 	ClockMS  int64               `json:"clockMs"`
 	Running  [][]json.RawMessage `json:"running"`
 	Finished [][]json.RawMessage `json:"finished"`
 }
 
-// recordDelivery records a call to a worker before it is delivered.
+// recordDelivery records a call to a worker before it is delivered, and the sender of a start command.
 func (r *recorder) recordDelivery(c call) {
 	var request workerCall
 	if json.Unmarshal(c.body, &request) != nil {
@@ -77,14 +78,14 @@
 	r.leaders[c.to] = c.from
 	r.calls = append(r.calls, recordedCall{now, c})
 	if c.path == string(cluster.StartCall) {
-		name := attemptKey{c.incarnation, request.Task, request.Execution}
-		if r.senders[name] == "" {
-			r.senders[name] = c.from
+		key := attemptKey{c.incarnation, request.Task, request.Execution}
+		if r.senders[key] == "" {
+			r.senders[key] = c.from
 		}
 	}
 }
 
-// recordReply records a call to a worker with its reply.
+// recordReply records a call to a worker that was answered, with the lease, acknowledgements and tasks in it.
 func (r *recorder) recordReply(c call) {
 	var request workerCall
 	var reply workerReply
@@ -100,7 +101,7 @@
 	r.recordTasks(c.incarnation, reply)
 }
 
-// recordLease records a lease renewal, and an expiry between it and the renewal before.
+// recordLease records the lease that a call granted. If the previous lease ran out before, it records the expiry.
 func (r *recorder) recordLease(incarnation string, validUntil, clock int64, now time.Time) {
 	until := r.leaseUntil[incarnation]
 	if !until.IsZero() && now.After(until) {
@@ -116,22 +117,24 @@
 	}
 }
 
+// recordAcknowledgements records the completions that a successful lease call acknowledged.
 func (r *recorder) recordAcknowledgements(c call, request workerCall, now time.Time) {
 	if c.path != string(cluster.LeaseCall) || c.status != 200 {
 		return
 	}
 	for number := request.LastSeen; number > 0; number-- {
-		name, known := r.completions[completionKey{c.incarnation, number}]
-		if !known || !r.acknowledged[name].IsZero() {
+		key, known := r.completions[completionKey{c.incarnation, number}]
+		if !known || !r.acknowledged[key].IsZero() {
 			return
 		}
-		r.acknowledged[name] = now
+		r.acknowledged[key] = now
 	}
 }
 
+// recordTasks records the checkpoints and completions that a worker reported.
 func (r *recorder) recordTasks(incarnation string, reply workerReply) {
-	const task, attemptNumber, outcome, checkpoint = 0, 1, 2, 3 // columns
-	for _, entry := range reply.Running {
+	const task, attemptNumber, outcome, checkpoint = 0, 1, 2, 3 // columns of a finished attempt, after its completion number
+	for _, entry := range reply.Running {                       // the third column of a running attempt is its checkpoint
 		r.checkpoints[checker.Checkpoint{Task: textOf(entry[task]), Text: textOf(entry[outcome])}] = true
 	}
 	for _, entry := range reply.Finished {
@@ -151,7 +154,7 @@
 	return number
 }
 
-// recordInventory records an inventory that the platform has sent.
+// recordInventory records an inventory that the platform has sent, if it lists draining workers.
 func (r *recorder) recordInventory(c call) {
 	var list struct {
 		Instances []struct{ Identifier, State string }
@@ -159,41 +162,41 @@
 	if json.Unmarshal(c.answer, &list) != nil {
 		return
 	}
-	seen := checker.Inventory{Machine: c.from, At: time.Now()}
+	inventory := checker.Inventory{Machine: c.from, At: time.Now()}
 	for _, instance := range list.Instances {
 		if instance.State == "draining" {
-			seen.Draining = append(seen.Draining, instance.Identifier)
+			inventory.Draining = append(inventory.Draining, instance.Identifier)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(seen.Draining) > 0 {
-		r.inventories = append(r.inventories, seen)
+	if len(inventory.Draining) > 0 {
+		r.inventories = append(r.inventories, inventory)
 	}
 }
 
-// leader is the machine that last sent anything to a worker.
+// leader returns the name of the machine that last sent a call to a worker.
 func (r *recorder) leader(worker string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leaders[worker]
 }
 
-// fill adds what was recorded to a history.
+// fill adds the fake workers' runs and the recorded calls to a history.
 func (r *recorder) fill(h *checker.History, runs []cluster.RunRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, record := range runs {
-		name := attemptKey{record.Worker, record.Task.String(), record.Execution}
+		key := attemptKey{record.Worker, record.Task.String(), record.Execution}
 		attempt := checker.Attempt{
-			Worker: record.Worker, Task: name.task, Number: record.Execution, Specification: record.Specification,
-			Checkpoint: record.Checkpoint, Late: record.Late, Sender: r.senders[name], StartedAt: record.StartedAt,
+			Worker: record.Worker, Task: key.task, Number: record.Execution, Specification: record.Specification,
+			Checkpoint: record.Checkpoint, Late: record.Late, Sender: r.senders[key], StartedAt: record.StartedAt,
 			EndedAt: record.EndedAt, Outcome: string(record.Outcome),
 		}
 		if record.Acknowledged {
-			attempt.AcknowledgedAt = r.acknowledged[name]
+			attempt.AcknowledgedAt = r.acknowledged[key]
 			if attempt.AcknowledgedAt.IsZero() {
-				attempt.AcknowledgedAt = record.EndedAt // the answer was lost
+				attempt.AcknowledgedAt = record.EndedAt // the reply to the acknowledgement was lost
 			}
 		}
 		h.Attempts = append(h.Attempts, attempt)
--- a/internal/systemtest/relay_test.go
+++ b/internal/systemtest/relay_test.go
@@ -12,39 +12,40 @@
 	"time"
 )
 
-// relay stands before one address of a machine and carries calls to the one behind it.
+// relay is a reverse proxy in front of one address of a machine, worker or platform. It forwards calls to the target address
+// and applies the faults of the network.
 type relay struct {
 	network    *network
-	to         string                   // the machine behind it
-	address    string                   // where callers find it
-	target     string                   // where the machine listens
-	caller     func(net.Conn) string    // names who calls; nil for outside
-	onReply    func(call)               // takes each call that was answered; may be nil
-	onDelivery func(call)               // takes each call that is delivered; may be nil
-	onAbort    func(call)               // takes each call that was delivered and got no answer; may be nil
-	rewrite    func(body []byte) []byte // changes answers; may be nil
+	to         string                   // name of the callee
+	address    string                   // address of the relay, for callers
+	target     string                   // address of the callee behind the relay
+	caller     func(net.Conn) string    // returns the caller's name; nil if all callers are outside
+	onReply    func(call)               // called for each call that was answered; may be nil
+	onDelivery func(call)               // called for each call before it is delivered; may be nil
+	onAbort    func(call)               // called for each call whose connection the callee closed without an answer; may be nil
+	rewrite    func(body []byte) []byte // changes the body of each answer; may be nil
 	client     *http.Transport
 
 	mu     sync.Mutex
 	server *http.Server // nil while closed
 }
 
-// sourceKey holds the caller's name in a connection's context.
-type sourceKey struct{}
+// callerKey is the key of the caller's name in a connection's context.
+type callerKey struct{}
 
-// open lets callers in.
+// open starts to listen for callers.
 func (r *relay) open() error {
 	listener, err := net.Listen("tcp", r.address)
 	if err != nil {
-		return fmt.Errorf("relay before %s: %w", r.to, err)
+		return fmt.Errorf("relay in front of %s: %w", r.to, err)
 	}
 	r.address = listener.Addr().String()
 	server := &http.Server{Handler: r, ConnContext: func(ctx context.Context, connection net.Conn) context.Context {
-		source := outside
+		caller := outside
 		if r.caller != nil {
-			source = r.caller(connection)
+			caller = r.caller(connection)
 		}
-		return context.WithValue(ctx, sourceKey{}, source)
+		return context.WithValue(ctx, callerKey{}, caller)
 	}}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// close cuts all connections; new ones are refused.
+// close closes all connections and stops listening, so that new connections are refused.
 func (r *relay) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,14 +66,14 @@
 	}
 }
 
-// ServeHTTP carries one call.
+// ServeHTTP forwards one call and its answer.
 func (r *relay) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	source, _ := request.Context().Value(sourceKey{}).(string)
+	caller, _ := request.Context().Value(callerKey{}).(string)
 	body, err := io.ReadAll(request.Body)
-	if err != nil || source == "" {
+	if err != nil || caller == "" {
 		panic(http.ErrAbortHandler)
 	}
-	c := call{from: source, to: r.to, path: request.URL.Path, incarnation: request.Header.Get("Expect-Instance"), body: body, sentAt: time.Now()}
+	c := call{from: caller, to: r.to, path: request.URL.Path, incarnation: request.Header.Get("Expect-Instance"), body: body, sentAt: time.Now()}
 	r.applyFaults(request.Context(), c, beforeDelivery)
 	if r.onDelivery != nil {
 		r.onDelivery(c)
@@ -95,7 +96,8 @@
 	w.Write(answer.body)
 }
 
-// reportAborted reports a call whose connection the callee has closed, unless the caller gave up or no connection came up.
+// reportAborted reports a call that got no answer, unless the caller cancelled it or no connection to the callee was
+// established.
 func (r *relay) reportAborted(ctx context.Context, c call, err error) {
 	var operation *net.OpError
 	refused := errors.As(err, &operation) && operation.Op == "dial"
@@ -104,13 +106,14 @@
 	}
 }
 
-// applyFaults lets a call or its answer pass, or ends it without an answer.
+// applyFaults applies the network's injections, drops, delays and partitions to a call or its answer. It panics with
+// http.ErrAbortHandler if the call is lost.
 func (r *relay) applyFaults(ctx context.Context, c call, at phase) {
 	from, to := c.from, c.to
 	if at == beforeReply {
 		from, to = to, from
 	}
-	if r.network.fireInjections(c, at) || at == beforeDelivery && r.network.drops(c) {
+	if r.network.fireInjections(c, at) || at == beforeDelivery && r.network.dropsCall(c) {
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
@@ -119,7 +122,7 @@
 	}
 }
 
-// completeReply is an answer that was read to its end.
+// completeReply is an answer whose body was read completely.
 type completeReply struct {
 	*http.Response
 	body []byte
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -19,30 +19,31 @@
 )
 
 const (
-	changeRounds           = 9 // in which two operators change the configuration at once
-	sameBodyEvery          = 3 // in each third round both send the same body
+	changeRounds           = 9 // rounds in which two operators change the configuration concurrently
+	sameBodyEvery          = 3 // both operators send the same body in every third round
 	retriedCommandsTimeout = 4 * time.Minute
 	workersPath            = "/-/searchers"
 )
 
-// smallSize is a small system, as the load is that of operators.
-var smallSize = size{fronts: 1, workers: []workerPlan{{guardedService, 2, true}, {unguardedService, 1, false}}}
+// smallSize is the size of a system whose load comes mainly from operators and needs few workers.
+var smallSize = systemSize{fronts: 1, workers: []workerPlan{{guardedService, 2, true}, {unguardedService, 1, false}}}
 
-// retriedCommandsTest is a system under operators whose answers are lost.
+// retriedCommandsTest is a system whose operators retry commands because relays drop the replies.
 type retriedCommandsTest struct {
 	*system
 	relays *lossyRelays
 
-	lostVotes []*injection // answers of members that are lost
+	voteInjections []*injection // each drops the reply by which a member accepts a change
 
 	mu               sync.Mutex
 	retriedAfterLoss int // commands that were retried after their confirmation was dropped
 }
 
-// Two operators change the configuration at once through different core machines, cancel one job and drain one worker,
-// behind relays that drop the first confirmation of each command and deliver duplicates of requests seconds later. What was
-// accepted is never refused, at no machine, also after the leader of the jobs was killed; no number is confirmed for two
-// bodies; and what each core machine answers and stores at the end is what was confirmed.
+// TestRetriedCommandsAreIdempotent guards against commands that are refused or applied twice when they are retried after a
+// lost confirmation. Two operators concurrently change the configuration through different core machines, cancel the same
+// job and drain the same worker. The relays drop the first confirmation of each command and deliver delayed duplicates. No
+// machine may refuse an accepted command, even after the leader of the jobs was killed. No version may be confirmed for two
+// bodies. At the end each core machine must answer with the newest confirmed configuration and store the confirmed changes.
 func TestRetriedCommandsAreIdempotent(t *testing.T) {
 	t.Parallel()
 	ctx, s := startSystem(t, "orders-sent-again", smallSize, retriedCommandsTimeout)
@@ -51,22 +52,22 @@
 	failure := test.run(ctx)
 	s.stop()
 	violations := checkDeliveries(test.relays.allDeliveries())
-	disks := test.checkDisks()
-	t.Logf("%d answers of core machines, %d commands sent again after a lost confirmation, %d versions confirmed, %d of %d votes lost, %v",
-		len(test.relays.allDeliveries()), test.retriedAfterLoss, len(confirmedChanges(test.relays.allDeliveries())), test.droppedVotes(), len(test.lostVotes),
+	diskViolations := test.checkDisks()
+	t.Logf("%d replies of core machines, %d commands retried after a dropped confirmation, %d versions confirmed, %d of %d votes dropped, %v",
+		len(test.relays.allDeliveries()), test.retriedAfterLoss, len(confirmedChanges(test.relays.allDeliveries())), test.droppedVoteCount(), len(test.voteInjections),
 		time.Since(began).Round(time.Millisecond))
 	Convey("An accepted command is confirmed or left indefinite on every retry, and each core machine stores it", t, func() {
 		So(failure, ShouldBeNil)
 		So(s.failures, ShouldBeEmpty)
 		So(s.processProblems(), ShouldBeEmpty)
 		So(violations, ShouldBeEmpty)
-		So(disks, ShouldBeEmpty)
+		So(diskViolations, ShouldBeEmpty)
 		So(test.retriedAfterLoss, ShouldBeGreaterThanOrEqualTo, changeRounds+2)
-		So(test.droppedVotes(), ShouldBeGreaterThan, 0)
+		So(test.droppedVoteCount(), ShouldBeGreaterThan, 0)
 	})
 }
 
-// processProblems are ends of processes by themselves, and races that the detector has found.
+// processProblems returns the problems of all processes: unexpected exits, data races, panics and failures.
 func (s *system) processProblems() (problems []error) {
 	for _, m := range s.machines() {
 		for _, p := range m.processes {
@@ -78,7 +79,7 @@
 	return problems
 }
 
-// run runs the test; the core machines are shut down gracefully at the end.
+// run runs the test and shuts down the core machines gracefully at the end.
 func (a *retriedCommandsTest) run(ctx context.Context) error {
 	a.relays = newLossyRelays(a.system)
 	defer a.relays.close()
@@ -104,14 +105,15 @@
 	return nil
 }
 
-// changeConcurrently lets two operators change the same version at once, round after round.
+// changeConcurrently runs rounds in which two operators concurrently replace the same version. At least one operator must
+// succeed in each round, and both must get the same status if they sent the same body.
 func (a *retriedCommandsTest) changeConcurrently(ctx context.Context) error {
-	current := a.configured.newest
+	current := a.configurations.newest
 	for round := range changeRounds {
 		if round%sameBodyEvery == 1 {
 			a.dropVotes(round)
 		}
-		bodies := [2][]byte{a.bodyOf(round, 0, current+1), a.bodyOf(round, 1, current+1)}
+		bodies := [2][]byte{a.bodyFor(round, 0, current+1), a.bodyFor(round, 1, current+1)}
 		var both sync.WaitGroup
 		var statuses [2]int
 		for operator, body := range bodies {
@@ -129,30 +131,31 @@
 	return nil
 }
 
-// bodyOf is what an operator sends in a round: of a number that both use, in each third round the same.
-func (a *retriedCommandsTest) bodyOf(round, operator int, version int64) []byte {
+// bodyFor returns the configuration that an operator sends in a round. Both operators use the same version, and in every
+// third round the same body.
+func (a *retriedCommandsTest) bodyFor(round, operator int, version int64) []byte {
 	if round%sameBodyEvery == 2 {
 		operator = 2
 	}
 	return encodeConfiguration(version, []routePlan{renderRoute, mailRoute, {fmt.Sprintf("/of-%d-%d/", round, operator), guardedService}})
 }
 
-// dropVotes loses the next answers by which two members accept a change, so that its proposer cannot tell whether a
-// majority took it.
+// dropVotes drops the next replies by which the other two members accept a change of one proposer, so that the proposer
+// cannot tell whether a majority accepted it.
 func (a *retriedCommandsTest) dropVotes(round int) {
 	proposer := a.core[round%len(a.core)]
 	for _, voter := range a.core {
 		if voter != proposer {
-			a.lostVotes = append(a.lostVotes, a.network.arm(injection{
+			a.voteInjections = append(a.voteInjections, a.network.arm(injection{
 				path: acceptPath, from: proposer.name, to: voter.name, number: 1, phase: beforeReply, drop: true,
 			}))
 		}
 	}
 }
 
-// droppedVotes counts the votes whose answers were lost.
-func (a *retriedCommandsTest) droppedVotes() (count int) {
-	for _, one := range a.lostVotes {
+// droppedVoteCount returns how many votes were dropped.
+func (a *retriedCommandsTest) droppedVoteCount() (count int) {
+	for _, one := range a.voteInjections {
 		if one.hasFired() {
 			count++
 		}
@@ -160,9 +163,10 @@
 	return count
 }
 
-// sendThroughRelays sends a command through the relays until an answer is clear, and counts it if a confirmation was lost before.
+// sendThroughRelays sends a command through the relays until a reply is definite, and returns its status. It counts commands
+// that were confirmed only after a retry.
 func (a *retriedCommandsTest) sendThroughRelays(ctx context.Context, first int, command delivery) int {
-	status, _, attempts := a.relays.sendUntilClear(ctx, a.system, first, command)
+	status, _, attempts := a.relays.sendUntilDefinite(ctx, a.system, first, command)
 	if status == http.StatusOK && attempts > 1 {
 		a.mu.Lock()
 		a.retriedAfterLoss++
@@ -171,7 +175,8 @@
 	return status
 }
 
-// cancelAndDrain submits a job that lasts, and lets both operators cancel it and drain a worker at once.
+// cancelAndDrain submits a long-running job. Then both operators cancel it and drain a worker concurrently. It returns the
+// identifiers of the job and the worker.
 func (a *retriedCommandsTest) cancelAndDrain(ctx context.Context) (cancelled, drained string, err error) {
 	random := rand.New(rand.NewPCG(8, 1))
 	plan := newJobPlan(random, longRunningJob, renderRoute)
@@ -197,7 +202,7 @@
 	return string(plan.id), drained, err
 }
 
-// resendAll sends each command that there was to each core machine, without a relay, until the answer is clear.
+// resendAll sends each earlier command to each core machine directly until the reply is definite.
 func (a *retriedCommandsTest) resendAll(ctx context.Context) error {
 	commands := map[commandKey]delivery{}
 	for _, one := range a.relays.allDeliveries() {
@@ -209,16 +214,16 @@
 	for _, command := range commands {
 		for _, core := range a.core {
 			command.machine = core.name
-			if got := a.deliverUntilClear(ctx, core, command); !isDefinite(got.status) {
-				failures = append(failures, fmt.Errorf("no clear answer at the end: %v", got))
+			if got := a.deliverUntilDefinite(ctx, core, command); !isDefinite(got.status) {
+				failures = append(failures, fmt.Errorf("no definite reply at the end: %v", got))
 			}
 		}
 	}
 	return errors.Join(failures...)
 }
 
-// deliverUntilClear sends a request to one core machine until its reply is definite, and records each reply.
-func (a *retriedCommandsTest) deliverUntilClear(ctx context.Context, core *machine, command delivery) delivery {
+// deliverUntilDefinite sends a request to one core machine until its reply is definite, and records each reply.
+func (a *retriedCommandsTest) deliverUntilDefinite(ctx context.Context, core *machine, command delivery) delivery {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for {
@@ -230,7 +235,7 @@
 	}
 }
 
-// checkConfigurations reads the configuration at each core machine: it is the newest that was confirmed.
+// checkConfigurations checks that each core machine answers with the newest confirmed configuration.
 func (a *retriedCommandsTest) checkConfigurations(ctx context.Context) error {
 	confirmed := confirmedChanges(a.relays.allDeliveries())
 	newest := int64(0)
@@ -239,7 +244,7 @@
 	}
 	var failures []error
 	for _, core := range a.core {
-		read := a.deliverUntilClear(ctx, core, delivery{machine: core.name, method: http.MethodGet, path: controlPath})
+		read := a.deliverUntilDefinite(ctx, core, delivery{machine: core.name, method: http.MethodGet, path: controlPath})
 		if read.answer != confirmed[newest].body {
 			failures = append(failures, fmt.Errorf("version %d was confirmed last, and %s answers %v", newest, core.name, read))
 		}
@@ -252,37 +257,39 @@
 	return a.awaitReply(ctx, jobsPath+id, func(answer string) bool { return strings.Contains(answer, `"state":"cancelled"`) })
 }
 
-// awaitDrainedWorker waits until each core machine answers that a worker is drained by an operator.
+// awaitDrainedWorker waits until each core machine lists a worker as drained by an operator.
 func (a *retriedCommandsTest) awaitDrainedWorker(ctx context.Context, id string) error {
 	return a.awaitReply(ctx, workersPath, func(answer string) bool { return showsOperatorDraining(answer, id) })
 }
 
-// showsOperatorDraining reports whether a list of workers has one as drained by an operator.
+// showsOperatorDraining reports whether a list of workers shows the worker with an identifier as drained by an operator.
 func showsOperatorDraining(answer, id string) bool {
-	_, of, found := strings.Cut(answer, `"id":"`+id+`"`)
-	of, _, _ = strings.Cut(of, `"id":`)
-	return found && strings.Contains(of, `"operatorDraining":true`)
+	_, entry, found := strings.Cut(answer, `"id":"`+id+`"`)
+	entry, _, _ = strings.Cut(entry, `"id":`)
+	return found && strings.Contains(entry, `"operatorDraining":true`)
 }
 
-func (a *retriedCommandsTest) awaitReply(ctx context.Context, path string, serves func(answer string) bool) error {
+// awaitReply sends a GET request to each core machine until that machine gives a reply that accept allows.
+func (a *retriedCommandsTest) awaitReply(ctx context.Context, path string, accept func(answer string) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, commandRetryTimeout)
 	defer cancel()
 	for _, core := range a.core {
 		for {
-			got := a.deliverUntilClear(ctx, core, delivery{machine: core.name, method: http.MethodGet, path: path})
-			if got.status == http.StatusOK && serves(got.answer) {
+			got := a.deliverUntilDefinite(ctx, core, delivery{machine: core.name, method: http.MethodGet, path: path})
+			if got.status == http.StatusOK && accept(got.answer) {
 				break
 			}
 			if sleep(ctx, retryInterval) != nil {
-				return fmt.Errorf("at the end: %v", got)
+				return fmt.Errorf("the expected reply did not arrive; the last one was: %v", got)
 			}
 		}
 	}
 	return nil
 }
 
-// checkDisks compares the history that each core machine's disk holds with what was confirmed. A majority holds all of it;
-// the last record of another one may be of a change that did not come to be.
+// checkDisks compares the history on each core machine's disk with the confirmed changes, and returns the violations. A
+// majority must hold all confirmed changes. The history of each other machine must agree with theirs except for its last
+// record, which may belong to a change that was never decided.
 func (a *retriedCommandsTest) checkDisks() (violations []string) {
 	deliveries := a.relays.allDeliveries()
 	var complete []configuration.State
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -19,33 +19,34 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-// scenario is a load with faults in its midst.
+// scenario is a run of the system under load, with faults injected while the load is running.
 type scenario struct {
 	name string
 	seed uint64
-	// faults injects faults while the load runs. It returns once those are over.
+	// faults injects faults while the load is running; nil for none. When it returns, machines may still be recovering in the
+	// background.
 	faults func(ctx context.Context, s *system) error
-	// prepare changes the system before it starts; nil for nothing.
+	// prepare changes the system before it starts; nil for no change.
 	prepare func(s *system)
 }
 
 const (
 	scenarioTimeout  = 2 * time.Minute
-	loadLength       = 4 * time.Second
+	loadLength       = 4 * time.Second // time over which the load submits its jobs
 	jobsPerKind      = 2
-	loadBeforeFaults = 1500 * time.Millisecond // of load before the faults
+	loadBeforeFaults = 1500 * time.Millisecond // time from the start of the load to the first fault
 )
 
-// outcome is what came of a scenario.
+// outcome is the result of a scenario.
 type outcome struct {
 	violations []checker.Violation
 	failures   []error       // of the test itself, or of processes
 	accepted   int           // jobs
-	took       time.Duration // from the start of the first process
-	seen       summary
+	duration   time.Duration // from the start of the first process
+	summary    summary
 }
 
-// matches reports whether a scenario's name has the shape of one of the patterns, which are joined by commas.
+// matches reports whether a scenario's name matches one of the comma-separated patterns, in the syntax of path.Match.
 func (sc scenario) matches(patterns string) bool {
 	return slices.ContainsFunc(strings.Split(patterns, ","), func(pattern string) bool {
 		matched, err := path.Match(pattern, sc.name)
@@ -53,11 +54,11 @@
 	})
 }
 
-// run runs a scenario in a folder of its own.
+// run runs a scenario in its own folder and checks what was observed.
 func (sc scenario) run(folder string) outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	defer cancel()
-	s, err := newSystem(folder, usualSize)
+	s, err := newSystem(folder, defaultSize)
 	if err != nil {
 		return outcome{failures: []error{err}}
 	}
@@ -70,11 +71,12 @@
 		defer s.stop()
 		result.accepted = sc.runWithLoad(ctx, s)
 	}()
-	result.took = time.Since(began).Round(time.Millisecond)
-	return s.checked(result)
+	result.duration = time.Since(began).Round(time.Millisecond)
+	return s.checkHistory(result)
 }
 
-// runWithLoad runs the system with its load and faults, and returns how many jobs were accepted.
+// runWithLoad starts the system, runs the load and the faults, and waits until all jobs have ended. It returns how many jobs
+// were accepted.
 func (sc scenario) runWithLoad(ctx context.Context, s *system) int {
 	random := rand.New(rand.NewPCG(sc.seed, 1))
 	if err := s.bringUp(ctx); err != nil {
@@ -90,18 +92,19 @@
 	s.recoveries.Wait()
 	s.cancelLongRunning(ctx, random)
 	s.endedAt = time.Now()
-	s.awaitFinalStates(ctx, random)
-	s.readBack(ctx)
+	s.awaitStateAnswers(ctx, random)
+	s.awaitConfigurationRead(ctx)
 	s.awaitNoRunningTasks(ctx)
 	return accepted
 }
 
-// bringUp starts the system, brings the first configuration and waits until all fronts serve it.
+// bringUp starts the system, sets the first configuration, and waits until all fronts serve it and both services have
+// leaders.
 func (s *system) bringUp(ctx context.Context) error {
 	if err := s.start(); err != nil {
 		return err
 	}
-	if !s.configured.set(ctx, 0, renderRoute, mailRoute) {
+	if !s.configurations.set(ctx, 0, renderRoute, mailRoute) {
 		return errors.New("the first configuration was not acknowledged")
 	}
 	for _, front := range s.fronts {
@@ -112,6 +115,7 @@
 	return errors.Join(s.awaitLeader(ctx, guardedService), s.awaitLeader(ctx, unguardedService))
 }
 
+// awaitRoute waits until a front serves a route.
 func (s *system) awaitRoute(ctx context.Context, front *machine, route routePlan) error {
 	for {
 		if s.clientRequest(ctx, front, http.MethodGet, route.prefix, nil).Status == http.StatusOK {
@@ -123,23 +127,24 @@
 	}
 }
 
-// startLoad submits jobs of all kinds, over some seconds. The function returned waits for their ends.
+// startLoad submits jobs of all kinds over loadLength in the background. The returned function waits until these jobs have
+// been followed to their ends, and returns how many were accepted.
 func (s *system) startLoad(ctx context.Context, random *rand.Rand) (wait func() (accepted int)) {
 	var jobs []jobPlan
-	for kind := range jobKinds {
+	for kind := range jobKindCount {
 		for i := range jobsPerKind {
 			jobs = append(jobs, newJobPlan(random, kind, []routePlan{renderRoute, mailRoute}[i%2]))
 		}
 	}
 	random.Shuffle(len(jobs), func(i, j int) { jobs[i], jobs[j] = jobs[j], jobs[i] })
 	last := slices.IndexFunc(jobs, func(plan jobPlan) bool { return plan.kind == cancelledJob })
-	jobs[last], jobs[len(jobs)-1] = jobs[len(jobs)-1], jobs[last] // some cancel comes after the faults were set
+	jobs[last], jobs[len(jobs)-1] = jobs[len(jobs)-1], jobs[last] // so that at least one cancel comes after the faults
 	s.jobs = append(s.jobs, jobs...)
 	accepted := make(chan bool, len(jobs))
 	for i, plan := range jobs {
-		at := time.Duration(i) * loadLength / time.Duration(len(jobs))
-		own := rand.New(rand.NewPCG(random.Uint64(), 2))
-		go func() { accepted <- sleep(ctx, at) == nil && s.runJob(ctx, own, plan) }()
+		delay := time.Duration(i) * loadLength / time.Duration(len(jobs))
+		jobRandom := rand.New(rand.NewPCG(random.Uint64(), 2))
+		go func() { accepted <- sleep(ctx, delay) == nil && s.runJob(ctx, jobRandom, plan) }()
 	}
 	return func() (count int) {
 		for range jobs {
@@ -151,13 +156,14 @@
 	}
 }
 
-// awaitFinalStates polls the state of each job at the end, until it is final or the time-out is over.
-func (s *system) awaitFinalStates(ctx context.Context, random *rand.Rand) {
+// awaitStateAnswers requests the state of each job from the fronts until one answers with a state, or that the job does not
+// exist any more. It stops after clientTimeout.
+func (s *system) awaitStateAnswers(ctx context.Context, random *rand.Rand) {
 	var all sync.WaitGroup
 	for _, plan := range s.jobs {
-		own := rand.New(rand.NewPCG(random.Uint64(), 3))
+		jobRandom := rand.New(rand.NewPCG(random.Uint64(), 3))
 		all.Go(func() {
-			s.retryUntil(ctx, own, http.MethodGet, plan.path(), nil, func(status int) bool {
+			s.retryUntil(ctx, jobRandom, http.MethodGet, plan.path(), nil, func(status int) bool {
 				return status == http.StatusOK || status == http.StatusGone
 			})
 		})
@@ -173,7 +179,8 @@
 	}
 }
 
-// awaitNoRunningTasks waits until nothing runs any more, as all jobs have ended; at the most until that is a violation.
+// awaitNoRunningTasks waits until no worker runs a task, since all jobs have ended. It stops waiting once a task that is
+// still running is a violation.
 func (s *system) awaitNoRunningTasks(ctx context.Context) {
 	bounds := s.bounds()
 	ctx, cancel := context.WithTimeout(ctx, bounds.Cancel+bounds.Stop+time.Second)
@@ -185,31 +192,32 @@
 	}
 }
 
-// checked checks what was seen, and writes a report on each violation into the system's folder.
-func (s *system) checked(result outcome) outcome {
+// checkHistory runs the checker on what was observed, and adds the violations and failures to the outcome. It writes a report
+// on violations to the system's folder.
+func (s *system) checkHistory(result outcome) outcome {
 	h := s.history(s.endedAt)
 	result.violations = checker.Check(h)
-	result.seen = summarize(h)
+	result.summary = summarize(h)
 	result.failures = append(result.failures, s.failures...)
 	result.failures = append(result.failures, s.processProblems()...)
 	s.writeViolationReport(h, result)
 	return result
 }
 
-// awaitLeader waits until a core machine has sent something to a service's workers.
+// awaitLeader waits until a service has a leader.
 func (s *system) awaitLeader(ctx context.Context, service string) error {
 	for s.leaderOf(service) == nil {
 		if err := sleep(ctx, retryInterval); err != nil {
-			return fmt.Errorf("nobody leads %s: %w", service, err)
+			return fmt.Errorf("service %s has no leader: %w", service, err)
 		}
 	}
 	return nil
 }
 
-// leaderOf is the core machine that last sent anything to a service's workers.
+// leaderOf returns the core machine that last sent a call to one of the service's workers; nil if there is none.
 func (s *system) leaderOf(service string) *machine {
 	for _, one := range s.workers {
-		if one.fact.Service != service {
+		if one.description.Service != service {
 			continue
 		}
 		name := s.recorder.leader(one.relay.to)
@@ -222,19 +230,21 @@
 	return nil
 }
 
-// startSystem starts the processes of a test of its own, and a context that bounds it.
-func startSystem(t *testing.T, name string, of size, patience time.Duration) (context.Context, *system) {
+// startSystem creates a system for a test that is not a scenario, and a context with the test's timeout. It starts no
+// process.
+func startSystem(t *testing.T, name string, dimensions systemSize, timeout time.Duration) (context.Context, *system) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	t.Cleanup(cancel)
-	s, err := newSystem(scenarioFolder(t, name), of)
+	s, err := newSystem(scenarioFolder(t, name), dimensions)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return ctx, s
 }
 
-// scenarioFolder is where a scenario's logs stay when it fails; the test's own folder goes with the test.
+// scenarioFolder returns the folder for the logs and disks of a scenario. It is kept after the test only if
+// PUFFINLINK_SYSTEMTEST_KEEP is set.
 func scenarioFolder(t *testing.T, name string) string {
 	if keepFolder := os.Getenv("PUFFINLINK_SYSTEMTEST_KEEP"); keepFolder != "" {
 		folder := filepath.Join(keepFolder, name)
--- a/internal/systemtest/scenarios_test.go
+++ b/internal/systemtest/scenarios_test.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	maxConcurrentSystems = 3 // systems that run side by side
+	maxConcurrentSystems = 3 // systems that run concurrently
 	allVariable          = "PUFFINLINK_SYSTEMTEST_ALL"
 	seedVariable         = "PUFFINLINK_SYSTEMTEST_SEED"
 	onlyVariable         = "PUFFINLINK_SYSTEMTEST_ONLY"
-	pairCount            = 60
+	randomPairCount      = 60
 )
 
-// selectedScenarios are the scenarios that the environment variables select.
+// selectedScenarios returns the scenarios that the environment variables select.
 func selectedScenarios() []scenario {
 	scenarios := defaultScenarios
 	if os.Getenv(allVariable) != "" {
 		seed, _ := strconv.ParseUint(os.Getenv(seedVariable), 10, 64)
-		scenarios = append(append(append([]scenario{}, defaultScenarios...), extendedScenarios...), append(everyInjection(), randomPairs(seed, pairCount)...)...)
+		scenarios = append(append(append([]scenario{}, defaultScenarios...), extendedScenarios...), append(singleInjectionScenarios(), randomPairScenarios(seed, randomPairCount)...)...)
 	}
 	only := os.Getenv(onlyVariable)
 	if only == "" {
@@ -40,10 +40,11 @@
 	runScenarios(t, selectedScenarios(), maxConcurrentSystems, "No rule is broken: ")
 }
 
-// runScenarios runs scenarios, some of them concurrently, and checks each outcome under a Convey text that begins with the claim.
-func runScenarios(t *testing.T, scenarios []scenario, concurrent int, claim string) {
+// runScenarios runs scenarios, at most maxConcurrent of them at a time, and checks each outcome. The Convey text of each
+// consists of the claim and the scenario's name.
+func runScenarios(t *testing.T, scenarios []scenario, maxConcurrent int, claim string) {
 	t.Helper()
-	slots := make(chan struct{}, concurrent)
+	slots := make(chan struct{}, maxConcurrent)
 	outcomes := make([]chan outcome, len(scenarios))
 	for i, sc := range scenarios {
 		outcomes[i] = make(chan outcome, 1)
@@ -57,7 +58,7 @@
 	for i, sc := range scenarios {
 		result := <-outcomes[i]
 		t.Logf("%s: %d jobs accepted, %v, %d violations, %d failures; seen %+v",
-			sc.name, result.accepted, result.took, len(result.violations), len(result.failures), result.seen)
+			sc.name, result.accepted, result.duration, len(result.violations), len(result.failures), result.summary)
 		Convey(claim+sc.name, t, func() {
 			So(result.failures, ShouldBeEmpty)
 			So(result.violations, ShouldBeEmpty)
--- a/internal/systemtest/socketowner_test.go
+++ b/internal/systemtest/socketowner_test.go
@@ -10,10 +10,11 @@
 	"syscall"
 )
 
-// A relay has to know who calls, but all calls come from the same address. The system tells the number of the socket at
-// the other end of a connection, and the descriptors of a process tell whether that is its own.
+// A relay has to know which process a call comes from, but all calls come from the same IP address. So it looks up the inode
+// of the socket at the remote end of the connection through Linux's sock_diag interface, and searches the file descriptors of
+// the processes for that socket.
 
-// ownsSocket reports whether a process has the socket.
+// ownsSocket reports whether a process has a file descriptor of the socket.
 func ownsSocket(pid int, socket string) bool {
 	folder := filepath.Join("/proc", fmt.Sprint(pid), "fd")
 	directory, err := os.Open(folder)
@@ -30,7 +31,7 @@
 	return false
 }
 
-// The system's interface to its table of sockets: a request for one of them, and where the answer has its number.
+// Constants of sock_diag requests and replies; see sock_diag(7). The offsets are in bytes within the message body.
 const (
 	socketDiagnosis   = 4  // NETLINK_SOCK_DIAG
 	diagnosisByFamily = 20 // SOCK_DIAG_BY_FAMILY
@@ -46,19 +47,19 @@
 
 var errNoSocket = errors.New("no such socket")
 
-// socketOf names the caller's socket of an accepted connection, as a process's descriptors name it.
+// socketOf returns the name of the caller's socket of an accepted connection, in the form of the links in /proc/PID/fd.
 func socketOf(connection net.Conn) (string, error) {
-	handle, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_RAW|syscall.SOCK_CLOEXEC, socketDiagnosis)
+	descriptor, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_RAW|syscall.SOCK_CLOEXEC, socketDiagnosis)
 	if err != nil {
 		return "", fmt.Errorf("table of sockets: %w", err)
 	}
-	defer syscall.Close(handle)
+	defer syscall.Close(descriptor)
 	request := diagnosisRequest(connection.RemoteAddr().(*net.TCPAddr), connection.LocalAddr().(*net.TCPAddr))
-	if err := syscall.Sendto(handle, request, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
+	if err := syscall.Sendto(descriptor, request, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
 		return "", fmt.Errorf("request the table of sockets: %w", err)
 	}
 	buffer := make([]byte, os.Getpagesize())
-	length, _, err := syscall.Recvfrom(handle, buffer, 0)
+	length, _, err := syscall.Recvfrom(descriptor, buffer, 0)
 	if err != nil {
 		return "", fmt.Errorf("read the table of sockets: %w", err)
 	}
@@ -74,7 +75,7 @@
 	return "", errNoSocket
 }
 
-// diagnosisRequest asks for the socket with these two ends.
+// diagnosisRequest returns a request for the socket with the given local and remote addresses.
 func diagnosisRequest(own, other *net.TCPAddr) []byte {
 	request := make([]byte, syscall.NLMSG_HDRLEN+requestLength)
 	binary.NativeEndian.PutUint32(request[0:], uint32(len(request)))
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -16,7 +16,7 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-// The bounds of the deployment, and how much later a busy machine may be.
+// Bounds in the settings of the processes and fakes, and allowances for a busy host.
 const (
 	stopTime           = 400 * time.Millisecond
 	gangWait           = 3 * time.Second
@@ -24,18 +24,18 @@
 	restoreTime        = 50 * time.Millisecond
 	drainTime          = 3 * time.Second
 	gracePeriod        = 6 * time.Second
-	lossSlack          = time.Second // busy machines deliver late
-	busySlack          = 2 * time.Second
+	lossSlack          = time.Second     // time for a graceful shutdown to answer a request, see checker.Bounds; a busy host delivers late
+	busySlack          = 2 * time.Second // allowance added to the checker's other bounds
 	coreMachines       = 3
 )
 
-// size is how large a system is.
-type size struct {
+// systemSize is the number of fronts and workers of a system.
+type systemSize struct {
 	fronts  int
 	workers []workerPlan
 }
 
-// workerPlan is some workers of one service.
+// workerPlan describes the workers of one service.
 type workerPlan struct {
 	service string
 	count   int
@@ -47,26 +47,26 @@
 	unguardedService = "mail"
 )
 
-var usualSize = size{fronts: 2, workers: []workerPlan{{guardedService, 4, true}, {unguardedService, 3, false}}}
+var defaultSize = systemSize{fronts: 2, workers: []workerPlan{{guardedService, 4, true}, {unguardedService, 3, false}}}
 
-// system is a whole system with what surrounds it.
+// system is a whole system under test, with the fakes and clients around it and the record of what they observed.
 type system struct {
-	folder       string
-	subnet       string
-	port         int
-	network      *network
-	recorder     *recorder
-	core, fronts []*machine
-	callers      atomic.Pointer[[]*machine] // all machines, for the relays that were open before those were added
-	machineCount int
-	cluster      *cluster.Cluster
-	platform     *relay
-	workers      []*worker
-	plans        plans
-	clients      *http.Client
-	logs         []*os.File
-	configured   *configurations
-	recoveries   sync.WaitGroup
+	folder         string
+	subnet         string
+	port           int
+	network        *network
+	recorder       *recorder
+	core, fronts   []*machine
+	callers        atomic.Pointer[[]*machine] // all machines; read by relays, which may be open before a machine is added
+	machineCount   int
+	cluster        *cluster.Cluster
+	platform       *relay
+	workers        []*worker
+	plans          plans
+	clients        *http.Client
+	logs           []*os.File
+	configurations *configurations
+	recoveries     sync.WaitGroup
 
 	mu                 sync.Mutex
 	faults             []checker.Fault
@@ -79,17 +79,17 @@
 	endedAt            time.Time
 }
 
-var systems atomic.Int32 // of this process so far
+var systemCount atomic.Int32 // systems created in this process, which determines their subnets
 
-// newSystem makes a system; nothing runs yet.
-func newSystem(folder string, of size) (*system, error) {
+// newSystem creates a system and starts its fakes. It starts no process of the system.
+func newSystem(folder string, dimensions systemSize) (*system, error) {
 	s := &system{
 		folder: folder, network: newNetwork(), recorder: newRecorder(), workerIncarnations: map[string]checker.Worker{},
-		subnet:  fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, systems.Add(1)),
+		subnet:  fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, systemCount.Add(1)),
 		clients: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}},
 	}
 	s.plans.byJob = map[string]jobPlan{}
-	s.configured = &configurations{system: s}
+	s.configurations = &configurations{system: s}
 	var err error
 	if s.port, err = freePort(); err != nil {
 		return nil, err
@@ -97,10 +97,10 @@
 	s.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
 		LeaseMax: maxLease, GangWait: gangWait, StopTime: stopTime, SaveEvery: checkpointInterval, Restore: restoreTime, Describe: s.plans.describe,
 	})
-	if err := s.addSurroundings(of); err != nil {
+	if err := s.addFakes(dimensions); err != nil {
 		return nil, err
 	}
-	if err := s.addMachines(of); err != nil {
+	if err := s.addMachines(dimensions); err != nil {
 		return nil, err
 	}
 	machines := s.machines()
@@ -108,7 +108,8 @@
 	return s, nil
 }
 
-// freePort finds a port below the range that the system hands out, or one of those.
+// freePort returns a port that was free on 127.0.0.1, or 65000 if that is lower, so that the ports at the offsets above it
+// are valid.
 func freePort() (int, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,7 +119,7 @@
 	return min(listener.Addr().(*net.TCPAddr).Port, 65000), nil
 }
 
-func (s *system) addMachines(of size) error {
+func (s *system) addMachines(dimensions systemSize) error {
 	for i := range coreMachines {
 		m, err := s.newCoreMachine(fmt.Sprintf("core-%d", i+1))
 		if err != nil {
@@ -126,7 +127,7 @@
 		}
 		s.core = append(s.core, m)
 	}
-	for i := range of.fronts {
+	for i := range dimensions.fronts {
 		m, err := s.newMachine(fmt.Sprintf("front-%d", i+1))
 		if err != nil {
 			return err
@@ -154,7 +155,7 @@
 	return errors.Join(failures...)
 }
 
-// settings are the lines of a machine's settings file.
+// settings returns the content of a machine's settings file.
 func (s *system) settings(m *machine, firstStart bool) string {
 	var seeds []string
 	for _, core := range s.core {
@@ -180,12 +181,12 @@
 	return append(append([]*machine{}, s.core...), s.fronts...)
 }
 
-// start starts all machines at once.
+// start starts all machines concurrently.
 func (s *system) start() error {
 	return s.onAllMachines(func(m *machine) error { return m.startAll(false) })
 }
 
-// onAllMachines does something to all machines at once, and joins the errors.
+// onAllMachines calls a function for all machines concurrently and returns the joined errors.
 func (s *system) onAllMachines(do func(m *machine) error) error {
 	failures := make(chan error)
 	for _, m := range s.machines() {
@@ -198,7 +199,7 @@
 	return joined
 }
 
-// stop ends everything.
+// stop kills all processes and closes the relays, the fakes and the log files.
 func (s *system) stop() {
 	for _, m := range s.machines() {
 		for _, p := range m.processes {
@@ -217,14 +218,15 @@
 	}
 }
 
-// faultBegan records the begin of a fault of a machine.
-func (s *system) faultBegan(machine string) { s.addFault(checker.Fault{Machine: machine}) }
+// recordFaultStart records the start of a fault of a machine.
+func (s *system) recordFaultStart(machine string) { s.addFault(checker.Fault{Machine: machine}) }
 
-// workerFaultBegan records the begin of a fault of a worker.
-func (s *system) workerFaultBegan(one *worker) {
-	s.addFault(checker.Fault{Kind: checker.WorkerFault, Machine: one.relay.to})
+// recordWorkerFaultStart records the start of a fault of a worker.
+func (s *system) recordWorkerFaultStart(target *worker) {
+	s.addFault(checker.Fault{Kind: checker.WorkerFault, Machine: target.relay.to})
 }
 
+// addFault records a fault that starts now.
 func (s *system) addFault(fault checker.Fault) {
 	fault.From = time.Now()
 	s.mu.Lock()
@@ -232,15 +234,15 @@
 	s.faults = append(s.faults, fault)
 }
 
-// recordAborted records a client's request that a machine has given up.
+// recordAborted records a client's request whose connection a machine closed without an answer.
 func (s *system) recordAborted(c call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abortedRequests = append(s.abortedRequests, checker.AbortedRequest{Machine: c.to, Path: c.path, SentAt: c.sentAt, At: time.Now()})
 }
 
-// faultEnded records the end of all faults of a machine or a worker.
-func (s *system) faultEnded(name string) {
+// recordFaultEnd records the end of all current faults of a machine or a worker.
+func (s *system) recordFaultEnd(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.faults {
@@ -250,7 +252,7 @@
 	}
 }
 
-// recordFailure records that something went wrong with the test itself.
+// recordFailure records an error of the test itself, unless it is nil.
 func (s *system) recordFailure(err error) {
 	if err == nil {
 		return
@@ -260,7 +262,7 @@
 	s.failures = append(s.failures, err)
 }
 
-// bounds are those that the checker holds the system to.
+// bounds returns the time bounds that the checker requires the system to keep.
 func (s *system) bounds() checker.Bounds {
 	return checker.Bounds{
 		Contact: 3*time.Second + busySlack, ConfigurationApply: 2*time.Second + busySlack, RollbackSlack: 250*time.Millisecond + busySlack,
@@ -269,7 +271,7 @@
 	}
 }
 
-// history is what was seen until now.
+// history returns what was observed until now, for the checker.
 func (s *system) history(endedAt time.Time) checker.History {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/systemtest/violationreport_test.go
+++ b/internal/systemtest/violationreport_test.go
@@ -11,15 +11,15 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-// summary counts what a history holds, to see that there was something to check.
+// summary holds counts of what a history contains. It is logged to show that there was something to check.
 type summary struct {
 	Attempts, Acknowledged, UnknownSender int
 	LeaseExpiries, Checkpoints            int
 	Inventories                           int
-	Requests, AbortedRequests             int // of clients
+	Requests, AbortedRequests             int // requests of clients
 	OperatorRequests                      int
-	Outcomes                              map[string]int // of attempts
-	Answers                               map[int]int    // to clients, by status
+	Outcomes                              map[string]int // numbers of attempts, by outcome
+	Answers                               map[int]int    // numbers of answers to clients, by status
 }
 
 func summarize(h checker.History) summary {
@@ -42,7 +42,8 @@
 	return result
 }
 
-// writeViolationReport writes all that was seen of the subjects of violations to violations.txt, by time.
+// writeViolationReport writes the violations to violations.txt, followed by all events that concern their subjects in the
+// order of time.
 func (s *system) writeViolationReport(h checker.History, result outcome) {
 	if len(result.violations) == 0 {
 		return
@@ -62,13 +63,13 @@
 	os.WriteFile(filepath.Join(s.folder, "violations.txt"), []byte(text.String()), 0o644)
 }
 
-// reportedEvent is one thing that was seen.
+// reportedEvent is one event in a violation report.
 type reportedEvent struct {
 	at   time.Time
 	text string
 }
 
-// subjects are the jobs that violations are about.
+// subjects returns the subjects of violations, such as job identifiers, without duplicates.
 func subjects(violations []checker.Violation) []string {
 	var found []string
 	for _, violation := range violations {
@@ -80,11 +81,11 @@
 	return found
 }
 
-// eventsOf gathers what was seen of a job.
+// eventsOf returns the events that concern a subject, and all faults.
 func (s *system) eventsOf(h checker.History, id string) []reportedEvent {
 	var lines []reportedEvent
 	for _, fault := range h.Faults {
-		lines = append(lines, reportedEvent{fault.From, "trouble with " + fault.Machine + " until " + fault.To.Format("15:04:05.000")})
+		lines = append(lines, reportedEvent{fault.From, "fault of " + fault.Machine + " until " + fault.To.Format("15:04:05.000")})
 	}
 	for _, request := range h.Requests {
 		if strings.Contains(request.Path, id) {
--- a/internal/systemtest/workers_test.go
+++ b/internal/systemtest/workers_test.go
@@ -10,17 +10,17 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-// worker is a fake with the relay before it.
+// worker is a fake worker with the relay in front of it.
 type worker struct {
 	*cluster.Worker
 	relay        *relay
-	fact         checker.Worker
+	description  checker.Worker
 	incarnations int
 }
 
-// addSurroundings makes the workers and the platform, each behind a relay.
-func (s *system) addSurroundings(of size) error {
-	for _, plan := range of.workers {
+// addFakes creates the fake workers and the fake platform, each behind a relay.
+func (s *system) addFakes(dimensions systemSize) error {
+	for _, plan := range dimensions.workers {
 		for i := range plan.count {
 			if err := s.addWorker(plan, i); err != nil {
 				return err
@@ -42,7 +42,7 @@
 		labels[0] = "big"
 	}
 	capacity := job.Resources{Processors: 4000, MemoryMB: 4000}
-	added := &worker{fact: checker.Worker{
+	added := &worker{description: checker.Worker{
 		Service: plan.service, Labels: labels, Guards: plan.guards,
 		Capacity: checker.Resources{Processors: capacity.Processors, MemoryMB: capacity.MemoryMB},
 	}}
@@ -60,15 +60,16 @@
 	return added.relay.open()
 }
 
-func (s *system) recordIncarnation(of *worker) {
+// recordIncarnation records the current incarnation of a worker for the checker.
+func (s *system) recordIncarnation(target *worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fact := of.fact
-	fact.ID = of.ID()
-	s.workerIncarnations[fact.ID] = fact
+	incarnation := target.description
+	incarnation.ID = target.ID()
+	s.workerIncarnations[incarnation.ID] = incarnation
 }
 
-// rewriteList names the relays where the platform names the workers.
+// rewriteList replaces the addresses of workers in an inventory of the platform by those of their relays.
 func (s *system) rewriteList(body []byte) []byte {
 	for _, one := range s.workers {
 		body = bytes.ReplaceAll(body, []byte(`"`+one.Address()+`"`), []byte(`"`+one.relay.address+`"`))
@@ -76,16 +77,16 @@
 	return body
 }
 
-// crash ends a worker's incarnation and begins another.
-func (s *system) crash(one *worker) {
-	s.workerFaultBegan(one)
-	one.incarnations++
-	one.Crash(fmt.Sprintf("%s-life-%d", one.relay.to, one.incarnations))
-	s.recordIncarnation(one)
-	s.faultEnded(one.relay.to)
+// crash ends a worker's current incarnation and starts another.
+func (s *system) crash(target *worker) {
+	s.recordWorkerFaultStart(target)
+	target.incarnations++
+	target.Crash(fmt.Sprintf("%s-life-%d", target.relay.to, target.incarnations))
+	s.recordIncarnation(target)
+	s.recordFaultEnd(target.relay.to)
 }
 
-// crashIncarnation crashes the worker whose current incarnation this is, if any.
+// crashIncarnation crashes the worker with the given current incarnation, if there is one.
 func (s *system) crashIncarnation(incarnation string) {
 	for _, one := range s.workers {
 		if one.ID() == incarnation {
@@ -94,19 +95,19 @@
 	}
 }
 
-// beginCallFaults lets the calls to a worker go wrong until calm is called.
-func (s *system) beginCallFaults(one *worker, faults func(cluster.Call) cluster.Fault) {
-	s.workerFaultBegan(one)
-	one.SetFaults(faults)
+// beginCallFaults injects faults into the calls to a worker until endCallFaults is called.
+func (s *system) beginCallFaults(target *worker, faults func(cluster.Call) cluster.Fault) {
+	s.recordWorkerFaultStart(target)
+	target.SetFaults(faults)
 }
 
-func (s *system) endCallFaults(one *worker) {
-	one.SetFaults(nil)
-	s.faultEnded(one.relay.to)
+func (s *system) endCallFaults(target *worker) {
+	target.SetFaults(nil)
+	s.recordFaultEnd(target.relay.to)
 }
 
-// drain lists a worker as about to leave.
-func (s *system) drain(one *worker) {
-	s.workerFaultBegan(one)
-	one.Drain(drainTime)
+// drain makes the platform list a worker as draining.
+func (s *system) drain(target *worker) {
+	s.recordWorkerFaultStart(target)
+	target.Drain(drainTime)
 }
--- a/internal/timer/timer.go
+++ b/internal/timer/timer.go
@@ -1,4 +1,4 @@
-// Package timer has waits that end with a context.
+// Package timer provides a sleep that ends early when its context ends.
 package timer
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for the duration and returns true, or returns false as soon as the context has ended. A duration of 0 or less is
-// over at once.
+// Sleep waits for the duration and returns true, or returns false as soon as the context has ended. It does not wait if the
+// duration is 0 or negative.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/timer/timer_test.go
+++ b/internal/timer/timer_test.go
@@ -12,16 +12,16 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-func TestSleep(t *testing.T) {
+func TestSleepEndsWithDurationOrContext(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		Convey("Sleep lasts as long as it is told to", t, func() {
+		Convey("Sleep returns true after its duration", t, func() {
 			began := time.Now()
 			So(timer.Sleep(context.Background(), time.Minute), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, time.Minute)
 			So(timer.Sleep(context.Background(), -time.Second), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, time.Minute)
 		})
-		Convey("Sleep ends with its context", t, func() {
+		Convey("Sleep returns false when its context ends", t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			slept := make(chan bool, 1)
 			go func() { slept <- timer.Sleep(ctx, time.Hour) }()
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -114,7 +114,7 @@
 	if b.PerS < 0.5*bears || b.PerS > 1.05*bears || b.Fails/b.PerS > 1+bracketTolerance+0.01 || b.Index == "" || b.First.What != "cores" {
 		t.Fatalf("breaks at %+v, cores bear %g", b, bears)
 	}
-	if raceflag.On { // the race detector has nothing to find where there is no goroutine
+	if raceflag.Enabled { // the race detector has nothing to find where there is no goroutine
 		return
 	}
 	larger := testSite(4, 4)
@@ -282,7 +282,7 @@
 	if recovers, leave := Recovers(&site, &a, 3, 1); !recovers || leave != a.PerS {
 		t.Errorf("a quarter of what the cores bear: %t, leave at %g", recovers, leave)
 	}
-	if raceflag.On {
+	if raceflag.Enabled {
 		return
 	}
 	a = testWorkload(600, 2)
--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -1,4 +1,5 @@
-// Package virtualtime runs tests in bubbles of testing/synctest. Only tests import it.
+// Package virtualtime runs tests in bubbles of testing/synctest, and works around a fault of the Go runtime under the race
+// detector. All tests in a bubble must use it. Only tests import this package.
 package virtualtime
 
 import (
@@ -10,45 +11,47 @@
 	"puffinlink.example/puffinlink/internal/raceflag"
 )
 
-// Test runs a test in a bubble. Under the race detector the process keeps to one processor meanwhile.
+// Test runs a test in a bubble. Under the race detector it sets GOMAXPROCS to 1 for the duration of the test.
 //
-// The reason is a fault of the Go runtime (seen with 1.26.8): all timers of a bubble share one context of the race detector. A goroutine
-// that looks at the channel of a timer which is due runs that timer itself, and so does the root of the bubble. On two processors both
-// use the context at once, which ends the process with SIGSEGV in maybeRunChan or with "ThreadSanitizer: CHECK failed". The race detector
-// judges by the order of synchronisation, not by what ran at the same moment, so one processor finds the same races.
+// The reason is a fault of the Go runtime (seen with 1.26.8): all timers of a bubble share one context of the race detector. A
+// goroutine that reads or polls the channel of a due timer runs that timer itself, and so does the root goroutine of the
+// bubble. On two processors both may use the context concurrently. The process then ends with SIGSEGV in maybeRunChan or with
+// "ThreadSanitizer: CHECK failed". With one processor the race detector still finds the same races, because it relies on the
+// order of synchronization events and not on actual parallel execution.
 func Test(t *testing.T, f func(*testing.T)) {
 	t.Helper()
-	if raceflag.On {
-		processors.limit()
-		defer processors.release()
+	if raceflag.Enabled {
+		processLimit.limit()
+		defer processLimit.release()
 	}
 	synctest.Test(t, f)
 }
 
-// processors is the limit of this process.
-var processors processorLimit
+// processLimit is the limit for this process.
+var processLimit processorLimit
 
-// processorLimit keeps the process to one processor while any bubble runs; tests of a package may run in parallel.
+// processorLimit limits the process to one processor while at least one bubble is running. It counts bubbles because tests of
+// a package may run in parallel.
 type processorLimit struct {
-	mutex   sync.Mutex
-	bubbles int // that run
-	before  int // processors before the first of them
+	mutex          sync.Mutex
+	runningBubbles int
+	previous       int // GOMAXPROCS before the first bubble
 }
 
 func (p *processorLimit) limit() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.bubbles == 0 {
-		p.before = runtime.GOMAXPROCS(1)
+	if p.runningBubbles == 0 {
+		p.previous = runtime.GOMAXPROCS(1)
 	}
-	p.bubbles++
+	p.runningBubbles++
 }
 
 func (p *processorLimit) release() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.bubbles--
-	if p.bubbles == 0 {
-		runtime.GOMAXPROCS(p.before)
+	p.runningBubbles--
+	if p.runningBubbles == 0 {
+		runtime.GOMAXPROCS(p.previous)
 	}
 }
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -13,8 +13,9 @@
 	"puffinlink.example/puffinlink/internal/raceflag"
 )
 
-// Many goroutines look at timers that are due at one moment. Without the limit this ends the process under the race detector.
-func TestSimultaneousTimers(t *testing.T) {
+// Many goroutines poll timers that are due at the same time. Without the processor limit this crashes the process under the
+// race detector.
+func TestSimultaneousTimersDoNotCrashTheRaceDetector(t *testing.T) {
 	const goroutines, rounds = 64, 400
 	Test(t, func(t *testing.T) {
 		var all sync.WaitGroup
@@ -35,7 +36,6 @@
 	})
 }
 
-// The limit holds while any bubble runs, and ends with the last.
 func TestProcessorLimitLastsUntilTheLastBubbleEnds(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	var limit processorLimit
@@ -50,13 +50,14 @@
 		t.Errorf("%d processors after the last bubble, %d before", now, before)
 	}
 	Test(t, func(t *testing.T) {
-		if now := runtime.GOMAXPROCS(0); raceflag.On && now != 1 {
+		if now := runtime.GOMAXPROCS(0); raceflag.Enabled && now != 1 {
 			t.Errorf("%d processors in a bubble", now)
 		}
 	})
 }
 
-// Every bubble of the repository goes through this package.
+// Every test in a bubble must go through this package, since a bubble without the processor limit can crash the process
+// under the race detector.
 func TestOnlyThisPackageStartsBubbles(t *testing.T) {
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -65,7 +66,7 @@
 		}
 		text, err := os.ReadFile(path)
 		if strings.Contains(string(text), "synctest."+"Test(") {
-			t.Errorf("%s begins a bubble without virtualtime.Test", path)
+			t.Errorf("%s starts a bubble without virtualtime.Test", path)
 		}
 		return err
 	})
--- a/internal/wakeup/wakeup.go
+++ b/internal/wakeup/wakeup.go
@@ -1,8 +1,9 @@
-// Package wakeup has a signal that wakes a goroutine without blocking its sender.
+// Package wakeup provides a signal that wakes a goroutine without blocking the sender.
 package wakeup
 
-// Signal tells one goroutine that there is something to do. Signals that come before the goroutine has received an earlier one
-// are merged into that one, so the receiver must look for all that there is to do. Receive from it as from a channel:
+// Signal notifies one goroutine that there is work to do. Notifications are merged until the goroutine receives: however many
+// calls of Notify came before, it receives once. So the receiver must process all pending work each time. It receives from the
+// Signal as from a channel:
 //
 //	select {
 //	case <-signal:
@@ -10,13 +11,13 @@
 //	}
 type Signal chan struct{}
 
-// New makes a Signal.
+// New creates a Signal without a pending notification.
 func New() Signal { return make(Signal, 1) }
 
 // Notify wakes the receiver, now or at its next receive. It never blocks.
 func (s Signal) Notify() {
 	select {
 	case s <- struct{}{}:
-	default: // an earlier signal has not been received yet
+	default: // an earlier notification is still pending
 	}
 }
--- a/internal/wakeup/wakeup_test.go
+++ b/internal/wakeup/wakeup_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestSignal(t *testing.T) {
+func TestSignalMergesNotifications(t *testing.T) {
 	pending := func(signal Signal) bool {
 		select {
 		case <-signal:
@@ -20,7 +20,7 @@
 		Convey("nothing is received before it is notified", func() {
 			So(pending(signal), ShouldBeFalse)
 		})
-		Convey("several notifications are received as one, and a later one anew", func() {
+		Convey("several notifications are received as one, and a later one separately", func() {
 			signal.Notify()
 			signal.Notify()
 			So(pending(signal), ShouldBeTrue)
