--- a/internal/systemtest/commandchecker_test.go
+++ b/internal/systemtest/commandchecker_test.go
@@ -30,17 +30,17 @@
 			accepted[reply.key()] = reply
 		}
 	}
-	for _, one := range deliveries {
-		if acceptance, found := accepted[one.key()]; found && isDefinite(one.status) && one.status != http.StatusOK {
-			violations = append(violations, fmt.Sprintf("refused though it was accepted: %v; accepted: %v", one, acceptance))
+	for _, reply := range deliveries {
+		if acceptance, found := accepted[reply.key()]; found && isDefinite(reply.status) && reply.status != http.StatusOK {
+			violations = append(violations, fmt.Sprintf("refused though it was accepted: %v; accepted: %v", reply, acceptance))
 		}
 	}
 	byNumber, byBase := map[int64]commandKey{}, map[string]commandKey{}
-	for key, one := range accepted {
+	for key, reply := range accepted {
 		if key.method != http.MethodPut {
 			continue
 		}
-		number := versionOf([]byte(one.answer))
+		number := versionOf([]byte(reply.answer))
 		if other, found := byNumber[number]; found && other != key {
 			violations = append(violations, fmt.Sprintf("version %d is confirmed for two commands: %v and %v", number, key, other))
 		}
@@ -48,7 +48,7 @@
 			violations = append(violations, fmt.Sprintf("two commands are confirmed on top of version %s: %v and %v", key.ifMatch, key, other))
 		}
 		if number != versionOf([]byte(key.body)) {
-			violations = append(violations, fmt.Sprintf("confirmed as version %d: %v", number, one))
+			violations = append(violations, fmt.Sprintf("confirmed as version %d: %v", number, reply))
 		}
 		byNumber[number], byBase[key.ifMatch] = key, key
 	}
@@ -57,9 +57,9 @@
 
 func TestCheckDeliveriesFindsEachViolation(t *testing.T) {
 	put := func(ifMatch int64, body string, status int) delivery {
-		one := putCommand(ifMatch, []byte(body))
-		one.status, one.answer = status, body
-		return one
+		reply := putCommand(ifMatch, []byte(body))
+		reply.status, reply.answer = status, body
+		return reply
 	}
 	body, otherBody := `{"version":3}`, `{"version":3,"routes":[]}`
 	Convey("Consistent confirmed, refused and indefinite replies break no rule", t, func() {
@@ -82,9 +82,9 @@
 // confirmedChanges returns the configuration changes that at least one machine confirmed, by version.
 func confirmedChanges(deliveries []delivery) map[int64]delivery {
 	confirmed := map[int64]delivery{}
-	for _, one := range deliveries {
-		if one.status == http.StatusOK && one.method == http.MethodPut {
-			confirmed[versionOf([]byte(one.body))] = one
+	for _, reply := range deliveries {
+		if reply.status == http.StatusOK && reply.method == http.MethodPut {
+			confirmed[versionOf([]byte(reply.body))] = reply
 		}
 	}
 	return confirmed
@@ -110,25 +110,25 @@
 // and no change that was refused.
 func checkAppliedHistory(state configuration.State, deliveries []delivery) (violations []string) {
 	recorded := map[uint64]configuration.AppliedUpdate{}
-	for i, one := range state.Applied {
-		recorded[one.Version] = one
-		if i > 0 && one.IfMatch != state.Applied[i-1].Version {
-			violations = append(violations, fmt.Sprintf("version %d builds on %d, not on %d before it", one.Version, one.IfMatch, state.Applied[i-1].Version))
+	for i, update := range state.Applied {
+		recorded[update.Version] = update
+		if i > 0 && update.IfMatch != state.Applied[i-1].Version {
+			violations = append(violations, fmt.Sprintf("version %d builds on %d, not on %d before it", update.Version, update.IfMatch, state.Applied[i-1].Version))
 		}
 	}
 	confirmed := confirmedChanges(deliveries)
 	for version, change := range confirmed {
-		one, found := recorded[uint64(version)]
-		if !found || strconv.FormatUint(one.IfMatch, 10) != change.ifMatch || one.Sum != checksumOf(change.body) {
-			violations = append(violations, fmt.Sprintf("version %d was confirmed, and the history has %+v (%v)", version, one, found))
+		update, found := recorded[uint64(version)]
+		if !found || strconv.FormatUint(update.IfMatch, 10) != change.ifMatch || update.Sum != checksumOf(change.body) {
+			violations = append(violations, fmt.Sprintf("version %d was confirmed, and the history has %+v (%v)", version, update, found))
 		}
 	}
-	for _, one := range deliveries {
-		if one.method != http.MethodPut || one.status != http.StatusPreconditionFailed {
+	for _, reply := range deliveries {
+		if reply.method != http.MethodPut || reply.status != http.StatusPreconditionFailed {
 			continue
 		}
-		if applied, found := recorded[uint64(versionOf([]byte(one.body)))]; found && applied.Sum == checksumOf(one.body) {
-			violations = append(violations, fmt.Sprintf("refused, and in the history: %v", one))
+		if applied, found := recorded[uint64(versionOf([]byte(reply.body)))]; found && applied.Sum == checksumOf(reply.body) {
+			violations = append(violations, fmt.Sprintf("refused, and in the history: %v", reply))
 		}
 	}
 	return violations
--- a/internal/systemtest/faults_test.go
+++ b/internal/systemtest/faults_test.go
@@ -130,18 +130,18 @@
 // the newest change and removes the route. Some of the answers are lost on the way.
 func changeConfiguration(ctx context.Context, s *system) error {
 	added := routePlan{"/added/", guardedService}
-	one, other := routePlan{"/one/", guardedService}, routePlan{"/other/", unguardedService}
+	firstRoute, secondRoute := routePlan{"/one/", guardedService}, routePlan{"/other/", unguardedService}
 	probing, stopProbing := context.WithCancel(ctx)
 	defer stopProbing()
 	for _, front := range s.fronts {
-		s.recoveries.Go(func() { s.pollRoutes(probing, front, added, one, other) })
+		s.recoveries.Go(func() { s.pollRoutes(probing, front, added, firstRoute, secondRoute) })
 	}
 	s.network.arm(injection{path: controlPath, number: 1, phase: beforeReply, drop: true})
 	if !s.configurations.set(ctx, 1, renderRoute, mailRoute, added) {
 		return fmt.Errorf("a change was not acknowledged")
 	}
 	s.network.arm(injection{path: controlPath, number: 2, phase: beforeReply, drop: true})
-	s.configurations.race(ctx, []routePlan{renderRoute, mailRoute, added, one}, []routePlan{renderRoute, mailRoute, added, other})
+	s.configurations.race(ctx, []routePlan{renderRoute, mailRoute, added, firstRoute}, []routePlan{renderRoute, mailRoute, added, secondRoute})
 	s.configurations.sendInvalid(ctx)
 	s.configurations.resend(ctx)
 	if !s.configurations.set(ctx, 2, renderRoute, mailRoute) {
--- a/internal/systemtest/injection_test.go
+++ b/internal/systemtest/injection_test.go
@@ -85,9 +85,9 @@
 		s.crashMachine(ctx, m, shortOutage, eraseDisk && m.dataDirectory != "")
 		return
 	}
-	for _, one := range s.workers {
-		if one.relay.to == name {
-			s.crash(one)
+	for _, w := range s.workers {
+		if w.relay.to == name {
+			s.crash(w)
 		}
 	}
 }
@@ -100,10 +100,10 @@
 }
 
 // arm registers the injection with the system's network.
-func (one plannedInjection) arm(ctx context.Context, s *system) *injection {
-	return s.network.arm(injection{path: one.point.path, phase: one.point.phase, filter: one.point.filter, number: one.number, drop: one.fault.drop, action: func(c call) {
-		if one.fault.action != nil {
-			one.fault.action(ctx, s, c)
+func (p plannedInjection) arm(ctx context.Context, s *system) *injection {
+	return s.network.arm(injection{path: p.point.path, phase: p.point.phase, filter: p.point.filter, number: p.number, drop: p.fault.drop, action: func(c call) {
+		if p.fault.action != nil {
+			p.fault.action(ctx, s, c)
 		}
 	}})
 }
@@ -129,8 +129,8 @@
 	}
 }
 
-func concernsConfiguration(at callPoint) bool {
-	return strings.HasPrefix(at.path, "/register/") || at.path == controlPath
+func concernsConfiguration(point callPoint) bool {
+	return strings.HasPrefix(point.path, "/register/") || point.path == controlPath
 }
 
 // await waits until an injection has fired.
@@ -162,10 +162,10 @@
 // singleInjectionScenarios returns a scenario for each combination of a call point and a kind of fault.
 func singleInjectionScenarios() []scenario {
 	var all []scenario
-	for i, at := range callPoints {
-		for j, by := range faultKinds {
-			name := at.name + "-" + by.name
-			all = append(all, scenario{name: name, seed: uint64(1000 + 10*i + j), faults: injectFaults(plannedInjection{at, by, 1 + j%at.minCalls()})})
+	for i, point := range callPoints {
+		for j, fault := range faultKinds {
+			name := point.name + "-" + fault.name
+			all = append(all, scenario{name: name, seed: uint64(1000 + 10*i + j), faults: injectFaults(plannedInjection{point, fault, 1 + j%point.minCalls()})})
 		}
 	}
 	return all
@@ -176,10 +176,10 @@
 	random := rand.New(rand.NewPCG(seed, 4))
 	var all []scenario
 	for i := range count {
-		one, other := callPoints[random.IntN(len(callPoints))], callPoints[random.IntN(len(callPoints))]
-		by, then := faultKinds[random.IntN(len(faultKinds))], faultKinds[random.IntN(len(faultKinds))]
-		name := fmt.Sprintf("pair-%d-%d-%s-%s-%s-%s", seed, i, one.name, by.name, other.name, then.name)
-		all = append(all, scenario{name: name, seed: seed + uint64(i), faults: injectFaults(plannedInjection{one, by, 1}, plannedInjection{other, then, 1})})
+		firstPoint, secondPoint := callPoints[random.IntN(len(callPoints))], callPoints[random.IntN(len(callPoints))]
+		firstFault, secondFault := faultKinds[random.IntN(len(faultKinds))], faultKinds[random.IntN(len(faultKinds))]
+		name := fmt.Sprintf("pair-%d-%d-%s-%s-%s-%s", seed, i, firstPoint.name, firstFault.name, secondPoint.name, secondFault.name)
+		all = append(all, scenario{name: name, seed: seed + uint64(i), faults: injectFaults(plannedInjection{firstPoint, firstFault, 1}, plannedInjection{secondPoint, secondFault, 1})})
 	}
 	return all
 }
--- a/internal/systemtest/lossyrelay_test.go
+++ b/internal/systemtest/lossyrelay_test.go
@@ -41,11 +41,11 @@
 // commandKey identifies a command. Deliveries with the same key are deliveries of the same command.
 type commandKey struct{ method, path, ifMatch, body string }
 
-func (a delivery) key() commandKey { return commandKey{a.method, a.path, a.ifMatch, a.body} }
+func (d delivery) key() commandKey { return commandKey{d.method, d.path, d.ifMatch, d.body} }
 
-func (a delivery) String() string {
+func (d delivery) String() string {
 	return fmt.Sprintf("%s %s on %q at %s (duplicate: %v, reply dropped: %v) got %d %s after %v",
-		a.method, a.path, a.ifMatch, a.machine, a.duplicate, a.replyDropped, a.status, a.answer, a.answeredAt.Sub(a.sentAt).Round(time.Millisecond))
+		d.method, d.path, d.ifMatch, d.machine, d.duplicate, d.replyDropped, d.status, d.answer, d.answeredAt.Sub(d.sentAt).Round(time.Millisecond))
 }
 
 // lossyRelays are relays between operators and the control addresses of the core machines. They drop the first confirmation
@@ -118,11 +118,11 @@
 }
 
 // stateOf returns the state of a delivery's command, and creates it if there is none. The caller holds the mutex.
-func (l *lossyRelays) stateOf(one delivery) *commandState {
-	if l.commands[one.key()] == nil {
-		l.commands[one.key()] = &commandState{}
+func (l *lossyRelays) stateOf(delivered delivery) *commandState {
+	if l.commands[delivered.key()] == nil {
+		l.commands[delivered.key()] = &commandState{}
 	}
-	return l.commands[one.key()]
+	return l.commands[delivered.key()]
 }
 
 // deliver sends a command to a core machine and returns it with the reply.
--- a/internal/systemtest/network_test.go
+++ b/internal/systemtest/network_test.go
@@ -62,12 +62,12 @@
 }
 
 // arm registers an injection, which fires once.
-func (n *network) arm(p injection) *injection {
+func (n *network) arm(armed injection) *injection {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p.fired = make(chan struct{})
-	n.injections = append(n.injections, &p)
-	return &p
+	armed.fired = make(chan struct{})
+	n.injections = append(n.injections, &armed)
+	return &armed
 }
 
 // hasFired reports whether an injection has fired.
--- a/internal/systemtest/operators_test.go
+++ b/internal/systemtest/operators_test.go
@@ -144,12 +144,12 @@
 }
 
 // race lets two operators replace the newest version concurrently.
-func (c *configurations) race(ctx context.Context, one, other []routePlan) {
+func (c *configurations) race(ctx context.Context, firstRoutes, secondRoutes []routePlan) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var both sync.WaitGroup
 	var statuses [2]int
-	proposals := [][]routePlan{one, other}
+	proposals := [][]routePlan{firstRoutes, secondRoutes}
 	for i, routes := range proposals {
 		both.Go(func() {
 			statuses[i] = c.system.putUntilDefinite(ctx, i, c.newest, encodeConfiguration(c.newest+3+int64(i), routes))
--- a/internal/systemtest/process_test.go
+++ b/internal/systemtest/process_test.go
@@ -72,7 +72,7 @@
 	case <-ended:
 		return fmt.Errorf("%s exited before it listened", p.name)
 	case <-time.After(startTimeout):
-		return fmt.Errorf("%s does not listen after %v", p.name, startTimeout)
+		return fmt.Errorf("%s does not listen within the start timeout", p.name)
 	}
 }
 
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -155,8 +155,8 @@
 
 // droppedVoteCount returns how many votes were dropped.
 func (a *retriedCommandsTest) droppedVoteCount() (count int) {
-	for _, one := range a.voteInjections {
-		if one.hasFired() {
+	for _, vote := range a.voteInjections {
+		if vote.hasFired() {
 			count++
 		}
 	}
@@ -205,9 +205,9 @@
 // resendAll sends each earlier command to each core machine directly until the reply is definite.
 func (a *retriedCommandsTest) resendAll(ctx context.Context) error {
 	commands := map[commandKey]delivery{}
-	for _, one := range a.relays.allDeliveries() {
-		if one.method != http.MethodGet {
-			commands[one.key()] = delivery{method: one.method, path: one.path, ifMatch: one.ifMatch, body: one.body}
+	for _, reply := range a.relays.allDeliveries() {
+		if reply.method != http.MethodGet {
+			commands[reply.key()] = delivery{method: reply.method, path: reply.path, ifMatch: reply.ifMatch, body: reply.body}
 		}
 	}
 	var failures []error
--- a/internal/systemtest/scenario_test.go
+++ b/internal/systemtest/scenario_test.go
@@ -216,11 +216,11 @@
 
 // leaderOf returns the core machine that last sent a call to one of the service's workers; nil if there is none.
 func (s *system) leaderOf(service string) *machine {
-	for _, one := range s.workers {
-		if one.description.Service != service {
+	for _, w := range s.workers {
+		if w.description.Service != service {
 			continue
 		}
-		name := s.recorder.leader(one.relay.to)
+		name := s.recorder.leader(w.relay.to)
 		for _, m := range s.core {
 			if m.name == name {
 				return m
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -207,8 +207,8 @@
 			m.endProcess(p, syscall.SIGKILL)
 		}
 	}
-	for _, one := range s.workers {
-		one.relay.close()
+	for _, w := range s.workers {
+		w.relay.close()
 	}
 	s.platform.close()
 	s.cluster.Close()
--- a/internal/systemtest/violationreport_test.go
+++ b/internal/systemtest/violationreport_test.go
@@ -57,8 +57,8 @@
 		lines = append(lines, s.eventsOf(h, subject)...)
 	}
 	slices.SortStableFunc(lines, func(a, b reportedEvent) int { return a.at.Compare(b.at) })
-	for _, one := range lines {
-		fmt.Fprintln(&text, one.at.Format("15:04:05.000"), one.text)
+	for _, event := range lines {
+		fmt.Fprintln(&text, event.at.Format("15:04:05.000"), event.text)
 	}
 	os.WriteFile(filepath.Join(s.folder, "violations.txt"), []byte(text.String()), 0o644)
 }
@@ -98,10 +98,10 @@
 			lines = append(lines, reportedEvent{attempt.StartedAt, fmt.Sprintf("attempt %+v", attempt)})
 		}
 	}
-	for _, one := range s.recorder.calls {
-		if strings.Contains(string(one.call.body), id) || strings.Contains(string(one.call.answer), id) {
-			text := fmt.Sprintf("%s -> %s %s %s: %d %s", one.call.from, one.call.to, one.call.path, one.call.body, one.call.status, one.call.answer)
-			lines = append(lines, reportedEvent{one.at, text})
+	for _, recorded := range s.recorder.calls {
+		if strings.Contains(string(recorded.call.body), id) || strings.Contains(string(recorded.call.answer), id) {
+			text := fmt.Sprintf("%s -> %s %s %s: %d %s", recorded.call.from, recorded.call.to, recorded.call.path, recorded.call.body, recorded.call.status, recorded.call.answer)
+			lines = append(lines, reportedEvent{recorded.at, text})
 		}
 	}
 	for _, request := range h.OperatorRequests {
--- a/internal/systemtest/workers_test.go
+++ b/internal/systemtest/workers_test.go
@@ -71,8 +71,8 @@
 
 // rewriteList replaces the addresses of workers in an inventory of the platform by those of their relays.
 func (s *system) rewriteList(body []byte) []byte {
-	for _, one := range s.workers {
-		body = bytes.ReplaceAll(body, []byte(`"`+one.Address()+`"`), []byte(`"`+one.relay.address+`"`))
+	for _, w := range s.workers {
+		body = bytes.ReplaceAll(body, []byte(`"`+w.Address()+`"`), []byte(`"`+w.relay.address+`"`))
 	}
 	return body
 }
@@ -88,9 +88,9 @@
 
 // crashIncarnation crashes the worker with the given current incarnation, if there is one.
 func (s *system) crashIncarnation(incarnation string) {
-	for _, one := range s.workers {
-		if one.ID() == incarnation {
-			s.crash(one)
+	for _, w := range s.workers {
+		if w.ID() == incarnation {
+			s.crash(w)
 		}
 	}
 }
