--- a/internal/leaktest/leaktest_test.go
+++ b/internal/leaktest/leaktest_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Leaked goroutines and descriptors are reported, and closed ones are not.
 func TestLeaksAreFound(t *testing.T) {
 	before := countDescriptors()
 	f, err := os.Open(os.DevNull)
--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -56,15 +56,15 @@
 func runChild(text string) (code int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	if err := startChild(ctx, text); err != nil {
+	if err := runRole(ctx, text); err != nil {
 		fmt.Fprintln(os.Stderr, childFailedMarker, err)
 		return 1
 	}
 	return 0
 }
 
-// startChild parses the childSpec, opens the listeners and runs the role until the context ends.
-func startChild(ctx context.Context, text string) error {
+// runRole parses the childSpec, opens the listeners and runs the role until the context ends.
+func runRole(ctx context.Context, text string) error {
 	var spec childSpec
 	if err := json.Unmarshal([]byte(text), &spec); err != nil {
 		return err
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -81,7 +81,7 @@
 	return profile
 }
 
-// newJobPlan makes a job of a kind.
+// newJobPlan returns a job of the given kind with random properties.
 func newJobPlan(random *rand.Rand, kind jobKind, route routePlan) jobPlan {
 	plan := jobPlan{id: job.ID(fmt.Sprintf("%016x", random.Uint64())), kind: kind, route: route}
 	plan.work = time.Duration(150+random.IntN(500)) * time.Millisecond
--- a/internal/systemtest/retriedcommands_test.go
+++ b/internal/systemtest/retriedcommands_test.go
@@ -46,7 +46,7 @@
 // bodies. At the end each core machine must answer with the newest confirmed configuration and store the confirmed changes.
 func TestRetriedCommandsAreIdempotent(t *testing.T) {
 	t.Parallel()
-	ctx, s := startSystem(t, "orders-sent-again", smallSize, retriedCommandsTimeout)
+	ctx, s := startSystem(t, "retried-commands", smallSize, retriedCommandsTimeout)
 	test := &retriedCommandsTest{system: s}
 	began := time.Now()
 	failure := test.run(ctx)
