--- a/internal/operators/override/override_test.go
+++ b/internal/operators/override/override_test.go
@@ -344,7 +344,7 @@
 
 func TestRandomHistoriesMatchTheModel(t *testing.T) {
 	histories := 100_000
-	if testing.Short() || raceflag.On {
+	if testing.Short() || raceflag.Enabled {
 		histories = 3_000 // the package starts no goroutines, so the race detector has nothing to find
 	}
 	for seed := range uint64(histories) {
@@ -365,7 +365,7 @@
 			newComparison().run(t, []int{a, b}, func() float64 { return 1 })
 		}
 	}
-	if raceflag.On {
+	if raceflag.Enabled {
 		return
 	}
 	for a := range 13 {
--- a/internal/systemtest/controlmodel/schedules_test.go
+++ b/internal/systemtest/controlmodel/schedules_test.go
@@ -23,7 +23,7 @@
 // the environment variable seedVariable to run only that schedule.
 func TestSeededFaultSchedulesCauseNoViolation(t *testing.T) {
 	first, count := uint64(1), uint64(defaultSchedules)
-	if raceflag.On {
+	if raceflag.Enabled {
 		count = schedulesUnderRaceDetector
 	}
 	if text := os.Getenv(schedulesVariable); text != "" {
--- a/internal/systemtest/violationreport_test.go
+++ b/internal/systemtest/violationreport_test.go
@@ -11,15 +11,15 @@
 	"puffinlink.example/puffinlink/internal/systemtest/checker"
 )
 
-// summary counts what a history holds, to see that there was something to check.
+// summary holds counts of what a history contains. It is logged to show that there was something to check.
 type summary struct {
 	Attempts, Acknowledged, UnknownSender int
 	LeaseExpiries, Checkpoints            int
 	Inventories                           int
-	Requests, AbortedRequests             int // of clients
+	Requests, AbortedRequests             int // requests of clients
 	OperatorRequests                      int
-	Outcomes                              map[string]int // of attempts
-	Answers                               map[int]int    // to clients, by status
+	Outcomes                              map[string]int // numbers of attempts, by outcome
+	Answers                               map[int]int    // numbers of answers to clients, by status
 }
 
 func summarize(h checker.History) summary {
@@ -42,7 +42,8 @@
 	return result
 }
 
-// writeViolationReport writes all that was seen of the subjects of violations to violations.txt, by time.
+// writeViolationReport writes the violations to violations.txt, followed by all events that concern their subjects in the
+// order of time.
 func (s *system) writeViolationReport(h checker.History, result outcome) {
 	if len(result.violations) == 0 {
 		return
@@ -56,19 +57,19 @@
 		lines = append(lines, s.eventsOf(h, subject)...)
 	}
 	slices.SortStableFunc(lines, func(a, b reportedEvent) int { return a.at.Compare(b.at) })
-	for _, one := range lines {
-		fmt.Fprintln(&text, one.at.Format("15:04:05.000"), one.text)
+	for _, event := range lines {
+		fmt.Fprintln(&text, event.at.Format("15:04:05.000"), event.text)
 	}
 	os.WriteFile(filepath.Join(s.folder, "violations.txt"), []byte(text.String()), 0o644)
 }
 
-// reportedEvent is one thing that was seen.
+// reportedEvent is one event in a violation report.
 type reportedEvent struct {
 	at   time.Time
 	text string
 }
 
-// subjects are the jobs that violations are about.
+// subjects returns the subjects of violations, such as job identifiers, without duplicates.
 func subjects(violations []checker.Violation) []string {
 	var found []string
 	for _, violation := range violations {
@@ -80,11 +81,11 @@
 	return found
 }
 
-// eventsOf gathers what was seen of a job.
+// eventsOf returns the events that concern a subject, and all faults.
 func (s *system) eventsOf(h checker.History, id string) []reportedEvent {
 	var lines []reportedEvent
 	for _, fault := range h.Faults {
-		lines = append(lines, reportedEvent{fault.From, "trouble with " + fault.Machine + " until " + fault.To.Format("15:04:05.000")})
+		lines = append(lines, reportedEvent{fault.From, "fault of " + fault.Machine + " until " + fault.To.Format("15:04:05.000")})
 	}
 	for _, request := range h.Requests {
 		if strings.Contains(request.Path, id) {
@@ -97,10 +98,10 @@
 			lines = append(lines, reportedEvent{attempt.StartedAt, fmt.Sprintf("attempt %+v", attempt)})
 		}
 	}
-	for _, one := range s.recorder.calls {
-		if strings.Contains(string(one.call.body), id) || strings.Contains(string(one.call.answer), id) {
-			text := fmt.Sprintf("%s -> %s %s %s: %d %s", one.call.from, one.call.to, one.call.path, one.call.body, one.call.status, one.call.answer)
-			lines = append(lines, reportedEvent{one.at, text})
+	for _, recorded := range s.recorder.calls {
+		if strings.Contains(string(recorded.call.body), id) || strings.Contains(string(recorded.call.answer), id) {
+			text := fmt.Sprintf("%s -> %s %s %s: %d %s", recorded.call.from, recorded.call.to, recorded.call.path, recorded.call.body, recorded.call.status, recorded.call.answer)
+			lines = append(lines, reportedEvent{recorded.at, text})
 		}
 	}
 	for _, request := range h.OperatorRequests {
