--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -1,4 +1,7 @@
-// Package benchadapter carries the bench's wire to and from the decision module. It decides nothing.
+// Package benchadapter connects the policy to a simulator that is a separate process. It hosts any number of policy
+// instances, decodes the simulator's batches of events into policy.Event values, and encodes the resulting actions. The
+// simulator supplies the clock. The package makes no scheduling decision of its own; cmd/benchadapter runs it on standard
+// input and output.
 package benchadapter
 
 import (
@@ -26,34 +29,35 @@
 	}
 )
 
-// instance is one instance of the module with the events of the batch in hand.
+// instance is one policy instance with its events of the current batch.
 type instance struct {
-	no         int64
+	number     int64
 	aggregator *policy.Aggregator
 	events     []policy.Event
 	hasEvents  bool
 }
 
+// server reads batches from in and writes actions and acknowledgments to out.
 type server struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	line      []byte
-	lineNo    int
-	instances map[int64]*instance
-	active    []*instance // instances with events in this batch, in the order of their first
-	current   *instance
-	lists     [16][]policy.Entry
-	actions   []policy.Action
-	buf       []byte
+	in         *bufio.Reader
+	out        *bufio.Writer
+	line       []byte
+	lineNumber int
+	instances  map[int64]*instance
+	active     []*instance        // instances that this batch has lines for, in the order of their first line
+	current    *instance          // selected by the last ON line
+	lists      [16][]policy.Entry // backend lists by their number on the wire
+	actions    []policy.Action
+	buf        []byte
 }
 
-// Serve answers batches until the input ends. Anything malformed is an error that names its line.
+// Serve answers batches until the input ends. The error for malformed input contains the line number.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18), instances: map[int64]*instance{}}
 	for {
 		more, err := s.serveBatch()
 		if err != nil {
-			return fmt.Errorf("line %d: %w", s.lineNo, err)
+			return fmt.Errorf("line %d: %w", s.lineNumber, err)
 		}
 		if !more {
 			return nil
@@ -61,7 +65,8 @@
 	}
 }
 
-// readLine reads one line; io.EOF only where nothing at all follows.
+// readLine reads the next line into s.line, without its line end. It returns io.EOF only if no byte follows; a last line
+// without a line end is a ProtocolError.
 func (s *server) readLine() error {
 	s.line = s.line[:0]
 	for {
@@ -71,19 +76,19 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(s.line) > 0 {
-			s.lineNo++
+			s.lineNumber++
 			return malformed("expected a line end, found the end of input in %q", s.line)
 		}
 		if err != nil {
 			return err
 		}
-		s.lineNo++
+		s.lineNumber++
 		s.line = s.line[:len(s.line)-1]
 		return nil
 	}
 }
 
-// serveBatch answers one batch; more is false where the input has ended before it.
+// serveBatch reads and answers one batch. more is false if the input ended before the batch began.
 func (s *server) serveBatch() (more bool, err error) {
 	for {
 		if err := s.readLine(); errors.Is(err, io.EOF) {
@@ -100,7 +105,7 @@
 		return true, malformed("expected TICK, found %q", name)
 	}
 	now, seq := header.number("clock"), header.integer("batch number")
-	if err := header.done(); err != nil {
+	if err := header.expectEnd(); err != nil {
 		return true, err
 	}
 	s.current, s.active = nil, s.active[:0]
@@ -129,23 +134,24 @@
 	return true, s.out.Flush()
 }
 
-// step hands an instance its events and writes its actions. A panic is the module's own; the wire has a word for it.
-func (s *server) step(h *instance, now float64) {
-	h.hasEvents = false
-	if h.aggregator == nil || len(h.events) == 0 {
+// step passes the collected events to the instance's policy and writes the resulting actions. A panic is reported to the
+// simulator as a PANIC line and does not end the process.
+func (s *server) step(target *instance, now float64) {
+	target.hasEvents = false
+	if target.aggregator == nil || len(target.events) == 0 {
 		return
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			fmt.Fprintf(s.out, "BY %d\nPANIC %s\n", h.no, strings.ReplaceAll(fmt.Sprint(r), "\n", " "))
+			fmt.Fprintf(s.out, "BY %d\nPANIC %s\n", target.number, strings.ReplaceAll(fmt.Sprint(r), "\n", " "))
 		}
 	}()
-	s.actions = h.aggregator.Step(now, h.events, s.actions[:0])
-	h.events = h.events[:0]
+	s.actions = target.aggregator.Step(now, target.events, s.actions[:0])
+	target.events = target.events[:0]
 	if len(s.actions) == 0 {
 		return
 	}
-	b := append(append(s.buf[:0], "BY "...), strconv.FormatInt(h.no, 10)...)
+	b := append(append(s.buf[:0], "BY "...), strconv.FormatInt(target.number, 10)...)
 	b = append(b, '\n')
 	for i := range s.actions {
 		b = appendAction(b, &s.actions[i])
@@ -154,15 +160,15 @@
 	s.out.Write(b)
 }
 
-// readEvent takes one line of a batch: it chooses the instance that the next lines are for, takes a list, or adds an event
-// to the chosen instance's batch.
+// readEvent handles one line of a batch. ON selects the instance for the lines that follow, PAGE stores a backend list,
+// SPAWN and HALT start and stop the selected instance. Every other line is an event for the selected instance.
 func (s *server) readEvent(now float64) error {
 	line := fields{rest: s.line}
 	name := string(line.next("message name"))
 	switch name {
 	case "ON":
 		s.selectInstance(line.integer("mixerId"))
-		return line.done()
+		return line.expectEnd()
 	case "PAGE":
 		return s.readList(&line)
 	}
@@ -171,7 +177,7 @@
 		return malformed("expected ON before %s", name)
 	}
 	if target.aggregator == nil && name != "SPAWN" {
-		return malformed("expected SPAWN for instance %d before %s", target.no, name)
+		return malformed("expected SPAWN for instance %d before %s", target.number, name)
 	}
 	if !target.hasEvents {
 		target.hasEvents = true
@@ -182,31 +188,32 @@
 		return target.spawn(&line, now)
 	case "HALT":
 		target.aggregator, target.events = nil, target.events[:0]
-		return line.done()
+		return line.expectEnd()
 	}
 	var event policy.Event
 	if err := s.decodeEvent(name, &line, &event); err != nil {
 		return err
 	}
-	if err := line.done(); err != nil {
+	if err := line.expectEnd(); err != nil {
 		return err
 	}
 	target.events = append(target.events, event)
 	return nil
 }
 
-// selectInstance makes an instance the one that the next lines are for.
+// selectInstance selects the instance for the lines that follow, and creates it on first use.
 func (s *server) selectInstance(number int64) {
 	target := s.instances[number]
 	if target == nil {
-		target = &instance{no: number}
+		target = &instance{number: number}
 		s.instances[number] = target
 	}
 	s.current = target
 }
 
-// spawn starts the instance's module anew, by the settings that the rest of the line holds.
-func (h *instance) spawn(line *fields, now float64) error {
+// spawn replaces the instance's policy by a new one with the settings in the rest of the line, and discards its pending
+// events.
+func (target *instance) spawn(line *fields, now float64) error {
 	seed := line.unsigned("rngSeed")
 	if line.err != nil {
 		return line.err
@@ -215,12 +222,12 @@
 	if err != nil {
 		return err
 	}
-	h.aggregator, h.events = policy.New(set.Settings, now), h.events[:0]
+	target.aggregator, target.events = policy.New(set.Settings, now), target.events[:0]
 	return nil
 }
 
-// decodeEvent reads the values of an event's line. Mistakes in values are kept by line; the error says that there is no
-// such message.
+// decodeEvent decodes the values of an event line. It returns an error only for an unknown message name; an invalid value
+// is recorded in line and returned by line.expectEnd.
 func (s *server) decodeEvent(name string, line *fields, event *policy.Event) error {
 	switch name {
 	case "BACKENDS_CHANGED":
@@ -251,8 +258,8 @@
 	return nil
 }
 
-// decodeListChange reads which kind of change it is, and takes the entries of the list that was sent before under its
-// number.
+// decodeListChange decodes the kind of a list change, and attaches the entries of the list that an earlier PAGE line stored
+// under the given number.
 func (s *server) decodeListChange(line *fields, event *policy.Event) {
 	page, _, kind := line.next("setId"), line.next("epoch"), line.next("kind")
 	known := false
@@ -269,7 +276,7 @@
 	}
 }
 
-// decodeQuery reads a query, or one of its subqueries where the line names a shard.
+// decodeQuery decodes a query, or a subquery if the shard number is not negative.
 func decodeQuery(line *fields, event *policy.Event) {
 	id := line.unsigned("req")
 	event.Index, event.Customer = policy.IndexID(line.integer("cls")), policy.CustomerID(line.optional("owner"))
@@ -286,34 +293,34 @@
 	}
 }
 
-// readList takes the list of backends that follows, for the events that name its number.
-func (s *server) readList(f *fields) error {
-	number, n := f.integer("setId"), f.integer("membersList")
-	if err := f.done(); err != nil {
+// readList reads the backend list that follows a PAGE line and stores it under its number for later events.
+func (s *server) readList(header *fields) error {
+	number, n := header.integer("setId"), header.integer("membersList")
+	if err := header.expectEnd(); err != nil {
 		return err
 	}
 	if number < 0 || number >= int64(len(s.lists)) || n < 0 {
 		return malformed("expected a list number from 0 to 15 and a count, found %d and %d", number, n)
 	}
-	// A list may be superseded within one batch while events still hold the older one: never write over it.
+	// Always allocate a new slice: a list number may be reused within one batch while events still refer to the old list.
 	entries := make([]policy.Entry, 0, min(n, 1<<16))
 	for range n {
 		if err := s.readLine(); err != nil {
 			return fmt.Errorf("expected %d ROW lines: %w", n, err)
 		}
-		f := fields{rest: s.line}
-		if name := f.next("ROW"); string(name) != "ROW" {
+		row := fields{rest: s.line}
+		if name := row.next("ROW"); string(name) != "ROW" {
 			return malformed("expected ROW, found %q", name)
 		}
-		entry := policy.Entry{Backend: f.backend(), Location: policy.LocationID(f.integer("site")),
-			Kind: int(f.integer("type")), Cell: policy.CellID(f.integer("cell"))}
+		entry := policy.Entry{Backend: row.backend(), Location: policy.LocationID(row.integer("site")),
+			Kind: int(row.integer("type")), Cell: policy.CellID(row.integer("cell"))}
 		known := false
-		phase := f.next("phase")
+		phase := row.next("phase")
 		if entry.Phase, known = phases[string(phase)]; !known {
-			f.fail("phase", "ready, draining or gone", phase)
+			row.fail("phase", "ready, draining or gone", phase)
 		}
-		entry.Share, entry.StartedAt = f.optional("share"), f.optional("startTimeS")
-		if err := f.done(); err != nil {
+		entry.Share, entry.StartedAt = row.optional("share"), row.optional("startTimeS")
+		if err := row.expectEnd(); err != nil {
 			return err
 		}
 		entries = append(entries, entry)
@@ -322,8 +329,9 @@
 	return nil
 }
 
-// appendAction writes an action as one line. An action that the wire has no line for is a mistake of this package: it panics.
-func appendAction(b []byte, a *policy.Action) []byte {
+// appendAction appends an action as one line. It panics on an action kind that the protocol has no line for, because that
+// is a programming error in this package.
+func appendAction(b []byte, action *policy.Action) []byte {
 	appendCommand := func(name string, id uint64) {
 		b = append(append(b, name...), ' ')
 		b = strconv.AppendUint(b, id, 10)
@@ -339,56 +347,57 @@
 			b = append(b, " 0"...)
 		}
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case policy.Send:
-		appendCommand("SEND", uint64(a.Subquery))
-		b = strconv.AppendUint(append(b, ' '), uint64(a.Backend), 10)
-		appendNumber(a.StopAt)
+		appendCommand("SEND", uint64(action.Subquery))
+		b = strconv.AppendUint(append(b, ' '), uint64(action.Backend), 10)
+		appendNumber(action.StopAt)
 	case policy.Cancel:
-		appendCommand("ABANDON", uint64(a.Subquery))
-		b = strconv.AppendInt(append(b, ' '), int64(a.Call), 10)
+		appendCommand("ABANDON", uint64(action.Subquery))
+		b = strconv.AppendInt(append(b, ' '), int64(action.Call), 10)
 	case policy.Answer:
-		appendCommand("WRAP_UP", uint64(a.Query))
-		appendBool(a.Complete)
+		appendCommand("WRAP_UP", uint64(action.Query))
+		appendBool(action.Complete)
 	case policy.Nack:
-		appendCommand("SAY_NO", uint64(a.Query))
-		appendNumber(a.Wait)
+		appendCommand("SAY_NO", uint64(action.Query))
+		appendNumber(action.Wait)
 	case policy.Abort:
-		appendCommand("RESPOND_ERROR", uint64(a.Query))
+		appendCommand("RESPOND_ERROR", uint64(action.Query))
 	case policy.SetTimer:
 		b = append(b, "WAKE_ME"...)
-		appendNumber(a.Wait)
-		b = strconv.AppendInt(append(b, ' '), int64(a.Timer), 10)
+		appendNumber(action.Wait)
+		b = strconv.AppendInt(append(b, ' '), int64(action.Timer), 10)
 	case policy.Probe:
-		appendCommand("HEALTH_CHECK", uint64(a.Backend))
+		appendCommand("HEALTH_CHECK", uint64(action.Backend))
 	case policy.CloseIdle:
-		appendCommand("FREE_LINKS", uint64(a.Backend))
+		appendCommand("FREE_LINKS", uint64(action.Backend))
 	case policy.NotifyPeer:
-		b = appendPublish(b, a)
+		b = appendPublish(b, action)
 	case policy.Subscribe:
 		b = append(b, "LISTEN"...)
-		appendBool(a.On)
+		appendBool(action.On)
 	case policy.RequestFullList:
 		b = append(b, "LOOKUP"...)
 	case policy.Log:
-		b = append(append(b, "PRINT "...), strings.ReplaceAll(a.Text, "\n", " ")...)
+		b = append(append(b, "PRINT "...), strings.ReplaceAll(action.Text, "\n", " ")...)
 	default:
-		panic(fmt.Sprintf("action kind %d has no word on the wire", a.Kind))
+		panic(fmt.Sprintf("action kind %d has no word on the wire", action.Kind))
 	}
 	return append(b, '\n')
 }
 
-// appendPublish writes a message to one peer, or to all: its bytes in base64, or "-" where there are none.
-func appendPublish(b []byte, a *policy.Action) []byte {
+// appendPublish appends a message to one peer or to all peers. The message is encoded in base64; an empty message is
+// written as "-".
+func appendPublish(b []byte, action *policy.Action) []byte {
 	b = append(b, "PUBLISH "...)
-	if a.Peer == policy.AllPeers {
+	if action.Peer == policy.AllPeers {
 		b = append(b, '*')
 	} else {
-		b = strconv.AppendInt(b, int64(a.Peer), 10)
+		b = strconv.AppendInt(b, int64(action.Peer), 10)
 	}
 	b = append(b, ' ')
-	if len(a.Message) == 0 {
+	if len(action.Message) == 0 {
 		b = append(b, '-')
 	}
-	return base64.StdEncoding.AppendEncode(b, a.Message)
+	return base64.StdEncoding.AppendEncode(b, action.Message)
 }
--- a/internal/tools/benchadapter/benchadapter_test.go
+++ b/internal/tools/benchadapter/benchadapter_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-const start = `{"granularityS":0.005,"requestClasses":[{"effect":"repeatable","promiseS":1,"giveUpS":4,"worth":1,` +
+const spawnSettings = `{"granularityS":0.005,"requestClasses":[{"effect":"repeatable","promiseS":1,"giveUpS":4,"worth":1,` +
 	`"lateWorth":0.1}],"specifics":{"places":1,"width":1,"classNeed":[1]},"limits":{"mostTries":2},"unknown":7}`
 
-// opening starts instance 3 with two backends on a list whose number is used again in the same batch.
-const opening = "TICK 8 1\nON 3\nSPAWN 42 " + start + "\nPAGE 0 2\nROW 51 0 0 0 ready 1 -\n" +
+// spawnBatch starts instance 3 with a list of two backends. The list's number is reused in the same batch, which must not
+// change the list that the earlier event refers to.
+const spawnBatch = "TICK 8 1\nON 3\nSPAWN 42 " + spawnSettings + "\nPAGE 0 2\nROW 51 0 0 0 ready 1 -\n" +
 	"ROW 4294967295 1 0 0 ready 1.5 6.1\nBACKENDS_CHANGED 0 41 stale_copy\nPAGE 0 0\nEND\n"
 
 func serve(in string) (string, error) {
@@ -18,8 +19,8 @@
 	return out.String(), err
 }
 
-func TestRoundTrip(t *testing.T) {
-	in := opening +
+func TestQueryIsSentAndAnswered(t *testing.T) {
+	in := spawnBatch +
 		"TICK 8.01 2\nON 3\nREQUEST 4503599627370495 0 - - 4 - 9 -1 1 0 0\nREQUEST 7 0 - - 4 - 9 0 1 - 0\nEND\n" +
 		"TICK 8.02 3\nEND\n"
 	out, err := serve(in)
@@ -41,8 +42,8 @@
 	}
 }
 
-func TestHaltAndSpawnInOneBatch(t *testing.T) {
-	out, err := serve(opening + "TICK 9 2\nON 3\nREQUEST 8 0 0 - 4 - 1 -1 1 0 0\nHALT\nSPAWN 1 " + start + "\nEND\n")
+func TestHaltDiscardsEarlierEventsOfTheBatch(t *testing.T) {
+	out, err := serve(spawnBatch + "TICK 9 2\nON 3\nREQUEST 8 0 0 - 4 - 1 -1 1 0 0\nHALT\nSPAWN 1 " + spawnSettings + "\nEND\n")
 	if err != nil || strings.Contains(out, " 8 ") || !strings.HasSuffix(out, "ACK 2\n") {
 		t.Fatalf("got %v, %q", err, out)
 	}
@@ -50,16 +51,16 @@
 
 func TestBadInputNamesLineAndExpectation(t *testing.T) {
 	for in, want := range map[string]string{
-		"TOCK 1 1\n":                                "line 1: expected TICK",
-		"TICK x 1\nEND\n":                           "line 1: clock: expected a number",
-		"TICK 1 1\nON 3\nTICK_DUE 1\nEND\n":         "line 3: expected SPAWN for instance 3",
-		"TICK 1 1\n":                                "found the end of input",
-		"TICK 1 1\nEN":                              "expected a line end",
-		opening + "TICK 9 2\nON 3\nWHAT 1\nEND\n":   `line 12: unknown message "WHAT"`,
-		opening + "TICK 9 2\nON 3\nTICK_DUE\nEND\n": "line 12: ctx: expected a value",
-		opening + "TICK 9 2\nON 3\nREQUEST 8 0 0 - 4 - 1 -1 1 0 0 5\nEND\n":       "expected no further value",
-		opening + "TICK 9 2\nON 3\nBACKENDS_CHANGED 16 1 whole\nEND\n":            "setId: expected 0 to 15",
-		opening + "TICK 9 2\nON 3\nPING_RESULT 0.1 fine 51 -\nEND\n":              "status: expected an outcome",
+		"TOCK 1 1\n":                        "line 1: expected TICK",
+		"TICK x 1\nEND\n":                   "line 1: clock: expected a number",
+		"TICK 1 1\nON 3\nTICK_DUE 1\nEND\n": "line 3: expected SPAWN for instance 3",
+		"TICK 1 1\n":                        "found the end of input",
+		"TICK 1 1\nEN":                      "expected a line end",
+		spawnBatch + "TICK 9 2\nON 3\nWHAT 1\nEND\n":                              `line 12: unknown message "WHAT"`,
+		spawnBatch + "TICK 9 2\nON 3\nTICK_DUE\nEND\n":                            "line 12: ctx: expected a value",
+		spawnBatch + "TICK 9 2\nON 3\nREQUEST 8 0 0 - 4 - 1 -1 1 0 0 5\nEND\n":    "expected no further value",
+		spawnBatch + "TICK 9 2\nON 3\nBACKENDS_CHANGED 16 1 whole\nEND\n":         "setId: expected 0 to 15",
+		spawnBatch + "TICK 9 2\nON 3\nPING_RESULT 0.1 fine 51 -\nEND\n":           "status: expected an outcome",
 		"TICK 1 1\nON 1\nSPAWN 1 {\nEND\n":                                        "settings: expected a JSON object",
 		"TICK 1 1\nON 1\nSPAWN 1 {\"invariants\":{\"coldShare\":1.5}}\nEND\n":     "coldShare is 1.5, expected a share",
 		"TICK 1 1\nON 1\nSPAWN 1 {\"invariants\":{\"coldS\":-1}}\nEND\n":          "coldS is -1, expected 0 or more",
@@ -73,7 +74,7 @@
 }
 
 func TestPanicIsReportedAsPanicLine(t *testing.T) {
-	out, err := serve(opening + "TICK 9 2\nON 3\nREQUEST 8 5 0 - 4 - 1 -1 1 0 0\nEND\n")
+	out, err := serve(spawnBatch + "TICK 9 2\nON 3\nREQUEST 8 5 0 - 4 - 1 -1 1 0 0\nEND\n")
 	if err != nil || !strings.Contains(out, "BY 3\nPANIC ") || !strings.HasSuffix(out, "ACK 2\n") {
 		t.Fatalf("got %v, %q", err, out)
 	}
--- a/internal/tools/benchadapter/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -9,146 +9,151 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// fields takes the values of one line in turn and keeps the first thing that was wrong.
+// fields reads the space-separated values of one line in order. It records only the first error; after an error, methods
+// still return a value, which must not be used.
 type fields struct {
 	rest []byte
 	err  error
 }
 
+// fail records an error unless one is recorded already.
 func (f *fields) fail(name, expected string, found []byte) {
 	if f.err == nil {
 		f.err = malformed("%s: expected %s, found %q", name, expected, found)
 	}
 }
 
+// next returns the next value; name is the name of the value in errors.
 func (f *fields) next(name string) []byte {
 	if len(f.rest) == 0 {
 		f.fail(name, "a value", nil)
 		return nil
 	}
-	w, rest, _ := bytes.Cut(f.rest, []byte{' '})
+	value, rest, _ := bytes.Cut(f.rest, []byte{' '})
 	f.rest = rest
-	return w
+	return value
 }
 
-func (f *fields) done() error {
+// expectEnd returns the recorded error, or an error if the line has further values.
+func (f *fields) expectEnd() error {
 	if f.err == nil && len(f.rest) > 0 {
 		f.fail("line end", "no further value", f.rest)
 	}
 	return f.err
 }
 
-// text lends a word to strconv without a copy; nothing keeps it.
-func text(w []byte) string { return unsafe.String(unsafe.SliceData(w), len(w)) }
+// unsafeString returns a value as a string without copying it. The string is valid only until the line buffer is reused, so
+// callers must not keep it.
+func unsafeString(value []byte) string { return unsafe.String(unsafe.SliceData(value), len(value)) }
 
 func (f *fields) integer(name string) int64 {
-	w := f.next(name)
-	v, err := strconv.ParseInt(text(w), 10, 64)
+	value := f.next(name)
+	parsed, err := strconv.ParseInt(unsafeString(value), 10, 64)
 	if err != nil {
-		f.fail(name, "an integer", w)
+		f.fail(name, "an integer", value)
 	}
-	return v
+	return parsed
 }
 
 func (f *fields) unsigned(name string) uint64 {
-	w := f.next(name)
-	v, err := strconv.ParseUint(text(w), 10, 64)
+	value := f.next(name)
+	parsed, err := strconv.ParseUint(unsafeString(value), 10, 64)
 	if err != nil {
-		f.fail(name, "an id", w)
+		f.fail(name, "an id", value)
 	}
-	return v
+	return parsed
 }
 
 func (f *fields) backend() policy.BackendID {
-	w := f.next("searcher")
-	v, err := strconv.ParseUint(text(w), 10, 32)
+	value := f.next("searcher")
+	parsed, err := strconv.ParseUint(unsafeString(value), 10, 32)
 	if err != nil {
-		f.fail("searcher", "a number below 2^32", w)
+		f.fail("searcher", "a number below 2^32", value)
 	}
-	return policy.BackendID(v)
+	return policy.BackendID(parsed)
 }
 
-func (f *fields) parse(name string, w []byte) float64 {
-	v, err := strconv.ParseFloat(text(w), 64)
-	if err != nil || v != v {
-		f.fail(name, "a number", w)
+func (f *fields) parse(name string, value []byte) float64 {
+	parsed, err := strconv.ParseFloat(unsafeString(value), 64)
+	if err != nil || parsed != parsed {
+		f.fail(name, "a number", value)
 	}
-	return v
+	return parsed
 }
 
 func (f *fields) number(name string) float64 { return f.parse(name, f.next(name)) }
 
-// optional reads a value that may be absent; absent counts as 0.
+// optional reads a number that may be absent, which is written as "-". An absent number is returned as 0.
 func (f *fields) optional(name string) float64 {
-	w := f.next(name)
-	if len(w) == 1 && w[0] == '-' {
+	value := f.next(name)
+	if len(value) == 1 && value[0] == '-' {
 		return 0
 	}
-	return f.parse(name, w)
+	return f.parse(name, value)
 }
 
 func (f *fields) hex(name string) (uint64, bool) {
-	w := f.next(name)
-	if len(w) == 1 && w[0] == '-' {
+	value := f.next(name)
+	if len(value) == 1 && value[0] == '-' {
 		return 0, false
 	}
-	v, err := strconv.ParseUint(text(w), 16, 64)
+	parsed, err := strconv.ParseUint(unsafeString(value), 16, 64)
 	if err != nil {
-		f.fail(name, "16 hex digits", w)
+		f.fail(name, "16 hex digits", value)
 	}
-	return v, true
+	return parsed, true
 }
 
 func (f *fields) bytes(name string) []byte {
-	w := f.next(name)
-	if len(w) == 1 && w[0] == '-' {
+	value := f.next(name)
+	if len(value) == 1 && value[0] == '-' {
 		return nil
 	}
-	v, err := base64.StdEncoding.DecodeString(string(w))
+	parsed, err := base64.StdEncoding.DecodeString(string(value))
 	if err != nil {
-		f.fail(name, "base64", w)
+		f.fail(name, "base64", value)
 	}
-	return v
+	return parsed
 }
 
 func (f *fields) outcome() policy.Outcome {
-	w := f.next("status")
-	o, known := outcomes[string(w)]
+	value := f.next("status")
+	o, known := outcomes[string(value)]
 	if !known {
-		f.fail("status", "an outcome", w)
+		f.fail("status", "an outcome", value)
 	}
 	return o
 }
 
-// load reads a report. Names that are not known are left out: sites may add some.
-func (f *fields) load() (l policy.Load) {
-	w := f.next("usage")
-	if len(w) == 1 && w[0] == '-' {
-		return l
+// load reads a backend's load report. It ignores unknown names, because deployments may report additional ones.
+func (f *fields) load() (report policy.Load) {
+	remaining := f.next("usage")
+	if len(remaining) == 1 && remaining[0] == '-' {
+		return report
 	}
-	for len(w) > 0 {
+	for len(remaining) > 0 {
 		var pair []byte
-		pair, w, _ = bytes.Cut(w, []byte{','})
+		pair, remaining, _ = bytes.Cut(remaining, []byte{','})
 		name, value, ok := bytes.Cut(pair, []byte{':'})
 		if !ok {
 			f.fail("usage", "name:value pairs", pair)
-			return l
+			return report
 		}
-		v := f.parse("usage", value)
+		number := f.parse("usage", value)
 		switch string(name) {
 		case "busy_reqs":
-			l.Has, l.InFlight = l.Has|policy.HasInFlight, v
+			report.Has, report.InFlight = report.Has|policy.HasInFlight, number
 		case "pending":
-			l.Has, l.Queued = l.Has|policy.HasQueued, v
+			report.Has, report.Queued = report.Has|policy.HasQueued, number
 		case "cpu_share":
-			l.Has, l.Util = l.Has|policy.HasUtil, v
+			report.Has, report.Util = report.Has|policy.HasUtil, number
 		case "svc_ms":
-			l.Has, l.ServiceS = l.Has|policy.HasService, v/1000
+			report.Has, report.ServiceS = report.Has|policy.HasService, number/1000
 		case "served_ps":
-			l.Has, l.ServedPS = l.Has|policy.HasServed, v
+			report.Has, report.ServedPS = report.Has|policy.HasServed, number
 		case "failed_ps":
-			l.Has, l.FailPS = l.Has|policy.HasFail, v
+			report.Has, report.FailPS = report.Has|policy.HasFail, number
 		}
 	}
-	return l
+	return report
 }
