--- a/cmd/puffinlink/planreport.go
+++ b/cmd/puffinlink/planreport.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	report := planReport{QueriesPerSecond: input.load.PerS, Notes: input.notes}
+	report := planReport{QueriesPerSecond: input.load.QueriesPerSecond, Notes: input.notes}
 	if err := c.addWhatIfs(ctx, &report, &input); err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 		meetsGoals, _ := outcome.MeetsGoals(&whatIf.Site)
 		report.WhatIfs = append(report.WhatIfs, whatIfRow{
 			Name: whatIf.Name, InTime: outcome.ValueShare, Nacked: outcome.Nacked, Aborted: outcome.Aborted, P50: outcome.P50, P99: outcome.P99,
-			Hottest: whatIf.Site.Backends[outcome.Hottest].Name, Use: outcome.Use[outcome.Hottest], Lost: whatIf.Lost, MeetsGoals: meetsGoals,
+			Hottest: whatIf.Site.Backends[outcome.Hottest].Name, Use: outcome.Utilization[outcome.Hottest], Lost: whatIf.Lost, MeetsGoals: meetsGoals,
 		})
 	}
 	return nil
@@ -117,7 +117,7 @@
 	}
 	breaks := &report.BreakingLoad
 	fmt.Fprintf(stdout, "goals break at %.0f to %.0f lookups a second, %.2f times this load, first that of %s; nearest its limit there: %s of %s (margin %.2f)\n",
-		breaks.PerS, breaks.Fails, breaks.PerS/report.QueriesPerSecond, breaks.Index, breaks.First.What, breaks.First.Where, breaks.First.Margin)
+		breaks.QueriesPerSecond, breaks.LowestFailing, breaks.QueriesPerSecond/report.QueriesPerSecond, breaks.Index, breaks.NearestLimit.Resource, breaks.NearestLimit.Scope, breaks.NearestLimit.Margin)
 }
 
 func printRecovery(report *planReport) {
@@ -134,7 +134,7 @@
 func printLimits(limits []plan.Limit) {
 	rows := [][]string{}
 	for _, limit := range limits {
-		rows = append(rows, []string{limit.What, limit.Where, fmt.Sprintf("%.3g", limit.Used), fmt.Sprintf("%.3g", limit.Max), fmt.Sprintf("%.2f", limit.Margin)})
+		rows = append(rows, []string{limit.Resource, limit.Scope, fmt.Sprintf("%.3g", limit.Used), fmt.Sprintf("%.3g", limit.Max), fmt.Sprintf("%.2f", limit.Margin)})
 	}
 	writeTableWithHeader(stdout, "LIMIT WHERE USED MOST MARGIN", rows)
 }
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -8,316 +8,325 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Outcome is what an emulation comes to.
+// Outcome is the result of an emulation. It covers the queries that started after the warm-up, except for the maxima,
+// Rejected and the calls, which cover the whole run.
 type Outcome struct {
-	Requested   int64   // queries, by their clients' first attempts
-	Queries     []int64 // of them, by index
-	Nacked      float64 // shares of all that ended so at last
-	Aborted     float64
-	ValueShare  float64   // share of value within the soft deadline
-	ByIndex     []float64 // share of queries answered within the soft deadline
-	P50, P99    float64   // of answered queries, seconds from the first try
-	Use         []float64
-	Hottest     int // backend of most use
-	MaxQueue    int
-	MaxPending  int // queries and parts, of the fullest aggregator
-	MaxInFlight int // part calls out, of the busiest aggregator
-	Rejected    int64
-	Attempts    float64 // queries sent by clients for each asked
-	Calls       float64 // part calls for each part
+	Requested        int64     // number of queries, without retries
+	Queries          []int64   // the same, by index
+	Nacked           float64   // share of queries whose last attempt was nacked
+	Aborted          float64   // share of queries that were aborted
+	ValueShare       float64   // share of the possible value that was earned within the soft deadline
+	InTimeByIndex    []float64 // by index, share of queries answered within the soft deadline
+	P50, P99         float64   // latency percentiles of answered queries, in seconds from the first attempt
+	Utilization      []float64 // by backend, share of the cores that was busy
+	Hottest          int       // backend with the highest utilization
+	MaxQueue         int       // calls waiting at a backend
+	MaxPending       int       // queries and subqueries that an aggregator held at once
+	MaxInFlight      int       // calls that an aggregator had in flight at once
+	Rejected         int64     // calls rejected by backends with a full queue
+	AttemptsPerQuery float64   // attempts by clients divided by queries
+	CallsPerSubquery float64   // calls to backends divided by the expected number of subqueries
 
-	latencies []float64
+	latencies []float64 // of answered queries, in seconds; sorted at the end
 }
 
-// sizes of an emulation: enough queries that a p99 rests on some twenty.
 const (
-	warmUpQueries   = 400
+	// warmUpQueries is the minimum number of queries in the warm-up.
+	warmUpQueries = 400
+	// measuredQueries is the default number of queries after the warm-up. It leaves about twenty queries above the p99.
 	measuredQueries = 2500
-	maxDuration     = 120.0
-	// Windows and latencies are learnt once each backend has answered so often, or after maxWarmUp seconds.
-	warmUpCalls          = 100
-	minWarmUp, maxWarmUp = 0.5, 2.0
-	// minDuration is what counts at the least, seconds: queues at high load come and go over tens of parts' work.
+	// maxDuration limits the measured interval, in seconds.
+	maxDuration = 120.0
+	// warmUpCalls is the mean number of calls to each backend after which the policy has learned the backends' windows and
+	// latencies.
+	warmUpCalls = 100
+	// minWarmUp is the minimum duration of the warm-up for learning, in seconds.
+	minWarmUp = 0.5
+	// maxWarmUp is the duration in seconds after which learning is regarded as complete, even with fewer calls than
+	// warmUpCalls.
+	maxWarmUp = 2.0
+	// minDuration is the minimum measured interval, in seconds. At high load, queues grow and shrink over tens of times a
+	// subquery's work, so that a shorter interval would not be representative.
 	minDuration = 1.0
 )
 
-// Emulate plays a steady load on a fleet, so long that so many queries count (0 for the usual number). Both must have
-// been checked.
+// Emulate runs a steady workload on a deployment until about the given number of queries is measured; 0 means
+// measuredQueries. Site and workload must have passed Check; a site that has lost backends must have passed CheckAfterLoss.
 func Emulate(site *Site, workload *Workload, seed uint64, queries int) Outcome {
 	if queries == 0 {
 		queries = measuredQueries
 	}
-	sim := newSimulation(site, workload, seed)
-	sim.warm = max(warmUpQueries/workload.PerS, min(maxWarmUp, max(minWarmUp, warmUpCalls*float64(len(site.Backends))/(workload.PerS*workload.subqueries()))))
-	sim.end = sim.warm + min(maxDuration, max(minDuration, float64(queries)/workload.PerS))
-	sim.arrive()
-	longest := 0.0
-	for _, x := range site.Indexes {
-		longest = max(longest, x.Hard)
+	sim := newEmulation(site, workload, seed)
+	sim.warmUpEnd = max(warmUpQueries/workload.QueriesPerSecond, min(maxWarmUp, max(minWarmUp, warmUpCalls*float64(len(site.Backends))/(workload.QueriesPerSecond*workload.meanSubqueries()))))
+	sim.end = sim.warmUpEnd + min(maxDuration, max(minDuration, float64(queries)/workload.QueriesPerSecond))
+	sim.handleArrival()
+	longestDeadline := 0.0
+	for _, index := range site.Indexes {
+		longestDeadline = max(longestDeadline, index.Hard)
 	}
-	for len(sim.pending) > 0 && sim.pending[0].at < sim.end+longest+1 {
+	for len(sim.pendingEvents) > 0 && sim.pendingEvents[0].at < sim.end+longestDeadline+1 {
 		sim.runNextEvent()
 	}
 	return sim.summarize()
 }
 
-// runNextEvent moves the time to the next scheduled event and runs it.
-func (sim *simulation) runNextEvent() {
-	h := sim.pending[0]
-	heap.Pop(&sim.pending)
-	sim.now = h.at
-	h.run()
+// runNextEvent advances the emulated time to the next scheduled event and runs it.
+func (sim *emulation) runNextEvent() {
+	event := sim.pendingEvents[0]
+	heap.Pop(&sim.pendingEvents)
+	sim.now = event.at
+	event.run()
 }
 
-// newSimulation makes a site without load: idle backends, and aggregators that have been notified of all of them.
-func newSimulation(site *Site, workload *Workload, seed uint64) *simulation {
-	sim := &simulation{site: site, workload: workload, random: pcg{random.PCG(seed*2 + 1)}, byID: map[policy.BackendID]*queue{}}
-	sim.outcome.Queries, sim.outcome.ByIndex = make([]int64, len(site.Indexes)), make([]float64, len(site.Indexes))
-	list := policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}
-	for i, backend := range site.Backends {
-		backendQueue := &queue{Backend: backend, id: policy.BackendID(i + 1)}
-		sim.queues = append(sim.queues, backendQueue)
-		sim.byID[backendQueue.id] = backendQueue
-		list.Entries = append(list.Entries, policy.Entry{Backend: backendQueue.id, Location: policy.LocationID(slices.Index(site.Locations, backend.Location)), Cell: policy.CellID(backend.Cell), Share: 1})
+// newEmulation returns an emulation without load. All backends are idle, and the aggregators are notified of all of them.
+func newEmulation(site *Site, workload *Workload, seed uint64) *emulation {
+	sim := &emulation{site: site, workload: workload, random: generator{random.PCG(seed*2 + 1)}, backendsByID: map[policy.BackendID]*emulatedBackend{}}
+	sim.outcome.Queries, sim.outcome.InTimeByIndex = make([]int64, len(site.Indexes)), make([]float64, len(site.Indexes))
+	listChange := policy.Event{Kind: policy.ListChanged, List: policy.ListComplete}
+	for i, description := range site.Backends {
+		backend := &emulatedBackend{Backend: description, id: policy.BackendID(i + 1)}
+		sim.backends = append(sim.backends, backend)
+		sim.backendsByID[backend.id] = backend
+		listChange.Entries = append(listChange.Entries, policy.Entry{Backend: backend.id, Location: policy.LocationID(slices.Index(site.Locations, description.Location)), Cell: policy.CellID(description.Cell), Share: 1})
 	}
 	cumulative := 0.0
-	for backend := range site.Shards {
-		if workload.Popular == nil {
+	for shard := range site.Shards {
+		if workload.Popularity == nil {
 			cumulative += 1 / float64(site.Shards)
 		} else {
-			cumulative += workload.Popular[backend]
+			cumulative += workload.Popularity[shard]
 		}
-		sim.popular = append(sim.popular, cumulative)
+		sim.cumulativePopularity = append(sim.cumulativePopularity, cumulative)
 	}
 	for i := range site.Aggregators {
-		node := newAggregator(site, seed, i)
-		sim.aggregators = append(sim.aggregators, node)
-		sim.notify(node, list)
+		aggregator := newEmulatedAggregator(site, seed, i)
+		sim.aggregators = append(sim.aggregators, aggregator)
+		sim.notify(aggregator, listChange)
 	}
 	return sim
 }
 
-// newAggregator makes the decision module of the site's i-th aggregator, with no query yet.
-func newAggregator(site *Site, seed uint64, i int) *aggregator {
+// newEmulatedAggregator returns the site's i-th aggregator, without queries.
+func newEmulatedAggregator(site *Site, seed uint64, i int) *emulatedAggregator {
 	settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
-		StepInterval: site.Step, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, SubqueriesPerCall: 1},
+		StepInterval: site.StepInterval, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, SubqueriesPerCall: 1},
 		Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, site.MaxAttempts), MaxPending: site.MaxPending, MaxRetryAfter: 1, ConnectTimeout: 0.25},
 		Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
 	for _, index := range site.Indexes {
 		settings.Indexes = append(settings.Indexes, policy.IndexSettings{Soft: index.Soft, Hard: index.Hard, Value: max(index.Value, 1e-9), LateValue: index.LateValue, Effect: index.Effect, Required: 1, Minimum: 1})
 	}
-	return &aggregator{policy: policy.New(settings, 0), queries: map[policy.QueryID]*pendingQuery{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
-		nextCall: map[policy.SubqueryID]policy.CallNo{}, inFlight: map[callKey]*call{}, lastStep: -1}
+	return &emulatedAggregator{policy: policy.New(settings, 0), queries: map[policy.QueryID]*pendingQuery{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
+		nextCallNumber: map[policy.SubqueryID]policy.CallNo{}, inFlight: map[callKey]*call{}, lastStep: -1}
 }
 
-// schedule lets something happen at a time, or now if that is past.
-func (sim *simulation) schedule(t float64, what func()) {
+// schedule adds an event to run at the given time, or now if that time has passed.
+func (sim *emulation) schedule(at float64, run func()) {
 	sim.lastSequence++
-	heap.Push(&sim.pending, scheduledEvent{max(t, sim.now), sim.lastSequence, what})
+	heap.Push(&sim.pendingEvents, scheduledEvent{max(at, sim.now), sim.lastSequence, run})
 }
 
-// arrive lets clients ask, until the end.
-func (sim *simulation) arrive() {
+// handleArrival starts a query of a random kind and schedules the next arrival. After the end of the run it does nothing.
+func (sim *emulation) handleArrival() {
 	if sim.now >= sim.end {
 		return
 	}
-	u, share := sim.random.Unit(), len(sim.workload.Mix)-1
-	for i, m := range sim.workload.Mix {
-		if u -= m.Fraction; u < 0 {
-			share = i
+	remaining, kindNo := sim.random.Unit(), len(sim.workload.Mix)-1
+	for i, kind := range sim.workload.Mix {
+		if remaining -= kind.Fraction; remaining < 0 {
+			kindNo = i
 			break
 		}
 	}
-	q := &query{mix: share, began: sim.now, counted: sim.now >= sim.warm}
-	q.shards = sim.shards(sim.workload.Mix[share].Subqueries)
-	if q.counted {
+	started := &query{kind: kindNo, startedAt: sim.now, measured: sim.now >= sim.warmUpEnd}
+	started.shards = sim.drawShards(sim.workload.Mix[kindNo].Subqueries)
+	if started.measured {
 		sim.outcome.Requested++
-		sim.outcome.Queries[sim.workload.Mix[share].Index]++
+		sim.outcome.Queries[sim.workload.Mix[kindNo].Index]++
 	}
-	sim.sendQuery(q)
-	sim.schedule(sim.now+sim.gap()/sim.workload.PerS, sim.arrive)
+	sim.sendQuery(started)
+	sim.schedule(sim.now+sim.relativeInterarrivalTime()/sim.workload.QueriesPerSecond, sim.handleArrival)
 }
 
-// gap is the time between two queries against its mean.
-func (sim *simulation) gap() float64 {
-	if sim.workload.Bursts <= 0 || sim.workload.Bursts == 1 {
+// relativeInterarrivalTime draws the time between two queries, divided by its mean.
+func (sim *emulation) relativeInterarrivalTime() float64 {
+	if sim.workload.InterarrivalSCV <= 0 || sim.workload.InterarrivalSCV == 1 {
 		return sim.random.Exp()
 	}
-	return sim.random.logNormal(1, sim.workload.Bursts)
+	return sim.random.drawLogNormal(1, sim.workload.InterarrivalSCV)
 }
 
-// shards draws so many different ones by their popularity.
-func (sim *simulation) shards(n int) (list []int) {
+// drawShards draws n different shards by their popularity.
+func (sim *emulation) drawShards(n int) (list []int) {
 	for len(list) < n {
-		s, _ := slices.BinarySearch(sim.popular, sim.random.Unit()*sim.popular[len(sim.popular)-1])
-		for slices.Contains(list, s%sim.site.Shards) { // all that are popular are in: the next one along
-			s++
+		shard, _ := slices.BinarySearch(sim.cumulativePopularity, sim.random.Unit()*sim.cumulativePopularity[len(sim.cumulativePopularity)-1])
+		for slices.Contains(list, shard%sim.site.Shards) { // already drawn: take the next shard
+			shard++
 		}
-		list = append(list, s%sim.site.Shards)
+		list = append(list, shard%sim.site.Shards)
 	}
 	return list
 }
 
-// sendQuery sends a query to an aggregator by chance.
-func (sim *simulation) sendQuery(q *query) {
-	q.attempts++
-	if q.counted {
-		sim.outcome.Attempts++
+// sendQuery sends a query to a random aggregator. An aggregator that holds MaxPending queries and subqueries nacks it.
+func (sim *emulation) sendQuery(sent *query) {
+	sent.attempts++
+	if sent.measured {
+		sim.outcome.AttemptsPerQuery++
 	}
-	target := sim.aggregators[int(sim.random.Unit()*float64(len(sim.aggregators)))]
-	if sim.site.MaxPending > 0 && len(target.queries)+len(target.subqueries) >= sim.site.MaxPending {
-		sim.nacked(q, 0)
+	aggregator := sim.aggregators[int(sim.random.Unit()*float64(len(sim.aggregators)))]
+	if sim.site.MaxPending > 0 && len(aggregator.queries)+len(aggregator.subqueries) >= sim.site.MaxPending {
+		sim.handleNack(sent, 0)
 		return
 	}
-	indexNo := sim.workload.Mix[q.mix].Index
+	indexNo := sim.workload.Mix[sent.kind].Index
 	index := &sim.site.Indexes[indexNo]
-	target.lastID++
-	id, pending := policy.QueryID(target.lastID), &pendingQuery{query: q}
-	target.queries[id] = pending
-	event := policy.Event{Kind: policy.QueryReceived, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(indexNo), Remaining: index.Hard - (sim.now - q.began), Subqueries: len(q.shards), Resent: q.attempts > 1}
+	aggregator.lastID++
+	id, pending := policy.QueryID(aggregator.lastID), &pendingQuery{query: sent}
+	aggregator.queries[id] = pending
+	event := policy.Event{Kind: policy.QueryReceived, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(indexNo), Remaining: index.Hard - (sim.now - sent.startedAt), Subqueries: len(sent.shards), Resent: sent.attempts > 1}
 	events := []policy.Event{event}
 	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
-	for _, shard := range q.shards {
-		target.lastID++
-		event.Subquery, event.Shard, event.Weight = policy.SubqueryID(target.lastID), policy.ShardID(shard), 1/float64(len(q.shards))
+	for _, shard := range sent.shards {
+		aggregator.lastID++
+		event.Subquery, event.Shard, event.Weight = policy.SubqueryID(aggregator.lastID), policy.ShardID(shard), 1/float64(len(sent.shards))
 		pending.subqueries = append(pending.subqueries, event.Subquery)
-		target.subqueries[event.Subquery] = policy.IndexID(indexNo)
+		aggregator.subqueries[event.Subquery] = policy.IndexID(indexNo)
 		events = append(events, event)
 	}
-	target.maxPending = max(target.maxPending, len(target.queries)+len(target.subqueries))
-	sim.notify(target, events...)
+	aggregator.maxPending = max(aggregator.maxPending, len(aggregator.queries)+len(aggregator.subqueries))
+	sim.notify(aggregator, events...)
 }
 
-// notify hands events to an aggregator, which steps no sooner after its last step than it may.
-func (sim *simulation) notify(m *aggregator, events ...policy.Event) {
-	m.events = append(m.events, events...)
-	if !m.stepScheduled {
-		m.stepScheduled = true
-		sim.schedule(max(sim.now, m.lastStep+sim.site.Step), func() { sim.step(m) })
+// notify queues events for an aggregator, and schedules its next step no sooner than StepInterval after the last one.
+func (sim *emulation) notify(aggregator *emulatedAggregator, events ...policy.Event) {
+	aggregator.events = append(aggregator.events, events...)
+	if !aggregator.stepScheduled {
+		aggregator.stepScheduled = true
+		sim.schedule(max(sim.now, aggregator.lastStep+sim.site.StepInterval), func() { sim.step(aggregator) })
 	}
 }
 
-// step lets an aggregator decide on what it was notified of since its last step.
-func (sim *simulation) step(m *aggregator) {
-	m.stepScheduled, m.lastStep = false, sim.now
-	events := m.events
-	m.events = nil
-	m.actions = m.policy.Step(sim.now, events, m.actions[:0])
-	for i := range m.actions {
-		sim.act(m, &m.actions[i])
+// step passes the events since the last step to the aggregator's policy and executes the resulting actions.
+func (sim *emulation) step(aggregator *emulatedAggregator) {
+	aggregator.stepScheduled, aggregator.lastStep = false, sim.now
+	events := aggregator.events
+	aggregator.events = nil
+	aggregator.actions = aggregator.policy.Step(sim.now, events, aggregator.actions[:0])
+	for i := range aggregator.actions {
+		sim.execute(aggregator, &aggregator.actions[i])
 	}
-	m.maxInFlight = max(m.maxInFlight, len(m.inFlight))
+	aggregator.maxInFlight = max(aggregator.maxInFlight, len(aggregator.inFlight))
 }
 
-// act carries out one action of an aggregator.
-func (sim *simulation) act(m *aggregator, action *policy.Action) {
+// execute executes one action of an aggregator.
+func (sim *emulation) execute(aggregator *emulatedAggregator, action *policy.Action) {
 	switch action.Kind {
 	case policy.Send:
-		index, known := m.subqueries[action.Subquery]
+		index, known := aggregator.subqueries[action.Subquery]
 		if !known {
 			return
 		}
-		callNo := m.nextCall[action.Subquery]
-		m.nextCall[action.Subquery] = callNo + 1
-		sent := &call{aggregator: m, subquery: action.Subquery, no: callNo, index: index, sent: sim.now}
-		m.inFlight[callKey{action.Subquery, callNo}] = sent
-		backend := sim.byID[action.Backend]
-		sim.schedule(sim.now+sim.site.Network, func() { sim.deliver(backend, sent) })
+		callNo := aggregator.nextCallNumber[action.Subquery]
+		aggregator.nextCallNumber[action.Subquery] = callNo + 1
+		sent := &call{aggregator: aggregator, subquery: action.Subquery, number: callNo, index: index, sentAt: sim.now}
+		aggregator.inFlight[callKey{action.Subquery, callNo}] = sent
+		backend := sim.backendsByID[action.Backend]
+		sim.schedule(sim.now+sim.site.NetworkDelay, func() { sim.deliver(backend, sent) })
 		sim.schedule(action.StopAt, func() { sim.completeCall(sent, backend, policy.TimedOut) })
 	case policy.Cancel:
-		if sent := m.inFlight[callKey{action.Subquery, action.Call}]; sent != nil {
+		if sent := aggregator.inFlight[callKey{action.Subquery, action.Call}]; sent != nil {
 			sim.completeCall(sent, nil, policy.Canceled)
 		}
 	case policy.Answer:
-		sim.answered(m, action.Query)
+		sim.recordAnswer(aggregator, action.Query)
 	case policy.Nack, policy.Abort:
-		if closed := sim.close(m, action.Query); closed != nil && action.Kind == policy.Nack {
-			sim.nacked(closed.query, action.Wait)
-		} else if closed != nil && closed.query.counted {
+		if closed := sim.removeQuery(aggregator, action.Query); closed != nil && action.Kind == policy.Nack {
+			sim.handleNack(closed.query, action.Wait)
+		} else if closed != nil && closed.query.measured {
 			sim.outcome.Aborted++
 		}
 	case policy.SetTimer:
 		timer := action.Timer
 		sim.schedule(sim.now+action.Wait, func() {
 			if sim.now < sim.end+60 {
-				sim.notify(m, policy.Event{Kind: policy.TimerDue, Timer: timer})
+				sim.notify(aggregator, policy.Event{Kind: policy.TimerDue, Timer: timer})
 			}
 		})
 	case policy.Probe:
 		id := action.Backend
-		sim.schedule(sim.now+2*sim.site.Network, func() {
-			sim.notify(m, policy.Event{Kind: policy.ProbeEnded, Backend: id, Outcome: policy.Answered, Elapsed: 2 * sim.site.Network})
+		sim.schedule(sim.now+2*sim.site.NetworkDelay, func() {
+			sim.notify(aggregator, policy.Event{Kind: policy.ProbeEnded, Backend: id, Outcome: policy.Answered, Elapsed: 2 * sim.site.NetworkDelay})
 		})
 	}
 }
 
-// close takes a query and its subqueries off an aggregator; nil where it has ended before.
-func (sim *simulation) close(m *aggregator, id policy.QueryID) *pendingQuery {
-	t := m.queries[id]
-	if t == nil {
+// removeQuery removes a query and its subqueries from an aggregator. It returns nil if the aggregator does not hold the query.
+func (sim *emulation) removeQuery(aggregator *emulatedAggregator, id policy.QueryID) *pendingQuery {
+	removed := aggregator.queries[id]
+	if removed == nil {
 		return nil
 	}
-	delete(m.queries, id)
-	for _, p := range t.subqueries {
-		delete(m.subqueries, p)
+	delete(aggregator.queries, id)
+	for _, subquery := range removed.subqueries {
+		delete(aggregator.subqueries, subquery)
 	}
-	return t
+	return removed
 }
 
-// answered records the latency of an answered query.
-func (sim *simulation) answered(m *aggregator, id policy.QueryID) {
-	t := sim.close(m, id)
-	if t == nil || !t.query.counted {
+// recordAnswer removes an answered query and records its latency if it is measured.
+func (sim *emulation) recordAnswer(aggregator *emulatedAggregator, id policy.QueryID) {
+	answered := sim.removeQuery(aggregator, id)
+	if answered == nil || !answered.query.measured {
 		return
 	}
-	index := sim.workload.Mix[t.query.mix].Index
-	latency := sim.now - t.query.began
+	index := sim.workload.Mix[answered.query.kind].Index
+	latency := sim.now - answered.query.startedAt
 	sim.outcome.latencies = append(sim.outcome.latencies, latency)
 	if latency <= sim.site.Indexes[index].Soft {
-		sim.outcome.ByIndex[index]++
+		sim.outcome.InTimeByIndex[index]++
 	}
 }
 
-// nacked lets a client come back, where it has tries and time left.
-func (sim *simulation) nacked(q *query, wait float64) {
-	index := sim.workload.Mix[q.mix].Index
+// handleNack schedules the client's next attempt, or counts the query as nacked if no retry or no time is left.
+func (sim *emulation) handleNack(rejected *query, wait float64) {
+	index := sim.workload.Mix[rejected.kind].Index
 	retryAt := sim.now + max(wait, sim.site.Backoff*(0.5+sim.random.Unit()))
-	if q.attempts <= sim.site.Retries && retryAt < q.began+sim.site.Indexes[index].Hard {
-		sim.schedule(retryAt, func() { sim.sendQuery(q) })
-	} else if q.counted {
+	if rejected.attempts <= sim.site.Retries && retryAt < rejected.startedAt+sim.site.Indexes[index].Hard {
+		sim.schedule(retryAt, func() { sim.sendQuery(rejected) })
+	} else if rejected.measured {
 		sim.outcome.Nacked++
 	}
 }
 
-// summarize turns the counts into shares, and adds the latencies' percentiles and the utilization of backends.
-func (sim *simulation) summarize() Outcome {
+// summarize converts the counts into shares, and adds the latency percentiles and the utilization of the backends.
+func (sim *emulation) summarize() Outcome {
 	outcome := &sim.outcome
 	requested := max(1, float64(outcome.Requested))
 	earned, possible := 0.0, 0.0
 	for indexNo, index := range sim.site.Indexes {
 		possible += float64(outcome.Queries[indexNo]) * index.Value
-		earned += outcome.ByIndex[indexNo] * index.Value
-		outcome.ByIndex[indexNo] /= max(1, float64(outcome.Queries[indexNo]))
+		earned += outcome.InTimeByIndex[indexNo] * index.Value
+		outcome.InTimeByIndex[indexNo] /= max(1, float64(outcome.Queries[indexNo]))
 	}
 	outcome.ValueShare = earned / max(possible, 1e-9)
-	outcome.Nacked, outcome.Aborted, outcome.Attempts = outcome.Nacked/requested, outcome.Aborted/requested, outcome.Attempts/requested
+	outcome.Nacked, outcome.Aborted, outcome.AttemptsPerQuery = outcome.Nacked/requested, outcome.Aborted/requested, outcome.AttemptsPerQuery/requested
 	slices.Sort(outcome.latencies)
 	if len(outcome.latencies) > 0 {
 		outcome.P50, outcome.P99 = outcome.latencies[len(outcome.latencies)/2], outcome.latencies[min(len(outcome.latencies)-1, len(outcome.latencies)*99/100)]
 	}
-	subqueries := 0.0
-	for i, s := range sim.queues {
-		outcome.Use = append(outcome.Use, s.used/(float64(s.Cores)*(sim.end-sim.warm)))
-		if outcome.Use[i] > outcome.Use[outcome.Hottest] {
+	calls := 0.0
+	for i, backend := range sim.backends {
+		outcome.Utilization = append(outcome.Utilization, backend.busyTime/(float64(backend.Cores)*(sim.end-sim.warmUpEnd)))
+		if outcome.Utilization[i] > outcome.Utilization[outcome.Hottest] {
 			outcome.Hottest = i
 		}
-		outcome.MaxQueue = max(outcome.MaxQueue, s.maxLength)
-		outcome.Rejected += s.rejected
-		subqueries += float64(s.calls)
+		outcome.MaxQueue = max(outcome.MaxQueue, backend.maxQueued)
+		outcome.Rejected += backend.rejected
+		calls += float64(backend.calls)
 	}
-	for _, m := range sim.aggregators {
-		outcome.MaxPending, outcome.MaxInFlight = max(outcome.MaxPending, m.maxPending), max(outcome.MaxInFlight, m.maxInFlight)
+	for _, aggregator := range sim.aggregators {
+		outcome.MaxPending, outcome.MaxInFlight = max(outcome.MaxPending, aggregator.maxPending), max(outcome.MaxInFlight, aggregator.maxInFlight)
 	}
-	outcome.Calls = subqueries / max(1, sim.workload.subqueries()*sim.workload.PerS*sim.end)
+	outcome.CallsPerSubquery = calls / max(1, sim.workload.meanSubqueries()*sim.workload.QueriesPerSecond*sim.end)
 	return *outcome
 }
--- a/internal/tools/plan/errors.go
+++ b/internal/tools/plan/errors.go
@@ -2,12 +2,13 @@
 
 import "fmt"
 
-// DescriptionError says what is wrong with a description of a fleet, a load or offers, or what cannot be had of it, for whoever wrote it.
+// DescriptionError reports a mistake in the description of a deployment, a workload or offers, or a request that the
+// description cannot meet. Its text is written for the author of the description.
 type DescriptionError string
 
 // Error implements error.
 func (e DescriptionError) Error() string { return string(e) }
 
-func wrong(format string, arguments ...any) error {
+func invalid(format string, arguments ...any) error {
 	return DescriptionError(fmt.Sprintf(format, arguments...))
 }
--- a/internal/tools/plan/place.go
+++ b/internal/tools/plan/place.go
@@ -6,34 +6,34 @@
 	"slices"
 )
 
-// Offer is what a location has of backends.
+// Offer describes the backends that can be bought at a location.
 type Offer struct {
 	Location string  `json:"Location"`
 	Price    float64 `json:"Price"`    // of one backend
-	Capacity float64 `json:"Capacity"` // core seconds a second of one, at the use that keeps the goals
-	Max      int     `json:"Most"`     // that may stand there
+	Capacity float64 `json:"Capacity"` // of one backend in core seconds per second, at the utilization that meets the goals
+	Max      int     `json:"Most"`     // maximum number of backends at the location
 }
 
-// Purchase is how many backends stand where.
+// Purchase is a number of backends for each offer.
 type Purchase struct {
-	Counts []int   `json:"Counts"` // by offer
+	Counts []int   `json:"Counts"` // in the order of the offers
 	Price  float64 `json:"Price"`
-	Bound  float64 `json:"Bound"` // no purchase costs less; equal to Price where it is exact
+	Bound  float64 `json:"Bound"` // lower bound of the price of any purchase; equal to Price if the search was exhaustive
 }
 
-// maxExactPurchases is how many purchases are gone through one by one.
+// maxExactPurchases is the largest number of possible purchases that are searched exhaustively.
 const maxExactPurchases = 2_000_000
 
-// CheapestPurchase finds the cheapest purchase whose capacity bears demand with any one location lost and, besides, so many backends
-// lost wherever it hurts most. Small ones are gone through one by one, with the cheaper ones first cut off by the best
-// found; for large ones the bound says how far it may be from the best.
+// CheapestPurchase finds the cheapest purchase whose capacity sustains demand after the loss of any one location and of spare
+// further backends, those with the largest capacity. Up to maxExactPurchases possible purchases are searched exhaustively by
+// branch and bound. Beyond that the result is approximate, and its Bound limits the difference from the optimum.
 func CheapestPurchase(offers []Offer, demand float64, spare int) (Purchase, error) {
 	if len(offers) < 2 {
-		return Purchase{}, wrong("%d locations: expected two at least, or the loss of one leaves nothing", len(offers))
+		return Purchase{}, invalid("%d locations: expected two at least, or the loss of one leaves nothing", len(offers))
 	}
 	for _, offer := range offers {
 		if !(offer.Capacity > 0) || !(offer.Price > 0) || offer.Max < 1 {
-			return Purchase{}, wrong("location %s offers capacity %g at %g, %d at most: expected more than none of each", offer.Location, offer.Capacity, offer.Price, offer.Max)
+			return Purchase{}, invalid("location %s offers capacity %g at %g, %d at most: expected more than none of each", offer.Location, offer.Capacity, offer.Price, offer.Max)
 		}
 	}
 	best := Purchase{Price: math.Inf(1)}
@@ -42,39 +42,39 @@
 		all[i] = offer.Max
 	}
 	if !sustains(offers, all, demand, spare) {
-		return best, wrong("all searchers that may stand there do not bear %.3g core seconds a second with a location lost", demand)
+		return best, invalid("all searchers that may stand there do not bear %.3g core seconds a second with a location lost", demand)
 	}
-	combinations := 1.0
+	purchases := 1.0
 	for _, offer := range offers {
-		combinations *= float64(offer.Max + 1)
+		purchases *= float64(offer.Max + 1)
 	}
-	if combinations <= maxExactPurchases {
+	if purchases <= maxExactPurchases {
 		search := purchaseSearch{offers: offers, demand: demand, spare: spare, counts: make([]int, len(offers)), best: best}
-		search.from(0, 0)
+		search.enumerate(0, 0)
 		search.best.Bound = search.best.Price
 		return search.best, nil
 	}
-	best = greedy(offers, demand, spare)
-	best.Bound = lowerBound(offers, demand)
+	best = greedyPurchase(offers, demand, spare)
+	best.Bound = priceLowerBound(offers, demand)
 	return best, nil
 }
 
-// sustains tells whether a purchase bears the demand through the worst loss.
+// sustains reports whether a purchase has enough capacity after the loss of any location and of the largest spare backends.
 func sustains(offers []Offer, counts []int, demand float64, spare int) bool {
 	for lost := range offers {
 		remaining := 0.0
-		var sizes []Offer
-		for i, o := range offers {
+		var surviving []Offer
+		for i, offer := range offers {
 			if i != lost && counts[i] > 0 {
-				remaining += o.Capacity * float64(counts[i])
-				sizes = append(sizes, Offer{Capacity: o.Capacity, Max: counts[i]})
+				remaining += offer.Capacity * float64(counts[i])
+				surviving = append(surviving, Offer{Capacity: offer.Capacity, Max: counts[i]})
 			}
 		}
-		slices.SortFunc(sizes, func(x, y Offer) int { return cmp.Compare(y.Capacity, x.Capacity) })
-		for n := spare; n > 0 && len(sizes) > 0; sizes = sizes[1:] {
-			failed := min(n, sizes[0].Max)
-			remaining -= float64(failed) * sizes[0].Capacity
-			n -= failed
+		slices.SortFunc(surviving, func(x, y Offer) int { return cmp.Compare(y.Capacity, x.Capacity) })
+		for failures := spare; failures > 0 && len(surviving) > 0; surviving = surviving[1:] {
+			failed := min(failures, surviving[0].Max)
+			remaining -= float64(failed) * surviving[0].Capacity
+			failures -= failed
 		}
 		if remaining < demand-1e-9 {
 			return false
@@ -83,17 +83,18 @@
 	return true
 }
 
-// purchaseSearch goes through all purchases.
+// purchaseSearch is the state of the exhaustive search.
 type purchaseSearch struct {
 	offers []Offer
 	demand float64
 	spare  int
-	counts []int // of the purchase that is looked at
+	counts []int // of the current purchase
 	best   Purchase
 }
 
-// from goes through the counts of the i-th offer and of all after it; price is that of the ones before.
-func (search *purchaseSearch) from(i int, price float64) {
+// enumerate tries all counts of the i-th and later offers. price is the price of the earlier ones; a branch that is not
+// cheaper than the best purchase so far is skipped.
+func (search *purchaseSearch) enumerate(i int, price float64) {
 	if price >= search.best.Price-1e-12 {
 		return
 	}
@@ -105,14 +106,15 @@
 	}
 	for n := 0; n <= search.offers[i].Max; n++ {
 		search.counts[i] = n
-		search.from(i+1, price+float64(n)*search.offers[i].Price)
+		search.enumerate(i+1, price+float64(n)*search.offers[i].Price)
 	}
 	search.counts[i] = 0
 }
 
-// greedy takes backends off the fullest purchase while it still bears, the dearest for its capacity first, and then
-// tries to swap one for a cheaper one.
-func greedy(offers []Offer, demand float64, spare int) (b Purchase) {
+// greedyPurchase starts with all offered backends and removes as many as the demand allows, those with the highest price for
+// their capacity first. It then adds a backend wherever that allows removing others of a higher total price, and repeats
+// both until nothing changes.
+func greedyPurchase(offers []Offer, demand float64, spare int) (purchase Purchase) {
 	counts := make([]int, len(offers))
 	order := make([]int, len(offers))
 	for i, offer := range offers {
@@ -135,7 +137,7 @@
 				}
 			}
 		}
-		for _, i := range order { // one more of a cheap one may save two dear ones
+		for _, i := range order { // one more backend of offer j may replace several of offer i
 			for _, j := range order {
 				if i == j || counts[j] == offers[j].Max || counts[i] == 0 {
 					continue
@@ -159,102 +161,106 @@
 			}
 		}
 	}
-	for i, removed := range counts {
-		b.Price += float64(removed) * offers[i].Price
+	for i, count := range counts {
+		purchase.Price += float64(count) * offers[i].Price
 	}
-	b.Counts = counts
-	return b
+	purchase.Counts = counts
+	return purchase
 }
 
-// lowerBound is a price that no purchase beats. With a location lost the others bear the demand, for each location: summed
-// over all of them, (locations - 1) x capacity >= locations x demand, and capacity costs at least the cheapest.
-func lowerBound(offers []Offer, demand float64) float64 {
+// priceLowerBound returns a lower bound of the price of any purchase. After the loss of any location the others must sustain
+// the demand. The sum over all locations is (locations - 1) x capacity >= locations x demand, and capacity costs at least as
+// much as in the cheapest offer.
+func priceLowerBound(offers []Offer, demand float64) float64 {
 	cheapest := math.Inf(1)
-	for _, o := range offers {
-		cheapest = min(cheapest, o.Price/o.Capacity)
+	for _, offer := range offers {
+		cheapest = min(cheapest, offer.Price/offer.Capacity)
 	}
-	n := float64(len(offers))
-	return n / (n - 1) * demand * cheapest
+	locations := float64(len(offers))
+	return locations / (locations - 1) * demand * cheapest
 }
 
-// Copies is where the copies of each shard stand, by places of backends.
-type Copies [][]int
+// Assignment lists, for each shard, the backends that hold its copies, as positions in Site.Backends.
+type Assignment [][]int
 
-// Placement is a placement and what it comes to.
+// Placement is an assignment of copies to backends, with its measures.
 type Placement struct {
-	Copies         Copies  `json:"Copies"`
-	Moves          int     `json:"Moves"` // copies that stand elsewhere than today
-	MaxUtilization float64 `json:"Most"`  // load of the fullest backend against its capacity
-	Bound          float64 `json:"Bound"` // no placement has less
+	Copies         Assignment `json:"Copies"`
+	Moves          int        `json:"Moves"` // copies on a backend that does not hold them in the current assignment
+	MaxUtilization float64    `json:"Most"`  // highest load of a backend divided by its capacity
+	Bound          float64    `json:"Bound"` // lower bound of MaxUtilization for any placement
 }
 
-// Place puts so many copies of each shard on backends, no two of one shard in one location, so that what is asked for is
-// balanced; of those about as good, the one that moves least from today's. load is what each shard brings, all copies
-// together; capacity of a backend is its Cores x Speed.
-func Place(site *Site, load []float64, copies int, today Copies) (Placement, error) {
+// Place assigns the given number of copies of each shard to backends, with no two copies of a shard in one location. It
+// balances the load, and keeps copies on their current backends where the balance is about as good. load is the load of each
+// shard, divided evenly among its copies. The capacity of a backend is Cores x Speed. The result is a heuristic; Bound limits
+// its difference from the optimum.
+func Place(site *Site, load []float64, copies int, current Assignment) (Placement, error) {
 	locations := map[string]bool{}
 	capacity, totalCapacity := make([]float64, len(site.Backends)), 0.0
-	for i, shard := range site.Backends {
-		locations[shard.Location] = true
-		capacity[i] = float64(shard.Cores) * shard.Speed
+	for i, backend := range site.Backends {
+		locations[backend.Location] = true
+		capacity[i] = float64(backend.Cores) * backend.Speed
 		totalCapacity += capacity[i]
 	}
 	if copies < 1 || len(locations) < copies {
-		return Placement{}, wrong("%d copies in %d locations: expected a location for each copy", copies, len(locations))
+		return Placement{}, invalid("%d copies in %d locations: expected a location for each copy", copies, len(locations))
 	}
-	placed := Placement{Copies: make(Copies, len(load))}
+	placement := Placement{Copies: make(Assignment, len(load))}
 	totalLoad, largest := 0.0, 0.0
 	for _, shardLoad := range load {
 		totalLoad += shardLoad
 		largest = max(largest, shardLoad/float64(copies))
 	}
-	placed.Bound = max(totalLoad/totalCapacity, largest/slices.Max(capacity))
+	placement.Bound = max(totalLoad/totalCapacity, largest/slices.Max(capacity))
 	order := make([]int, len(load))
 	for shard := range order {
 		order[shard] = shard
 	}
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(load[y], load[x]) })
 	used := make([]float64, len(site.Backends))
-	placedToday := func(shard, i int) bool { return shard < len(today) && slices.Contains(today[shard], i) }
+	isCurrent := func(shard, i int) bool { return shard < len(current) && slices.Contains(current[shard], i) }
 	for _, shard := range order {
 		perCopy := load[shard] / float64(copies)
 		for range copies {
-			best, least := -1, math.Inf(1)
+			bestBackend, lowest := -1, math.Inf(1)
 			for i := range site.Backends {
-				if slices.ContainsFunc(placed.Copies[shard], func(other int) bool { return site.Backends[other].Location == site.Backends[i].Location }) {
+				if slices.ContainsFunc(placement.Copies[shard], func(other int) bool { return site.Backends[other].Location == site.Backends[i].Location }) {
 					continue
 				}
 				utilization := (used[i] + perCopy) / capacity[i]
-				if placedToday(shard, i) && utilization <= placed.Bound*(1+stayTolerance) {
-					utilization = -1 + utilization // it stays where it is while that is about as good
+				if isCurrent(shard, i) && utilization <= placement.Bound*(1+keepInPlaceTolerance) {
+					utilization = -1 + utilization // prefer a backend that holds the copy already
 				}
-				if utilization < least {
-					best, least = i, utilization
+				if utilization < lowest {
+					bestBackend, lowest = i, utilization
 				}
 			}
-			used[best] += perCopy
-			placed.Copies[shard] = append(placed.Copies[shard], best)
+			used[bestBackend] += perCopy
+			placement.Copies[shard] = append(placement.Copies[shard], bestBackend)
 		}
 	}
-	placed.rebalance(site, load, copies, used, capacity)
-	for shard, list := range placed.Copies {
+	placement.rebalance(site, load, copies, used, capacity)
+	for shard, list := range placement.Copies {
 		for _, i := range list {
-			if !placedToday(shard, i) {
-				placed.Moves++
+			if !isCurrent(shard, i) {
+				placement.Moves++
 			}
 		}
 	}
 	for i := range used {
-		placed.MaxUtilization = max(placed.MaxUtilization, used[i]/capacity[i])
+		placement.MaxUtilization = max(placement.MaxUtilization, used[i]/capacity[i])
 	}
-	return placed, nil
+	return placement, nil
 }
 
-// stayTolerance is how much above the least possible a backend may be filled by what stands there already.
-const stayTolerance = 0.05
+// keepInPlaceTolerance is the relative amount by which a backend's utilization may exceed the lower bound before a copy is
+// placed elsewhere than on its current backend.
+const keepInPlaceTolerance = 0.05
 
-// rebalance moves copies off the fullest backend while that helps.
-func (p *Placement) rebalance(site *Site, load []float64, copies int, used, capacity []float64) {
+// rebalance moves copies away from the most utilized backend as long as that lowers the maximum, in at most four moves for
+// each shard.
+func (placement *Placement) rebalance(site *Site, load []float64, copies int, used, capacity []float64) {
 	for range 4 * len(load) {
 		source := 0
 		for i := range used {
@@ -263,33 +269,33 @@
 			}
 		}
 		worst := used[source] / capacity[source]
-		if worst <= p.Bound*(1+stayTolerance/2) {
+		if worst <= placement.Bound*(1+keepInPlaceTolerance/2) {
 			return
 		}
-		bestShard, bestCopy, bestTarget, least := -1, -1, -1, worst-1e-12
-		for shard, list := range p.Copies {
-			copyNo := slices.Index(list, source)
-			if copyNo < 0 {
+		bestShard, bestCopy, bestTarget, lowest := -1, -1, -1, worst-1e-12
+		for shard, list := range placement.Copies {
+			copyIndex := slices.Index(list, source)
+			if copyIndex < 0 {
 				continue
 			}
-			each := load[shard] / float64(copies)
+			perCopy := load[shard] / float64(copies)
 			for target := range site.Backends {
-				clash := slices.ContainsFunc(list, func(other int) bool {
+				sameLocation := slices.ContainsFunc(list, func(other int) bool {
 					return other != source && site.Backends[other].Location == site.Backends[target].Location
 				})
-				if target == source || clash || each == 0 {
+				if target == source || sameLocation || perCopy == 0 {
 					continue
 				}
-				if after := max((used[target]+each)/capacity[target], (used[source]-each)/capacity[source]); after < least {
-					bestShard, bestCopy, bestTarget, least = shard, copyNo, target, after
+				if after := max((used[target]+perCopy)/capacity[target], (used[source]-perCopy)/capacity[source]); after < lowest {
+					bestShard, bestCopy, bestTarget, lowest = shard, copyIndex, target, after
 				}
 			}
 		}
 		if bestShard < 0 {
 			return
 		}
-		each := load[bestShard] / float64(copies)
-		used[source], used[bestTarget] = used[source]-each, used[bestTarget]+each
-		p.Copies[bestShard][bestCopy] = bestTarget
+		perCopy := load[bestShard] / float64(copies)
+		used[source], used[bestTarget] = used[source]-perCopy, used[bestTarget]+perCopy
+		placement.Copies[bestShard][bestCopy] = bestTarget
 	}
 }
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -6,49 +6,49 @@
 	"slices"
 )
 
-// Limit is one thing that may break, with how much more load it bears.
+// Limit is the usage of a resource against its limit.
 type Limit struct {
-	What   string  `json:"What"`  // cores, queue, most held, connections, descriptors
-	Where  string  `json:"Where"` // a backend, a location, or "each aggregator"
-	Used   float64 `json:"Used"`  // at this load, in the limit's own unit
-	Max    float64 `json:"Most"`
-	Margin float64 `json:"Margin"` // most / used: 1 is at the limit
+	Resource string  `json:"What"`  // cores, queue, most held, connections, descriptors
+	Scope    string  `json:"Where"` // a backend, a location, or each aggregator; names as in the output
+	Used     float64 `json:"Used"`  // at the emulated load, in the unit of the resource
+	Max      float64 `json:"Most"`
+	Margin   float64 `json:"Margin"` // Max / Used; 1 means that the limit is reached
 }
 
-// Limits lists what may break, the nearest first. What has no limit is left out.
-func (o *Outcome) Limits(site *Site) (list []Limit) {
-	add := func(what, where string, used, most float64) {
-		if most > 0 && used > 0 {
-			list = append(list, Limit{what, where, used, most, most / used})
+// Limits returns the limits of the deployment, the nearest first. Resources that are unlimited or unused are left out.
+func (outcome *Outcome) Limits(site *Site) (list []Limit) {
+	add := func(resource, scope string, used, limit float64) {
+		if limit > 0 && used > 0 {
+			list = append(list, Limit{resource, scope, used, limit, limit / used})
 		}
 	}
-	hottest := site.Backends[o.Hottest]
-	add("cores", hottest.Name, o.Use[o.Hottest]*float64(hottest.Cores), float64(hottest.Cores))
+	hottest := site.Backends[outcome.Hottest]
+	add("cores", hottest.Name, outcome.Utilization[outcome.Hottest]*float64(hottest.Cores), float64(hottest.Cores))
 	for _, location := range site.Locations {
-		used, all := 0.0, 0.0
+		used, total := 0.0, 0.0
 		for i, backend := range site.Backends {
 			if backend.Location == location {
-				used, all = used+o.Use[i]*float64(backend.Cores), all+float64(backend.Cores)
+				used, total = used+outcome.Utilization[i]*float64(backend.Cores), total+float64(backend.Cores)
 			}
 		}
-		add("cores", "location "+location, used, all)
+		add("cores", "location "+location, used, total)
 	}
-	queue := 0
+	queueLimit := 0
 	for _, backend := range site.Backends {
-		if backend.Queue > 0 && (queue == 0 || backend.Queue < queue) {
-			queue = backend.Queue
+		if backend.Queue > 0 && (queueLimit == 0 || backend.Queue < queueLimit) {
+			queueLimit = backend.Queue
 		}
 	}
-	add("queue", "the fullest searcher", float64(o.MaxQueue), float64(queue))
-	add("most held", "each mixer", float64(o.MaxPending), float64(site.MaxPending))
-	descriptors := float64(len(site.Backends)) // one to each at least
-	if site.Multiplex > 0 {
-		descriptors = max(descriptors, math.Ceil(float64(o.MaxInFlight)/float64(site.Multiplex)))
+	add("queue", "the fullest searcher", float64(outcome.MaxQueue), float64(queueLimit))
+	add("most held", "each mixer", float64(outcome.MaxPending), float64(site.MaxPending))
+	connections := float64(len(site.Backends)) // at least one to each backend
+	if site.CallsPerConnection > 0 {
+		connections = max(connections, math.Ceil(float64(outcome.MaxInFlight)/float64(site.CallsPerConnection)))
 	}
-	add("descriptors", "each mixer", descriptors, float64(site.Descriptors))
+	add("descriptors", "each mixer", connections, float64(site.FileDescriptors))
 	for _, backend := range site.Backends {
 		if backend.Connections > 0 {
-			add("connections", backend.Name, float64(site.Aggregators)*max(1, descriptors/float64(len(site.Backends))), float64(backend.Connections))
+			add("connections", backend.Name, float64(site.Aggregators)*max(1, connections/float64(len(site.Backends))), float64(backend.Connections))
 			break
 		}
 	}
@@ -56,61 +56,65 @@
 	return list
 }
 
-// MeetsGoals tells whether an outcome keeps the goals of the indexes that were asked, and which falls short most, "" for none.
-func (o *Outcome) MeetsGoals(site *Site) (bool, string) {
-	worst, by := "", 0.0
-	for k, x := range site.Indexes {
-		if short := x.Goal - o.ByIndex[k]; o.Queries[k] > 0 && short > by {
-			worst, by = x.Name, short
+// MeetsGoals reports whether all indexes that were queried meet their goals. If not, it also returns the name of the index
+// with the largest shortfall.
+func (outcome *Outcome) MeetsGoals(site *Site) (bool, string) {
+	worstIndex, largestShortfall := "", 0.0
+	for indexNo, index := range site.Indexes {
+		if shortfall := index.Goal - outcome.InTimeByIndex[indexNo]; outcome.Queries[indexNo] > 0 && shortfall > largestShortfall {
+			worstIndex, largestShortfall = index.Name, shortfall
 		}
 	}
-	return worst == "", worst
+	return worstIndex == "", worstIndex
 }
 
-// BreakingLoad is where the goals break as a load grows.
+// BreakingLoad is the load at which the goals are missed as the load grows.
 type BreakingLoad struct {
-	PerS     float64 `json:"PerS"`     // the most that keeps them, queries a second
-	Fails    float64 `json:"Fails"`    // the least that was seen to break them
-	Index    string  `json:"Index"`    // whose goal breaks first
-	First    Limit   `json:"First"`    // what was nearest its limit there
-	Searched int     `json:"Searched"` // emulations
+	QueriesPerSecond float64 `json:"PerS"`     // highest rate that was found to meet the goals
+	LowestFailing    float64 `json:"Fails"`    // lowest rate that was found to miss them, in queries per second
+	Index            string  `json:"Index"`    // index with the largest shortfall at LowestFailing, or a text on growing queues
+	NearestLimit     Limit   `json:"First"`    // nearest limit at LowestFailing
+	Emulations       int     `json:"Searched"` // number of emulations of the search
 }
 
 const (
-	// bracketTolerance is how near the two sides of a breaking load are brought: a third of what predictions are held to.
+	// bracketTolerance is the relative difference between the highest rate that meets the goals and the lowest that misses
+	// them at which the search ends. It is a third of the prediction error that package validate allows.
 	bracketTolerance = 0.05
-	// maxUtilization is the use of a backend's cores beyond which its queue grows for good: within an emulation's seconds that
-	// breaks no goal yet, within an hour it does.
+	// maxUtilization is the utilization of a backend above which a load counts as failing. The backend's queue grows without
+	// end: the goals may still be met within the seconds of an emulation, but not within an hour.
 	maxUtilization = 0.97
-	// maxEmulations bounds the search.
+	// maxEmulations is the maximum number of emulations in a search for the breaking load.
 	maxEmulations = 24
 )
 
-// FindBreakingLoad finds the load at which the goals break, by doubling and halving. A fleet without goals never does.
+// FindBreakingLoad finds the load at which the goals are missed. It doubles or halves the rate until it has one that meets
+// the goals and one that misses them, and then bisects the interval geometrically. It returns a DescriptionError if no index
+// has a goal, or if the goals are missed at every rate tried.
 func FindBreakingLoad(site *Site, workload *Workload, seed uint64, progress func(done, of int)) (BreakingLoad, error) {
-	if !slices.ContainsFunc(site.Indexes, func(x Index) bool { return x.Goal > 0 }) {
-		return BreakingLoad{}, wrong("no index has a goal: state one, as 0.99")
+	if !slices.ContainsFunc(site.Indexes, func(index Index) bool { return index.Goal > 0 }) {
+		return BreakingLoad{}, invalid("no index has a goal: state one, as 0.99")
 	}
 	var breaking BreakingLoad
 	low, high := 0.0, 0.0
-	rate := workload.PerS
-	for breaking.Searched < maxEmulations && (low == 0 || high == 0 || high/low > 1+bracketTolerance) {
-		breaking.Searched++
+	rate := workload.QueriesPerSecond
+	for breaking.Emulations < maxEmulations && (low == 0 || high == 0 || high/low > 1+bracketTolerance) {
+		breaking.Emulations++
 		if progress != nil {
-			progress(breaking.Searched, maxEmulations)
+			progress(breaking.Emulations, maxEmulations)
 		}
-		scaled := workload.Scaled(rate / workload.PerS)
+		scaled := workload.Scaled(rate / workload.QueriesPerSecond)
 		outcome := Emulate(site, &scaled, seed, 0)
-		ok, index := outcome.MeetsGoals(site)
-		if ok && outcome.Use[outcome.Hottest] > maxUtilization {
-			ok, index = false, "all of them, by a queue that grows"
+		meetsGoals, index := outcome.MeetsGoals(site)
+		if meetsGoals && outcome.Utilization[outcome.Hottest] > maxUtilization {
+			meetsGoals, index = false, "all of them, by a queue that grows"
 		}
-		if ok {
+		if meetsGoals {
 			low = rate
 		} else {
 			high, breaking.Index = rate, index
 			if limits := outcome.Limits(site); len(limits) > 0 {
-				breaking.First = limits[0]
+				breaking.NearestLimit = limits[0]
 			}
 		}
 		switch {
@@ -122,67 +126,70 @@
 			rate = math.Sqrt(low * high)
 		}
 	}
-	breaking.PerS, breaking.Fails = low, high
+	breaking.QueriesPerSecond, breaking.LowestFailing = low, high
 	if low == 0 {
-		return breaking, wrong("the goals of %s are not kept at any load that was tried, down to %.3g lookups a second: they ask for more than the fleet's work and network allow", breaking.Index, high)
+		return breaking, invalid("the goals of %s are not kept at any load that was tried, down to %.3g lookups a second: they ask for more than the fleet's work and network allow", breaking.Index, high)
 	}
 	return breaking, nil
 }
 
-// WhatIf is a named change of fleet and load.
+// WhatIf is a named scenario with a changed deployment or workload.
 type WhatIf struct {
 	Name     string
 	Site     Site
 	Workload Workload
-	Lost     []int // shards that no backend holds any more: they are lost, not overloaded
+	Lost     []int // shards that no backend holds any more; their subqueries fail at any load
 }
 
-// WhatIfs are the usual ones: as it is, a burst, all slower, each location lost, both, and all traffic to each index.
+// WhatIfs returns the standard scenarios: no change, a burst, slower backends, the loss of each location, that loss together
+// with slower backends, and all traffic to each single index.
 func WhatIfs(site *Site, workload *Workload) (list []WhatIf) {
 	list = append(list, WhatIf{Name: "as it is", Site: *site, Workload: *workload},
 		WhatIf{Name: "burst x 2", Site: *site, Workload: workload.Scaled(2)},
 		WhatIf{Name: "all 1.5 times slower", Site: site.Slower(1.5), Workload: *workload})
-	for _, place := range site.Locations {
-		remaining, lost := site.Without(place)
+	for _, location := range site.Locations {
+		remaining, lost := site.WithoutLocation(location)
 		if len(remaining.Backends) == 0 {
 			continue
 		}
-		list = append(list, WhatIf{"location " + place + " lost", remaining, *workload, lost},
-			WhatIf{"location " + place + " lost, all 1.5 times slower", remaining.Slower(1.5), *workload, lost})
+		list = append(list, WhatIf{"location " + location + " lost", remaining, *workload, lost},
+			WhatIf{"location " + location + " lost, all 1.5 times slower", remaining.Slower(1.5), *workload, lost})
 	}
 	if len(workload.Mix) > 1 {
-		for _, m := range workload.Mix {
-			moved := *workload
-			moved.Mix = []Share{{m.Index, 1, m.Subqueries}}
-			list = append(list, WhatIf{Name: "all traffic to " + site.Indexes[m.Index].Name, Site: *site, Workload: moved})
+		for _, kind := range workload.Mix {
+			singleIndex := *workload
+			singleIndex.Mix = []QueryKind{{kind.Index, 1, kind.Subqueries}}
+			list = append(list, WhatIf{Name: "all traffic to " + site.Indexes[kind.Index].Name, Site: *site, Workload: singleIndex})
 		}
 	}
 	return list
 }
 
-// Recovers plays a burst and then the usual load, and tells whether the usual load keeps the goals again: clients that
-// come back may hold a fleet down that would bear them one by one. Where it does not, Leave is the load to go down to.
-func Recovers(site *Site, workload *Workload, burst float64, seed uint64) (recovers bool, leave float64) {
-	for share := 1.0; share > 0.1; share -= 0.1 {
-		scaled := workload.Scaled(share)
-		sim := newSimulation(site, &scaled, seed)
-		usual := scaled.PerS
-		sim.warm = maxWarmUp + burstDuration*2
-		sim.end = sim.warm + max(3*minDuration, measuredQueries/usual)
-		sim.schedule(maxWarmUp, func() { scaled.PerS = burst * workload.PerS })
-		sim.schedule(maxWarmUp+burstDuration, func() { scaled.PerS = usual })
-		sim.arrive()
-		for len(sim.pending) > 0 && sim.pending[0].at < sim.end+10 {
-			sim.runNextEvent()
+// Recovers emulates a burst followed by the steady load, and reports whether the goals are met again after the burst.
+// Retries by clients can keep a deployment overloaded that would sustain the load without them. recoveryLoad is the rate that
+// meets the goals after the burst, in queries per second. It is 0 if none was found down to a fifth of the steady load.
+func Recovers(site *Site, workload *Workload, burstFactor float64, seed uint64) (recovers bool, recoveryLoad float64) {
+	for fraction := 1.0; fraction > 0.1; fraction -= 0.1 {
+		scaled := workload.Scaled(fraction)
+		emulation := newEmulation(site, &scaled, seed)
+		steadyRate := scaled.QueriesPerSecond
+		emulation.warmUpEnd = maxWarmUp + burstDuration*2
+		emulation.end = emulation.warmUpEnd + max(3*minDuration, measuredQueries/steadyRate)
+		emulation.schedule(maxWarmUp, func() { scaled.QueriesPerSecond = burstFactor * workload.QueriesPerSecond })
+		emulation.schedule(maxWarmUp+burstDuration, func() { scaled.QueriesPerSecond = steadyRate })
+		emulation.handleArrival()
+		for len(emulation.pendingEvents) > 0 && emulation.pendingEvents[0].at < emulation.end+10 {
+			emulation.runNextEvent()
 		}
-		if o := sim.summarize(); first(o.MeetsGoals(site)) {
-			return share == 1, share * workload.PerS
+		if outcome := emulation.summarize(); firstResult(outcome.MeetsGoals(site)) {
+			return fraction == 1, fraction * workload.QueriesPerSecond
 		}
 	}
 	return false, 0
 }
 
-// burstDuration is how long a burst lasts that Recovers plays, seconds.
+// burstDuration is the duration of the burst in Recovers, in seconds.
 const burstDuration = 3.0
 
-func first(ok bool, _ string) bool { return ok }
+// firstResult returns the first result of MeetsGoals.
+func firstResult(ok bool, _ string) bool { return ok }
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -14,8 +14,8 @@
 )
 
 func testSite(backends, cores int) Site {
-	site := Site{Locations: []string{"north", "south"}, Cells: backends, Width: 2, Shards: 2 * backends, Aggregators: 2, Step: 0.005, Network: 0.0002, MaxAttempts: 3,
-		Indexes: []Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Scv: 0.3, Goal: 0.98}}}
+	site := Site{Locations: []string{"north", "south"}, Cells: backends, Width: 2, Shards: 2 * backends, Aggregators: 2, StepInterval: 0.005, NetworkDelay: 0.0002, MaxAttempts: 3,
+		Indexes: []Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, WorkSCV: 0.3, Goal: 0.98}}}
 	for i := range backends {
 		site.Backends = append(site.Backends, Backend{Name: fmt.Sprint("s-", i), Location: site.Locations[i%2], Cell: i, Cores: cores, Speed: 1, Price: 1})
 	}
@@ -23,7 +23,7 @@
 }
 
 func testWorkload(perS float64, subqueries int) Workload {
-	return Workload{PerS: perS, Mix: []Share{{0, 1, subqueries}}}
+	return Workload{QueriesPerSecond: perS, Mix: []QueryKind{{0, 1, subqueries}}}
 }
 
 func TestCheckReportsMistakes(t *testing.T) {
@@ -37,7 +37,7 @@
 		"is it in milliseconds?":         func(site *Site) { site.Indexes[0].Work = 10 },
 		"2000 s: times are seconds, is":  func(site *Site) { site.Indexes[0].Hard = 2000 },
 		"read it from a capture":         func(site *Site) { site.Indexes[0].Work = 0 },
-		"expected two quantiles or more": func(site *Site) { site.Indexes[0].Shape = []float64{2, 1} },
+		"expected two quantiles or more": func(site *Site) { site.Indexes[0].WorkQuantiles = []float64{2, 1} },
 		"a width of no more than":        func(site *Site) { site.Width = 9 },
 	} {
 		site := testSite(6, 4)
@@ -46,88 +46,87 @@
 			t.Errorf("got %v, expected %q", err, want)
 		}
 	}
-	site, a := testSite(6, 4), testWorkload(10, 99)
-	if err := a.Check(&site); err == nil || !strings.Contains(err.Error(), "1 to 12 parts") {
+	site, workload := testSite(6, 4), testWorkload(10, 99)
+	if err := workload.Check(&site); err == nil || !strings.Contains(err.Error(), "1 to 12 parts") {
 		t.Errorf("got %v", err)
 	}
-	if a = testWorkload(10, 2); a.Check(&site) != nil || site.Check() != nil {
-		t.Error("a good fleet is refused")
+	if workload = testWorkload(10, 2); workload.Check(&site) != nil || site.Check() != nil {
+		t.Error("a valid site and workload are rejected")
 	}
-	a.Popular = make([]float64, 5)
-	if err := a.Check(&site); err == nil || !strings.Contains(err.Error(), "asks for 5 shards, the fleet holds 12") {
+	workload.Popularity = make([]float64, 5)
+	if err := workload.Check(&site); err == nil || !strings.Contains(err.Error(), "asks for 5 shards, the fleet holds 12") {
 		t.Errorf("got %v", err)
 	}
 }
 
-// What the emulation comes to where a formula tells it.
-func TestEmulationMatchesFormulas(t *testing.T) {
+// Compares the emulation with closed formulas for the utilization, the latency of one subquery and an overload.
+func TestEmulationMatchesQueueingFormulas(t *testing.T) {
 	site := testSite(6, 4)
-	a := testWorkload(100, 4)
-	o := Emulate(&site, &a, 1, 0)
-	if again := Emulate(&site, &a, 1, 0); !reflect.DeepEqual(o, again) {
-		t.Fatal("the same seed gives other figures")
+	workload := testWorkload(100, 4)
+	outcome := Emulate(&site, &workload, 1, 0)
+	if again := Emulate(&site, &workload, 1, 0); !reflect.DeepEqual(outcome, again) {
+		t.Fatal("two emulations with the same seed differ")
 	}
-	if o.ValueShare < 0.99 || o.Nacked+o.Aborted > 0 || o.Attempts < 1 {
-		t.Fatalf("a low load comes to %+v", o)
+	if outcome.ValueShare < 0.99 || outcome.Nacked+outcome.Aborted > 0 || outcome.AttemptsPerQuery < 1 {
+		t.Fatalf("at low load the outcome is %+v, expected all queries answered in time", outcome)
 	}
-	use := 0.0 // 100 queries of 4 parts of 10 ms on 24 cores
-	for _, u := range o.Use {
-		use += u / 6
+	use := 0.0 // 100 queries per second with 4 subqueries of 10 ms on 24 cores
+	for _, backendUse := range outcome.Utilization {
+		use += backendUse / 6
 	}
 	if want := 100 * 4 * 0.01 / 24; math.Abs(use-want) > 0.05*want {
-		t.Errorf("use %.4f, expected %.4f", use, want)
+		t.Errorf("utilization is %.4f, expected %.4f", use, want)
 	}
-	// Alone, a query of one part takes its work, two ways, and some steps.
-	one := testWorkload(5, 1)
-	site.Indexes[0].Scv = 0
-	if o := Emulate(&site, &one, 2, 500); o.P50 < 0.0104 || o.P50 > 0.0104+2*site.Step {
-		t.Errorf("a part of 10 ms takes %.4f s", o.P50)
+	// Without contention, a query with one subquery takes its work, two network delays, and at most two step intervals.
+	singleSubquery := testWorkload(5, 1)
+	site.Indexes[0].WorkSCV = 0
+	if outcome := Emulate(&site, &singleSubquery, 2, 500); outcome.P50 < 0.0104 || outcome.P50 > 0.0104+2*site.StepInterval {
+		t.Errorf("a query with one subquery of 10 ms takes %.4f s", outcome.P50)
 	}
-	// Far beyond what the cores bear, no more than they bear is answered, and most of that.
-	over := testWorkload(1200, 4) // twice the 600 that they bear
-	o = Emulate(&site, &over, 3, 4000)
-	if answered := 1 - o.Nacked - o.Aborted; answered > 0.56 || answered < 0.3 {
-		t.Errorf("at twice what the cores bear a share of %.2f is answered", answered)
+	// At twice the capacity, at most about half of the queries are answered, and most of that half.
+	overload := testWorkload(1200, 4) // the capacity is 600 queries per second
+	outcome = Emulate(&site, &overload, 3, 4000)
+	if answered := 1 - outcome.Nacked - outcome.Aborted; answered > 0.56 || answered < 0.3 {
+		t.Errorf("at twice the capacity, a share of %.2f is answered", answered)
 	}
-	if limits := o.Limits(&site); limits[0].What != "cores" || limits[0].Margin > 1.15 {
-		t.Errorf("nearest its limit: %+v", limits[0])
+	if limits := outcome.Limits(&site); limits[0].Resource != "cores" || limits[0].Margin > 1.15 {
+		t.Errorf("nearest limit is %+v, expected cores with a margin of at most 1.15", limits[0])
 	}
-	lost, shards := site.Without("south")
-	if len(lost.Backends) != 3 || len(shards) != 0 {
-		t.Errorf("without south: %d searchers, lost %v", len(lost.Backends), shards)
+	remaining, lostShards := site.WithoutLocation("south")
+	if len(remaining.Backends) != 3 || len(lostShards) != 0 {
+		t.Errorf("without location south: %d backends, lost shards %v; expected 3 backends and no lost shard", len(remaining.Backends), lostShards)
 	}
-	same := testSite(6, 4)
-	same.Backends[1].Location, same.Backends[0].Location = "south", "south"
-	if _, shards := same.Without("south"); !slices.Contains(shards, 0) {
-		t.Errorf("both copies of shard 0 stand in south, lost are %v", shards)
+	unbalanced := testSite(6, 4)
+	unbalanced.Backends[1].Location, unbalanced.Backends[0].Location = "south", "south"
+	if _, lostShards := unbalanced.WithoutLocation("south"); !slices.Contains(lostShards, 0) {
+		t.Errorf("both copies of shard 0 are in location south, but the lost shards are %v", lostShards)
 	}
 }
 
-// The load at which the goal breaks lies below what the cores bear, and more cores bear more.
-func TestBreakingLoad(t *testing.T) {
-	site, a := testSite(4, 2), testWorkload(50, 2)
-	b, err := FindBreakingLoad(&site, &a, 1, nil)
+func TestBreakingLoadIsBelowCapacityAndGrowsWithCores(t *testing.T) {
+	site, workload := testSite(4, 2), testWorkload(50, 2)
+	breaking, err := FindBreakingLoad(&site, &workload, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	bears := 4 * 2 / 0.01 / 2.0 // 400 queries a second
-	if b.PerS < 0.5*bears || b.PerS > 1.05*bears || b.Fails/b.PerS > 1+bracketTolerance+0.01 || b.Index == "" || b.First.What != "cores" {
-		t.Fatalf("breaks at %+v, cores bear %g", b, bears)
+	capacity := 4 * 2 / 0.01 / 2.0 // 400 queries per second
+	if breaking.QueriesPerSecond < 0.5*capacity || breaking.QueriesPerSecond > 1.05*capacity || breaking.LowestFailing/breaking.QueriesPerSecond > 1+bracketTolerance+0.01 || breaking.Index == "" || breaking.NearestLimit.Resource != "cores" {
+		t.Fatalf("breaking load is %+v, capacity is %g", breaking, capacity)
 	}
-	if raceflag.On { // the race detector has nothing to find where there is no goroutine
+	if raceflag.On { // the emulation starts no goroutines, so there is nothing for the race detector to find
 		return
 	}
 	larger := testSite(4, 4)
-	if more, err := FindBreakingLoad(&larger, &a, 1, nil); err != nil || more.PerS < 1.6*b.PerS {
-		t.Fatalf("twice the cores break at %g against %g, %v", more.PerS, b.PerS, err)
+	if more, err := FindBreakingLoad(&larger, &workload, 1, nil); err != nil || more.QueriesPerSecond < 1.6*breaking.QueriesPerSecond {
+		t.Fatalf("with twice the cores the breaking load is %g, against %g before; error %v", more.QueriesPerSecond, breaking.QueriesPerSecond, err)
 	}
 	site.Indexes[0].Goal = 0
-	if _, err := FindBreakingLoad(&site, &a, 1, nil); err == nil {
-		t.Fatal("no goal, and it breaks")
+	if _, err := FindBreakingLoad(&site, &workload, 1, nil); err == nil {
+		t.Fatal("a site without goals has a breaking load")
 	}
 }
 
-// cheapestByBruteForce goes through every purchase.
+// cheapestByBruteForce returns the price of the cheapest purchase by trying all of them.
 func cheapestByBruteForce(offers []Offer, demand float64, spare int) (best float64) {
 	best = math.Inf(1)
 	counts := make([]int, len(offers))
@@ -150,7 +149,7 @@
 	}
 }
 
-func TestCheapestPurchase(t *testing.T) {
+func TestCheapestPurchaseMatchesExhaustiveSearch(t *testing.T) {
 	sum, worst, n := 0.0, 1.0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 8))
@@ -162,65 +161,66 @@
 		got, err := CheapestPurchase(offers, demand, spare)
 		want := cheapestByBruteForce(offers, demand, spare)
 		if math.IsInf(want, 1) != (err != nil) {
-			t.Fatalf("seed %d: %v, the best costs %g", seed, err, want)
+			t.Fatalf("seed %d: got error %v, the optimal price is %g", seed, err, want)
 		}
 		if err != nil {
 			continue
 		}
 		if math.Abs(got.Price-want) > 1e-9 || !sustains(offers, got.Counts, demand, spare) {
-			t.Fatalf("seed %d: %+v, the best costs %g", seed, got, want)
+			t.Fatalf("seed %d: got %+v, the optimal price is %g", seed, got, want)
 		}
-		quick := greedy(offers, demand, spare)
-		if !sustains(offers, quick.Counts, demand, spare) || quick.Price < want-1e-9 || lowerBound(offers, demand) > want+1e-9 {
-			t.Fatalf("seed %d: quick %+v, bound %g, the best costs %g", seed, quick, lowerBound(offers, demand), want)
+		approximate := greedyPurchase(offers, demand, spare)
+		if !sustains(offers, approximate.Counts, demand, spare) || approximate.Price < want-1e-9 || priceLowerBound(offers, demand) > want+1e-9 {
+			t.Fatalf("seed %d: greedy purchase %+v, lower bound %g, the optimal price is %g", seed, approximate, priceLowerBound(offers, demand), want)
 		}
-		sum, worst, n = sum+quick.Price/want, max(worst, quick.Price/want), n+1
+		sum, worst, n = sum+approximate.Price/want, max(worst, approximate.Price/want), n+1
 	}
-	t.Logf("without going through all: %.3f of the best in the mean, %.3f at worst, of %d", sum/float64(n), worst, n)
+	t.Logf("greedy price divided by the optimal price: mean %.3f, worst %.3f, over %d cases", sum/float64(n), worst, n)
 	if sum/float64(n) > 1.1 {
-		t.Errorf("%.3f of the best in the mean", sum/float64(n))
+		t.Errorf("greedy price is %.3f of the optimal price in the mean, expected at most 1.1", sum/float64(n))
 	}
 	if _, err := CheapestPurchase([]Offer{{"a", 1, 1, 5}}, 1, 0); err == nil {
-		t.Error("one location bears its own loss")
+		t.Error("a single location is accepted, although its loss leaves no backend")
 	}
 	var large []Offer
 	for i := range 12 {
 		large = append(large, Offer{fmt.Sprint("l-", i), 1 + float64(i%3), 8, 100})
 	}
-	if b, err := CheapestPurchase(large, 3000, 4); err != nil || b.Price > 1.5*b.Bound {
-		t.Errorf("got %+v, %v", b, err)
+	if purchase, err := CheapestPurchase(large, 3000, 4); err != nil || purchase.Price > 1.5*purchase.Bound {
+		t.Errorf("got %+v, %v", purchase, err)
 	}
 }
 
-// bestPlacement goes through every placement of two copies.
-func bestPlacement(site *Site, load []float64) float64 {
+// optimalUtilizationByBruteForce returns the lowest possible maximum utilization with two copies of each shard, by trying all
+// placements.
+func optimalUtilizationByBruteForce(site *Site, load []float64) float64 {
 	best := math.Inf(1)
 	used := make([]float64, len(site.Backends))
-	var put func(s int)
-	put = func(s int) {
-		if s == len(load) {
-			most := 0.0
-			for i, u := range used {
-				most = max(most, u/float64(site.Backends[i].Cores))
+	var placeFrom func(shard int)
+	placeFrom = func(shard int) {
+		if shard == len(load) {
+			highest := 0.0
+			for i, backendLoad := range used {
+				highest = max(highest, backendLoad/float64(site.Backends[i].Cores))
 			}
-			best = min(best, most)
+			best = min(best, highest)
 			return
 		}
 		for i := range site.Backends {
 			for j := range i {
 				if site.Backends[i].Location != site.Backends[j].Location {
-					used[i], used[j] = used[i]+load[s]/2, used[j]+load[s]/2
-					put(s + 1)
-					used[i], used[j] = used[i]-load[s]/2, used[j]-load[s]/2
+					used[i], used[j] = used[i]+load[shard]/2, used[j]+load[shard]/2
+					placeFrom(shard + 1)
+					used[i], used[j] = used[i]-load[shard]/2, used[j]-load[shard]/2
 				}
 			}
 		}
 	}
-	put(0)
+	placeFrom(0)
 	return best
 }
 
-func TestPlacement(t *testing.T) {
+func TestPlacementIsNearTheOptimum(t *testing.T) {
 	worst := 1.0
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -229,87 +229,89 @@
 			site.Backends[i].Cores = 1 + rng.IntN(3)
 		}
 		load := make([]float64, 5)
-		for s := range load {
-			load[s] = 0.1 + rng.Float64()
+		for shard := range load {
+			load[shard] = 0.1 + rng.Float64()
 		}
-		p, err := Place(&site, load, 2, nil)
+		placement, err := Place(&site, load, 2, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		best := bestPlacement(&site, load)
-		if p.MaxUtilization < best-1e-9 || p.Bound > best+1e-9 {
-			t.Fatalf("seed %d: %g, bound %g, the best is %g", seed, p.MaxUtilization, p.Bound, best)
+		best := optimalUtilizationByBruteForce(&site, load)
+		if placement.MaxUtilization < best-1e-9 || placement.Bound > best+1e-9 {
+			t.Fatalf("seed %d: maximum utilization %g, bound %g, the optimum is %g", seed, placement.MaxUtilization, placement.Bound, best)
 		}
-		worst = max(worst, p.MaxUtilization/best)
-		for s, list := range p.Copies {
+		worst = max(worst, placement.MaxUtilization/best)
+		for shard, list := range placement.Copies {
 			if len(list) != 2 || site.Backends[list[0]].Location == site.Backends[list[1]].Location {
-				t.Fatalf("seed %d: copies of shard %d stand at %v", seed, s, list)
+				t.Fatalf("seed %d: copies of shard %d are on backends %v, expected two in different locations", seed, shard, list)
 			}
 		}
-		again, err := Place(&site, load, 2, p.Copies)
-		if err != nil || again.Moves > 0 && p.MaxUtilization <= p.Bound*(1+stayTolerance/2) {
-			t.Fatalf("seed %d: %d moves from a placement that is as good as it gets, %v", seed, again.Moves, err)
+		again, err := Place(&site, load, 2, placement.Copies)
+		if err != nil || again.Moves > 0 && placement.MaxUtilization <= placement.Bound*(1+keepInPlaceTolerance/2) {
+			t.Fatalf("seed %d: %d moves from a placement that is near the bound already; error %v", seed, again.Moves, err)
 		}
 	}
-	t.Logf("the fullest searcher has at worst %.3f of the best placement's", worst)
+	t.Logf("maximum utilization divided by the optimum is at worst %.3f", worst)
 	if worst > 1.35 {
-		t.Errorf("%.3f of the best at worst", worst)
+		t.Errorf("maximum utilization divided by the optimum is %.3f, expected at most 1.35", worst)
 	}
 	site := testSite(4, 1)
 	for i := range site.Backends {
 		site.Backends[i].Location = "north"
 	}
 	if _, err := Place(&site, []float64{1}, 2, nil); err == nil {
-		t.Error("two copies in one location")
+		t.Error("two copies are accepted with a single location")
 	}
 }
 
-// An emulation keeps the modules' rules: a once-only part is never called twice where a call may have run.
+// The emulation follows the policy's rules for at-most-once indexes: a subquery is not called again after a call that may
+// have been executed.
 func TestOnceOnlySubqueriesAreNotRetried(t *testing.T) {
-	site, a := testSite(6, 2), testWorkload(400, 3)
+	site, workload := testSite(6, 2), testWorkload(400, 3)
 	site.Indexes[0].Effect = policy.AtMostOnce
 	site.Backends[2].Queue = 2
-	o := Emulate(&site, &a, 4, 3000)
-	if o.Calls > 1.05 {
-		t.Fatalf("%.3f calls a part", o.Calls)
+	outcome := Emulate(&site, &workload, 4, 3000)
+	if outcome.CallsPerSubquery > 1.05 {
+		t.Fatalf("%.3f calls per subquery, expected at most 1.05", outcome.CallsPerSubquery)
 	}
 }
 
-// A fleet with room recovers from a burst; one that is asked for more than it bears does not, and is told how far to go down.
-func TestRecovery(t *testing.T) {
-	site, a := testSite(4, 2), testWorkload(100, 2) // its cores bear 400
+// A deployment at a quarter of its capacity recovers from a burst. At one and a half times its capacity it does not, and the
+// reported recovery load lies near or below the capacity.
+func TestRecoveryAfterBurst(t *testing.T) {
+	site, workload := testSite(4, 2), testWorkload(100, 2) // the capacity is 400 queries per second
 	site.Retries, site.Backoff = 2, 0.05
-	if recovers, leave := Recovers(&site, &a, 3, 1); !recovers || leave != a.PerS {
-		t.Errorf("a quarter of what the cores bear: %t, leave at %g", recovers, leave)
+	if recovers, recoveryLoad := Recovers(&site, &workload, 3, 1); !recovers || recoveryLoad != workload.QueriesPerSecond {
+		t.Errorf("at a quarter of the capacity: recovers %t, recovery load %g", recovers, recoveryLoad)
 	}
 	if raceflag.On {
 		return
 	}
-	a = testWorkload(600, 2)
-	if recovers, leave := Recovers(&site, &a, 2, 1); recovers || leave < 150 || leave > 420 {
-		t.Errorf("one and a half times what the cores bear: %t, leave at %g", recovers, leave)
+	workload = testWorkload(600, 2)
+	if recovers, recoveryLoad := Recovers(&site, &workload, 2, 1); recovers || recoveryLoad < 150 || recoveryLoad > 420 {
+		t.Errorf("at one and a half times the capacity: recovers %t, recovery load %g", recovers, recoveryLoad)
 	}
 }
 
-// Work is drawn by its shape: of its mean, and within its ends.
-func TestWorkFollowsItsDistribution(t *testing.T) {
-	for _, x := range []Index{{Work: 0.01, Shape: []float64{0.5, 1.5}}, {Work: 0.02, Shape: []float64{0, 0.5, 0.5, 3}}, {Work: 0.01, Scv: 0.5}} {
-		g, sum, want := pcg{9}, 0.0, x.Work
-		if n := len(x.Shape); n > 0 {
+// Drawn work has the mean of its distribution, and lies between the lowest and the highest quantile.
+func TestDrawnWorkMatchesItsDistribution(t *testing.T) {
+	for _, index := range []Index{{Work: 0.01, WorkQuantiles: []float64{0.5, 1.5}}, {Work: 0.02, WorkQuantiles: []float64{0, 0.5, 0.5, 3}}, {Work: 0.01, WorkSCV: 0.5}} {
+		random, sum, want := generator{9}, 0.0, index.Work
+		if n := len(index.WorkQuantiles); n > 0 {
 			want = 0
 			for i := range n - 1 {
-				want += x.Work * (x.Shape[i] + x.Shape[i+1]) / 2 / float64(n-1)
+				want += index.Work * (index.WorkQuantiles[i] + index.WorkQuantiles[i+1]) / 2 / float64(n-1)
 			}
 		}
 		for range 20000 {
-			v := g.work(&x)
-			if n := len(x.Shape); n > 0 && (v < x.Work*x.Shape[0]-1e-12 || v > x.Work*x.Shape[n-1]+1e-12) {
-				t.Fatalf("%v: drew %g", x.Shape, v)
+			work := random.drawWork(&index)
+			if n := len(index.WorkQuantiles); n > 0 && (work < index.Work*index.WorkQuantiles[0]-1e-12 || work > index.Work*index.WorkQuantiles[n-1]+1e-12) {
+				t.Fatalf("quantiles %v: drew %g, which is outside of them", index.WorkQuantiles, work)
 			}
-			sum += v
+			sum += work
 		}
 		if got := sum / 20000; math.Abs(got-want) > 0.02*want {
-			t.Errorf("%+v: %g in the mean, expected %g", x, got, want)
+			t.Errorf("%+v: the mean is %g, expected %g", index, got, want)
 		}
 	}
 }
--- a/internal/tools/plan/queue.go
+++ b/internal/tools/plan/queue.go
@@ -4,51 +4,53 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// deliver puts a call on a core, into the queue, or rejects it.
-func (sim *simulation) deliver(s *queue, received *call) {
-	s.calls++
+// deliver starts a call that arrives at a backend, queues it if all cores are busy, or rejects it if the queue is full.
+func (sim *emulation) deliver(backend *emulatedBackend, received *call) {
+	backend.calls++
 	switch {
-	case s.busy < s.Cores:
-		sim.serve(s, received)
-	case s.Queue > 0 && len(s.waiting) >= s.Queue:
-		s.rejected++
-		sim.schedule(sim.now+sim.site.Network, func() { sim.completeCall(received, s, policy.Rejected) })
+	case backend.busyCores < backend.Cores:
+		sim.serve(backend, received)
+	case backend.Queue > 0 && len(backend.waiting) >= backend.Queue:
+		backend.rejected++
+		sim.schedule(sim.now+sim.site.NetworkDelay, func() { sim.completeCall(received, backend, policy.Rejected) })
 	default:
-		s.waiting = append(s.waiting, received)
-		s.maxLength = max(s.maxLength, len(s.waiting))
+		backend.waiting = append(backend.waiting, received)
+		backend.maxQueued = max(backend.maxQueued, len(backend.waiting))
 	}
 }
 
-func (sim *simulation) serve(s *queue, served *call) {
-	s.busy++
-	took := sim.random.work(&sim.site.Indexes[served.index]) / s.Speed
-	if sim.now >= sim.warm {
-		s.used += min(took, max(0, sim.end-sim.now))
+// serve occupies a core for the call's processing time. When the call ends, it starts the next waiting call that the
+// aggregator has not timed out or canceled.
+func (sim *emulation) serve(backend *emulatedBackend, served *call) {
+	backend.busyCores++
+	serviceTime := sim.random.drawWork(&sim.site.Indexes[served.index]) / backend.Speed
+	if sim.now >= sim.warmUpEnd {
+		backend.busyTime += min(serviceTime, max(0, sim.end-sim.now))
 	}
-	sim.schedule(sim.now+took, func() {
-		s.busy--
-		sim.schedule(sim.now+sim.site.Network, func() { sim.completeCall(served, s, policy.Answered) })
-		for len(s.waiting) > 0 && s.busy < s.Cores {
-			next := s.waiting[0]
-			s.waiting = s.waiting[1:]
+	sim.schedule(sim.now+serviceTime, func() {
+		backend.busyCores--
+		sim.schedule(sim.now+sim.site.NetworkDelay, func() { sim.completeCall(served, backend, policy.Answered) })
+		for len(backend.waiting) > 0 && backend.busyCores < backend.Cores {
+			next := backend.waiting[0]
+			backend.waiting = backend.waiting[1:]
 			if !next.completed {
-				sim.serve(s, next)
+				sim.serve(backend, next)
 			}
 		}
 	})
 }
 
-// completeCall tells an aggregator once how a call ended.
-func (sim *simulation) completeCall(ended *call, s *queue, outcome policy.Outcome) {
-	key := callKey{ended.subquery, ended.no}
+// completeCall notifies the aggregator of the end of a call, only once for each call. backend is nil for a canceled call.
+func (sim *emulation) completeCall(ended *call, backend *emulatedBackend, outcome policy.Outcome) {
+	key := callKey{ended.subquery, ended.number}
 	if ended.completed || ended.aggregator.inFlight[key] != ended {
 		return
 	}
 	ended.completed = true
 	delete(ended.aggregator.inFlight, key)
 	id := policy.BackendID(0)
-	if s != nil {
-		id = s.id
+	if backend != nil {
+		id = backend.id
 	}
-	sim.notify(ended.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: ended.subquery, Call: ended.no, Backend: id, Outcome: outcome, Elapsed: sim.now - ended.sent})
+	sim.notify(ended.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: ended.subquery, Call: ended.number, Backend: id, Outcome: outcome, Elapsed: sim.now - ended.sentAt})
 }
--- a/internal/tools/plan/simulation.go
+++ b/internal/tools/plan/simulation.go
@@ -7,125 +7,128 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// pcg draws what an emulation needs beside what every generator draws.
-type pcg struct{ random.PCG }
+// generator is a random number generator with the additional distributions of the emulation.
+type generator struct{ random.PCG }
 
-// logNormal draws a positive figure of this mean and squared coefficient of variation, lognormal: work has a long tail, and
-// two figures fix it.
-func (g *pcg) logNormal(mean, scv float64) float64 {
+// drawLogNormal draws from the lognormal distribution with the given mean and squared coefficient of variation. The
+// distribution suits work, because it has a long tail and two parameters determine it.
+func (g *generator) drawLogNormal(mean, scv float64) float64 {
 	if scv <= 0 {
 		return mean
 	}
-	s2 := math.Log(1 + scv)
-	return mean * math.Exp(math.Sqrt(s2)*g.Normal()-s2/2)
+	logVariance := math.Log(1 + scv)
+	return mean * math.Exp(math.Sqrt(logVariance)*g.Normal()-logVariance/2)
 }
 
-// call draws what a part of an index takes on a core of speed 1, by its shape or else lognormal.
-func (g *pcg) work(x *Index) float64 {
-	if len(x.Shape) == 0 {
-		return g.logNormal(x.Work, x.Scv)
+// drawWork draws the processing time of a subquery on a core of speed 1. It interpolates the index's quantiles, or uses a
+// lognormal distribution if there are none.
+func (g *generator) drawWork(index *Index) float64 {
+	if len(index.WorkQuantiles) == 0 {
+		return g.drawLogNormal(index.Work, index.WorkSCV)
 	}
-	at := g.Unit() * float64(len(x.Shape)-1)
-	i := min(int(at), len(x.Shape)-2)
-	return x.Work * (x.Shape[i] + (at-float64(i))*(x.Shape[i+1]-x.Shape[i]))
+	position := g.Unit() * float64(len(index.WorkQuantiles)-1)
+	i := min(int(position), len(index.WorkQuantiles)-2)
+	return index.Work * (index.WorkQuantiles[i] + (position-float64(i))*(index.WorkQuantiles[i+1]-index.WorkQuantiles[i]))
 }
 
-// scheduledEvent is one thing to come in the emulated world.
+// scheduledEvent is a function to run at a point of emulated time.
 type scheduledEvent struct {
 	at       float64
-	sequence int // order among those at one time
+	sequence int // order among events at the same time
 	run      func()
 }
 
+// eventHeap is a heap of the scheduled events, the earliest first. It implements heap.Interface.
 type eventHeap []scheduledEvent
 
-func (a eventHeap) Len() int { return len(a) }
+func (h eventHeap) Len() int { return len(h) }
 
-func (a eventHeap) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 
-func (a eventHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (a *eventHeap) Push(x any) { *a = append(*a, x.(scheduledEvent)) } //nolint:forcetypeassert // heap.Interface takes any, and only happenings are pushed
+func (h *eventHeap) Push(event any) { *h = append(*h, event.(scheduledEvent)) } //nolint:forcetypeassert // heap.Interface takes any, and only scheduledEvent values are pushed
 
-func (a *eventHeap) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// call is a call for one subquery at a backend.
+// call is one call for a subquery to a backend.
 type call struct {
-	aggregator *aggregator
+	aggregator *emulatedAggregator
 	subquery   policy.SubqueryID
-	no         policy.CallNo
+	number     policy.CallNo
 	index      policy.IndexID
-	sent       float64
-	completed  bool // its aggregator waits no more
+	sentAt     float64
+	completed  bool // the aggregator has been notified of its end
 }
 
-// queue is a backend as queueing theory sees it: so many servers, its cores, and calls that wait before them.
-type queue struct {
+// emulatedBackend models a backend as a queue with one server for each core.
+type emulatedBackend struct {
 	Backend
 	id        policy.BackendID
-	busy      int
+	busyCores int
 	waiting   []*call
-	maxLength int
-	used      float64 // core seconds
+	maxQueued int
+	busyTime  float64 // core seconds within the measured interval
 	calls     int64
 	rejected  int64
 }
 
-// query is a query as its client sees it, all tries together.
+// query is a query from its client's side, with all its attempts.
 type query struct {
-	mix      int
-	began    float64
-	attempts int
-	shards   []int
-	counted  bool // began after the warm-up
+	kind      int // position in Workload.Mix
+	startedAt float64
+	attempts  int
+	shards    []int
+	measured  bool // started after the warm-up and counts in the outcome
 }
 
-// pendingQuery is a try that an aggregator holds.
+// pendingQuery is one attempt of a query at an aggregator that has not answered it yet.
 type pendingQuery struct {
 	query      *query
 	subqueries []policy.SubqueryID
 }
 
-// aggregator is one decision module in the emulated world.
-type aggregator struct {
-	policy        *policy.Aggregator
-	events        []policy.Event
-	actions       []policy.Action
-	lastStep      float64
-	stepScheduled bool // a step is on the agenda
-	queries       map[policy.QueryID]*pendingQuery
-	subqueries    map[policy.SubqueryID]policy.IndexID
-	nextCall      map[policy.SubqueryID]policy.CallNo
-	inFlight      map[callKey]*call
-	lastID        uint64
-	maxPending    int
-	maxInFlight   int
+// emulatedAggregator is an aggregator that runs the real policy.
+type emulatedAggregator struct {
+	policy         *policy.Aggregator
+	events         []policy.Event
+	actions        []policy.Action
+	lastStep       float64
+	stepScheduled  bool // a step is in the event heap
+	queries        map[policy.QueryID]*pendingQuery
+	subqueries     map[policy.SubqueryID]policy.IndexID
+	nextCallNumber map[policy.SubqueryID]policy.CallNo
+	inFlight       map[callKey]*call
+	lastID         uint64
+	maxPending     int
+	maxInFlight    int
 }
 
+// callKey identifies a call at its aggregator.
 type callKey struct {
 	subquery policy.SubqueryID
-	no       policy.CallNo
+	number   policy.CallNo
 }
 
-// simulation is a fleet under a load.
-type simulation struct {
-	site         *Site
-	workload     *Workload
-	random       pcg
-	now          float64
-	pending      eventHeap
-	lastSequence int
-	queues       []*queue
-	byID         map[policy.BackendID]*queue
-	aggregators  []*aggregator
-	popular      []float64 // sums up to each shard
-	warm         float64
-	end          float64
-	outcome      Outcome
+// emulation is the state of one run: a deployment under a workload. Times are in seconds from the start of the run.
+type emulation struct {
+	site                 *Site
+	workload             *Workload
+	random               generator
+	now                  float64
+	pendingEvents        eventHeap
+	lastSequence         int
+	backends             []*emulatedBackend
+	backendsByID         map[policy.BackendID]*emulatedBackend
+	aggregators          []*emulatedAggregator
+	cumulativePopularity []float64 // for each shard, the sum of the frequencies up to it
+	warmUpEnd            float64   // queries count in the outcome from here on
+	end                  float64   // clients start no new query from here on
+	outcome              Outcome
 }
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -1,6 +1,9 @@
-// Package plan says beforehand what a load does to a fleet: it plays queries through the aggregators' own decision module
-// against modelled backends, in its own time, and looks for what breaks first. It does no I/O, has no clock and no
-// goroutine; the same seed gives the same figures.
+// Package plan is the capacity planner. It predicts how a deployment behaves under a workload by a discrete-event emulation:
+// the aggregators run the real policy, and backends, clients and the network are modelled. On top of the emulation it finds
+// the load at which goals are missed, the nearest limits, the cheapest backends to buy and a placement of shards.
+//
+// Results are deterministic: the same seed gives the same figures. The package does no I/O, reads no clock and starts no
+// goroutines. The plan commands and package validate call it.
 package plan
 
 import (
@@ -11,56 +14,57 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-// Backend is one of a fleet.
+// Backend describes one backend of a deployment.
 type Backend struct {
 	Name        string
 	Location    string
 	Cell        int
-	Cores       int     // parts that it works on at once
-	Speed       float64 // 1 takes an index's work as stated, 2 half as long
-	Queue       int     // parts that may wait beyond those; more are rejected. 0 for no limit
-	Connections int     // connections that it takes; 0 for no limit
+	Cores       int     // number of subqueries that it processes at once
+	Speed       float64 // relative speed: at 2, work takes half the stated time
+	Queue       int     // subqueries that may wait for a core; further ones are rejected. 0 means no limit
+	Connections int     // connections that it accepts; 0 means no limit
 	Price       float64
 }
 
-// Index is one index of a fleet. Times are seconds.
+// Index describes one index of a deployment. Times are in seconds.
 type Index struct {
 	Name             string
 	Effect           policy.Effect
 	Soft, Hard       float64
-	Value, LateValue float64   // of a query, and the share of it after the soft deadline
-	Work             float64   // of a part, in the mean
-	Scv              float64   // squared coefficient of variation of that, where no shape is stated: work is lognormal then
-	Shape            []float64 // quantiles of work against its mean, evenly apart from the least to the most; nil for none
-	Goal             float64   // share of value within the soft deadline; 0 for none
+	Value, LateValue float64   // value of an answered query, and the share of it that remains after the soft deadline
+	Work             float64   // mean processing time of a subquery on a core of speed 1
+	WorkSCV          float64   // squared coefficient of variation of lognormal work; unused if WorkQuantiles is set
+	WorkQuantiles    []float64 // quantiles of work divided by Work, at evenly spaced probabilities from 0 to 1; nil for lognormal work
+	Goal             float64   // required share of queries answered within the soft deadline; 0 means no goal
 }
 
-// Site is what a load meets. Times are seconds.
+// Site describes a deployment: its backends, indexes, aggregators, and how clients retry. Times are in seconds.
 type Site struct {
-	Locations   []string
-	Cells       int
-	Width       int
-	Shards      int
-	Backends    []Backend
-	Indexes     []Index
-	Aggregators int
-	MaxPending  int     // queries and parts that an aggregator may hold; 0 for no limit
-	Step        float64 // least time between two steps of an aggregator
-	Network     float64 // one way, aggregator to backend
-	MaxAttempts int     // part calls of a part
-	Retries     int     // of a client whose query was nacked
-	Backoff     float64 // before each
-	Multiplex   int     // calls that one connection carries; 0 for no limit
-	Descriptors int     // descriptors that an aggregator has for backends; 0 for no limit
+	Locations          []string
+	Cells              int
+	Width              int
+	Shards             int
+	Backends           []Backend
+	Indexes            []Index
+	Aggregators        int
+	MaxPending         int     // queries and subqueries that an aggregator may hold at once; 0 means no limit
+	StepInterval       float64 // minimum time between two steps of an aggregator's policy
+	NetworkDelay       float64 // one-way delay between an aggregator and a backend
+	MaxAttempts        int     // maximum number of calls for one subquery
+	Retries            int     // retries by a client after its query was nacked
+	Backoff            float64 // mean delay before a client's retry
+	CallsPerConnection int     // concurrent calls on one connection; 0 means no limit
+	FileDescriptors    int     // file descriptors that an aggregator has for backend connections; 0 means no limit
 }
 
-// Check tells every mistake with what to do about it, a line each.
+// Check returns a DescriptionError that lists the mistakes in the description, one a line, or nil. Invalid sizes of the
+// layout are reported alone, because the other checks need them.
 func (site *Site) Check() error { return site.check(false) }
 
-// CheckLost is Check for what a loss has left of a fleet, in which shards may have no holder.
-func (site *Site) CheckLost() error { return site.check(true) }
+// CheckAfterLoss is like Check but accepts shards that no backend holds. It is for a deployment that has lost backends.
+func (site *Site) CheckAfterLoss() error { return site.check(true) }
 
-func (site *Site) check(lost bool) error {
+func (site *Site) check(afterLoss bool) error {
 	var mistakes []string
 	report := func(format string, args ...any) { mistakes = append(mistakes, fmt.Sprintf(format, args...)) }
 	if site.Cells < 1 || site.Width < 1 || site.Width > site.Cells || site.Shards < 1 || site.Aggregators < 1 {
@@ -68,8 +72,8 @@
 		return DescriptionError(strings.Join(mistakes, "\n"))
 	}
 	site.checkBackends(report)
-	for _, shard := range site.unowned() {
-		if shard < site.Cells && !lost { // the others are held by the same cells
+	for _, shard := range site.shardsWithoutBackend() {
+		if shard < site.Cells && !afterLoss { // shards from Cells on repeat the cells of the first ones
 			report("shard %d has no holder: put a searcher into one of the cells %d to %d", shard, shard, (shard+site.Width-1)%site.Cells)
 		}
 	}
@@ -80,7 +84,7 @@
 	return nil
 }
 
-// checkBackends reports the mistakes in single backends.
+// checkBackends reports mistakes in the descriptions of the backends.
 func (site *Site) checkBackends(report func(format string, args ...any)) {
 	names := map[string]bool{}
 	for _, backend := range site.Backends {
@@ -100,7 +104,7 @@
 	}
 }
 
-// checkIndexes reports the mistakes in indexes, the first of each.
+// checkIndexes reports the first mistake of each index.
 func (site *Site) checkIndexes(report func(format string, args ...any)) {
 	seen := map[string]bool{}
 	for _, index := range site.Indexes {
@@ -117,9 +121,9 @@
 			report("index %s has a part's work of %g s, more than its soft deadline of %g s: times are seconds, is it in milliseconds?", index.Name, index.Work, index.Soft)
 		case index.Goal < 0 || index.Goal > 1:
 			report("index %s has a goal of %g: expected a share from 0 to 1, as 0.99", index.Name, index.Goal)
-		case len(index.Shape) == 1 || !slices.IsSorted(index.Shape) || len(index.Shape) > 0 && !(index.Shape[0] >= 0):
-			report("index %s has a shape of %v: expected two quantiles or more, rising from 0 or above", index.Name, index.Shape)
-		case index.Scv < 0 || index.Value < 0 || index.LateValue < 0 || index.LateValue > 1:
+		case len(index.WorkQuantiles) == 1 || !slices.IsSorted(index.WorkQuantiles) || len(index.WorkQuantiles) > 0 && !(index.WorkQuantiles[0] >= 0):
+			report("index %s has a shape of %v: expected two quantiles or more, rising from 0 or above", index.Name, index.WorkQuantiles)
+		case index.WorkSCV < 0 || index.Value < 0 || index.LateValue < 0 || index.LateValue > 1:
 			report("index %s has a figure below 0, or a late gain above 1", index.Name)
 		}
 		seen[index.Name] = true
@@ -129,88 +133,88 @@
 	}
 }
 
-// unowned lists the shards that no backend holds.
-func (site *Site) unowned() (list []int) {
-	owned := make([]bool, site.Cells)
-	for _, s := range site.Backends {
-		if s.Cell >= 0 && s.Cell < site.Cells {
-			owned[s.Cell] = true
+// shardsWithoutBackend returns the shards that no backend holds.
+func (site *Site) shardsWithoutBackend() (list []int) {
+	hasBackend := make([]bool, site.Cells)
+	for _, backend := range site.Backends {
+		if backend.Cell >= 0 && backend.Cell < site.Cells {
+			hasBackend[backend.Cell] = true
 		}
 	}
-	for s := range site.Shards {
+	for shard := range site.Shards {
 		found := false
-		for j := range site.Width {
-			found = found || owned[(s+j)%site.Cells]
+		for offset := range site.Width {
+			found = found || hasBackend[(shard+offset)%site.Cells]
 		}
 		if !found {
-			list = append(list, s)
+			list = append(list, shard)
 		}
 	}
 	return list
 }
 
-// Without is the fleet with a location lost, and the shards of which no holder is left.
-func (site Site) Without(location string) (remaining Site, lost []int) {
+// WithoutLocation returns the deployment without the backends of a location, and the shards that no remaining backend holds.
+func (site Site) WithoutLocation(location string) (remaining Site, lost []int) {
 	remaining = site
 	remaining.Backends = nil
-	for _, s := range site.Backends {
-		if s.Location != location {
-			remaining.Backends = append(remaining.Backends, s)
+	for _, backend := range site.Backends {
+		if backend.Location != location {
+			remaining.Backends = append(remaining.Backends, backend)
 		}
 	}
-	return remaining, remaining.unowned()
+	return remaining, remaining.shardsWithoutBackend()
 }
 
-// Slower is the fleet with every backend taking so many times as long.
-func (site Site) Slower(times float64) Site {
+// Slower returns the deployment with all processing times multiplied by factor.
+func (site Site) Slower(factor float64) Site {
 	site.Backends = slices.Clone(site.Backends)
 	for i := range site.Backends {
-		site.Backends[i].Speed /= times
+		site.Backends[i].Speed /= factor
 	}
 	return site
 }
 
-// Workload is a steady load.
+// Workload describes a steady load of queries.
 type Workload struct {
-	PerS    float64 // queries
-	Mix     []Share
-	Popular []float64 // share of parts by shard; nil for all alike
-	Bursts  float64   // squared coefficient of variation of the time between two queries, 1 for chance alone
+	QueriesPerSecond float64
+	Mix              []QueryKind
+	Popularity       []float64 // relative frequency of each shard among the subqueries; nil means uniform
+	InterarrivalSCV  float64   // squared coefficient of variation of the time between two queries; 0 and 1 mean a Poisson process
 }
 
-// Share is one kind of query in it.
-type Share struct {
-	Index      int // place in the fleet's indexes
-	Fraction   float64
-	Subqueries int
+// QueryKind describes one kind of query in a workload.
+type QueryKind struct {
+	Index      int     // position in Site.Indexes
+	Fraction   float64 // share of all queries
+	Subqueries int     // number of subqueries of each query
 }
 
-// Check tells what of a load does not fit a fleet.
-func (a *Workload) Check(site *Site) error {
-	if !(a.PerS > 0) || len(a.Mix) == 0 {
-		return wrong("%g lookups a second of %d kinds: expected more than none", a.PerS, len(a.Mix))
+// Check returns a DescriptionError if the workload is invalid or does not fit the deployment.
+func (workload *Workload) Check(site *Site) error {
+	if !(workload.QueriesPerSecond > 0) || len(workload.Mix) == 0 {
+		return invalid("%g lookups a second of %d kinds: expected more than none", workload.QueriesPerSecond, len(workload.Mix))
 	}
-	for _, m := range a.Mix {
-		if m.Index < 0 || m.Index >= len(site.Indexes) || !(m.Fraction > 0) || m.Subqueries < 1 || m.Subqueries > site.Shards {
-			return wrong("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", m.Fraction, m.Subqueries, m.Index, site.Shards)
+	for _, kind := range workload.Mix {
+		if kind.Index < 0 || kind.Index >= len(site.Indexes) || !(kind.Fraction > 0) || kind.Subqueries < 1 || kind.Subqueries > site.Shards {
+			return invalid("a share of %g with %d parts of index %d: expected an index of the fleet and 1 to %d parts", kind.Fraction, kind.Subqueries, kind.Index, site.Shards)
 		}
 	}
-	if a.Popular != nil && len(a.Popular) != site.Shards {
-		return wrong("the load asks for %d shards, the fleet holds %d: describe the fleet that the capture was taken on", len(a.Popular), site.Shards)
+	if workload.Popularity != nil && len(workload.Popularity) != site.Shards {
+		return invalid("the load asks for %d shards, the fleet holds %d: describe the fleet that the capture was taken on", len(workload.Popularity), site.Shards)
 	}
 	return nil
 }
 
-// subqueries is how many a query has in the mean.
-func (a *Workload) subqueries() (n float64) {
-	for _, m := range a.Mix {
-		n += m.Fraction * float64(m.Subqueries)
+// meanSubqueries returns the mean number of subqueries of a query.
+func (workload *Workload) meanSubqueries() (mean float64) {
+	for _, kind := range workload.Mix {
+		mean += kind.Fraction * float64(kind.Subqueries)
 	}
-	return n
+	return mean
 }
 
-// Scaled is the load at another rate.
-func (a Workload) Scaled(times float64) Workload {
-	a.PerS *= times
-	return a
+// Scaled returns the workload with its rate multiplied by factor.
+func (workload Workload) Scaled(factor float64) Workload {
+	workload.QueriesPerSecond *= factor
+	return workload
 }
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -87,8 +87,8 @@
 		return site, err
 	}
 	site = plan.Site{Locations: parsed.Locations, Cells: parsed.Layout.Cells, Width: parsed.Layout.Width, Shards: parsed.Layout.Shards, Aggregators: parsed.Aggregators.Count,
-		MaxPending: parsed.Aggregators.MaxPending, Step: parsed.Aggregators.StepS, Network: parsed.NetworkS, MaxAttempts: max(1, parsed.Aggregators.MostTries), Retries: parsed.Clients.Retries,
-		Backoff: parsed.Clients.BackoffS, Multiplex: parsed.Aggregators.Multiplex, Descriptors: parsed.Aggregators.Descriptors}
+		MaxPending: parsed.Aggregators.MaxPending, StepInterval: parsed.Aggregators.StepS, NetworkDelay: parsed.NetworkS, MaxAttempts: max(1, parsed.Aggregators.MostTries), Retries: parsed.Clients.Retries,
+		Backoff: parsed.Clients.BackoffS, CallsPerConnection: parsed.Aggregators.Multiplex, FileDescriptors: parsed.Aggregators.Descriptors}
 	for _, group := range parsed.Backends {
 		if group.Speed == 0 {
 			group.Speed = 1
@@ -110,7 +110,7 @@
 		if !known {
 			return site, wrong("1: index %s has effect %q, expected idempotent, fingerprinted or once-only", index.Name, index.Effect)
 		}
-		site.Indexes = append(site.Indexes, plan.Index{Name: index.Name, Effect: effect, Soft: index.SoftS, Hard: index.HardS, Value: index.Gain, LateValue: index.LateGain, Work: index.WorkS, Scv: index.WorkScv, Goal: index.Goal})
+		site.Indexes = append(site.Indexes, plan.Index{Name: index.Name, Effect: effect, Soft: index.SoftS, Hard: index.HardS, Value: index.Gain, LateValue: index.LateGain, Work: index.WorkS, WorkSCV: index.WorkScv, Goal: index.Goal})
 	}
 	return site, nil
 }
@@ -138,8 +138,8 @@
 			return notes, wrong("index %s: only %d part calls of the capture were alone at their searcher, %d are needed to read a part's work: capture a quiet hour, or state work_s", x.Name, n, leastAlone)
 		}
 		mean, scv := alone.Moments()
-		x.Work, x.Scv = max(mean-2*f.Network, mean/10), scv
-		x.Shape = shape(alone, 2*f.Network)
+		x.Work, x.WorkSCV = max(mean-2*f.NetworkDelay, mean/10), scv
+		x.WorkQuantiles = shape(alone, 2*f.NetworkDelay)
 		notes = append(notes, fmt.Sprintf("index %s: %.2f ms of work a part, read from %d calls that were alone", x.Name, 1000*x.Work, n))
 	}
 	return notes, nil
@@ -199,18 +199,18 @@
 	if queries <= 0 {
 		return workload, notes, wrong("the capture holds no lookups")
 	}
-	workload.PerS = queries / interval.Span
+	workload.QueriesPerSecond = queries / interval.Span
 	for index := range site.Indexes {
 		if totals := byIndex[index]; totals[0] > 0 {
-			workload.Mix = append(workload.Mix, plan.Share{Index: index, Fraction: totals[0] / queries, Subqueries: max(1, int(totals[1]/totals[0]+0.5))})
+			workload.Mix = append(workload.Mix, plan.QueryKind{Index: index, Fraction: totals[0] / queries, Subqueries: max(1, int(totals[1]/totals[0]+0.5))})
 		}
 	}
-	workload.Popular = make([]float64, site.Shards)
+	workload.Popularity = make([]float64, site.Shards)
 	for _, shard := range sum.Shards {
 		if shard.Shard >= site.Shards {
 			return workload, notes, wrong("the capture asks for shard %d, the fleet holds %d: describe the fleet that the capture was taken on", shard.Shard, site.Shards)
 		}
-		workload.Popular[shard.Shard] += float64(shard.Parts)
+		workload.Popularity[shard.Shard] += float64(shard.Parts)
 	}
 	return workload, notes, workload.Check(site)
 }
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -65,70 +65,70 @@
 		list = append(list, scenario)
 	}
 	// Six backends of four cores and 10 ms a part bear 2,400 parts a second: some 630 queries of 3.8 parts.
-	add("low load", func(s *Scenario) { s.Workload.PerS = 60 })
-	add("half load", func(s *Scenario) { s.Workload.PerS = 310 })
-	add("high load", func(s *Scenario) { s.Workload.PerS = 500 })
-	add("many parts", func(s *Scenario) { s.Workload.PerS = 150; s.Workload.Mix[0].Subqueries = 10 })
+	add("low load", func(s *Scenario) { s.Workload.QueriesPerSecond = 60 })
+	add("half load", func(s *Scenario) { s.Workload.QueriesPerSecond = 310 })
+	add("high load", func(s *Scenario) { s.Workload.QueriesPerSecond = 500 })
+	add("many parts", func(s *Scenario) { s.Workload.QueriesPerSecond = 150; s.Workload.Mix[0].Subqueries = 10 })
 	add("popular shards", func(s *Scenario) {
-		s.Workload.PerS = 250
-		s.Workload.Popular = make([]float64, 12)
-		for i := range s.Workload.Popular {
-			s.Workload.Popular[i] = 1 / float64(i+1)
+		s.Workload.QueriesPerSecond = 250
+		s.Workload.Popularity = make([]float64, 12)
+		for i := range s.Workload.Popularity {
+			s.Workload.Popularity[i] = 1 / float64(i+1)
 		}
 	})
-	add("all twice as slow", func(s *Scenario) { s.Site = s.Site.Slower(2); s.Workload.PerS = 200 })
+	add("all twice as slow", func(s *Scenario) { s.Site = s.Site.Slower(2); s.Workload.QueriesPerSecond = 200 })
 	add("once-only alone", func(s *Scenario) {
 		s.Workload.Mix = s.Workload.Mix[1:]
 		s.Workload.Mix[0].Fraction = 1
-		s.Workload.PerS = 400
+		s.Workload.QueriesPerSecond = 400
 	})
 	add("a location lost", func(s *Scenario) {
-		s.Site, _ = s.Site.Without("south")
-		s.Workload.PerS = 150
+		s.Site, _ = s.Site.WithoutLocation("south")
+		s.Workload.QueriesPerSecond = 150
 	})
 	add("high load, popular shards", func(s *Scenario) {
-		s.Workload.PerS = 330
-		s.Workload.Popular = make([]float64, 12)
-		for i := range s.Workload.Popular {
-			s.Workload.Popular[i] = 1 / math.Sqrt(float64(i+1))
+		s.Workload.QueriesPerSecond = 330
+		s.Workload.Popularity = make([]float64, 12)
+		for i := range s.Workload.Popularity {
+			s.Workload.Popularity[i] = 1 / math.Sqrt(float64(i+1))
 		}
 	})
 	add("one part", func(s *Scenario) {
-		s.Workload.PerS = 1200
+		s.Workload.QueriesPerSecond = 1200
 		s.Workload.Mix = s.Workload.Mix[:1]
-		s.Workload.Mix[0] = plan.Share{Index: 0, Fraction: 1, Subqueries: 1}
+		s.Workload.Mix[0] = plan.QueryKind{Index: 0, Fraction: 1, Subqueries: 1}
 	})
 	add("every shard", func(s *Scenario) {
-		s.Workload.PerS = 110
+		s.Workload.QueriesPerSecond = 110
 		s.Workload.Mix = s.Workload.Mix[:1]
-		s.Workload.Mix[0] = plan.Share{Index: 0, Fraction: 1, Subqueries: 12}
+		s.Workload.Mix[0] = plan.QueryKind{Index: 0, Fraction: 1, Subqueries: 12}
 	})
-	add("four mixers", func(s *Scenario) { s.Workload.PerS = 400; s.Site.Aggregators = 4 })
+	add("four mixers", func(s *Scenario) { s.Workload.QueriesPerSecond = 400; s.Site.Aggregators = 4 })
 	add("a location lost under load", func(s *Scenario) {
-		s.Site, _ = s.Site.Without("south")
-		s.Workload.PerS = 260
+		s.Site, _ = s.Site.WithoutLocation("south")
+		s.Workload.QueriesPerSecond = 260
 	})
 	add("a location lost with both copies", func(s *Scenario) {
 		for i := range s.Site.Backends { // cells 0 to 2 stand in north: shards 0 and 1 have both copies there
 			s.Site.Backends[i].Location = s.Site.Locations[i/3]
 		}
-		s.Site, _ = s.Site.Without("north")
-		s.Workload.PerS = 60
+		s.Site, _ = s.Site.WithoutLocation("north")
+		s.Workload.QueriesPerSecond = 60
 	})
-	add("too much", func(s *Scenario) { s.Workload.PerS = 850 })
-	add("too much, clients come back", func(s *Scenario) { s.Workload.PerS = 750; s.Site.Retries, s.Site.Backoff = 2, 0.1 })
+	add("too much", func(s *Scenario) { s.Workload.QueriesPerSecond = 850 })
+	add("too much, clients come back", func(s *Scenario) { s.Workload.QueriesPerSecond = 750; s.Site.Retries, s.Site.Backoff = 2, 0.1 })
 	return append(list, drawnScenarios(blind, seed, seconds)...)
 }
 
 // baseScenario is the one that all others change.
 func baseScenario(name string, seconds float64) Scenario {
-	site := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Aggregators: 2, Step: 0.005, Network: loopbackDelay, MaxAttempts: 3, Multiplex: 100,
-		Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99},
-			{Name: "orders", Effect: policy.AtMostOnce, Soft: 0.5, Hard: 2, Value: 3, LateValue: 0.1, Work: 0.01, Shape: uniformShape, Goal: 0.99}}}
+	site := plan.Site{Locations: []string{"north", "south"}, Cells: 6, Width: 2, Shards: 12, Aggregators: 2, StepInterval: 0.005, NetworkDelay: loopbackDelay, MaxAttempts: 3, CallsPerConnection: 100,
+		Indexes: []plan.Index{{Name: "reads", Soft: 0.5, Hard: 2, Value: 1, LateValue: 0.1, Work: 0.01, WorkQuantiles: uniformShape, Goal: 0.99},
+			{Name: "orders", Effect: policy.AtMostOnce, Soft: 0.5, Hard: 2, Value: 3, LateValue: 0.1, Work: 0.01, WorkQuantiles: uniformShape, Goal: 0.99}}}
 	for i := range 6 {
 		site.Backends = append(site.Backends, plan.Backend{Name: fmt.Sprint("s-", i+1), Location: site.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
 	}
-	return Scenario{Name: name, Site: site, Workload: plan.Workload{PerS: 100, Mix: []plan.Share{{Index: 0, Fraction: 0.9, Subqueries: 4}, {Index: 1, Fraction: 0.1, Subqueries: 2}}}, Seconds: seconds}
+	return Scenario{Name: name, Site: site, Workload: plan.Workload{QueriesPerSecond: 100, Mix: []plan.QueryKind{{Index: 0, Fraction: 0.9, Subqueries: 4}, {Index: 1, Fraction: 0.1, Subqueries: 2}}}, Seconds: seconds}
 }
 
 // drawnScenarios are so many that a seed draws.
@@ -153,7 +153,7 @@
 		}
 		s.Workload.Mix[0].Subqueries = parts
 		subqueriesPerQuery := 0.9*float64(parts) + 0.1*2
-		s.Workload.PerS = (0.1 + 0.7*unit()) * float64(6*cores) / work / subqueriesPerQuery
+		s.Workload.QueriesPerSecond = (0.1 + 0.7*unit()) * float64(6*cores) / work / subqueriesPerQuery
 		list = append(list, s)
 	}
 	return list
@@ -189,7 +189,7 @@
 
 // Run plays one setting, predicted and on sockets.
 func Run(ctx context.Context, scenario Scenario, overrun TimerOverrun, seed uint64) (r Result, err error) {
-	if err := scenario.Site.CheckLost(); err != nil {
+	if err := scenario.Site.CheckAfterLoss(); err != nil {
 		return r, err
 	}
 	adjusted := scenario.Site
@@ -197,7 +197,7 @@
 	for i := range adjusted.Indexes { // all backends of a setting are of one speed
 		adjusted.Indexes[i].Work += overrun.Work * adjusted.Backends[0].Speed
 	}
-	adjusted.Step += overrun.Step
+	adjusted.StepInterval += overrun.Step
 	predicted := plan.Emulate(&adjusted, &scenario.Workload, seed, predictionQueries)
 	measured, err := runOnSockets(ctx, scenario)
 	if err != nil {
@@ -241,7 +241,7 @@
 		defer backend.Kill()
 		register.Set(backend.Entry("SERVING", true))
 	}
-	load := &fakes.Load{Site: site, PerS: scenario.Workload.PerS, Popular: scenario.Workload.Popular, Retries: scenario.Site.Retries, Backoff: time.Duration(scenario.Site.Backoff * float64(time.Second))}
+	load := &fakes.Load{Site: site, PerS: scenario.Workload.QueriesPerSecond, Popular: scenario.Workload.Popularity, Retries: scenario.Site.Retries, Backoff: time.Duration(scenario.Site.Backoff * float64(time.Second))}
 	for _, mix := range scenario.Workload.Mix {
 		index := scenario.Site.Indexes[mix.Index]
 		load.Mixes = append(load.Mixes, fakes.Mix{Index: index.Name, Share: mix.Fraction, Subqueries: mix.Subqueries, Deadline: time.Duration(index.Hard * float64(time.Second)),
--- a/internal/tools/validate/validate_test.go
+++ b/internal/tools/validate/validate_test.go
@@ -53,17 +53,17 @@
 		t.Fatalf("%d settings", len(one))
 	}
 	for i, s := range one {
-		if err := s.Site.CheckLost(); err != nil {
+		if err := s.Site.CheckAfterLoss(); err != nil {
 			t.Errorf("%s: %v", s.Name, err)
 		}
 		if err := s.Workload.Check(&s.Site); err != nil {
 			t.Errorf("%s: %v", s.Name, err)
 		}
-		if s.Workload.PerS != two[i].Workload.PerS || s.Blind != strings.HasPrefix(s.Name, "drawn") {
+		if s.Workload.QueriesPerSecond != two[i].Workload.QueriesPerSecond || s.Blind != strings.HasPrefix(s.Name, "drawn") {
 			t.Errorf("%s is not what its seed says", s.Name)
 		}
 	}
-	if other := Scenarios(8, 6, 1); other[20].Workload.PerS == one[20].Workload.PerS {
+	if other := Scenarios(8, 6, 1); other[20].Workload.QueriesPerSecond == one[20].Workload.QueriesPerSecond {
 		t.Error("another seed draws the same")
 	}
 }
