--- a/cmd/puffinlink/demo.go
+++ b/cmd/puffinlink/demo.go
@@ -34,10 +34,10 @@
 	if c.System {
 		return c.runCluster(ctx)
 	}
-	options := demo.Options{For: c.For, Aggregators: c.Aggregators, Backends: c.Backends, PerS: c.PerS, Service: c.Service, Directory: c.Directory,
-		JSON: c.JSON, Every: max(c.Every, 100*time.Millisecond), Out: stdout}
+	options := demo.Options{Duration: c.For, Aggregators: c.Aggregators, Backends: c.Backends, QueriesPerSecond: c.PerS, ServiceTime: c.Service, OverrideDirectory: c.Directory,
+		JSON: c.JSON, TableInterval: max(c.Every, 100*time.Millisecond), Out: stdout}
 	if info, err := os.Stdout.Stat(); err == nil {
-		options.Live = info.Mode()&os.ModeCharDevice != 0
+		options.Redraw = info.Mode()&os.ModeCharDevice != 0
 	}
 	if c.Log != "" {
 		file, err := os.Create(c.Log)
--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -37,11 +37,11 @@
 	}
 	defer func() { err = errors.Join(err, closeLog()) }()
 	options := cluster.Options{
-		For: c.For, Every: c.Every, Workers: c.Backends, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
+		LoadDuration: c.For, ProgressInterval: c.Every, WorkersPerService: c.Backends, JobsPerSecond: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
 		Launcher: processLauncher{c.LogLevel}.clusterLauncher(),
 	}
-	if options.For == 0 {
-		options.For = clusterDemoDuration
+	if options.LoadDuration == 0 {
+		options.LoadDuration = clusterDemoDuration
 	}
 	if c.JSON {
 		options.Out = io.Discard
@@ -53,7 +53,7 @@
 	if err := printClusterSummary(&summary, c.JSON); err != nil {
 		return err
 	}
-	if !summary.Good() {
+	if !summary.Succeeded() {
 		return errDemoFailed
 	}
 	return nil
--- a/internal/tools/demo/cluster/cluster.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -1,6 +1,7 @@
-// Package cluster runs the whole cluster scheduler on the loopback addresses of one machine: three core machines, two
-// front machines, stand-in workers and a stand-in platform. It hands in jobs, kills a worker and the leader of a
-// service's jobs on the way, and counts what became of the jobs.
+// Package cluster demonstrates the cluster scheduler on the loopback addresses of one machine: real coordinators on three core
+// machines, real proxies and agents on two front machines, fake workers and a fake platform. It submits jobs, kills a worker
+// and the leader of a service's jobs while they run, and counts the jobs and tasks that were completed, lost or executed
+// twice. The package does not schedule anything itself. The demo command of the cluster calls it.
 package cluster
 
 import (
@@ -17,111 +18,111 @@
 )
 
 const (
-	startTimeout      = 20 * time.Second // for the system to serve
-	completionTimeout = 30 * time.Second // for the jobs to end after the load
-	restartDelay      = 2 * time.Second  // until a killed coordinator is started again
-	pollInterval      = 200 * time.Millisecond
-	stopTimeout       = 8 * time.Second // for a process to stop in order
+	startTimeout      = 20 * time.Second       // maximum time until the system is ready
+	completionTimeout = 30 * time.Second       // maximum time for the jobs to end after the load has stopped
+	restartDelay      = 2 * time.Second        // time after which a killed coordinator is started again
+	pollInterval      = 200 * time.Millisecond // between two checks for readiness or a leader
+	stopTimeout       = 8 * time.Second        // maximum time for a process to shut down before it is killed
 )
 
-// Options say what the demo does.
+// Options configure the demo.
 type Options struct {
-	For       time.Duration // of the load
-	Every     time.Duration // between two lines of progress
-	Workers   int           // of each service
-	PerS      float64       // jobs handed in a second
-	Directory string        // for settings files and the coordinators' disks; it must be empty
-	Launcher  Launcher
-	Out       io.Writer // for the lines of progress
-	Log       io.Writer // for the logs of the processes
+	LoadDuration      time.Duration // time during which jobs are submitted
+	ProgressInterval  time.Duration // time between two progress lines
+	WorkersPerService int
+	JobsPerSecond     float64
+	Directory         string // for settings files and the coordinators' data; must be empty
+	Launcher          Launcher
+	Out               io.Writer // destination of the progress lines
+	Log               io.Writer // destination of the processes' logs
 }
 
-// Process is a process of the system, or what acts as one.
+// Process controls a process of the system. Tests may run its code in the test process instead.
 type Process struct {
-	Kill  func()          // ends it at once
-	Stop  func()          // tells it to stop in order
-	Ended <-chan struct{} // closed once it has ended
+	Kill  func()          // ends the process at once
+	Stop  func()          // requests an orderly shutdown and does not wait for it
+	Ended <-chan struct{} // closed after the process has ended
 }
 
-// Launcher starts processes by their settings files.
+// Launcher starts processes with their settings files.
 type Launcher struct {
 	Coordinator func(settingsFile string, log io.Writer) (*Process, error)
-	// Front starts the proxy and the agent of one front machine; they meet at the local address.
+	// Front starts the proxy and the agent of one front machine. The proxy reaches the agent at localAddress.
 	Front func(settingsFile, localAddress string, log io.Writer) (*Process, error)
 }
 
-// Validate tells what is wrong with the options.
+// Validate returns an OptionsError if an option is invalid.
 func (o *Options) Validate() error {
 	switch {
-	case o.For <= 0 || o.Every <= 0:
+	case o.LoadDuration <= 0 || o.ProgressInterval <= 0:
 		return invalid("times must be above 0; give --for and --every as in 20s")
-	case o.Workers < 2 || o.Workers > 64:
-		return invalid("%d searchers: give 2 to 64, as one is killed on the way", o.Workers)
-	case o.PerS <= 0 || o.PerS > 200:
-		return invalid("%g jobs a second: give more than 0 and at most 200", o.PerS)
+	case o.WorkersPerService < 2 || o.WorkersPerService > 64:
+		return invalid("%d searchers: give 2 to 64, as one is killed on the way", o.WorkersPerService)
+	case o.JobsPerSecond <= 0 || o.JobsPerSecond > 200:
+		return invalid("%g jobs a second: give more than 0 and at most 200", o.JobsPerSecond)
 	}
 	return nil
 }
 
-// demo is one run.
+// demo is the state of a running demo.
 type demo struct {
-	options  Options
-	began    time.Time
-	site     *site
-	cluster  *cluster.Cluster
-	workers  []*cluster.Worker
-	load     *load
-	http     *http.Client
-	printing sync.Mutex // held while a line is printed
-
-	mutex        sync.Mutex
-	coordinators []*machine
-	fronts       []*machine
-	faults       []string // that were played
-	unexpected   []string // processes that ended by themselves
-}
-
-// machine is one machine's processes.
+	options   Options
+	startedAt time.Time
+	layout    *layout
+	cluster   *cluster.Cluster
+	workers   []*cluster.Worker
+	load      *loadGenerator
+	http      *http.Client
+	printing  sync.Mutex // held while a line is printed
+
+	mutex           sync.Mutex
+	coordinators    []*machine
+	fronts          []*machine
+	injectedFaults  []string // descriptions of the faults so far
+	unexpectedExits []string // names of processes that ended without being stopped
+}
+
+// machine represents the processes of one emulated machine.
 type machine struct {
 	name     string
 	process  *Process
-	stopping bool // its end is expected
+	stopping bool // the end of the process is expected
 }
 
-// Run plays the demo. An error means that it could not be played; what went wrong with jobs is in the Summary.
+// Run runs the demo. It returns an error if the demo could not be run; lost and duplicated jobs are reported in the Summary.
 func Run(ctx context.Context, options Options) (Summary, error) {
 	if err := options.Validate(); err != nil {
 		return Summary{}, err
 	}
-	d := &demo{options: options, began: time.Now(), http: operatorclient.NewHTTPClient()}
+	d := &demo{options: options, startedAt: time.Now(), http: operatorclient.NewHTTPClient()}
 	defer d.close()
 	if err := d.start(ctx); err != nil {
 		return Summary{}, err
 	}
-	loading, endLoad := context.WithTimeout(ctx, options.For)
+	loadContext, endLoad := context.WithTimeout(ctx, options.LoadDuration)
 	defer endLoad()
-	running, stop := context.WithCancel(ctx)
-	var watching, playing sync.WaitGroup
-	watching.Go(func() { d.showProgress(running) })
-	playing.Go(func() { d.injectFaults(ctx) })
-	d.load.run(loading, ctx, options.PerS)
-	playing.Wait()
-	settled := d.load.wait(ctx, completionTimeout)
-	stop()
-	watching.Wait()
+	progressContext, stopProgress := context.WithCancel(ctx)
+	var progress, faults sync.WaitGroup
+	progress.Go(func() { d.showProgress(progressContext) })
+	faults.Go(func() { d.injectFaults(ctx) })
+	d.load.submitJobs(loadContext, ctx, options.JobsPerSecond)
+	faults.Wait()
+	allAnswered := d.load.waitForJobs(ctx, completionTimeout)
+	stopProgress()
+	progress.Wait()
 	if ctx.Err() != nil {
 		return Summary{}, errInterrupted
 	}
-	summary := d.summarize(settled)
+	summary := d.summarize(allAnswered)
 	return summary, nil
 }
 
-// start starts all machines and puts the configuration in force.
+// start starts all machines, applies the first configuration and waits until both fronts are ready.
 func (d *demo) start(ctx context.Context) error {
-	d.load = newLoad(d.http)
+	d.load = newLoadGenerator(d.http)
 	d.startWorkers()
 	var err error
-	if d.site, err = newSite(d.options.Directory, d.cluster.AddPlatform(cluster.PlatformConfig{}).Address()); err != nil {
+	if d.layout, err = newLayout(d.options.Directory, d.cluster.AddPlatform(cluster.PlatformConfig{}).Address()); err != nil {
 		return err
 	}
 	for number := range coreMachines {
@@ -134,17 +135,18 @@
 			return err
 		}
 	}
-	d.load.targets = d.site.frontAddresses()
+	d.load.targets = d.layout.frontAddresses()
 	d.printLine("started %d coordinators, %d fronts and %d searchers", coreMachines, frontMachines, len(d.workers))
-	d.printLine("operators reach it at: %s", d.site.operatorFlags())
-	starting, cancel := context.WithTimeout(ctx, startTimeout)
+	d.printLine("operators reach it at: %s", d.layout.operatorFlags())
+	startContext, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := d.configure(starting); err != nil {
+	if err := d.configure(startContext); err != nil {
 		return err
 	}
-	return d.awaitReadiness(starting)
+	return d.awaitReadiness(startContext)
 }
 
+// configure stores the first version of the configuration.
 func (d *demo) configure(ctx context.Context) error {
 	request := operatorclient.Request{Method: http.MethodPut, Path: "/-/configuration", IfMatch: "0", Body: []byte(configurationText)}
 	if _, err := d.operator().Do(ctx, request); err != nil {
@@ -154,15 +156,16 @@
 	return nil
 }
 
+// operator returns a client for the operators' interface of the coordinators.
 func (d *demo) operator() *operatorclient.Client {
-	return &operatorclient.Client{Addresses: d.site.controlAddresses(), HTTP: d.http}
+	return &operatorclient.Client{Addresses: d.layout.controlAddresses(), HTTP: d.http}
 }
 
-// awaitReadiness waits until both fronts ask for connections.
+// awaitReadiness waits until both fronts report that they are ready for connections.
 func (d *demo) awaitReadiness(ctx context.Context) error {
-	for _, address := range d.site.readinessAddresses() {
+	for _, address := range d.layout.readinessAddresses() {
 		for !d.ready(ctx, address) {
-			if !wait(ctx, pollInterval) {
+			if !sleep(ctx, pollInterval) {
 				return fmt.Errorf("front at %s is not ready: %w", address, context.Cause(ctx))
 			}
 		}
@@ -176,41 +179,41 @@
 	if err != nil {
 		return false
 	}
-	answer, err := d.http.Do(request)
+	response, err := d.http.Do(request)
 	if err != nil {
 		return false
 	}
-	answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-// close ends all machines and stand-ins.
+// close stops all machines and fakes.
 func (d *demo) close() {
 	d.mutex.Lock()
 	machines := append(append([]*machine{}, d.fronts...), d.coordinators...)
-	for _, m := range machines {
-		m.stopping = true
+	for _, stopped := range machines {
+		stopped.stopping = true
 	}
 	d.mutex.Unlock()
-	var ending sync.WaitGroup
-	for _, m := range machines {
-		ending.Go(func() { m.process.end() })
+	var stopping sync.WaitGroup
+	for _, stopped := range machines {
+		stopping.Go(func() { stopped.process.end() })
 	}
-	ending.Wait()
+	stopping.Wait()
 	if d.cluster != nil {
 		d.cluster.Close()
 	}
 	d.http.CloseIdleConnections()
 }
 
-// end stops a process in order, and kills it if that takes too long.
+// end shuts down a process, and kills it if that takes longer than stopTimeout.
 func (p *Process) end() {
 	p.Stop()
-	late := time.NewTimer(stopTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(stopTimeout)
+	defer timeout.Stop()
 	select {
 	case <-p.Ended:
-	case <-late.C:
+	case <-timeout.C:
 		p.Kill()
 		<-p.Ended
 	}
@@ -219,20 +222,20 @@
 func (d *demo) printLine(format string, arguments ...any) {
 	d.printing.Lock()
 	defer d.printing.Unlock()
-	fmt.Fprintf(d.options.Out, "%5.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, arguments...))
+	fmt.Fprintf(d.options.Out, "%5.1fs  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// showProgress prints a line now and then.
+// showProgress prints a progress line at every ProgressInterval until ctx ends.
 func (d *demo) showProgress(ctx context.Context) {
-	for wait(ctx, d.options.Every) {
+	for sleep(ctx, d.options.ProgressInterval) {
 		counts := d.load.counts()
 		d.printLine("jobs handed in %d, accepted %d, ended %d; runs started %d, under way %d", counts.submitted, counts.accepted, counts.ended,
-			len(d.cluster.Runs()), runningCount(d.cluster.Runs()))
+			len(d.cluster.Runs()), countRunning(d.cluster.Runs()))
 	}
 }
 
-// wait waits and tells whether the context is still going on.
-func wait(ctx context.Context, duration time.Duration) bool {
+// sleep waits for the duration and returns true. It returns false if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -243,4 +246,5 @@
 	}
 }
 
-func pick[T any](list []T) T { return list[rand.IntN(len(list))] }
+// randomElement returns a random element of a list that is not empty.
+func randomElement[T any](list []T) T { return list[rand.IntN(len(list))] }
--- a/internal/tools/demo/cluster/errors.go
+++ b/internal/tools/demo/cluster/errors.go
@@ -10,12 +10,12 @@
 	errNoPorts     = errors.New("no free range of ports on the loopback addresses")
 )
 
-// noLeaderError names a service that has no leader.
+// noLeaderError reports that no coordinator leads the jobs of a service. Its value is the service's name.
 type noLeaderError string
 
 func (e noLeaderError) Error() string { return fmt.Sprintf("service %s has no leader", string(e)) }
 
-// OptionsError says which option is wrong, and what was expected.
+// OptionsError describes an invalid option and the expected values.
 type OptionsError string
 
 // Error implements error.
--- a/internal/tools/demo/cluster/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	attemptTimeout  = 2 * time.Second
-	submitTimeout   = 20 * time.Second // for a job to be accepted
-	retryInterval   = 150 * time.Millisecond
-	pollingInterval = 400 * time.Millisecond
+	attemptTimeout  = 2 * time.Second        // for one HTTP request
+	submitTimeout   = 20 * time.Second       // maximum time for a job to be accepted, over all attempts
+	retryInterval   = 150 * time.Millisecond // between two attempts to submit a job
+	jobPollInterval = 400 * time.Millisecond // between two requests for a job's state
 	host            = "jobs.example"
 )
 
-// services are those of the configuration.
-var services = []string{"pricing", "stress"}
+// serviceNames are the services in configurationText.
+var serviceNames = []string{"pricing", "stress"}
 
+// configurationText is the first configuration of the cluster.
 const configurationText = `{"version":1,"routes":[
 {"name":"pricing","host":"jobs.example","pathPrefix":"/pricing/","kind":"non_idempotent","timeoutMs":3000,"targetLatencyMs":500,"priority":0,"service":"pricing","maxAttempts":3,"extension":2},
 {"name":"stress","host":"jobs.example","pathPrefix":"/stress/","kind":"non_idempotent","timeoutMs":3000,"targetLatencyMs":1000,"priority":1,"service":"stress","maxAttempts":3,"extension":2}],
@@ -34,7 +35,7 @@
 {"name":"stress","healthCheckPath":"/health","maxConnections":64,"protocol":"h1","guards":true}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-// jobKinds are the kinds of jobs handed in, by service.
+// jobKinds are the job specifications to choose from, by service.
 var jobKinds = map[string][]job.Specification{
 	"pricing": {
 		{Text: "quick", Stages: []job.Stage{{Count: 2, Resources: job.Resources{Processors: 1000, MemoryMB: 256}, EstimatedDurationMS: 250}}},
@@ -50,18 +51,18 @@
 	},
 }
 
-// submission is one job from its client's side.
+// submission is a job from its client's side.
 type submission struct {
 	id            job.ID
 	service       string
 	specification *job.Specification
 	accepted      bool
-	refused       bool // no try was taken, and it never runs
+	rejected      bool // every attempt was rejected with 429 or 503, so the job must not run
 	state         job.State
 }
 
-// load hands jobs in and asks for their states until they have ended.
-type load struct {
+// loadGenerator submits jobs and polls their states until they have ended.
+type loadGenerator struct {
 	http    *http.Client
 	targets []string // front addresses
 	clients sync.WaitGroup
@@ -70,19 +71,19 @@
 	jobs  map[job.ID]*submission
 }
 
-func newLoad(client *http.Client) *load {
-	return &load{http: client, jobs: make(map[job.ID]*submission)}
+func newLoadGenerator(client *http.Client) *loadGenerator {
+	return &loadGenerator{http: client, jobs: make(map[job.ID]*submission)}
 }
 
-// profile tells a stand-in worker what a task needs and does.
-func (l *load) profile(task job.TaskID, _ string) cluster.Profile {
+// taskProfile tells a fake worker the resources and the duration of a task.
+func (l *loadGenerator) taskProfile(task job.TaskID, _ string) cluster.Profile {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	handed := l.jobs[task.Job]
-	if handed == nil || task.Stage >= len(handed.specification.Stages) {
+	submitted := l.jobs[task.Job]
+	if submitted == nil || task.Stage >= len(submitted.specification.Stages) {
 		return cluster.Profile{}
 	}
-	stage := handed.specification.Stages[task.Stage]
+	stage := submitted.specification.Stages[task.Stage]
 	profile := cluster.Profile{
 		Resources: stage.Resources, Duration: time.Duration(stage.EstimatedDurationMS) * time.Millisecond, Checkpoints: stage.Checkpoints,
 	}
@@ -92,22 +93,23 @@
 	return profile
 }
 
-// run hands jobs in until loading ends. Their clients go on until their jobs have ended, or until life ends.
-func (l *load) run(loading, life context.Context, perS float64) {
+// submitJobs submits random jobs at the given rate until loadContext ends. A goroutine for each job polls it until the job has
+// ended or jobContext ends.
+func (l *loadGenerator) submitJobs(loadContext, jobContext context.Context, perS float64) {
 	interval := time.Duration(float64(time.Second) / perS)
-	for wait(loading, interval) {
-		service := pick(services)
-		specification := pick(jobKinds[service])
-		handed := &submission{id: job.ID(fmt.Sprintf("%016x", rand.Uint64())), service: service, specification: &specification}
+	for sleep(loadContext, interval) {
+		service := randomElement(serviceNames)
+		specification := randomElement(jobKinds[service])
+		submitted := &submission{id: job.ID(fmt.Sprintf("%016x", rand.Uint64())), service: service, specification: &specification}
 		l.mutex.Lock()
-		l.jobs[handed.id] = handed
+		l.jobs[submitted.id] = submitted
 		l.mutex.Unlock()
-		l.clients.Go(func() { l.follow(life, handed) })
+		l.clients.Go(func() { l.submitAndPoll(jobContext, submitted) })
 	}
 }
 
-// wait waits until all jobs have ended, and tells whether they did in time.
-func (l *load) wait(ctx context.Context, limit time.Duration) bool {
+// waitForJobs waits until the clients of all jobs have ended. It reports whether they did so within the limit.
+func (l *loadGenerator) waitForJobs(ctx context.Context, limit time.Duration) bool {
 	ended := make(chan struct{})
 	go func() { l.clients.Wait(); close(ended) }()
 	timer := time.NewTimer(limit)
@@ -121,18 +123,18 @@
 	return false
 }
 
-// follow hands a job in and asks for its state until it is final.
-func (l *load) follow(ctx context.Context, handed *submission) {
+// submitAndPoll submits a job and polls its state until the state is final.
+func (l *loadGenerator) submitAndPoll(ctx context.Context, submitted *submission) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout+completionTimeout)
 	defer cancel()
-	if !l.submit(ctx, handed) {
+	if !l.submit(ctx, submitted) {
 		return
 	}
-	for wait(ctx, pollingInterval) {
-		state := l.pollState(ctx, handed)
+	for sleep(ctx, jobPollInterval) {
+		state := l.pollState(ctx, submitted)
 		l.mutex.Lock()
 		if state != "" {
-			handed.state = state
+			submitted.state = state
 		}
 		l.mutex.Unlock()
 		if state.Final() {
@@ -141,36 +143,37 @@
 	}
 }
 
-// submit hands a job in, at any front, until it is accepted. The same ID remains one job.
-func (l *load) submit(ctx context.Context, handed *submission) bool {
+// submit submits a job to random fronts until one accepts it or submitTimeout has passed. Attempts are repeated with the same
+// ID, so that they are one job for the scheduler. The job counts as rejected only if no attempt can have been accepted.
+func (l *loadGenerator) submit(ctx context.Context, submitted *submission) bool {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	body, err := json.Marshal(handed.specification)
+	body, err := json.Marshal(submitted.specification)
 	if err != nil {
 		return false
 	}
-	unclear := false
+	mayBeAccepted := false
 	for {
-		status, _ := l.call(ctx, http.MethodPost, handed, body)
+		status, _ := l.send(ctx, http.MethodPost, submitted, body)
 		if status/100 == 2 {
 			l.mutex.Lock()
 			defer l.mutex.Unlock()
-			handed.accepted = true
+			submitted.accepted = true
 			return true
 		}
-		unclear = unclear || status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests
-		if !wait(ctx, retryInterval) {
+		mayBeAccepted = mayBeAccepted || status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests
+		if !sleep(ctx, retryInterval) {
 			l.mutex.Lock()
 			defer l.mutex.Unlock()
-			handed.refused = !unclear
+			submitted.rejected = !mayBeAccepted
 			return false
 		}
 	}
 }
 
-// pollState reads a job's state; empty when there was no answer. A job that is unknown counts as failed.
-func (l *load) pollState(ctx context.Context, handed *submission) job.State {
-	status, body := l.call(ctx, http.MethodGet, handed, nil)
+// pollState returns a job's state, or "" without a valid answer. A job that is gone counts as failed.
+func (l *loadGenerator) pollState(ctx context.Context, submitted *submission) job.State {
+	status, body := l.send(ctx, http.MethodGet, submitted, nil)
 	if status == http.StatusGone {
 		return job.Failed
 	}
@@ -183,11 +186,11 @@
 	return answer.State
 }
 
-// call makes one call at a random front; the status is 0 without an answer.
-func (l *load) call(ctx context.Context, method string, handed *submission, body []byte) (status int, answer []byte) {
+// send sends one request for a job to a random front. The status is 0 without an answer.
+func (l *loadGenerator) send(ctx context.Context, method string, submitted *submission, body []byte) (status int, answer []byte) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/%s/%s", pick(l.targets), handed.service, handed.id)
+	url := fmt.Sprintf("http://%s/%s/%s", randomElement(l.targets), submitted.service, submitted.id)
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
@@ -206,31 +209,31 @@
 	return response.StatusCode, answer
 }
 
-// loadCounts are numbers of jobs.
+// loadCounts contains the numbers of jobs for a progress line.
 type loadCounts struct{ submitted, accepted, ended int }
 
-func (l *load) counts() loadCounts {
+func (l *loadGenerator) counts() loadCounts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	counts := loadCounts{submitted: len(l.jobs)}
-	for _, handed := range l.jobs {
-		if handed.accepted {
+	for _, submitted := range l.jobs {
+		if submitted.accepted {
 			counts.accepted++
 		}
-		if handed.state.Final() {
+		if submitted.state.Final() {
 			counts.ended++
 		}
 	}
 	return counts
 }
 
-// submissions returns copies of all jobs.
-func (l *load) submissions() []submission {
+// submissions returns copies of all submissions.
+func (l *loadGenerator) submissions() []submission {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	jobs := make([]submission, 0, len(l.jobs))
-	for _, handed := range l.jobs {
-		jobs = append(jobs, *handed)
+	for _, submitted := range l.jobs {
+		jobs = append(jobs, *submitted)
 	}
 	return jobs
 }
--- a/internal/tools/demo/cluster/machines.go
+++ b/internal/tools/demo/cluster/machines.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	leaseMax           = 6 * time.Second
+	maxLease           = 6 * time.Second // the longest lease of a task
 	workersPerRack     = 3
-	workerFault        = 0.3 // when a worker is killed, as a share of the load's time
-	leaderFault        = 0.55
-	victimTimeout      = 2 * time.Second // for a worker to be at work
-	victimPollInterval = 50 * time.Millisecond
-	leaderTimeout      = 10 * time.Second // for the jobs of a service to have a leader
+	workerFaultTime    = 0.3                   // when a worker is killed, as a fraction of LoadDuration
+	leaderFaultTime    = 0.55                  // when a leader is killed, as a fraction of LoadDuration
+	victimTimeout      = 2 * time.Second       // maximum time to wait for a worker with a run
+	victimPollInterval = 50 * time.Millisecond // between two searches for such a worker
+	leaderTimeout      = 10 * time.Second      // maximum time to wait until the jobs of a service have a leader
 )
 
+// startWorkers starts the fake workers of all services.
 func (d *demo) startWorkers() {
 	d.cluster = cluster.New(cluster.RealClock{}, cluster.Settings{
-		LeaseMax: leaseMax, GangWait: 3 * time.Second, StopTime: 100 * time.Millisecond, SaveEvery: 500 * time.Millisecond,
-		Restore: 100 * time.Millisecond, Describe: d.load.profile,
+		LeaseMax: maxLease, GangWait: 3 * time.Second, StopTime: 100 * time.Millisecond, SaveEvery: 500 * time.Millisecond,
+		Restore: 100 * time.Millisecond, Describe: d.load.taskProfile,
 	})
-	for _, service := range services {
-		for number := range d.options.Workers {
+	for _, service := range serviceNames {
+		for number := range d.options.WorkersPerService {
 			d.workers = append(d.workers, d.cluster.AddWorker(cluster.WorkerConfig{
 				ID: fmt.Sprintf("%s-%d", service, number), Service: service, Zone: "demo", Version: "v1", Slots: 8,
 				Capacity: job.Resources{Processors: 8000, MemoryMB: 16000, Accelerators: 2},
@@ -41,55 +42,57 @@
 	}
 }
 
+// startCoordinator starts the coordinator of a core machine for the first time.
 func (d *demo) startCoordinator(number int) error {
-	file, err := d.site.writeCore(number, true)
+	file, err := d.layout.writeCoordinatorSettings(number, true)
 	if err != nil {
 		return err
 	}
-	m := &machine{name: fmt.Sprintf("core-%d", number)}
-	if m.process, err = d.options.Launcher.Coordinator(file, d.options.Log); err != nil {
-		return fmt.Errorf("start %s: %w", m.name, err)
+	coordinator := &machine{name: fmt.Sprintf("core-%d", number)}
+	if coordinator.process, err = d.options.Launcher.Coordinator(file, d.options.Log); err != nil {
+		return fmt.Errorf("start %s: %w", coordinator.name, err)
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.coordinators = append(d.coordinators, m)
-	go d.watch(m, m.process)
+	d.coordinators = append(d.coordinators, coordinator)
+	go d.recordUnexpectedExit(coordinator, coordinator.process)
 	return nil
 }
 
+// startFront starts the processes of a front machine.
 func (d *demo) startFront(number int) error {
-	file, err := d.site.writeFront(number)
+	file, err := d.layout.writeFrontSettings(number)
 	if err != nil {
 		return err
 	}
-	m := &machine{name: fmt.Sprintf("front-%d", number)}
-	if m.process, err = d.options.Launcher.Front(file, d.site.localAddress(number), d.options.Log); err != nil {
-		return fmt.Errorf("start %s: %w", m.name, err)
+	front := &machine{name: fmt.Sprintf("front-%d", number)}
+	if front.process, err = d.options.Launcher.Front(file, d.layout.localAddress(number), d.options.Log); err != nil {
+		return fmt.Errorf("start %s: %w", front.name, err)
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.fronts = append(d.fronts, m)
-	go d.watch(m, m.process)
+	d.fronts = append(d.fronts, front)
+	go d.recordUnexpectedExit(front, front.process)
 	return nil
 }
 
-// watch notes a process that ends by itself.
-func (d *demo) watch(m *machine, process *Process) {
+// recordUnexpectedExit waits for the end of a process, and records it if the process was not stopped on purpose.
+func (d *demo) recordUnexpectedExit(watched *machine, process *Process) {
 	<-process.Ended
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if !m.stopping {
-		d.unexpected = append(d.unexpected, m.name)
+	if !watched.stopping {
+		d.unexpectedExits = append(d.unexpectedExits, watched.name)
 	}
 }
 
-// injectFaults kills a worker and later the leader of a service's jobs, which it starts again.
+// injectFaults kills a worker, and later the leader of a service's jobs. It restarts the leader after restartDelay.
 func (d *demo) injectFaults(ctx context.Context) {
-	if !wait(ctx, time.Duration(workerFault*float64(d.options.For))) {
+	if !sleep(ctx, time.Duration(workerFaultTime*float64(d.options.LoadDuration))) {
 		return
 	}
 	d.killWorker(ctx)
-	if !wait(ctx, time.Duration((leaderFault-workerFault)*float64(d.options.For))) {
+	if !sleep(ctx, time.Duration((leaderFaultTime-workerFaultTime)*float64(d.options.LoadDuration))) {
 		return
 	}
 	number, err := d.awaitLeader(ctx)
@@ -98,39 +101,40 @@
 		return
 	}
 	d.killCoordinator(number)
-	if wait(ctx, restartDelay) {
+	if sleep(ctx, restartDelay) {
 		d.restartCoordinator(number)
 	}
 }
 
-// killWorker kills one that is at work, with all that runs there.
+// killWorker kills the worker with the most runs, and its runs with it. If no worker has a run, it waits up to
+// victimTimeout for one.
 func (d *demo) killWorker(ctx context.Context) {
-	waiting, cancel := context.WithTimeout(ctx, victimTimeout)
+	victimContext, cancel := context.WithTimeout(ctx, victimTimeout)
 	defer cancel()
-	victim, runs := d.busiest()
-	for runs == 0 && wait(waiting, victimPollInterval) {
-		victim, runs = d.busiest()
+	victim, runs := d.busiestWorker()
+	for runs == 0 && sleep(victimContext, victimPollInterval) {
+		victim, runs = d.busiestWorker()
 	}
 	id := victim.ID()
 	victim.Crash(id + "-again")
-	d.recordFault("killed searcher %s with %d runs; it is back as %s", id, runs, victim.ID())
+	d.recordInjectedFault("killed searcher %s with %d runs; it is back as %s", id, runs, victim.ID())
 }
 
-// busiest is the worker with the most runs under way.
-func (d *demo) busiest() (victim *cluster.Worker, runs int) {
-	busy := map[string]int{}
+// busiestWorker returns the worker with the most active runs, and their number.
+func (d *demo) busiestWorker() (victim *cluster.Worker, runs int) {
+	runsByWorker := map[string]int{}
 	for _, record := range d.cluster.Runs() {
 		if record.EndedAt.IsZero() {
-			busy[record.Worker]++
+			runsByWorker[record.Worker]++
 		}
 	}
 	victim = d.workers[0]
 	for _, worker := range d.workers {
-		if busy[worker.ID()] > busy[victim.ID()] {
+		if runsByWorker[worker.ID()] > runsByWorker[victim.ID()] {
 			victim = worker
 		}
 	}
-	return victim, busy[victim.ID()]
+	return victim, runsByWorker[victim.ID()]
 }
 
 // awaitLeader waits until the jobs of the first service have a leader.
@@ -139,7 +143,7 @@
 	defer cancel()
 	for {
 		number, err = d.findLeader(ctx)
-		if err == nil || !wait(ctx, pollInterval) {
+		if err == nil || !sleep(ctx, pollInterval) {
 			return number, err
 		}
 	}
@@ -157,26 +161,28 @@
 	}
 	for _, group := range status.Groups {
 		for number := range coreMachines {
-			if group.Service == services[0] && group.Leader == d.site.at(coreHost(number), 0) {
+			if group.Service == serviceNames[0] && group.Leader == d.layout.address(coreHost(number), 0) {
 				return number, nil
 			}
 		}
 	}
-	return 0, noLeaderError(services[0])
+	return 0, noLeaderError(serviceNames[0])
 }
 
+// killCoordinator kills a coordinator and waits for its end.
 func (d *demo) killCoordinator(number int) {
 	d.mutex.Lock()
-	m := d.coordinators[number]
-	m.stopping = true
+	coordinator := d.coordinators[number]
+	coordinator.stopping = true
 	d.mutex.Unlock()
-	m.process.Kill()
-	<-m.process.Ended
-	d.recordFault("killed coordinator %s, the leader of service %s", m.name, services[0])
+	coordinator.process.Kill()
+	<-coordinator.process.Ended
+	d.recordInjectedFault("killed coordinator %s, the leader of service %s", coordinator.name, serviceNames[0])
 }
 
+// restartCoordinator starts a killed coordinator with its old data.
 func (d *demo) restartCoordinator(number int) {
-	file, err := d.site.writeCore(number, false)
+	file, err := d.layout.writeCoordinatorSettings(number, false)
 	var process *Process
 	if err == nil {
 		process, err = d.options.Launcher.Coordinator(file, d.options.Log)
@@ -186,22 +192,22 @@
 		return
 	}
 	d.mutex.Lock()
-	m := d.coordinators[number]
-	m.process, m.stopping = process, false
+	coordinator := d.coordinators[number]
+	coordinator.process, coordinator.stopping = process, false
 	d.mutex.Unlock()
-	go d.watch(m, process)
-	d.printLine("started %s again with its disk", m.name)
+	go d.recordUnexpectedExit(coordinator, process)
+	d.printLine("started %s again with its disk", coordinator.name)
 }
 
-func (d *demo) recordFault(format string, arguments ...any) {
+func (d *demo) recordInjectedFault(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
 	d.printLine("%s", text)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.faults = append(d.faults, text)
+	d.injectedFaults = append(d.injectedFaults, text)
 }
 
 // runningCount counts the runs that have not ended.
-func runningCount(records []cluster.RunRecord) int {
+func countRunning(records []cluster.RunRecord) int {
 	return len(slices.DeleteFunc(records, func(record cluster.RunRecord) bool { return !record.EndedAt.IsZero() }))
 }
--- a/internal/tools/demo/errors.go
+++ b/internal/tools/demo/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// LostError is how many queries had no final answer.
+// LostError reports that queries had no final answer. Its value is their number.
 type LostError int64
 
 // Error implements error.
 func (e LostError) Error() string { return fmt.Sprintf("%d lookups had no final answer", int64(e)) }
 
-// OptionsError says that options do not fit, and what was expected.
+// OptionsError describes invalid options and the expected values.
 type OptionsError string
 
 // Error implements error.
