--- a/internal/tools/benchadapter/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -92,6 +92,7 @@
 	return f.parse(name, value)
 }
 
+// hex reads a key in hexadecimal digits. It returns false if the key is absent, which is written as "-".
 func (f *fields) hex(name string) (uint64, bool) {
 	value := f.next(name)
 	if len(value) == 1 && value[0] == '-' {
@@ -104,6 +105,7 @@
 	return parsed, true
 }
 
+// bytes reads a value in base64. It returns nil if the value is absent, which is written as "-".
 func (f *fields) bytes(name string) []byte {
 	value := f.next(name)
 	if len(value) == 1 && value[0] == '-' {
--- a/internal/tools/demo/cluster/cluster.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -1,7 +1,7 @@
 // Package cluster demonstrates the cluster scheduler on the loopback addresses of one machine: real coordinators on three core
 // machines, real proxies and agents on two front machines, fake workers and a fake platform. It submits jobs, kills a worker
 // and the leader of a service's jobs while they run, and counts the jobs and tasks that were completed, lost or executed
-// twice. The package does not schedule anything itself. The demo command of the cluster calls it.
+// twice. The package does not schedule anything itself. The demo command calls it.
 package cluster
 
 import (
--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -200,14 +200,14 @@
 	seconds := d.TableInterval.Seconds()
 	fmt.Fprintf(d.Out, "%s  satisfied %.0f/s  nacked %.0f/s  aborted %.0f/s  lost %d  p50 %s  p99 %s\n", time.Now().Format(time.TimeOnly),
 		float64(tally.Satisfied)/seconds, float64(tally.Nacked)/seconds, float64(tally.Aborted)/seconds, tally.Lost, tally.P50.Round(100*time.Microsecond), tally.P99.Round(100*time.Microsecond))
-	table := tabwriter.NewWriter(d.Out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "SEARCHER\tLOCATION\tPART CALLS/S\tOUT AT MOST\t")
+	w := tabwriter.NewWriter(d.Out, 0, 8, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(w, "SEARCHER\tLOCATION\tPART CALLS/S\tOUT AT MOST\t")
 	for _, backend := range d.backends {
 		calls := backend.Calls()
-		fmt.Fprintf(table, "%s\t%s\t%.0f\t%d\t\n", backend.Name, backend.Zone, float64(calls-d.previousCalls[backend.Name])/seconds, backend.MaxInFlight())
+		fmt.Fprintf(w, "%s\t%s\t%.0f\t%d\t\n", backend.Name, backend.Zone, float64(calls-d.previousCalls[backend.Name])/seconds, backend.MaxInFlight())
 		d.previousCalls[backend.Name] = calls
 	}
-	table.Flush()
+	w.Flush()
 	fmt.Fprintln(d.Out)
 }
 
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -20,9 +20,9 @@
 	P50, P99         float64   // latency percentiles of answered queries, in seconds from the first attempt
 	Utilization      []float64 // by backend, share of the cores that was busy
 	Hottest          int       // backend with the highest utilization
-	MaxQueue         int       // calls waiting at a backend
-	MaxPending       int       // queries and subqueries that an aggregator held at once
-	MaxInFlight      int       // calls that an aggregator had in flight at once
+	MaxQueue         int       // largest number of calls waiting at a backend
+	MaxPending       int       // largest number of queries and subqueries that an aggregator held at once
+	MaxInFlight      int       // largest number of calls that an aggregator had in flight at once
 	Rejected         int64     // calls rejected by backends with a full queue
 	AttemptsPerQuery float64   // attempts by clients divided by queries
 	CallsPerSubquery float64   // calls to backends divided by the expected number of subqueries
--- a/internal/tools/plan/simulation.go
+++ b/internal/tools/plan/simulation.go
@@ -99,13 +99,13 @@
 	policy         *policy.Aggregator
 	events         []policy.Event
 	actions        []policy.Action
-	lastStep       float64
-	stepScheduled  bool // a step is in the event heap
+	lastStep       float64 // time of the last step
+	stepScheduled  bool    // a step is in the event heap
 	queries        map[policy.QueryID]*pendingQuery
 	subqueries     map[policy.SubqueryID]policy.IndexID
-	nextCallNumber map[policy.SubqueryID]policy.CallNo
+	nextCallNumber map[policy.SubqueryID]policy.CallNo // number of the next call for each subquery
 	inFlight       map[callKey]*call
-	lastID         uint64
+	lastID         uint64 // last ID that was assigned to a query or subquery
 	maxPending     int
 	maxInFlight    int
 }
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -18,19 +18,19 @@
 type Backend struct {
 	Name        string
 	Location    string
-	Cell        int
+	Cell        int     // position of its cell, from 0
 	Cores       int     // number of subqueries that it processes at once
 	Speed       float64 // relative speed: at 2, work takes half the stated time
 	Queue       int     // subqueries that may wait for a core; further ones are rejected. 0 means no limit
-	Connections int     // connections that it accepts; 0 means no limit
-	Price       float64
+	Connections int     // connections that it accepts from all aggregators; 0 means no limit
+	Price       float64 // in any unit, the same for all backends
 }
 
 // Index describes one index of a deployment. Times are in seconds.
 type Index struct {
 	Name             string
 	Effect           policy.Effect
-	Soft, Hard       float64
+	Soft, Hard       float64   // soft and hard deadline of a query
 	Value, LateValue float64   // value of an answered query, and the share of it that remains after the soft deadline
 	Work             float64   // mean processing time of a subquery on a core of speed 1
 	WorkSCV          float64   // squared coefficient of variation of lognormal work; unused if WorkQuantiles is set
@@ -41,12 +41,12 @@
 // Site describes a deployment: its backends, indexes, aggregators, and how clients retry. Times are in seconds.
 type Site struct {
 	Locations          []string
-	Cells              int
-	Width              int
-	Shards             int
+	Cells              int // number of cells
+	Width              int // number of consecutive cells that hold each shard
+	Shards             int // number of shards of an index
 	Backends           []Backend
 	Indexes            []Index
-	Aggregators        int
+	Aggregators        int     // number of aggregators
 	MaxPending         int     // queries and subqueries that an aggregator may hold at once; 0 means no limit
 	StepInterval       float64 // minimum time between two steps of an aggregator's policy
 	NetworkDelay       float64 // one-way delay between an aggregator and a backend
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -286,12 +286,12 @@
 
 // Print writes a table of the results, in the given order.
 func Print(out io.Writer, results []Result) {
-	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(table, "SETTING\tFIGURE\tPREDICTED\tHAPPENED\tERROR")
+	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(w, "SETTING\tFIGURE\tPREDICTED\tHAPPENED\tERROR")
 	for _, result := range results {
 		for _, figure := range result.Figures {
-			fmt.Fprintf(table, "%s\t%s\t%.3g\t%.3g\t%+.1f%%\n", result.Scenario, figure.Name, figure.Predicted, figure.Measured, 100*figure.Error)
+			fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%+.1f%%\n", result.Scenario, figure.Name, figure.Predicted, figure.Measured, 100*figure.Error)
 		}
 	}
-	table.Flush()
+	w.Flush()
 }
