--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -43,7 +43,7 @@
 	Locations          []string
 	Cells              int // number of cells
 	Width              int // number of consecutive cells that hold each shard
-	Shards             int // number of shards of an index
+	Shards             int // number of shards
 	Backends           []Backend
 	Indexes            []Index
 	Aggregators        int     // number of aggregators
