--- a/internal/tools/fleettest/binaries_test.go
+++ b/internal/tools/fleettest/binaries_test.go
@@ -13,12 +13,12 @@
 // binaries are those that the tests of one process make, in a directory of theirs.
 var binaries struct {
 	sync.Mutex
-	dir  string
-	made map[string]string
+	dir        string
+	pathByTags map[string]string
 }
 
 // Main runs tests and then removes the binaries that they made.
-func Main(m *testing.M) (code int) {
+func RunTests(m *testing.M) (code int) {
 	defer func() { os.RemoveAll(binaries.dir) }()
 	return m.Run()
 }
@@ -28,29 +28,29 @@
 
 // Build hands out the binary with the tags named. All are made before the first is handed out: a compiler takes every core,
 // and no cluster is to run beside one.
-func Build(t testing.TB, tags string) string {
+func BinaryPath(t testing.TB, tags string) string {
 	t.Helper()
 	b := &binaries
 	b.Lock()
 	defer b.Unlock()
-	if b.made == nil {
+	if b.pathByTags == nil {
 		dir, err := os.MkdirTemp("", "rig")
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.dir, b.made = dir, map[string]string{}
-		for _, each := range []string{"", failpointsTag} {
-			path := filepath.Join(dir, "puffinlink-"+each)
-			if out, err := exec.Command("go", "build", "-tags", each, "-o", path, "puffinlink.example/puffinlink/cmd/puffinlink").CombinedOutput(); err != nil {
+		b.dir, b.pathByTags = dir, map[string]string{}
+		for _, buildTags := range []string{"", failpointsTag} {
+			path := filepath.Join(dir, "puffinlink-"+buildTags)
+			if out, err := exec.Command("go", "build", "-tags", buildTags, "-o", path, "puffinlink.example/puffinlink/cmd/puffinlink").CombinedOutput(); err != nil {
 				t.Fatalf("%v: %s", err, out)
 			}
-			b.made[each] = path
+			b.pathByTags[buildTags] = path
 		}
 	}
-	if b.made[tags] == "" {
+	if b.pathByTags[tags] == "" {
 		t.Fatalf("no binary was made with the tags %q", tags)
 	}
-	return b.made[tags]
+	return b.pathByTags[tags]
 }
 
 // modification replaces a text of a source file, as a mistake would have it.
@@ -77,19 +77,19 @@
 }
 
 // BuildModified makes a binary of the program with a modification.
-func BuildModified(t testing.TB, m modification) (path string) {
+func BuildModifiedBinary(t testing.TB, m modification) (path string) {
 	t.Helper()
-	full, text := m.apply(t)
+	sourcePath, text := m.apply(t)
 	dir := t.TempDir()
-	copied, overlay := filepath.Join(dir, "copy.go"), filepath.Join(dir, "overlay.json")
-	names, _ := json.Marshal(map[string]any{"Replace": map[string]string{full: copied}})
-	for path, text := range map[string][]byte{copied: text, overlay: names} {
+	modifiedPath, overlayPath := filepath.Join(dir, "copy.go"), filepath.Join(dir, "overlay.json")
+	overlayJSON, _ := json.Marshal(map[string]any{"Replace": map[string]string{sourcePath: modifiedPath}})
+	for path, text := range map[string][]byte{modifiedPath: text, overlayPath: overlayJSON} {
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	path = filepath.Join(dir, "puffinlink")
-	if out, err := exec.Command("go", "build", "-overlay", overlay, "-o", path, "puffinlink.example/puffinlink/cmd/puffinlink").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-overlay", overlayPath, "-o", path, "puffinlink.example/puffinlink/cmd/puffinlink").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	return path
--- a/internal/tools/fleettest/brokenbuilds_test.go
+++ b/internal/tools/fleettest/brokenbuilds_test.go
@@ -29,49 +29,49 @@
 	}
 	t.Run("minimums not reserved", func(t *testing.T) {
 		t.Parallel()
-		q := `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 60, "floor_share": 0.6}]}`
-		for _, binary := range []string{"", BuildModified(t, minimumsNotReserved)} {
-			c := Start(t, Options{Aggregators: 3, Quotas: q, Binary: binary})
+		quota := `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 60, "floor_share": 0.6}]}`
+		for _, binary := range []string{"", BuildModifiedBinary(t, minimumsNotReserved)} {
+			c := Start(t, Options{Aggregators: 3, QuotasJSON: quota, Binary: binary})
 			c.awaitGranter()
-			stop := c.Load(180, "acme", "reads", c.RoundRobin)
+			stop := c.StartLoad(180, "acme", "reads", c.RoundRobin)
 			time.Sleep(8 * time.Second)
 			stop()
-			over, window := c.Checker.QuotaExcess("acme", 60, 60)
-			if t.Logf("broken %t: %.1f over, %s", binary != "", over, window); (over > 0) != (binary != "") {
-				t.Errorf("broken %t: %.1f queries over", binary != "", over)
+			excess, window := c.Checker.QuotaExcess("acme", 60, 60)
+			if t.Logf("broken %t: %.1f over, %s", binary != "", excess, window); (excess > 0) != (binary != "") {
+				t.Errorf("broken %t: %.1f queries over", binary != "", excess)
 			}
 		}
 	})
 	t.Run("reported as applied before all apply it", func(t *testing.T) {
 		t.Parallel()
-		c := Start(t, Options{Aggregators: 3, Contracts: strings.Replace(contracts, `["a", "b"]`, `["a", "b", "c"]`, 1),
-			Binary: BuildModified(t, appliedTooEarly)})
-		alone := c.Aggregators[(c.awaitGranter().index+1)%3]
-		stop := c.Load(100, "cato", "reads", c.RoundRobin)
-		c.Await("it is served", func() bool { return c.isServed(alone, "cato") })
-		c.Partition(alone.index)
-		version, err := c.Leader().Command(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"b"}}})
+		c := Start(t, Options{Aggregators: 3, ContractsJSON: strings.Replace(contractsJSON, `["a", "b"]`, `["a", "b", "c"]`, 1),
+			Binary: BuildModifiedBinary(t, appliedTooEarly)})
+		isolated := c.Aggregators[(c.awaitGranter().index+1)%3]
+		stop := c.StartLoad(100, "cato", "reads", c.RoundRobin)
+		c.Await("it is served", func() bool { return c.isServed(isolated, "cato") })
+		c.Partition(isolated.index)
+		version, err := c.Leader().SendCommand(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"b"}}})
 		c.must(err)
 		c.Await("it is reported as applied", func() bool { applied, _ := c.Leader().ContractApplied(version, "cato"); return applied })
 		c.Checker.RequireZones("cato", "b")
 		time.Sleep(time.Second)
 		stop()
-		if wrong := c.Checker.ContractViolations(); len(wrong) == 0 {
+		if violations := c.Checker.ContractViolations(); len(violations) == 0 {
 			t.Error("the checker saw no subquery outside of the contract")
 		} else {
-			t.Logf("%d subqueries outside, the first: %s", len(wrong), wrong[0])
+			t.Logf("%d subqueries outside, the first: %s", len(violations), violations[0])
 		}
 	})
 	t.Run("a verdict of one unhealthy witness", func(t *testing.T) {
 		t.Parallel()
-		c := Start(t, Options{Aggregators: 4, Binary: BuildModified(t, oneWitnessSuffices)})
+		c := Start(t, Options{Aggregators: 4, Binary: BuildModifiedBinary(t, oneWitnessSuffices)})
 		c.awaitGranter()
-		stop := c.Load(60, "cato", "reads", func(int) *Aggregator { return c.Aggregators[3] })
+		stop := c.StartLoad(60, "cato", "reads", func(int) *Aggregator { return c.Aggregators[3] })
 		time.Sleep(1500 * time.Millisecond)
-		c.slowBackends(c.Aggregators[3], 300*time.Millisecond, 0)
+		c.delayBackends(c.Aggregators[3], 300*time.Millisecond, 0)
 		c.Await("the report of one witness makes a verdict", func() bool {
-			s := c.Aggregators[2].FleetStatus()
-			judged, _ := s["judged"].([]any)
+			status := c.Aggregators[2].FleetStatus()
+			judged, _ := status["judged"].([]any)
 			return len(judged) > 0
 		})
 		stop()
--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -10,27 +10,27 @@
 
 // Checker records what clients and backends saw, and compares it with quotas and contracts. It shares no code with aggregators.
 type Checker struct {
-	mu         sync.Mutex
-	queries    []query
-	subqueries []subquery
-	contracts  []contract
+	mu               sync.Mutex
+	queries          []queryRecord
+	subqueries       []subqueryRecord
+	zoneRequirements []zoneRequirement
 }
 
 // query is one that ended: it was admitted at some time from sent to ended, if at all.
-type query struct {
+type queryRecord struct {
 	aggregator, tenant string
 	sent, ended        time.Time
 	status             int
-	text               string // of an answer that is none: why
+	reason             string // of an answer that is none: why
 }
 
-type subquery struct {
+type subqueryRecord struct {
 	backend, zone, tenant string
 	at                    time.Time
 }
 
 // contract is a tenant's contract from a time on, from which no subquery outside of it may begin.
-type contract struct {
+type zoneRequirement struct {
 	tenant string
 	zones  []string
 	from   time.Time
@@ -45,14 +45,14 @@
 	tenant, _, _ := strings.Cut(query, " ")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.subqueries = append(c.subqueries, subquery{backend, zone, tenant, time.Now()})
+	c.subqueries = append(c.subqueries, subqueryRecord{backend, zone, tenant, time.Now()})
 }
 
 // RecordQuery records the end of a query.
-func (c *Checker) RecordQuery(aggregator, tenant string, sent time.Time, status int, text string) {
+func (c *Checker) RecordQuery(aggregator, tenant string, sent time.Time, status int, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.queries = append(c.queries, query{aggregator, tenant, sent, time.Now(), status, text})
+	c.queries = append(c.queries, queryRecord{aggregator, tenant, sent, time.Now(), status, reason})
 }
 
 // RequireZones requires that from now on no subquery of a tenant begins outside of zones; it replaces the requirement before.
@@ -64,84 +64,84 @@
 func (c *Checker) RequireZonesFrom(from time.Time, tenant string, zones ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := range c.contracts {
-		if active := &c.contracts[i]; active.tenant == tenant && active.until.IsZero() {
+	for i := range c.zoneRequirements {
+		if active := &c.zoneRequirements[i]; active.tenant == tenant && active.until.IsZero() {
 			active.until = from
 		}
 	}
-	c.contracts = append(c.contracts, contract{tenant: tenant, zones: zones, from: from})
+	c.zoneRequirements = append(c.zoneRequirements, zoneRequirement{tenant: tenant, zones: zones, from: from})
 }
 
 // ContractViolations lists the subqueries that began in a zone that a contract did not allow.
-func (c *Checker) ContractViolations() (wrong []string) {
+func (c *Checker) ContractViolations() (violations []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, call := range c.subqueries {
-		for _, k := range c.contracts {
-			if call.tenant == k.tenant && call.at.After(k.from) && (k.until.IsZero() || call.at.Before(k.until)) && !slices.Contains(k.zones, call.zone) {
-				wrong = append(wrong, fmt.Sprintf("%s: a subquery began at %s in %s, %s after the contract held that allows %q", call.tenant, call.backend, call.zone,
-					call.at.Sub(k.from).Round(time.Millisecond), k.zones))
+	for _, record := range c.subqueries {
+		for _, requirement := range c.zoneRequirements {
+			if record.tenant == requirement.tenant && record.at.After(requirement.from) && (requirement.until.IsZero() || record.at.Before(requirement.until)) && !slices.Contains(requirement.zones, record.zone) {
+				violations = append(violations, fmt.Sprintf("%s: a subquery began at %s in %s, %s after the contract held that allows %q", record.tenant, record.backend, record.zone,
+					record.at.Sub(requirement.from).Round(time.Millisecond), requirement.zones))
 			}
 		}
 	}
-	return wrong
+	return violations
 }
 
 // admitted lists those of a tenant that were.
-func (c *Checker) admitted(tenant string, aggregator string) (list []query) {
+func (c *Checker) admittedQueries(tenant string, aggregator string) (records []queryRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.queries {
-		if l.tenant == tenant && (aggregator == "" || l.aggregator == aggregator) && l.status == 200 {
-			list = append(list, l)
+	for _, record := range c.queries {
+		if record.tenant == tenant && (aggregator == "" || record.aggregator == aggregator) && record.status == 200 {
+			records = append(records, record)
 		}
 	}
-	return list
+	return records
 }
 
 // QuotaExcess returns by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
 // window only where sending and answer both lie in it, so that nothing is counted that may have been admitted outside. A
 // query that is refused after it was admitted, or lost, is not seen, which only lessens the count.
-func (c *Checker) QuotaExcess(tenant string, perS, burst float64) (over float64, window string) {
-	list := c.admitted(tenant, "")
-	if len(list) == 0 {
+func (c *Checker) QuotaExcess(tenant string, perSecond, burst float64) (excess float64, window string) {
+	admitted := c.admittedQueries(tenant, "")
+	if len(admitted) == 0 {
 		return 0, ""
 	}
-	first := list[0].sent
-	for _, l := range list {
-		if l.sent.Before(first) {
-			first = l.sent
+	first := admitted[0].sent
+	for _, record := range admitted {
+		if record.sent.Before(first) {
+			first = record.sent
 		}
 	}
 	// For each window's beginning, those sent from there on in the order of their answers: the n-th ends the window that
 	// holds n of them.
-	slices.SortFunc(list, func(a, b query) int { return a.ended.Compare(b.ended) })
-	step := max(1, len(list)/400)
+	slices.SortFunc(admitted, func(a, b queryRecord) int { return a.ended.Compare(b.ended) })
+	step := max(1, len(admitted)/400)
 	starts := make([]time.Time, 0, 400)
-	for i := 0; i < len(list); i += step {
-		starts = append(starts, list[i].sent)
+	for i := 0; i < len(admitted); i += step {
+		starts = append(starts, admitted[i].sent)
 	}
 	starts = append(starts, first)
 	for _, from := range starts {
 		n := 0.0
-		for _, l := range list {
-			if l.sent.Before(from) {
+		for _, record := range admitted {
+			if record.sent.Before(from) {
 				continue
 			}
 			n++
-			if excess := n - perS*l.ended.Sub(from).Seconds() - burst; excess > over {
-				over, window = excess, fmt.Sprintf("%g queries in %s, %s after the first", n, l.ended.Sub(from).Round(time.Millisecond), from.Sub(first).Round(time.Millisecond))
+			if windowExcess := n - perSecond*record.ended.Sub(from).Seconds() - burst; windowExcess > excess {
+				excess, window = windowExcess, fmt.Sprintf("%g queries in %s, %s after the first", n, record.ended.Sub(from).Round(time.Millisecond), from.Sub(first).Round(time.Millisecond))
 			}
 		}
 	}
-	return over, window
+	return excess, window
 }
 
 // Rate is how many of a tenant's queries were admitted a second between two times, at one aggregator or at all.
-func (c *Checker) Rate(tenant, aggregator string, from, to time.Time) float64 {
+func (c *Checker) AdmittedRate(tenant, aggregator string, from, to time.Time) float64 {
 	n := 0
-	for _, l := range c.admitted(tenant, aggregator) {
-		if l.sent.After(from) && l.ended.Before(to) {
+	for _, record := range c.admittedQueries(tenant, aggregator) {
+		if record.sent.After(from) && record.ended.Before(to) {
 			n++
 		}
 	}
@@ -149,11 +149,11 @@
 }
 
 // Unanswered counts queries without a final answer, but for those of aggregators that were killed.
-func (c *Checker) Unanswered(but ...string) (n int) {
+func (c *Checker) UnansweredCount(excluded ...string) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.queries {
-		if l.status == 0 && !slices.Contains(but, l.aggregator) {
+	for _, record := range c.queries {
+		if record.status == 0 && !slices.Contains(excluded, record.aggregator) {
 			n++
 		}
 	}
@@ -164,41 +164,41 @@
 func (c *Checker) RejectionReasons() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := map[string]int{}
-	for _, l := range c.queries {
-		if l.status != 200 {
-			n[fmt.Sprintf("%s: %s: %d %s", l.aggregator, l.tenant, l.status, l.text)]++
+	counts := map[string]int{}
+	for _, record := range c.queries {
+		if record.status != 200 {
+			counts[fmt.Sprintf("%s: %s: %d %s", record.aggregator, record.tenant, record.status, record.reason)]++
 		}
 	}
-	return n
+	return counts
 }
 
 // StatusCounts counts a tenant's answers since a time, at one aggregator or at all.
 func (c *Checker) StatusCounts(tenant, aggregator string, since time.Time) map[int]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := map[int]int{}
-	for _, l := range c.queries {
-		if l.tenant == tenant && (aggregator == "" || l.aggregator == aggregator) && !l.sent.Before(since) {
-			n[l.status]++
+	counts := map[int]int{}
+	for _, record := range c.queries {
+		if record.tenant == tenant && (aggregator == "" || record.aggregator == aggregator) && !record.sent.Before(since) {
+			counts[record.status]++
 		}
 	}
-	return n
+	return counts
 }
 
 // P99 is the time that 99 of 100 of a tenant's answers took, of those sent between two times.
 func (c *Checker) P99(tenant string, from, to time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var took []time.Duration
-	for _, l := range c.queries {
-		if l.tenant == tenant && l.sent.After(from) && l.sent.Before(to) && l.status == 200 {
-			took = append(took, l.ended.Sub(l.sent))
+	var latencies []time.Duration
+	for _, record := range c.queries {
+		if record.tenant == tenant && record.sent.After(from) && record.sent.Before(to) && record.status == 200 {
+			latencies = append(latencies, record.ended.Sub(record.sent))
 		}
 	}
-	if len(took) == 0 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	slices.Sort(took)
-	return took[len(took)*99/100]
+	slices.Sort(latencies)
+	return latencies[len(latencies)*99/100]
 }
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -14,8 +14,8 @@
 
 // Query sends a query and returns its answer's status, 0 where there is none. A complete or partial answer is recorded as
 // admitted, at some time between its sending and its answer.
-func (c *Cluster) Query(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
-	id := c.lastID.Add(1)
+func (c *Cluster) Query(aggregator *Aggregator, tenant, index string, shards ...int) (status int, text string) {
+	id := c.lastQueryID.Add(1)
 	var body strings.Builder
 	body.WriteString(`{"targets":[`)
 	for i, s := range shards {
@@ -27,7 +27,7 @@
 	fmt.Fprintf(&body, `],"query":"%s %d"}`, tenant, id)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Listen+"/"+index, strings.NewReader(body.String()))
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+aggregator.ClientAddress+"/"+index, strings.NewReader(body.String()))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", id)}, "Req-Kind": {index}, "Req-Owner": {tenant}, "Req-Deadline": {"2"},
 		"Idempotency-Key": {}} // not sent: it lets the client retry on a new connection, where the aggregator closed an idle one meanwhile
 	sent := time.Now()
@@ -38,18 +38,18 @@
 		res, request, err = c.send(req, query)
 	}
 	if err != nil {
-		c.Checker.RecordQuery(m.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
+		c.Checker.RecordQuery(aggregator.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
 		return 0, err.Error()
 	}
 	defer res.Body.Close()
 	answer, _ := io.ReadAll(res.Body)
-	c.Checker.RecordQuery(m.Name, tenant, sent, res.StatusCode, string(answer))
+	c.Checker.RecordQuery(aggregator.Name, tenant, sent, res.StatusCode, string(answer))
 	return res.StatusCode, string(answer)
 }
 
 // isServed sends a tenant's query to an aggregator, and reports whether it was answered with 200.
-func (c *Cluster) isServed(m *Aggregator, tenant string) bool {
-	status, _ := c.Query(m, tenant, "reads", 0, 1)
+func (c *Cluster) isServed(aggregator *Aggregator, tenant string) bool {
+	status, _ := c.Query(aggregator, tenant, "reads", 0, 1)
 	return status == http.StatusOK
 }
 
@@ -70,78 +70,78 @@
 func (r *connectionTrace) closedBeforeSend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	spoke := r.wrote
-	if spoke.IsZero() {
-		spoke = r.ended
+	firstWrite := r.wrote
+	if firstWrite.IsZero() {
+		firstWrite = r.ended
 	}
-	return !r.connected.IsZero() && spoke.Sub(r.connected) >= idleTimeout
+	return !r.connected.IsZero() && firstWrite.Sub(r.connected) >= idleTimeout
 }
 
 func (r *connectionTrace) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := func(t time.Time) string {
+	sinceBegan := func(t time.Time) string {
 		if t.IsZero() {
 			return "never"
 		}
 		return t.Sub(r.began).Round(time.Millisecond).String()
 	}
-	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", at(r.connected), at(r.wrote), at(r.ended))
+	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", sinceBegan(r.connected), sinceBegan(r.wrote), sinceBegan(r.ended))
 }
 
 // send sends a request and records how its connection was used, and how often the query went out.
 func (c *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
-	r := &connectionTrace{began: time.Now()}
-	counted, _ := c.timesSent.LoadOrStore(query, &atomic.Int64{})
-	note := func(at *time.Time) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
+	connection := &connectionTrace{began: time.Now()}
+	counter, _ := c.sendCounts.LoadOrStore(query, &atomic.Int64{})
+	recordTime := func(at *time.Time) {
+		connection.mu.Lock()
+		defer connection.mu.Unlock()
 		*at = time.Now()
 	}
 	trace := &httptrace.ClientTrace{
-		ConnectStart: func(string, string) { note(&r.connected) },
+		ConnectStart: func(string, string) { recordTime(&connection.connected) },
 		GotConn: func(info httptrace.GotConnInfo) {
 			if info.Reused { // another's, and what was dialled meanwhile is not used
-				r.mu.Lock()
-				defer r.mu.Unlock()
-				r.connected = time.Time{}
+				connection.mu.Lock()
+				defer connection.mu.Unlock()
+				connection.connected = time.Time{}
 			}
 		},
 		WroteRequest: func(httptrace.WroteRequestInfo) {
-			counted.(*atomic.Int64).Add(1)
-			note(&r.wrote)
+			counter.(*atomic.Int64).Add(1)
+			recordTime(&connection.wrote)
 		},
 	}
 	res, err := c.client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
-	note(&r.ended)
-	return res, r, err
+	recordTime(&connection.ended)
+	return res, connection, err
 }
 
 // Load sends queries at a mean rate until it is stopped, without waiting for answers.
-func (c *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
+func (c *Cluster) StartLoad(perSecond float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
-	var all sync.WaitGroup
-	all.Go(func() {
+	var waitGroup sync.WaitGroup
+	waitGroup.Go(func() {
 		began := time.Now()
 		for n := 0; ; n++ {
 			select {
-			case <-time.After(time.Until(began.Add(time.Duration(float64(n) / perS * float64(time.Second))))):
+			case <-time.After(time.Until(began.Add(time.Duration(float64(n) / perSecond * float64(time.Second))))):
 			case <-stopped:
 				return
 			}
-			if m := pick(n); m != nil {
-				all.Go(func() { c.Query(m, tenant, index, n%c.Site.Shards, (n+1)%c.Site.Shards) })
+			if aggregator := pick(n); aggregator != nil {
+				waitGroup.Go(func() { c.Query(aggregator, tenant, index, n%c.Site.Shards, (n+1)%c.Site.Shards) })
 			}
 		}
 	})
-	end := sync.OnceFunc(func() { close(stopped) })
-	return func() { end(); all.Wait() }
+	stopOnce := sync.OnceFunc(func() { close(stopped) })
+	return func() { stopOnce(); waitGroup.Wait() }
 }
 
 // timesSentOf is how often the client sent a query, of which a subquery is named by the query's text and its shard.
-func (c *Cluster) timesSentOf(part string) int64 {
-	query := part[:max(0, strings.LastIndexByte(part, ' '))]
-	if n, known := c.timesSent.Load(query); known {
+func (c *Cluster) sendCount(subqueryID string) int64 {
+	query := subqueryID[:max(0, strings.LastIndexByte(subqueryID, ' '))]
+	if n, known := c.sendCounts.Load(query); known {
 		return n.(*atomic.Int64).Load()
 	}
 	return 1
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -30,15 +30,15 @@
 type Options struct {
 	Aggregators       int
 	Voters            int
-	LeaseS            float64
-	Quotas            string // the section's text; "" for none
-	Contracts         string
-	Tenants           []string // beside acme, bolt and cato
+	LeaseSeconds      float64
+	QuotasJSON        string // the section's text; "" for none
+	ContractsJSON     string
+	ExtraTenants      []string // beside acme, bolt and cato
 	WithoutFailpoints bool     // without numbered points
 	NoFleet           bool     // aggregators share nothing, to compare with
 	DirectoryForAll   bool     // all aggregators keep a directory, and not the voters alone
 	Backends          int
-	Service           time.Duration
+	ServiceTime       time.Duration
 	Env               func(aggregator int) []string
 	Binary            string // to start instead of the program as it is
 	Supervised        bool   // from the first moment on, as processes may be killed by what Env arms
@@ -55,48 +55,48 @@
 	relays          map[[2]int]*Relay // from one aggregator to another
 	dir             string
 	client          *http.Client
-	lastID          atomic.Int64
-	timesSent       sync.Map                      // query's text -> *atomic.Int64, how often the client sent it: net/http repeats by itself what broke on a used connection
+	lastQueryID     atomic.Int64
+	sendCounts      sync.Map                      // query's text -> *atomic.Int64, how often the client sent it: net/http repeats by itself what broke on a used connection
 	StopSupervising func() (killed []*Aggregator) // ends the supervision and returns who was killed
 }
 
 // Aggregator is one process, with what only it sees.
 type Aggregator struct {
-	Name, Zone string
-	Listen     string
+	Name, Zone    string
+	ClientAddress string
 
 	cluster       *Cluster
 	index         int
 	suffix        string // sets a second process of one name apart
-	address       string // of its own fleet's sockets
+	fleetAddress  string // of its own fleet's sockets
 	discovery     *fakes.Register
 	backendRelays []*Relay // of each backend
-	dir           string
+	directory     string
 	env           []string
 	mu            sync.Mutex
-	cmd           *exec.Cmd
+	command       *exec.Cmd
 	ended         chan struct{}
-	log           string
+	logPath       string
 	client        *api.Client
 }
 
 // Start starts a cluster. Aggregators and backends stand in zones a, b and c by turns; each shard is held in two zones.
-func Start(t testing.TB, o Options) *Cluster {
+func Start(t testing.TB, options Options) *Cluster {
 	t.Helper()
-	Build(t, failpointsTag)
-	acquireSlots(t, o.Aggregators)
-	c := newCluster(t, o)
+	BinaryPath(t, failpointsTag)
+	acquireSlots(t, options.Aggregators)
+	c := newCluster(t, options)
 	for i := range c.Options.Backends {
 		c.addBackend(i)
 	}
 	for i := range c.Options.Aggregators {
 		c.addAggregator(i)
 	}
-	c.addLinks()
-	for _, m := range c.Aggregators {
-		m.Start()
+	c.addLinkRelays()
+	for _, aggregator := range c.Aggregators {
+		aggregator.Start()
 	}
-	if o.Supervised {
+	if options.Supervised {
 		stop := c.supervise()
 		var killed []*Aggregator
 		once := sync.OnceFunc(func() { killed = stop() })
@@ -110,27 +110,27 @@
 // awaitAllServing waits until all aggregators serve.
 func (c *Cluster) awaitAllServing() {
 	c.Helper()
-	for _, m := range c.Aggregators {
-		c.Await(m.Name+" serves", m.isServing)
+	for _, aggregator := range c.Aggregators {
+		c.Await(aggregator.Name+" serves", aggregator.isServing)
 	}
 }
 
 // The usual settings of a cluster.
 const (
-	leastBackends = 6
-	leastVoters   = 3
-	usualLeaseS   = 8
-	usualService  = 2 * time.Millisecond
+	minBackends         = 6
+	minVoters           = 3
+	defaultLeaseSeconds = 8
+	defaultServiceTime  = 2 * time.Millisecond
 )
 
 // newCluster is one with its directory and key, and nothing else yet.
-func newCluster(t testing.TB, o Options) *Cluster {
+func newCluster(t testing.TB, options Options) *Cluster {
 	t.Helper()
-	o.Backends, o.Voters = max(o.Backends, leastBackends), max(o.Voters, leastVoters)
-	o.LeaseS, o.Service = cmp.Or(o.LeaseS, usualLeaseS), cmp.Or(o.Service, usualService)
-	c := &Cluster{TB: t, Options: o, relays: map[[2]int]*Relay{}, Checker: NewChecker(),
+	options.Backends, options.Voters = max(options.Backends, minBackends), max(options.Voters, minVoters)
+	options.LeaseSeconds, options.ServiceTime = cmp.Or(options.LeaseSeconds, defaultLeaseSeconds), cmp.Or(options.ServiceTime, defaultServiceTime)
+	c := &Cluster{TB: t, Options: options, relays: map[[2]int]*Relay{}, Checker: NewChecker(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
-		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: o.Backends, Width: 2, Shards: o.Backends, Aggregators: o.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, o.Tenants...),
+		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: options.Backends, Width: 2, Shards: options.Backends, Aggregators: options.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, options.ExtraTenants...),
 			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Value: 1, Minimum: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Value: 3}}}}
 	var err error
 	c.dir, err = os.MkdirTemp("", "rg") // a socket's path is short
@@ -147,49 +147,49 @@
 // addBackend starts a fake for a backend, whose subqueries the checker records.
 func (c *Cluster) addBackend(i int) {
 	c.Helper()
-	s, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), c.Site.Zones[i%3], i, 16, c.Service)
+	backend, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), c.Site.Zones[i%3], i, 16, c.ServiceTime)
 	c.must(err)
-	s.OnCall = func(query string, _ int) { c.Checker.RecordSubquery(s.Name, s.Zone, query) }
-	c.Cleanup(s.Kill)
-	c.Backends = append(c.Backends, s)
+	backend.OnCall = func(query string, _ int) { c.Checker.RecordSubquery(backend.Name, backend.Zone, query) }
+	c.Cleanup(backend.Kill)
+	c.Backends = append(c.Backends, backend)
 }
 
 // addAggregator prepares an aggregator: its addresses, its list of backends, and a relay before each of them. It does not start it.
 func (c *Cluster) addAggregator(i int) {
 	c.Helper()
-	m := &Aggregator{cluster: c, index: i, Name: fmt.Sprintf("m%d", i), Zone: c.Site.Zones[i%3], dir: c.path(fmt.Sprintf("d%d", i))}
-	m.Listen, m.address = c.port(), c.port()
+	aggregator := &Aggregator{cluster: c, index: i, Name: fmt.Sprintf("m%d", i), Zone: c.Site.Zones[i%3], directory: c.path(fmt.Sprintf("d%d", i))}
+	aggregator.ClientAddress, aggregator.fleetAddress = c.freeAddress(), c.freeAddress()
 	var err error
-	m.discovery, err = fakes.NewRegister()
+	aggregator.discovery, err = fakes.NewRegister()
 	c.must(err)
-	c.Cleanup(m.discovery.Close)
-	for j, s := range c.Backends {
-		e := s.Entry("SERVING", true)
-		r, err := NewRelay(e.Address, false, uint64(1000*i+j))
+	c.Cleanup(aggregator.discovery.Close)
+	for j, backend := range c.Backends {
+		entry := backend.Entry("SERVING", true)
+		relay, err := NewRelay(entry.Address, false, uint64(1000*i+j))
 		c.must(err)
-		c.Cleanup(r.Close)
-		e.Address = r.Address()
-		m.backendRelays = append(m.backendRelays, r)
-		m.discovery.Set(e)
+		c.Cleanup(relay.Close)
+		entry.Address = relay.Address()
+		aggregator.backendRelays = append(aggregator.backendRelays, relay)
+		aggregator.discovery.Set(entry)
 	}
 	if c.Env != nil {
-		m.env = c.Env(i)
+		aggregator.env = c.Env(i)
 	}
-	c.Aggregators = append(c.Aggregators, m)
+	c.Aggregators = append(c.Aggregators, aggregator)
 }
 
 // addLinks starts a relay from each aggregator to each other.
-func (c *Cluster) addLinks() {
+func (c *Cluster) addLinkRelays() {
 	c.Helper()
 	for i, from := range c.Aggregators {
 		for j, to := range c.Aggregators {
 			if i == j {
 				continue
 			}
-			r, err := NewRelay(to.address, true, uint64(i*64+j))
+			relay, err := NewRelay(to.fleetAddress, true, uint64(i*64+j))
 			c.must(err)
-			c.Cleanup(r.Close)
-			c.relays[[2]int{from.index, to.index}] = r
+			c.Cleanup(relay.Close)
+			c.relays[[2]int{from.index, to.index}] = relay
 		}
 	}
 }
@@ -199,8 +199,8 @@
 	if c.StopSupervising != nil {
 		c.StopSupervising()
 	}
-	for _, m := range c.Aggregators {
-		m.Kill()
+	for _, aggregator := range c.Aggregators {
+		aggregator.Kill()
 	}
 	if !c.Failed() {
 		return
@@ -213,21 +213,21 @@
 
 // lastPort counts ports that processes are told to listen on. They lie below those that the system hands out by itself, or
 // a relay that starts meanwhile could get one; another run of the tests begins elsewhere.
-var lastPort atomic.Int64
+var portCounter atomic.Int64
 
-func (c *Cluster) port() string {
+func (c *Cluster) freeAddress() string {
 	c.Helper()
 	for range 10000 {
-		at := fmt.Sprintf("127.0.0.1:%d", 12000+(int64(os.Getpid())*97+lastPort.Add(1))%18000)
-		l, err := net.Listen("tcp", at)
+		address := fmt.Sprintf("127.0.0.1:%d", 12000+(int64(os.Getpid())*97+portCounter.Add(1))%18000)
+		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
 		}
-		l.Close()
-		u, err := net.ListenPacket("udp", at)
+		listener.Close()
+		packetConn, err := net.ListenPacket("udp", address)
 		if err == nil {
-			u.Close()
-			return at
+			packetConn.Close()
+			return address
 		}
 	}
 	c.Fatal("no free port")
@@ -247,39 +247,39 @@
 const operatorCallInterval = 100 * time.Millisecond
 
 // Await waits for something that is to come.
-func (c *Cluster) Await(what string, is func() bool) {
+func (c *Cluster) Await(description string, condition func() bool) {
 	c.Helper()
-	for late := time.Now().Add(Timeout); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(late) {
-			for _, m := range c.Aggregators {
-				text, _ := json.Marshal(m.FleetStatus())
-				c.Logf("%s shows %s", m.Name, text)
+	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			for _, aggregator := range c.Aggregators {
+				text, _ := json.Marshal(aggregator.FleetStatus())
+				c.Logf("%s shows %s", aggregator.Name, text)
 			}
-			c.Fatalf("never: %s", what)
+			c.Fatalf("never: %s", description)
 		}
 	}
 }
 
 // Link is the relay from one aggregator to another.
-func (c *Cluster) Link(from, to int) *Relay { return c.relays[[2]int{from, to}] }
+func (c *Cluster) LinkRelay(from, to int) *Relay { return c.relays[[2]int{from, to}] }
 
 // SetLinkFaults sets a fault on every link between two aggregators that the function selects.
-func (c *Cluster) SetLinkFaults(f Fault, either func(from, to int) bool) {
+func (c *Cluster) SetLinkFaults(f Fault, selected func(from, to int) bool) {
 	for pair, r := range c.relays {
-		if either(pair[0], pair[1]) {
-			r.Set(f)
+		if selected(pair[0], pair[1]) {
+			r.SetFault(f)
 		}
 	}
 }
 
 // Partition partitions one side of the fleet from the others; without arguments it heals all links.
 func (c *Cluster) Partition(side ...int) {
-	in := map[int]bool{}
+	onSide := map[int]bool{}
 	for _, i := range side {
-		in[i] = true
+		onSide[i] = true
 	}
 	for pair, r := range c.relays {
-		r.Set(Fault{Partitioned: in[pair[0]] != in[pair[1]]})
+		r.SetFault(Fault{Partitioned: onSide[pair[0]] != onSide[pair[1]]})
 	}
 }
 
@@ -287,7 +287,7 @@
 func (c *Cluster) RoundRobin(n int) *Aggregator { return c.Aggregators[n%len(c.Aggregators)] }
 
 // Arming is the variable that arms a point.
-func Arming(p failpoint.Point, pass int, fault string) string {
+func FailpointEnv(p failpoint.Point, pass int, fault string) string {
 	return "PUFFINLINK_FAILPOINT=" + strconv.Itoa(int(p)) + ":" + strconv.Itoa(pass) + ":" + fault
 }
 
@@ -295,34 +295,34 @@
 // its client sent it, and no subquery began outside of a contract.
 func (c *Cluster) CheckInvariants(killed ...*Aggregator) {
 	c.Helper()
-	var but []string
-	for _, m := range killed {
-		but = append(but, m.Name)
+	var excluded []string
+	for _, aggregator := range killed {
+		excluded = append(excluded, aggregator.Name)
 	}
-	if n := c.Checker.Unanswered(but...); n > 0 {
+	if n := c.Checker.UnansweredCount(excluded...); n > 0 {
 		c.Errorf("%d queries had no final answer", n)
 	}
-	times := map[string]int64{}
-	for _, s := range c.Backends {
-		s.Executed(func(id string, n int64) { times[id] += n })
+	executions := map[string]int64{}
+	for _, backend := range c.Backends {
+		backend.Executed(func(id string, n int64) { executions[id] += n })
 	}
-	for id, n := range times {
-		if tenant, _, _ := strings.Cut(id, " "); n > max(1, c.timesSentOf(id)) && tenant == OrdersTenant {
-			c.Errorf("subquery %q of an order ran %d times, and was sent %d times", id, n, c.timesSentOf(id))
+	for id, n := range executions {
+		if tenant, _, _ := strings.Cut(id, " "); n > max(1, c.sendCount(id)) && tenant == OrdersTenant {
+			c.Errorf("subquery %q of an order ran %d times, and was sent %d times", id, n, c.sendCount(id))
 		}
 	}
-	for i, wrong := range c.Checker.ContractViolations() {
+	for i, violation := range c.Checker.ContractViolations() {
 		if i < 5 {
-			c.Error(wrong)
+			c.Error(violation)
 		}
 	}
 }
 
 // CheckQuota checks that a tenant's queries stayed within its quota in every window.
-func (c *Cluster) CheckQuota(tenant string, perS, burst float64) {
+func (c *Cluster) CheckQuota(tenant string, perSecond, burst float64) {
 	c.Helper()
-	if over, window := c.Checker.QuotaExcess(tenant, perS, burst); over > 0 {
-		c.Errorf("%s: %.1f over the quota: %s", tenant, over, window)
+	if excess, window := c.Checker.QuotaExcess(tenant, perSecond, burst); excess > 0 {
+		c.Errorf("%s: %.1f over the quota: %s", tenant, excess, window)
 	}
 }
 
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -17,20 +17,20 @@
 var failpointFaults = []string{"kill", "stop", "drop", "delay", "double", "fail"}
 
 // workload passes all points: it starts a fleet, spends a quota, narrows a contract, restarts an aggregator that keeps a directory.
-func workload(t *testing.T, env func(aggregator int) []string) {
-	table := strings.Replace(contracts, `["a", "b"]}]`, `["a", "b", "c"]}`, 1)
+func runWorkload(t *testing.T, env func(aggregator int) []string) {
+	table := strings.Replace(contractsJSON, `["a", "b"]}]`, `["a", "b", "c"]}`, 1)
 	table = strings.TrimSuffix(table, "}")
 	var tenants []string
 	for i := range 100 { // whose table does not fit a datagram
 		tenants = append(tenants, fmt.Sprintf("tenant-%d", i))
 		table += fmt.Sprintf(`, {"tenant": "tenant-%d", "zones": ["a", "b", "c"]}`, i)
 	}
-	c := Start(t, Options{Aggregators: 4, Quotas: quotas, Contracts: table + "]}", Tenants: tenants, Env: env, Supervised: true})
+	c := Start(t, Options{Aggregators: 4, QuotasJSON: quotasJSON, ContractsJSON: table + "]}", ExtraTenants: tenants, Env: env, Supervised: true})
 	c.awaitGranter()
-	stops := []func(){c.Load(120, "acme", "reads", c.RoundRobin), c.Load(20, OrdersTenant, "orders", c.RoundRobin), c.Load(20, "cato", "reads", c.RoundRobin)}
+	stopLoads := []func(){c.StartLoad(120, "acme", "reads", c.RoundRobin), c.StartLoad(20, OrdersTenant, "orders", c.RoundRobin), c.StartLoad(20, "cato", "reads", c.RoundRobin)}
 	version := uint64(0)
 	c.Await("the contract is accepted", func() bool {
-		v, err := c.Aggregators[3].Command(map[string]any{"id": "narrow", "author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"a", "b"}}})
+		v, err := c.Aggregators[3].SendCommand(map[string]any{"id": "narrow", "author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"a", "b"}}})
 		if version = v; err != nil {
 			time.Sleep(operatorCallInterval)
 		}
@@ -40,48 +40,48 @@
 	c.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(2 * time.Second)
 	c.Await("tenants are served at every aggregator", func() bool {
-		for _, m := range c.Aggregators {
-			if !c.isServed(m, "acme") {
+		for _, aggregator := range c.Aggregators {
+			if !c.isServed(aggregator, "acme") {
 				return false
 			}
-			if !c.isServed(m, "cato") {
+			if !c.isServed(aggregator, "cato") {
 				return false
 			}
 		}
 		return true
 	})
-	for _, stop := range stops {
+	for _, stop := range stopLoads {
 		stop()
 	}
 	killed := c.StopSupervising()
-	c.CheckQuota("acme", perS, burst)
+	c.CheckQuota("acme", quotaPerSecond, quotaBurst)
 	c.CheckInvariants(killed...)
 }
 
 // Each numbered point goes wrong in turn, at whichever aggregator passes it first, and every promise holds: CI plays a fixed sample,
 // PUFFINLINK_FAILPOINTS_ALL=1 all of them. Which points the workload passes is listed first.
-func TestFailpointsInTurn(t *testing.T) {
+func TestInvariantsHoldAtEachFailpoint(t *testing.T) {
 	t.Parallel()
-	type one struct {
+	type injectedFault struct {
 		point failpoint.Point
 		pass  int
 		fault string
 	}
-	sample := []one{{failpoint.Spend, 40, "stop"}, {failpoint.RespondToGrantRequest, 25, "kill"}, {failpoint.ReceiveGrant, 12, "delay"}, {failpoint.SaveConsensus, 4, "fail"},
+	faults := []injectedFault{{failpoint.Spend, 40, "stop"}, {failpoint.RespondToGrantRequest, 25, "kill"}, {failpoint.ReceiveGrant, 12, "delay"}, {failpoint.SaveConsensus, 4, "fail"},
 		{failpoint.ApplyContract, 2, "drop"}, {failpoint.Renew, 20, "stop"}, {failpoint.ConsensusSaved, 3, "kill"}, {failpoint.SendDatagram, 90, "double"}}
 	if allFailpoints {
-		sample = nil
+		faults = nil
 		for p := failpoint.Point(1); int(p) < len(failpoint.Names); p++ {
 			for _, f := range failpointFaults {
-				sample = append(sample, one{p, 1 + int(p)%3, f})
+				faults = append(faults, injectedFault{p, 1 + int(p)%3, f})
 			}
 		}
 	}
-	list := filepath.Join(t.TempDir(), "points")
+	listPath := filepath.Join(t.TempDir(), "points")
 	t.Run("listed", func(t *testing.T) {
 		t.Parallel()
-		workload(t, func(int) []string { return []string{"PUFFINLINK_FAILPOINTS_LIST=" + list} })
-		text, err := os.ReadFile(list)
+		runWorkload(t, func(int) []string { return []string{"PUFFINLINK_FAILPOINTS_LIST=" + listPath} })
+		text, err := os.ReadFile(listPath)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,15 +95,15 @@
 			}
 		}
 	})
-	for _, c := range sample {
-		t.Run(fmt.Sprintf("%d %s %s", c.point, strings.ReplaceAll(failpoint.Names[c.point], " ", "-"), c.fault), func(t *testing.T) {
+	for _, injected := range faults {
+		t.Run(fmt.Sprintf("%d %s %s", injected.point, strings.ReplaceAll(failpoint.Names[injected.point], " ", "-"), injected.fault), func(t *testing.T) {
 			t.Parallel()
-			once := filepath.Join(t.TempDir(), "once")
-			workload(t, func(int) []string {
-				return []string{Arming(c.point, c.pass, c.fault), "PUFFINLINK_FAILPOINT_ONCE=" + once}
+			oncePath := filepath.Join(t.TempDir(), "once")
+			runWorkload(t, func(int) []string {
+				return []string{FailpointEnv(injected.point, injected.pass, injected.fault), "PUFFINLINK_FAILPOINT_ONCE=" + oncePath}
 			})
-			if _, err := os.Stat(once); err != nil {
-				t.Errorf("the point was not passed %d times by any aggregator", c.pass)
+			if _, err := os.Stat(oncePath); err != nil {
+				t.Errorf("the point was not passed %d times by any aggregator", injected.pass)
 			}
 		})
 	}
--- a/internal/tools/fleettest/idleconnection_test.go
+++ b/internal/tools/fleettest/idleconnection_test.go
@@ -11,16 +11,16 @@
 
 // A client that pauses between dialling and sending finds its connection closed, as an aggregator closes connections that stay idle.
 // It retries and gets its answer, and nothing counts as lost; the aggregator received the query once.
-func TestIdleConnectionSendsNoQuery(t *testing.T) {
+func TestQueryIsRetriedAfterIdleConnectionIsClosed(t *testing.T) {
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true})
 	var dials atomic.Int64
 	c.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		if err == nil && dials.Add(1) == 1 {
-			var one [1]byte
+			var buffer [1]byte
 			connection.SetReadDeadline(time.Now().Add(Timeout))
-			if n, err := connection.Read(one[:]); n > 0 || err == nil {
+			if n, err := connection.Read(buffer[:]); n > 0 || err == nil {
 				t.Error("the aggregator spoke first")
 			}
 			connection.SetReadDeadline(time.Time{})
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -12,74 +12,74 @@
 )
 
 // OperatorClient is its operators' client, one for all: the listener takes few connections.
-func (m *Aggregator) OperatorClient() *api.Client {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.client == nil {
+func (a *Aggregator) OperatorClient() *api.Client {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.client == nil {
 		var err error
-		m.client, err = api.NewClient("unix:"+m.socket(), "")
-		m.cluster.must(err)
+		a.client, err = api.NewClient("unix:"+a.socketPath(), "")
+		a.cluster.must(err)
 	}
-	return m.client
+	return a.client
 }
 
 // FleetStatus is the aggregator's status of the fleet for operators, as decoded JSON; nil where it does not answer.
-func (m *Aggregator) FleetStatus() map[string]any {
+func (a *Aggregator) FleetStatus() map[string]any {
 	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	var s map[string]any
-	if m.OperatorClient().Get(ctx, "/v1/fleet", &s) != nil {
+	var status map[string]any
+	if a.OperatorClient().Get(ctx, "/v1/fleet", &status) != nil {
 		return nil
 	}
-	return s
+	return status
 }
 
 // Leader is the aggregator that leads and grants, by its own status; nil for none.
 func (c *Cluster) Leader() *Aggregator {
-	for _, m := range c.Aggregators {
-		if s := m.FleetStatus(); s != nil && s["leads"] == true && s["grants_in_s"] == nil {
-			return m
+	for _, aggregator := range c.Aggregators {
+		if s := aggregator.FleetStatus(); s != nil && s["leads"] == true && s["grants_in_s"] == nil {
+			return aggregator
 		}
 	}
 	return nil
 }
 
 // Command sends a command through one aggregator, and returns the version that it made.
-func (m *Aggregator) Command(command map[string]any) (version uint64, err error) {
+func (a *Aggregator) SendCommand(command map[string]any) (version uint64, err error) {
 	body, _ := json.Marshal(command)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	var c api.FleetCommand
-	m.cluster.must(json.Unmarshal(body, &c))
-	r, err := m.OperatorClient().Change(ctx, c)
-	return r.Version, err
+	var request api.FleetCommand
+	a.cluster.must(json.Unmarshal(body, &request))
+	response, err := a.OperatorClient().Change(ctx, request)
+	return response.Version, err
 }
 
 // ContractApplied requests from one aggregator whether a version is applied everywhere, and each node's state.
-func (m *Aggregator) ContractApplied(version uint64, tenant string) (applied bool, states map[string]string) {
+func (a *Aggregator) ContractApplied(version uint64, tenant string) (applied bool, states map[string]string) {
 	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
 	defer cancel()
-	p, err := m.OperatorClient().Progress(ctx, version, tenant)
+	progress, err := a.OperatorClient().Progress(ctx, version, tenant)
 	if err != nil {
 		return false, nil
 	}
 	states = map[string]string{}
-	for _, x := range p.Nodes {
-		states[string(x.Node)] = x.State
+	for _, node := range progress.Nodes {
+		states[string(node.Node)] = node.State
 	}
-	return p.Applied, states
+	return progress.Applied, states
 }
 
 // Counter reads a counter of the process from its log, after a SIGUSR1.
-func (m *Aggregator) Counter(name string) (value float64) {
-	m.cluster.Helper()
-	text, _ := os.ReadFile(m.log)
+func (a *Aggregator) Counter(name string) (value float64) {
+	a.cluster.Helper()
+	text, _ := os.ReadFile(a.logPath)
 	from := len(text)
-	m.Signal(syscall.SIGUSR1)
-	m.cluster.Await("counters of "+m.Name, func() bool {
-		text, _ := os.ReadFile(m.log)
+	a.Signal(syscall.SIGUSR1)
+	a.cluster.Await("counters of "+a.Name, func() bool {
+		text, _ := os.ReadFile(a.logPath)
 		for line := range bytes.Lines(text[min(from, len(text)):]) {
 			var fields map[string]any
 			if json.Unmarshal(line, &fields) == nil && fields["message"] == "counters" {
--- a/internal/tools/fleettest/outlier_test.go
+++ b/internal/tools/fleettest/outlier_test.go
@@ -11,17 +11,17 @@
 )
 
 // slowBackends delays the calls of one aggregator to some backends.
-func (c *Cluster) slowBackends(m *Aggregator, delay time.Duration, backends ...int) {
+func (c *Cluster) delayBackends(aggregator *Aggregator, delay time.Duration, backends ...int) {
 	for _, i := range backends {
-		m.backendRelays[i].Set(Fault{Delay: delay})
+		aggregator.backendRelays[i].SetFault(Fault{Delay: delay})
 	}
 }
 
 // reportsIn are the reports that an aggregator shows to have received of others.
-func reportsIn(shown map[string]any) (list []outlier.Summary) {
-	text, _ := json.Marshal(shown["reports"])
-	json.Unmarshal(text, &list)
-	return list
+func outlierReports(status map[string]any) (reports []outlier.Summary) {
+	text, _ := json.Marshal(status["reports"])
+	json.Unmarshal(text, &reports)
+	return reports
 }
 
 // recentCallWindow is for how long an aggregator that called a backend is a witness of it: calls seen fade over 10 s.
@@ -29,74 +29,74 @@
 
 // A backend is slow, and two aggregators that have queries see it. A third that had none takes it for slow from their reports alone; one
 // unhealthy aggregator, to which half of all backends are slow, is believed by nobody.
-func TestOutlierReportsOfPeers(t *testing.T) {
+func TestSlowBackendIsDetectedFromPeerReports(t *testing.T) {
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 5})
 	c.awaitGranter()
 	// Each of the two asks for shards 0 and 1, which s-1 in their zone holds, twice as often as for 3 and 4, which s-4 does; the unhealthy
 	// one asks for others. So s-1 is the one that both call most.
-	two := c.Load(60, "cato", "reads", func(n int) *Aggregator {
+	stopWitnesses := c.StartLoad(60, "cato", "reads", func(n int) *Aggregator {
 		if n%3 != 0 {
 			return nil
 		}
 		return []*Aggregator{c.Aggregators[1], c.Aggregators[1], c.Aggregators[1], nil, c.Aggregators[4], c.Aggregators[4], c.Aggregators[4], nil}[n/3%8]
 	})
-	one := c.Load(60, "cato", "reads", func(n int) *Aggregator {
+	stopUnhealthy := c.StartLoad(60, "cato", "reads", func(n int) *Aggregator {
 		if n%3 != 2 {
 			return nil
 		}
 		return c.Aggregators[3]
 	})
-	stop := func() { two(); one() }
-	judged := func(m *Aggregator) string {
-		var s map[string]any
-		c.Await(m.Name+" shows what it judges", func() bool { s = m.FleetStatus(); return s != nil })
-		return strings.TrimSpace(fmt.Sprint(s["judged"]))
+	stop := func() { stopWitnesses(); stopUnhealthy() }
+	judged := func(aggregator *Aggregator) string {
+		var status map[string]any
+		c.Await(aggregator.Name+" shows what it judges", func() bool { status = aggregator.FleetStatus(); return status != nil })
+		return strings.TrimSpace(fmt.Sprint(status["judged"]))
 	}
 	// readReports reads what the third aggregator has received: whom the unhealthy one blames while no other has for as long as a judgement stands, and
 	// whether both others have called s-1 of late without fault.
-	othersBlamed, called := map[outlier.Backend]time.Time{}, map[string]time.Time{}
-	readReports := func() (shown map[string]any, alone []outlier.Backend, sound bool) {
-		if shown = c.Aggregators[2].FleetStatus(); shown == nil {
+	othersBlamed, calledWithoutFault := map[outlier.Backend]time.Time{}, map[string]time.Time{}
+	readReports := func() (status map[string]any, onlyUnhealthyBlames []outlier.Backend, healthyCalled bool) {
+		if status = c.Aggregators[2].FleetStatus(); status == nil {
 			return nil, nil, false
 		}
 		var unhealthy []outlier.Backend
-		for _, r := range reportsIn(shown) {
-			if r.Origin == "m3" {
-				unhealthy = r.Bad
+		for _, report := range outlierReports(status) {
+			if report.Origin == "m3" {
+				unhealthy = report.Bad
 				continue
 			}
-			for _, name := range r.Bad {
+			for _, name := range report.Bad {
 				othersBlamed[name] = time.Now()
 			}
-			if len(r.Bad) == 0 && r.Worst.Backend == "s-1" && r.Worst.Calls >= 10 { // without fault the one called most is named
-				called[string(r.Origin)] = time.Now()
+			if len(report.Bad) == 0 && report.Worst.Backend == "s-1" && report.Worst.Calls >= 10 { // without fault the one called most is named
+				calledWithoutFault[string(report.Origin)] = time.Now()
 			}
 		}
 		for _, name := range unhealthy {
 			if time.Since(othersBlamed[name]).Seconds() > outlier.VerdictSeconds {
-				alone = append(alone, name)
+				onlyUnhealthyBlames = append(onlyUnhealthyBlames, name)
 			}
 		}
-		return shown, alone, time.Since(called["m1"]) < recentCallWindow && time.Since(called["m4"]) < recentCallWindow
+		return status, onlyUnhealthyBlames, time.Since(calledWithoutFault["m1"]) < recentCallWindow && time.Since(calledWithoutFault["m4"]) < recentCallWindow
 	}
-	c.Await("two aggregators call the backend and find no fault", func() bool { _, _, sound := readReports(); return sound })
-	c.slowBackends(c.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the unhealthy one, to which half of all backends are slow
-	var first time.Time                                             // that it alone found fault; what is received is judged within a second
+	c.Await("two aggregators call the backend and find no fault", func() bool { _, _, healthyCalled := readReports(); return healthyCalled })
+	c.delayBackends(c.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // the unhealthy one, to which half of all backends are slow
+	var firstBlamed time.Time                                        // that it alone found fault; what is received is judged within a second
 	c.Await("the unhealthy aggregator alone finds fault", func() bool {
-		shown, alone, sound := readReports()
-		for _, name := range alone {
-			if first.IsZero() {
-				first = time.Now()
+		status, onlyUnhealthyBlames, healthyCalled := readReports()
+		for _, name := range onlyUnhealthyBlames {
+			if firstBlamed.IsZero() {
+				firstBlamed = time.Now()
 			}
-			if strings.Contains(fmt.Sprint(shown["judged"]), string(name)) {
-				t.Errorf("one unhealthy aggregator's report is believed: %s", shown["judged"])
+			if strings.Contains(fmt.Sprint(status["judged"]), string(name)) {
+				t.Errorf("one unhealthy aggregator's report is believed: %s", status["judged"])
 			}
 		}
-		return sound && len(alone) > 0 && time.Since(first) > 2*time.Second
+		return healthyCalled && len(onlyUnhealthyBlames) > 0 && time.Since(firstBlamed) > 2*time.Second
 	})
 	for _, i := range []int{1, 2, 4} { // s-1 stands in the zone of the first and the last of them, which have queries
-		c.slowBackends(c.Aggregators[i], 200*time.Millisecond, 1)
+		c.delayBackends(c.Aggregators[i], 200*time.Millisecond, 1)
 	}
 	began := time.Now()
 	c.Await("the third has it from the two others", func() bool { return strings.Contains(judged(c.Aggregators[2]), "s-1") })
--- a/internal/tools/fleettest/process_test.go
+++ b/internal/tools/fleettest/process_test.go
@@ -15,97 +15,97 @@
 )
 
 // operatorFile is an aggregator's operator's file: of its peers it knows the relays' addresses.
-func (m *Aggregator) operatorFile() string {
-	c := m.cluster
+func (a *Aggregator) operatorFileJSON() string {
+	c := a.cluster
 	var b strings.Builder
-	fmt.Fprintf(&b, "{\n\"operators\": {\"listen\": \"unix:%s\"},\n", m.socket())
+	fmt.Fprintf(&b, "{\n\"operators\": {\"listen\": \"unix:%s\"},\n", a.socketPath())
 	if !c.NoFleet {
 		directory := ""
-		if m.index < c.Voters || c.DirectoryForAll {
-			directory = fmt.Sprintf("\"directory\": %q, ", m.dir)
+		if a.index < c.Voters || c.DirectoryForAll {
+			directory = fmt.Sprintf("\"directory\": %q, ", a.directory)
 		}
-		fmt.Fprintf(&b, "\"fleet\": {\"key_file\": %q, %s\"lease_s\": %g, \"version\": 1, \"mixers\": [\n", c.path("key"), directory, c.LeaseS)
-		for _, o := range c.Aggregators {
-			address := o.address
-			if o.Name != m.Name {
-				address = c.Link(m.index, o.index).Address()
+		fmt.Fprintf(&b, "\"fleet\": {\"key_file\": %q, %s\"lease_s\": %g, \"version\": 1, \"mixers\": [\n", c.path("key"), directory, c.LeaseSeconds)
+		for _, peer := range c.Aggregators {
+			address := peer.fleetAddress
+			if peer.Name != a.Name {
+				address = c.LinkRelay(a.index, peer.index).Address()
 			}
-			fmt.Fprintf(&b, "  {\"name\": %q, \"address\": %q, \"location\": %q, \"votes\": %t},\n", o.Name, address, o.Zone, o.index < c.Voters)
+			fmt.Fprintf(&b, "  {\"name\": %q, \"address\": %q, \"location\": %q, \"votes\": %t},\n", peer.Name, address, peer.Zone, peer.index < c.Voters)
 		}
 		b.WriteString("]},\n")
-		if c.Quotas != "" {
-			fmt.Fprintf(&b, "\"quotas\": %s,\n", c.Quotas)
+		if c.QuotasJSON != "" {
+			fmt.Fprintf(&b, "\"quotas\": %s,\n", c.QuotasJSON)
 		}
-		if c.Contracts != "" {
-			fmt.Fprintf(&b, "\"contracts\": %s,\n", c.Contracts)
+		if c.ContractsJSON != "" {
+			fmt.Fprintf(&b, "\"contracts\": %s,\n", c.ContractsJSON)
 		}
 	}
 	b.WriteString("}\n")
 	return b.String()
 }
 
-func (m *Aggregator) socket() string { return filepath.Join(m.cluster.dir, m.Name+m.suffix+".s") }
+func (a *Aggregator) socketPath() string { return filepath.Join(a.cluster.dir, a.Name+a.suffix+".s") }
 
 // Start starts the process.
-func (m *Aggregator) Start() {
-	c := m.cluster
+func (a *Aggregator) Start() {
+	c := a.cluster
 	c.Helper()
-	config, file := c.path(m.Name+m.suffix+".json"), c.path(m.Name+m.suffix+".json5")
-	c.must(os.WriteFile(config, c.Site.Config(m.Name, m.Listen, m.discovery, m.index), 0o600))
-	c.must(os.WriteFile(file, []byte(m.operatorFile()), 0o600))
+	configPath, operatorFilePath := c.path(a.Name+a.suffix+".json"), c.path(a.Name+a.suffix+".json5")
+	c.must(os.WriteFile(configPath, c.Site.Config(a.Name, a.ClientAddress, a.discovery, a.index), 0o600))
+	c.must(os.WriteFile(operatorFilePath, []byte(a.operatorFileJSON()), 0o600))
 	tags := failpointsTag
 	if c.WithoutFailpoints {
 		tags = ""
 	}
-	m.log = c.path(m.Name + m.suffix + ".log")
-	out, err := os.OpenFile(m.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	a.logPath = c.path(a.Name + a.suffix + ".log")
+	logFile, err := os.OpenFile(a.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	c.must(err)
-	m.mu.Lock()
-	defer m.mu.Unlock()
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	binary := c.Binary
 	if binary == "" {
-		binary = Build(c.TB, tags)
+		binary = BinaryPath(c.TB, tags)
 	}
-	m.cmd = exec.Command(binary, "serve", "--operator", file)
-	m.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+config), m.env...)
-	m.cmd.Stdout, m.cmd.Stderr = out, out
-	c.must(m.cmd.Start())
-	m.ended = make(chan struct{})
+	a.command = exec.Command(binary, "serve", "--operator", operatorFilePath)
+	a.command.Env = append(append(os.Environ(), "LB_CONFIG="+configPath), a.env...)
+	a.command.Stdout, a.command.Stderr = logFile, logFile
+	c.must(a.command.Start())
+	a.ended = make(chan struct{})
 	go func(cmd *exec.Cmd, ended chan struct{}) {
 		cmd.Wait()
-		out.Close()
+		logFile.Close()
 		close(ended)
-	}(m.cmd, m.ended)
+	}(a.command, a.ended)
 }
 
 // StartTwin starts a second process of the same name, address and directory, which listens elsewhere for clients.
-func (m *Aggregator) StartTwin() *Aggregator {
-	c := m.cluster
+func (a *Aggregator) StartDuplicate() *Aggregator {
+	c := a.cluster
 	c.Helper()
-	t := &Aggregator{Name: m.Name, Zone: m.Zone, Listen: c.port(), cluster: c, index: m.index, suffix: "-2", address: m.address, discovery: m.discovery, backendRelays: m.backendRelays, dir: m.dir}
-	t.Start()
-	c.Cleanup(t.Kill)
-	c.Await("the twin serves", t.isServing)
-	return t
+	duplicate := &Aggregator{Name: a.Name, Zone: a.Zone, ClientAddress: c.freeAddress(), cluster: c, index: a.index, suffix: "-2", fleetAddress: a.fleetAddress, discovery: a.discovery, backendRelays: a.backendRelays, directory: a.directory}
+	duplicate.Start()
+	c.Cleanup(duplicate.Kill)
+	c.Await("the twin serves", duplicate.isServing)
+	return duplicate
 }
 
 // Signal sends a signal to the process.
-func (m *Aggregator) Signal(s syscall.Signal) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.cmd.Process.Signal(s)
+func (a *Aggregator) Signal(s syscall.Signal) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.command.Process.Signal(s)
 }
 
 // Kill ends the process at once and waits for its end.
-func (m *Aggregator) Kill() {
-	m.Signal(syscall.SIGKILL)
-	<-m.ended
+func (a *Aggregator) Kill() {
+	a.Signal(syscall.SIGKILL)
+	<-a.ended
 }
 
 // Ended reports whether the process has ended.
-func (m *Aggregator) Ended() bool {
+func (a *Aggregator) Ended() bool {
 	select {
-	case <-m.ended:
+	case <-a.ended:
 		return true
 	default:
 		return false
@@ -113,33 +113,33 @@
 }
 
 // Stopped reports whether the process is paused, as after SIGSTOP.
-func (m *Aggregator) Stopped() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
+func (a *Aggregator) Stopped() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", a.command.Process.Pid))
 	i := bytes.LastIndexByte(text, ')')
 	return err == nil && i >= 0 && i+2 < len(text) && text[i+2] == 'T'
 }
 
 // Restart kills the process and starts it anew, with an empty directory where that is lost.
-func (m *Aggregator) Restart(lost bool) {
-	m.cluster.Helper()
-	m.Kill()
-	if lost {
-		m.cluster.must(os.RemoveAll(m.dir))
+func (a *Aggregator) Restart(directoryLost bool) {
+	a.cluster.Helper()
+	a.Kill()
+	if directoryLost {
+		a.cluster.must(os.RemoveAll(a.directory))
 	}
-	m.Start()
-	m.cluster.Await(m.Name+" serves again", m.isServing)
+	a.Start()
+	a.cluster.Await(a.Name+" serves again", a.isServing)
 }
 
 // supervise keeps a fleet going as its machines would: who was killed starts again, who is paused resumes after 3 s.
 func (c *Cluster) supervise() (stop func() (killed []*Aggregator)) {
 	done := make(chan struct{})
-	var all sync.WaitGroup
+	var waitGroup sync.WaitGroup
 	var mu sync.Mutex
 	var killed []*Aggregator
-	for _, m := range c.Aggregators {
-		all.Go(func() {
+	for _, aggregator := range c.Aggregators {
+		waitGroup.Go(func() {
 			for {
 				select {
 				case <-done:
@@ -147,30 +147,30 @@
 				case <-time.After(20 * time.Millisecond):
 				}
 				switch {
-				case m.Ended():
+				case aggregator.Ended():
 					mu.Lock()
-					killed = append(killed, m)
+					killed = append(killed, aggregator)
 					mu.Unlock()
-					m.Arm()
-					m.Start()
-				case m.Stopped():
+					aggregator.SetEnv()
+					aggregator.Start()
+				case aggregator.Stopped():
 					time.Sleep(3 * time.Second)
-					m.Signal(syscall.SIGCONT)
+					aggregator.Signal(syscall.SIGCONT)
 				}
 			}
 		})
 	}
-	return func() []*Aggregator { close(done); all.Wait(); return killed }
+	return func() []*Aggregator { close(done); waitGroup.Wait(); return killed }
 }
 
 // Arm lets its next start have a point armed.
-func (m *Aggregator) Arm(env ...string) { m.env = env }
+func (a *Aggregator) SetEnv(env ...string) { a.env = env }
 
-func (m *Aggregator) isServing() bool {
+func (a *Aggregator) isServing() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Listen+"/up", nil)
-	res, err := m.cluster.client.Do(req)
+	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.ClientAddress+"/up", nil)
+	res, err := a.cluster.client.Do(req)
 	if err != nil {
 		return false
 	}
--- a/internal/tools/fleettest/relay_test.go
+++ b/internal/tools/fleettest/relay_test.go
@@ -22,10 +22,10 @@
 // Relay stands before one address for one other process: datagrams and connections that come to it go on there, as its fault
 // allows. It works in one direction: replies on a connection pass without faults, and datagrams back take the other process's relay.
 type Relay struct {
-	to    string
-	udp   *net.UDPConn
-	tcp   net.Listener
-	fault atomic.Pointer[Fault]
+	target string
+	udp    *net.UDPConn
+	tcp    net.Listener
+	fault  atomic.Pointer[Fault]
 
 	mu          sync.Mutex
 	connections map[net.Conn]bool
@@ -33,22 +33,22 @@
 }
 
 // NewRelay listens on loopback, on one port for both. Connections alone where no datagrams are wanted.
-func NewRelay(to string, datagrams bool, seed uint64) (*Relay, error) {
-	r := &Relay{to: to, connections: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 1))}
+func NewRelay(target string, datagrams bool, seed uint64) (*Relay, error) {
+	r := &Relay{target: target, connections: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 1))}
 	r.fault.Store(&Fault{})
-	for try := 0; ; try++ {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	for attempt := 0; ; attempt++ {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		if r.tcp = l; !datagrams {
+		if r.tcp = listener; !datagrams {
 			break
 		}
-		at := l.Addr().(*net.TCPAddr)
-		if r.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port}); err == nil {
+		address := listener.Addr().(*net.TCPAddr)
+		if r.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: address.IP, Port: address.Port}); err == nil {
 			break
 		}
-		if l.Close(); try == 20 {
+		if listener.Close(); attempt == 20 {
 			return nil, err
 		}
 	}
@@ -63,12 +63,12 @@
 func (r *Relay) Address() string { return r.tcp.Addr().String() }
 
 // Set changes its fault. A partition ends all connections.
-func (r *Relay) Set(f Fault) {
+func (r *Relay) SetFault(f Fault) {
 	r.fault.Store(&f)
 	if f.Partitioned {
 		r.mu.Lock()
-		for c := range r.connections {
-			c.Close()
+		for connection := range r.connections {
+			connection.Close()
 		}
 		r.mu.Unlock()
 	}
@@ -80,44 +80,44 @@
 	if r.udp != nil {
 		r.udp.Close()
 	}
-	r.Set(Fault{Partitioned: true})
+	r.SetFault(Fault{Partitioned: true})
 }
 
-func (r *Relay) draw() float64 {
+func (r *Relay) randomFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64()
 }
 
 func (r *Relay) forwardDatagrams() {
-	to, err := net.ResolveUDPAddr("udp", r.to)
+	to, err := net.ResolveUDPAddr("udp", r.target)
 	if err != nil {
 		return
 	}
 	buffer := make([]byte, 64<<10)
 	for {
-		n, _, err := r.udp.ReadFromUDP(buffer)
+		length, _, err := r.udp.ReadFromUDP(buffer)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil: // a datagram that found nobody comes back as an error
 			continue
 		}
-		f := r.fault.Load()
-		if f.Partitioned || f.Drop > 0 && r.draw() < f.Drop {
+		fault := r.fault.Load()
+		if fault.Partitioned || fault.Drop > 0 && r.randomFloat() < fault.Drop {
 			continue
 		}
-		packet, times := append([]byte(nil), buffer[:n]...), 1
-		if f.Duplicate > 0 && r.draw() < f.Duplicate {
-			times = 2
+		packet, copies := append([]byte(nil), buffer[:length]...), 1
+		if fault.Duplicate > 0 && r.randomFloat() < fault.Duplicate {
+			copies = 2
 		}
-		for range times {
-			wait := f.Delay + time.Duration(r.draw()*float64(f.Jitter))
-			if wait == 0 {
+		for range copies {
+			delay := fault.Delay + time.Duration(r.randomFloat()*float64(fault.Jitter))
+			if delay == 0 {
 				r.udp.WriteToUDP(packet, to)
 				continue
 			}
-			time.AfterFunc(wait, func() {
+			time.AfterFunc(delay, func() {
 				if !r.fault.Load().Partitioned {
 					r.udp.WriteToUDP(packet, to)
 				}
@@ -128,65 +128,65 @@
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.tcp.Accept()
+		inbound, err := r.tcp.Accept()
 		if err != nil {
 			return
 		}
 		if r.fault.Load().Partitioned {
-			c.Close()
+			inbound.Close()
 			continue
 		}
-		go r.forward(c)
+		go r.forward(inbound)
 	}
 }
 
 // forward carries one connection both ways. Delay applies to what is sent towards the address.
-func (r *Relay) forward(c net.Conn) {
-	out, err := net.DialTimeout("tcp", r.to, time.Second)
+func (r *Relay) forward(inbound net.Conn) {
+	outbound, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
-		c.Close()
+		inbound.Close()
 		return
 	}
 	r.mu.Lock()
-	r.connections[c], r.connections[out] = true, true
+	r.connections[inbound], r.connections[outbound] = true, true
 	r.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { r.copy(out, c, true) })
-	both.Go(func() { r.copy(c, out, false) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copyWithDelay(outbound, inbound, true) })
+	directions.Go(func() { r.copyWithDelay(inbound, outbound, false) })
+	directions.Wait()
 	r.mu.Lock()
-	delete(r.connections, c)
-	delete(r.connections, out)
+	delete(r.connections, inbound)
+	delete(r.connections, outbound)
 	r.mu.Unlock()
 }
 
-func (r *Relay) copy(to, from net.Conn, delays bool) {
+func (r *Relay) copyWithDelay(to, from net.Conn, delayed bool) {
 	defer to.Close()
 	defer from.Close()
-	type piece struct {
+	type delayedWrite struct {
 		data []byte
 		due  time.Time
 	}
-	pieces := make(chan piece, 1024)
+	writes := make(chan delayedWrite, 1024)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for p := range pieces {
-			time.Sleep(time.Until(p.due))
-			if _, err := to.Write(p.data); err != nil {
+		for write := range writes {
+			time.Sleep(time.Until(write.due))
+			if _, err := to.Write(write.data); err != nil {
 				from.Close()
 			}
 		}
 	}()
 	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(buffer)
-		if n > 0 {
+		length, err := from.Read(buffer)
+		if length > 0 {
 			due := time.Now()
-			if delays {
+			if delayed {
 				due = due.Add(r.fault.Load().Delay)
 			}
-			pieces <- piece{append([]byte(nil), buffer[:n]...), due}
+			writes <- delayedWrite{append([]byte(nil), buffer[:length]...), due}
 		}
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
@@ -195,6 +195,6 @@
 			break
 		}
 	}
-	close(pieces)
+	close(writes)
 	<-done
 }
--- a/internal/tools/fleettest/shutdown_test.go
+++ b/internal/tools/fleettest/shutdown_test.go
@@ -18,38 +18,38 @@
 // a connection announces its close, and no connection is closed under a query.
 func TestShutdownAnswersOpenConnections(t *testing.T) {
 	t.Parallel()
-	c := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, Service: 5 * time.Millisecond})
-	m := c.Aggregators[0]
-	var answered, closed, after atomic.Int64
+	c := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, ServiceTime: 5 * time.Millisecond})
+	aggregator := c.Aggregators[0]
+	var answered, announcedClose, answeredAfterSignal atomic.Int64
 	var stopping atomic.Bool
 	var connections sync.WaitGroup
 	for i := range 24 {
 		connections.Go(func() {
-			connection, err := net.Dial("tcp", m.Listen)
+			connection, err := net.Dial("tcp", aggregator.ClientAddress)
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer connection.Close()
-			in := bufio.NewReader(connection)
+			reader := bufio.NewReader(connection)
 			for n := 0; ; n++ {
 				body := fmt.Sprintf(`{"targets":[{"partition":%d,"share":0.5},{"partition":%d,"share":0.5}],"query":"%s %d.%d"}`, n%6, (n+1)%6, OrdersTenant, i, n)
-				_, err := fmt.Fprintf(connection, "POST /orders HTTP/1.1\r\nHost: m\r\nReq-Id: %d.%d\r\nReq-Kind: orders\r\nReq-Owner: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s",
+				_, writeErr := fmt.Fprintf(connection, "POST /orders HTTP/1.1\r\nHost: m\r\nReq-Id: %d.%d\r\nReq-Kind: orders\r\nReq-Owner: %s\r\nReq-Deadline: 2\r\nContent-Length: %d\r\n\r\n%s",
 					i, n, OrdersTenant, len(body), body)
 				sent := time.Now()
-				res, err2 := http.ReadResponse(in, nil)
-				if err != nil || err2 != nil {
-					t.Errorf("connection %d, query %d, sent %s before: no answer: %v %v", i, n, time.Since(sent), err, err2)
+				res, readErr := http.ReadResponse(reader, nil)
+				if writeErr != nil || readErr != nil {
+					t.Errorf("connection %d, query %d, sent %s before: no answer: %v %v", i, n, time.Since(sent), writeErr, readErr)
 					return
 				}
 				io.Copy(io.Discard, res.Body)
 				res.Body.Close()
 				answered.Add(1)
 				if stopping.Load() {
-					after.Add(1)
+					answeredAfterSignal.Add(1)
 				}
 				if res.Close || strings.EqualFold(res.Header.Get("Connection"), "close") {
-					closed.Add(1)
+					announcedClose.Add(1)
 					return
 				}
 				time.Sleep(time.Duration(i%5) * 20 * time.Millisecond) // some at once, some after a pause
@@ -58,11 +58,11 @@
 	}
 	c.Await("queries are answered", func() bool { return answered.Load() > 200 })
 	stopping.Store(true)
-	m.Signal(syscall.SIGTERM)
+	aggregator.Signal(syscall.SIGTERM)
 	connections.Wait()
-	c.Await("the process ends", m.Ended)
-	if t.Logf("%d queries answered after SIGTERM", after.Load()); after.Load() < 24 || closed.Load() != 24 {
-		t.Errorf("%d answered after SIGTERM, %d of 24 connections announced their close", after.Load(), closed.Load())
+	c.Await("the process ends", aggregator.Ended)
+	if t.Logf("%d queries answered after SIGTERM", answeredAfterSignal.Load()); answeredAfterSignal.Load() < 24 || announcedClose.Load() != 24 {
+		t.Errorf("%d answered after SIGTERM, %d of 24 connections announced their close", answeredAfterSignal.Load(), announcedClose.Load())
 	}
 	c.CheckInvariants()
 }
--- a/internal/tools/layout/imports_test.go
+++ b/internal/tools/layout/imports_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	root   = "../../.."
-	module = "puffinlink.example/puffinlink/"
+	repositoryRoot = "../../.."
+	module         = "puffinlink.example/puffinlink/"
 )
 
 // listedPackage is what go list tells of a package, with paths relative to the module.
@@ -25,28 +25,28 @@
 func listPackages(t *testing.T) []listedPackage {
 	t.Helper()
 	command := exec.CommandContext(t.Context(), "go", "list", "-json=ImportPath,Imports", "./...")
-	command.Dir = root
+	command.Dir = repositoryRoot
 	output, err := command.Output()
 	if err != nil {
 		t.Fatalf("list the packages: %v", err)
 	}
 	var packages []listedPackage
 	for decoder := json.NewDecoder(bytes.NewReader(output)); ; {
-		var one listedPackage
-		if err := decoder.Decode(&one); errors.Is(err, io.EOF) {
+		var listed listedPackage
+		if err := decoder.Decode(&listed); errors.Is(err, io.EOF) {
 			return packages
 		} else if err != nil {
 			t.Fatalf("decode what go list prints: %v", err)
 		}
-		one.ImportPath = strings.TrimPrefix(one.ImportPath, module)
-		var own []string
-		for _, imported := range one.Imports {
+		listed.ImportPath = strings.TrimPrefix(listed.ImportPath, module)
+		var ownImports []string
+		for _, imported := range listed.Imports {
 			if path, found := strings.CutPrefix(imported, module); found {
-				own = append(own, path)
+				ownImports = append(ownImports, path)
 			}
 		}
-		one.Imports = own
-		packages = append(packages, one)
+		listed.Imports = ownImports
+		packages = append(packages, listed)
 	}
 }
 
@@ -99,16 +99,16 @@
 	}},
 }
 
-func TestImportRules(t *testing.T) {
+func TestImportsFollowRules(t *testing.T) {
 	packages := listPackages(t)
 	if len(packages) < 50 {
 		t.Fatalf("only %d packages are listed", len(packages))
 	}
-	for _, one := range packages {
-		for _, imported := range one.Imports {
+	for _, importer := range packages {
+		for _, imported := range importer.Imports {
 			for _, rule := range importRules {
-				if rule.broken(one.ImportPath, imported) {
-					t.Errorf("%s: %s imports %s", rule.name, one.ImportPath, imported)
+				if rule.broken(importer.ImportPath, imported) {
+					t.Errorf("%s: %s imports %s", rule.name, importer.ImportPath, imported)
 				}
 			}
 		}
@@ -116,7 +116,7 @@
 }
 
 // Each rule finds an import that breaks it.
-func TestImportRulesFindViolations(t *testing.T) {
+func TestImportRulesDetectViolations(t *testing.T) {
 	violations := map[string][2]string{
 		"the decision module imports nothing of the module":           {"policy", "internal/random"},
 		"the scheduler does not import the aggregator":                {"internal/jobs/manager", "internal/counters"},
--- a/internal/tools/layout/pages_test.go
+++ b/internal/tools/layout/pages_test.go
@@ -9,36 +9,36 @@
 )
 
 var (
-	codeSpan   = regexp.MustCompile("`([^`\n]+)`")
-	namedPath  = regexp.MustCompile(`^(\./)?(internal|cmd|docs|policy|deploy|scripts|tools)(/[\w.-]+)+/?$`)
-	namedFile  = regexp.MustCompile(`^([\w-]+/)*[\w-]+\.go$`)
-	pageLink   = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
-	historical = []string{"docs/results.md", "docs/further-account.md", "CHANGELOG.md"} // they name what was there then
+	codeSpan        = regexp.MustCompile("`([^`\n]+)`")
+	namedPath       = regexp.MustCompile(`^(\./)?(internal|cmd|docs|policy|deploy|scripts|tools)(/[\w.-]+)+/?$`)
+	namedFile       = regexp.MustCompile(`^([\w-]+/)*[\w-]+\.go$`)
+	pageLink        = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
+	historicalPages = []string{"docs/results.md", "docs/further-account.md", "CHANGELOG.md"} // they name what was there then
 )
 
 // pages returns the paths of the pages that speak of the present tree.
-func pages(t *testing.T) []string {
+func currentPages(t *testing.T) []string {
 	t.Helper()
-	found, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	paths, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ofOperators, err := filepath.Glob(filepath.Join(root, "docs", "operators", "*.md"))
+	operatorPages, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", "operators", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	found = append(append(found, ofOperators...), filepath.Join(root, "README.md"))
-	var present []string
-	for _, path := range found {
-		relative, err := filepath.Rel(root, path)
+	paths = append(append(paths, operatorPages...), filepath.Join(repositoryRoot, "README.md"))
+	var current []string
+	for _, path := range paths {
+		relative, err := filepath.Rel(repositoryRoot, path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !isWithin(relative, historical...) {
-			present = append(present, path)
+		if !isWithin(relative, historicalPages...) {
+			current = append(current, path)
 		}
 	}
-	return present
+	return current
 }
 
 // goFiles returns the paths of all Go files, each with a leading slash.
@@ -46,7 +46,7 @@
 	t.Helper()
 	var files []string
 	for _, folder := range []string{"internal", "cmd", "policy"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ os.DirEntry, err error) error {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(path string, _ os.DirEntry, err error) error {
 			if err == nil && strings.HasSuffix(path, ".go") {
 				files = append(files, filepath.ToSlash(path))
 			}
@@ -61,10 +61,10 @@
 
 // TestPagesNamePresentPaths holds the paths and Go files that pages name in code spans to the tree. A file may be named by the
 // end of its path.
-func TestPagesNamePresentPaths(t *testing.T) {
+func TestPathsNamedInPagesExist(t *testing.T) {
 	files := goFiles(t)
 	checked := 0
-	for _, page := range pages(t) {
+	for _, page := range currentPages(t) {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
@@ -74,12 +74,12 @@
 			switch {
 			case namedPath.MatchString(name):
 				checked++
-				if _, err := os.Stat(filepath.Join(root, name)); err != nil {
+				if _, err := os.Stat(filepath.Join(repositoryRoot, name)); err != nil {
 					t.Errorf("%s names %s: %v", page, name, err)
 				}
 			case namedFile.MatchString(name):
 				checked++
-				if !hasSuffix(files, "/"+name) {
+				if !anyHasSuffix(files, "/"+name) {
 					t.Errorf("%s names %s, which is no file of the tree", page, name)
 				}
 			}
@@ -90,7 +90,7 @@
 	}
 }
 
-func hasSuffix(files []string, suffix string) bool {
+func anyHasSuffix(files []string, suffix string) bool {
 	for _, file := range files {
 		if strings.HasSuffix(file, suffix) {
 			return true
@@ -100,8 +100,8 @@
 }
 
 // TestPageLinks holds the links between pages to the tree.
-func TestPageLinks(t *testing.T) {
-	for _, page := range pages(t) {
+func TestPageLinksHaveTargets(t *testing.T) {
+	for _, page := range currentPages(t) {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/tools/mutants/errors.go
+++ b/internal/tools/mutants/errors.go
@@ -8,6 +8,6 @@
 // Error returns what is wrong, for a person.
 func (e TableError) Error() string { return string(e) }
 
-func wrong(format string, arguments ...any) error {
+func tableErrorf(format string, arguments ...any) error {
 	return TableError(fmt.Sprintf(format, arguments...))
 }
--- a/internal/tools/mutants/mutants_test.go
+++ b/internal/tools/mutants/mutants_test.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	root  = "../../.."
-	table = "testdata"
+	repositoryRoot = "../../.."
+	tableDir       = "testdata"
 
 	// testLimit bounds the run of one mutant's test, its build included.
-	testLimit = 10 * time.Minute
+	testTimeout = 10 * time.Minute
 )
 
-func load(t *testing.T) []Mutant {
+func loadTable(t *testing.T) []Mutant {
 	t.Helper()
-	all, err := Load(table)
+	mutants, err := Load(tableDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(all) == 0 {
+	if len(mutants) == 0 {
 		t.Fatal("the table is empty")
 	}
-	return all
+	return mutants
 }
 
 // TestTable holds the table to the sources and to the page on control safety: each mutant can be made, its test exists, and
 // the page has its row.
-func TestTable(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join(root, "docs", "control-safety.md"))
+func TestTableMatchesSourcesAndPage(t *testing.T) {
+	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", "control-safety.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	names := map[string]bool{}
-	for _, mutant := range load(t) {
+	for _, mutant := range loadTable(t) {
 		if names[mutant.Name] {
 			t.Errorf("two mutants are called %q", mutant.Name)
 		}
 		names[mutant.Name] = true
-		if _, err := mutant.Source(root); err != nil {
+		if _, err := mutant.Source(repositoryRoot); err != nil {
 			t.Errorf("%s: %v", mutant.Table, err)
 		}
 		if row := "| " + mutant.Name + " | " + mutant.Rule + " |"; !strings.Contains(string(page), row) {
@@ -63,13 +63,13 @@
 // hasTest tells whether the mutant's package has a test that its expression selects.
 func hasTest(t *testing.T, mutant *Mutant) bool {
 	t.Helper()
-	top, _, _ := strings.Cut(mutant.Test, "/")
-	selects, err := regexp.Compile(top)
+	topLevel, _, _ := strings.Cut(mutant.Test, "/")
+	selects, err := regexp.Compile(topLevel)
 	if err != nil {
 		t.Errorf("mutant %q: %v", mutant.Name, err)
 		return false
 	}
-	paths, err := filepath.Glob(filepath.Join(root, mutant.Package, "*_test.go"))
+	paths, err := filepath.Glob(filepath.Join(repositoryRoot, mutant.Package, "*_test.go"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,12 +93,12 @@
 		t.Skip("set PUFFINLINK_MUTANTS=1 to build every mutant and run its test")
 	}
 	only := regexp.MustCompile(os.Getenv("PUFFINLINK_MUTANTS_ONLY"))
-	for _, mutant := range load(t) {
+	for _, mutant := range loadTable(t) {
 		if !only.MatchString(mutant.Table + ": " + mutant.Name) {
 			continue
 		}
 		t.Run(mutant.Table+"/"+strings.ReplaceAll(mutant.Name, " ", "-"), func(t *testing.T) {
-			output, caught := run(t, &mutant)
+			output, caught := runMutantTest(t, &mutant)
 			if !caught {
 				t.Errorf("nothing notices that %s: %s passes or does not build\n%s", mutant.Rule, mutant.Test, output)
 			}
@@ -107,15 +107,15 @@
 }
 
 // run tells whether the mutant's test fails, which a failure to build does not count as.
-func run(t *testing.T, mutant *Mutant) (output string, caught bool) {
+func runMutantTest(t *testing.T, mutant *Mutant) (output string, caught bool) {
 	t.Helper()
-	overlay, err := mutant.WriteOverlay(root, t.TempDir())
+	overlay, err := mutant.WriteOverlay(repositoryRoot, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	command := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-timeout", testLimit.String(),
+	command := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-timeout", testTimeout.String(),
 		"-overlay", overlay, "-run", mutant.Test, mutant.Package)
-	command.Dir = root
+	command.Dir = repositoryRoot
 	var text bytes.Buffer
 	command.Stdout, command.Stderr = &text, &text
 	err = command.Run()
@@ -124,32 +124,32 @@
 	return output, err != nil && built
 }
 
-func TestLoading(t *testing.T) {
+func TestInvalidTableIsRejected(t *testing.T) {
 	Convey("A table with a mistake is refused", t, func() {
 		folder := t.TempDir()
 		write := func(text string) {
 			So(os.WriteFile(filepath.Join(folder, "a.toml"), []byte(text), 0o600), ShouldBeNil)
 		}
-		whole := "[[mutant]]\nname = \"n\"\nrule = \"r\"\nfile = \"f.go\"\nold = \"a\"\nnew = \"b\"\npackage = \"./p\"\ntest = \"T\"\n"
+		validTable := "[[mutant]]\nname = \"n\"\nrule = \"r\"\nfile = \"f.go\"\nold = \"a\"\nnew = \"b\"\npackage = \"./p\"\ntest = \"T\"\n"
 		Convey("a whole one is not", func() {
-			write(whole)
-			all, err := Load(folder)
+			write(validTable)
+			mutants, err := Load(folder)
 			So(err, ShouldBeNil)
-			So(all, ShouldHaveLength, 1)
-			So(all[0].Table, ShouldEqual, "a.toml")
+			So(mutants, ShouldHaveLength, 1)
+			So(mutants[0].Table, ShouldEqual, "a.toml")
 		})
 		Convey("an unknown key", func() {
-			write(whole + "tset = \"T\"\n")
+			write(validTable + "tset = \"T\"\n")
 			_, err := Load(folder)
 			So(err, ShouldNotBeNil)
 		})
 		Convey("a mutant that changes nothing", func() {
-			write(strings.Replace(whole, `new = "b"`, `new = "a"`, 1))
+			write(strings.Replace(validTable, `new = "b"`, `new = "a"`, 1))
 			_, err := Load(folder)
 			So(err, ShouldNotBeNil)
 		})
 		Convey("no rule", func() {
-			write(strings.Replace(whole, `rule = "r"`, `rule = ""`, 1))
+			write(strings.Replace(validTable, `rule = "r"`, `rule = ""`, 1))
 			_, err := Load(folder)
 			So(err, ShouldNotBeNil)
 		})
@@ -157,9 +157,9 @@
 	Convey("A source that holds the text twice, or not at all, makes no mutant", t, func() {
 		folder := t.TempDir()
 		So(os.WriteFile(filepath.Join(folder, "f.go"), []byte("a a c"), 0o600), ShouldBeNil)
-		for text, makes := range map[string]bool{"a": false, "b": false, "c": true} {
+		for text, valid := range map[string]bool{"a": false, "b": false, "c": true} {
 			_, err := (&Mutant{File: "f.go", Old: text, New: "d"}).Source(folder)
-			So(err == nil, ShouldEqual, makes)
+			So(err == nil, ShouldEqual, valid)
 		}
 	})
 }
--- a/internal/tools/mutants/overlay.go
+++ b/internal/tools/mutants/overlay.go
@@ -9,7 +9,7 @@
 )
 
 // overlayFile is what go test -overlay reads.
-type overlayFile struct {
+type buildOverlay struct {
 	Replace map[string]string
 }
 
@@ -19,8 +19,8 @@
 	if err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
-	if times := strings.Count(string(text), m.Old); times != 1 {
-		return "", wrong("mutant %q: %s holds %q %d times, want once", m.Name, m.File, m.Old, times)
+	if count := strings.Count(string(text), m.Old); count != 1 {
+		return "", tableErrorf("mutant %q: %s holds %q %d times, want once", m.Name, m.File, m.Old, count)
 	}
 	return strings.Replace(string(text), m.Old, m.New, 1), nil
 }
@@ -35,16 +35,16 @@
 	if err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
-	changed := filepath.Join(folder, "mutant.go")
-	overlay, err := json.Marshal(overlayFile{Replace: map[string]string{original: changed}})
+	mutantPath := filepath.Join(folder, "mutant.go")
+	overlayJSON, err := json.Marshal(buildOverlay{Replace: map[string]string{original: mutantPath}})
 	if err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
 	path = filepath.Join(folder, "overlay.json")
-	if err := os.WriteFile(changed, []byte(source), 0o600); err != nil {
+	if err := os.WriteFile(mutantPath, []byte(source), 0o600); err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
-	if err := os.WriteFile(path, overlay, 0o600); err != nil {
+	if err := os.WriteFile(path, overlayJSON, 0o600); err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
 	return path, nil
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -57,7 +57,7 @@
 		return nil, fmt.Errorf("decode %s: %w", path, err)
 	}
 	if unknown := decoded.Undecoded(); len(unknown) > 0 {
-		return nil, wrong("decode %s: unknown key %s", path, unknown[0])
+		return nil, tableErrorf("decode %s: unknown key %s", path, unknown[0])
 	}
 	if err := validator.New().Struct(content); err != nil {
 		return nil, fmt.Errorf("check %s: %w", path, err)
