--- a/internal/tools/fleettest/binaries_test.go
+++ b/internal/tools/fleettest/binaries_test.go
@@ -10,31 +10,31 @@
 	"testing"
 )
 
-// binaries are those that the tests of one process make, in a directory of theirs.
+// binaries holds the binaries that this test process has built, in one temporary directory.
 var binaries struct {
 	sync.Mutex
 	dir        string
 	pathByTags map[string]string
 }
 
-// Main runs tests and then removes the binaries that they made.
+// RunTests runs the tests, then removes the binaries that they built.
 func RunTests(m *testing.M) (code int) {
 	defer func() { os.RemoveAll(binaries.dir) }()
 	return m.Run()
 }
 
-// failpointsTag is the tag of a build whose numbered points can be armed.
+// failpointsTag is the build tag that compiles the failpoints in.
 const failpointsTag = "failpoints"
 
-// Build hands out the binary with the tags named. All are made before the first is handed out: a compiler takes every core,
-// and no cluster is to run beside one.
+// BinaryPath returns the path of the binary built with the given tags. The first call builds all binaries, because the compiler
+// uses every core and must not run while a cluster does.
 func BinaryPath(t testing.TB, tags string) string {
 	t.Helper()
 	b := &binaries
 	b.Lock()
 	defer b.Unlock()
 	if b.pathByTags == nil {
-		dir, err := os.MkdirTemp("", "rig")
+		dir, err := os.MkdirTemp("", "fleettest")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,18 +48,19 @@
 		}
 	}
 	if b.pathByTags[tags] == "" {
-		t.Fatalf("no binary was made with the tags %q", tags)
+		t.Fatalf("no binary was built with the tags %q", tags)
 	}
 	return b.pathByTags[tags]
 }
 
-// modification replaces a text of a source file, as a mistake would have it.
+// modification replaces a text in a source file to simulate a programming mistake.
 type modification struct {
-	file             string // from the repository's root
+	file             string // relative to the repository's root
 	old, replacement string
 }
 
-// apply returns the path of the source file and its text with the modification. The old text has to stand there once.
+// apply returns the absolute path of the source file and its modified text. It fails the test unless the file contains the old
+// text exactly once.
 func (m modification) apply(t testing.TB) (path string, text []byte) {
 	t.Helper()
 	path, err := filepath.Abs(filepath.Join("..", "..", "..", m.file))
@@ -71,12 +72,12 @@
 		t.Fatal(err)
 	}
 	if n := bytes.Count(text, []byte(m.old)); n != 1 {
-		t.Fatalf("%s: %q stands there %d times, expected once", m.file, m.old, n)
+		t.Fatalf("%s contains %q %d times, expected once", m.file, m.old, n)
 	}
 	return path, bytes.Replace(text, []byte(m.old), []byte(m.replacement), 1)
 }
 
-// BuildModified makes a binary of the program with a modification.
+// BuildModifiedBinary builds the program with a modification and returns the path of the binary. It leaves the source as it is.
 func BuildModifiedBinary(t testing.TB, m modification) (path string) {
 	t.Helper()
 	sourcePath, text := m.apply(t)
--- a/internal/tools/fleettest/brokenbuilds_test.go
+++ b/internal/tools/fleettest/brokenbuilds_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Modifications of the program that remove one rule each.
+// These modifications each remove one rule from the program.
 var (
 	minimumsNotReserved = modification{"internal/controlplane/fleet/leadership.go", "	return perS, burst\n}", "	return 0, 0\n}"}
 	appliedTooEarly     = modification{"internal/controlplane/fleet/residency/residency.go", "			progress.Applied = false\n", ""}
 	oneWitnessSuffices  = modification{"internal/controlplane/fleet/outlier/outlier.go", "	minWitnesses         = 2 ", "	minWitnesses         = 1 "}
 )
 
-// The modifications fit the source files as they are, also where the builds are not made.
+// TestModificationsFitTheSource checks that each modification still applies to its source file. It runs even where the modified
+// programs are not built.
 func TestModificationsFitTheSource(t *testing.T) {
 	for _, m := range []modification{minimumsNotReserved, appliedTooEarly, oneWitnessSuffices} {
 		if _, text := m.apply(t); len(text) == 0 {
@@ -22,7 +23,8 @@
 	}
 }
 
-// The checkers report violations on builds of the program with one rule removed. Built and run only where all failpoints are.
+// TestCheckersDetectBrokenBuilds checks that the checkers report a violation when a rule is removed from the program. It runs only
+// if PUFFINLINK_FAILPOINTS_ALL is set, because it builds each modified program.
 func TestCheckersDetectBrokenBuilds(t *testing.T) {
 	if !allFailpoints {
 		t.Skip("PUFFINLINK_FAILPOINTS_ALL is not set")
@@ -37,8 +39,8 @@
 			time.Sleep(8 * time.Second)
 			stop()
 			excess, window := c.Checker.QuotaExcess("acme", 60, 60)
-			if t.Logf("broken %t: %.1f over, %s", binary != "", excess, window); (excess > 0) != (binary != "") {
-				t.Errorf("broken %t: %.1f queries over", binary != "", excess)
+			if t.Logf("rule removed %t: %.1f queries over the quota, %s", binary != "", excess, window); (excess > 0) != (binary != "") {
+				t.Errorf("rule removed %t: %.1f queries over the quota", binary != "", excess)
 			}
 		}
 	})
@@ -48,28 +50,28 @@
 			Binary: BuildModifiedBinary(t, appliedTooEarly)})
 		isolated := c.Aggregators[(c.awaitGranter().index+1)%3]
 		stop := c.StartLoad(100, "cato", "reads", c.RoundRobin)
-		c.Await("it is served", func() bool { return c.isServed(isolated, "cato") })
+		c.Await("cato is served by the aggregator to be partitioned", func() bool { return c.isServed(isolated, "cato") })
 		c.Partition(isolated.index)
 		version, err := c.Leader().SendCommand(map[string]any{"author": "t", "reason": "r", "tenant": "cato", "contract": map[string]any{"zones": []string{"b"}}})
 		c.must(err)
-		c.Await("it is reported as applied", func() bool { applied, _ := c.Leader().ContractApplied(version, "cato"); return applied })
+		c.Await("the contract is reported as applied", func() bool { applied, _ := c.Leader().ContractApplied(version, "cato"); return applied })
 		c.Checker.RequireZones("cato", "b")
 		time.Sleep(time.Second)
 		stop()
 		if violations := c.Checker.ContractViolations(); len(violations) == 0 {
-			t.Error("the checker saw no subquery outside of the contract")
+			t.Error("the checker reported no subquery outside of the contract")
 		} else {
-			t.Logf("%d subqueries outside, the first: %s", len(violations), violations[0])
+			t.Logf("%d subqueries outside of the contract, the first: %s", len(violations), violations[0])
 		}
 	})
-	t.Run("a verdict of one unhealthy witness", func(t *testing.T) {
+	t.Run("verdict from one unhealthy witness", func(t *testing.T) {
 		t.Parallel()
 		c := Start(t, Options{Aggregators: 4, Binary: BuildModifiedBinary(t, oneWitnessSuffices)})
 		c.awaitGranter()
 		stop := c.StartLoad(60, "cato", "reads", func(int) *Aggregator { return c.Aggregators[3] })
 		time.Sleep(1500 * time.Millisecond)
 		c.delayBackends(c.Aggregators[3], 300*time.Millisecond, 0)
-		c.Await("the report of one witness makes a verdict", func() bool {
+		c.Await("the report of one witness leads to a verdict", func() bool {
 			status := c.Aggregators[2].FleetStatus()
 			judged, _ := status["judged"].([]any)
 			return len(judged) > 0
--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Checker records what clients and backends saw, and compares it with quotas and contracts. It shares no code with aggregators.
+// Checker records the queries of clients and the subqueries that backends received, and compares them with quotas and contracts.
+// It shares no code with the aggregators that it checks.
 type Checker struct {
 	mu               sync.Mutex
 	queries          []queryRecord
@@ -16,31 +17,32 @@
 	zoneRequirements []zoneRequirement
 }
 
-// query is one that ended: it was admitted at some time from sent to ended, if at all.
+// queryRecord describes a finished query. If the query was admitted, that happened between sent and ended.
 type queryRecord struct {
 	aggregator, tenant string
 	sent, ended        time.Time
 	status             int
-	reason             string // of an answer that is none: why
+	reason             string // body of the answer, or the error if there was no answer
 }
 
+// subqueryRecord describes a subquery that a backend received.
 type subqueryRecord struct {
 	backend, zone, tenant string
 	at                    time.Time
 }
 
-// contract is a tenant's contract from a time on, from which no subquery outside of it may begin.
+// zoneRequirement lists the zones in which subqueries of a tenant may begin during a period.
 type zoneRequirement struct {
 	tenant string
 	zones  []string
 	from   time.Time
-	until  time.Time // zero for still
+	until  time.Time // zero while the requirement is in force
 }
 
-// NewChecker has seen nothing.
+// NewChecker returns a checker without records.
 func NewChecker() *Checker { return &Checker{} }
 
-// RecordSubquery records a subquery at a backend, by its query, which begins with the tenant's name.
+// RecordSubquery records that a backend received a subquery. The query text begins with the tenant's name.
 func (c *Checker) RecordSubquery(backend, zone, query string) {
 	tenant, _, _ := strings.Cut(query, " ")
 	c.mu.Lock()
@@ -48,19 +50,20 @@
 	c.subqueries = append(c.subqueries, subqueryRecord{backend, zone, tenant, time.Now()})
 }
 
-// RecordQuery records the end of a query.
+// RecordQuery records a finished query. The status is 0 if there was no answer.
 func (c *Checker) RecordQuery(aggregator, tenant string, sent time.Time, status int, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queries = append(c.queries, queryRecord{aggregator, tenant, sent, time.Now(), status, reason})
 }
 
-// RequireZones requires that from now on no subquery of a tenant begins outside of zones; it replaces the requirement before.
+// RequireZones requires that from now on no subquery of a tenant begins outside of zones. It replaces the tenant's previous
+// requirement.
 func (c *Checker) RequireZones(tenant string, zones ...string) {
 	c.RequireZonesFrom(time.Now(), tenant, zones...)
 }
 
-// RequireZonesFrom is the same from a time on.
+// RequireZonesFrom does the same as RequireZones, from the given time on.
 func (c *Checker) RequireZonesFrom(from time.Time, tenant string, zones ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,14 +75,14 @@
 	c.zoneRequirements = append(c.zoneRequirements, zoneRequirement{tenant: tenant, zones: zones, from: from})
 }
 
-// ContractViolations lists the subqueries that began in a zone that a contract did not allow.
+// ContractViolations describes each subquery that began in a zone that the requirement in force did not allow.
 func (c *Checker) ContractViolations() (violations []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, record := range c.subqueries {
 		for _, requirement := range c.zoneRequirements {
 			if record.tenant == requirement.tenant && record.at.After(requirement.from) && (requirement.until.IsZero() || record.at.Before(requirement.until)) && !slices.Contains(requirement.zones, record.zone) {
-				violations = append(violations, fmt.Sprintf("%s: a subquery began at %s in %s, %s after the contract held that allows %q", record.tenant, record.backend, record.zone,
+				violations = append(violations, fmt.Sprintf("%s: a subquery began at %s in zone %s, %s after the start of a contract that allows %q", record.tenant, record.backend, record.zone,
 					record.at.Sub(requirement.from).Round(time.Millisecond), requirement.zones))
 			}
 		}
@@ -87,7 +90,7 @@
 	return violations
 }
 
-// admitted lists those of a tenant that were.
+// admittedQueries returns the admitted queries of a tenant at one aggregator, or at all of them if aggregator is empty.
 func (c *Checker) admittedQueries(tenant string, aggregator string) (records []queryRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,9 +102,10 @@
 	return records
 }
 
-// QuotaExcess returns by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
-// window only where sending and answer both lie in it, so that nothing is counted that may have been admitted outside. A
-// query that is refused after it was admitted, or lost, is not seen, which only lessens the count.
+// QuotaExcess returns the largest number of queries by which a tenant exceeded its quota in any time window, and a description of
+// that window. A query counts in a window only if it was both sent and answered in it, because it could otherwise have been
+// admitted outside of the window. Queries that were lost, or rejected after admission, are not counted, so the result can be too
+// low but never too high.
 func (c *Checker) QuotaExcess(tenant string, perSecond, burst float64) (excess float64, window string) {
 	admitted := c.admittedQueries(tenant, "")
 	if len(admitted) == 0 {
@@ -113,8 +117,8 @@
 			first = record.sent
 		}
 	}
-	// For each window's beginning, those sent from there on in the order of their answers: the n-th ends the window that
-	// holds n of them.
+	// For each start of a window, go through the queries sent since then in the order of their answers. The answer to the n-th
+	// query ends the shortest window that contains n queries.
 	slices.SortFunc(admitted, func(a, b queryRecord) int { return a.ended.Compare(b.ended) })
 	step := max(1, len(admitted)/400)
 	starts := make([]time.Time, 0, 400)
@@ -137,7 +141,8 @@
 	return excess, window
 }
 
-// Rate is how many of a tenant's queries were admitted a second between two times, at one aggregator or at all.
+// AdmittedRate returns how many queries of a tenant per second were admitted between two times, at one aggregator or at all of them
+// if aggregator is empty.
 func (c *Checker) AdmittedRate(tenant, aggregator string, from, to time.Time) float64 {
 	n := 0
 	for _, record := range c.admittedQueries(tenant, aggregator) {
@@ -148,7 +153,7 @@
 	return float64(n) / to.Sub(from).Seconds()
 }
 
-// Unanswered counts queries without a final answer, but for those of aggregators that were killed.
+// UnansweredCount returns the number of queries without a final answer, except those sent to the excluded aggregators.
 func (c *Checker) UnansweredCount(excluded ...string) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +165,7 @@
 	return n
 }
 
-// RejectionReasons counts the queries that were not admitted, by aggregator, status and text.
+// RejectionReasons counts the queries that were not admitted, by aggregator, tenant, status and reason.
 func (c *Checker) RejectionReasons() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,7 +178,8 @@
 	return counts
 }
 
-// StatusCounts counts a tenant's answers since a time, at one aggregator or at all.
+// StatusCounts counts a tenant's queries sent since a time, by the status of their answers. It counts those at one aggregator, or
+// at all of them if aggregator is empty.
 func (c *Checker) StatusCounts(tenant, aggregator string, since time.Time) map[int]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +192,7 @@
 	return counts
 }
 
-// P99 is the time that 99 of 100 of a tenant's answers took, of those sent between two times.
+// P99 returns the 99th percentile of the latency of a tenant's admitted queries that were sent between two times.
 func (c *Checker) P99(tenant string, from, to time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Query sends a query and returns its answer's status, 0 where there is none. A complete or partial answer is recorded as
-// admitted, at some time between its sending and its answer.
+// Query sends a query to an aggregator and returns the status and text of the answer. If there is no answer, the status is 0 and
+// the text is the error. The checker records the query; status 200, for a complete or partial answer, counts as admitted.
 func (c *Cluster) Query(aggregator *Aggregator, tenant, index string, shards ...int) (status int, text string) {
 	id := c.lastQueryID.Add(1)
 	var body strings.Builder
@@ -29,11 +29,11 @@
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+aggregator.ClientAddress+"/"+index, strings.NewReader(body.String()))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", id)}, "Req-Kind": {index}, "Req-Owner": {tenant}, "Req-Deadline": {"2"},
-		"Idempotency-Key": {}} // not sent: it lets the client retry on a new connection, where the aggregator closed an idle one meanwhile
+		"Idempotency-Key": {}} // An empty value is not sent. It lets net/http retry on a new connection if the aggregator has closed an idle one.
 	sent := time.Now()
 	query := fmt.Sprintf("%s %d", tenant, id)
 	res, request, err := c.send(req, query)
-	if err != nil && request.closedBeforeSend() { // a retry, as every client may make that has not sent its query yet
+	if err != nil && request.closedBeforeSend() { // the query was not sent yet, so any client may retry
 		req.Body, _ = req.GetBody()
 		res, request, err = c.send(req, query)
 	}
@@ -47,26 +47,26 @@
 	return res.StatusCode, string(answer)
 }
 
-// isServed sends a tenant's query to an aggregator, and reports whether it was answered with 200.
+// isServed sends a query of a tenant to an aggregator and reports whether the answer has status 200.
 func (c *Cluster) isServed(aggregator *Aggregator, tenant string) bool {
 	status, _ := c.Query(aggregator, tenant, "reads", 0, 1)
 	return status == http.StatusOK
 }
 
-// idleTimeout is how long an aggregator keeps a connection open on which nothing was sent yet (it must have closed it by then).
+// idleTimeout is the time after which an aggregator has closed a new connection on which nothing was sent.
 const idleTimeout = 2 * time.Second
 
-// connectionTrace is what the client's side of one saw of its connection; zero times for what did not happen.
+// connectionTrace records what the client observed of a request's connection. A time is zero if the event did not happen.
 type connectionTrace struct {
 	mu           sync.Mutex
 	began, ended time.Time
-	// connected is when the connection was begun, only where this is the first on it: on a machine that is paused the other side
-	// may have it long before this one learns of that.
+	// connected is when dialing began, and zero if the request used an existing connection. It is not the time when dialing
+	// ended: on a stalled machine the aggregator can accept the connection long before the client sees it established.
 	connected, wrote time.Time
 }
 
-// closedBeforeSend reports whether the connection stood silent for so long before the request was written, as on a machine that stands
-// still, that the aggregator had closed it by then: no query was sent.
+// closedBeforeSend reports whether a new connection was idle for at least idleTimeout before the request was written, so that the
+// aggregator had closed it and received no query. This happens on a stalled machine.
 func (r *connectionTrace) closedBeforeSend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +89,7 @@
 	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", sinceBegan(r.connected), sinceBegan(r.wrote), sinceBegan(r.ended))
 }
 
-// send sends a request and records how its connection was used, and how often the query went out.
+// send sends a request, traces its connection, and counts how often the query was written.
 func (c *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
 	connection := &connectionTrace{began: time.Now()}
 	counter, _ := c.sendCounts.LoadOrStore(query, &atomic.Int64{})
@@ -101,7 +101,7 @@
 	trace := &httptrace.ClientTrace{
 		ConnectStart: func(string, string) { recordTime(&connection.connected) },
 		GotConn: func(info httptrace.GotConnInfo) {
-			if info.Reused { // another's, and what was dialled meanwhile is not used
+			if info.Reused { // the connection dialed for this request is not used
 				connection.mu.Lock()
 				defer connection.mu.Unlock()
 				connection.connected = time.Time{}
@@ -117,7 +117,8 @@
 	return res, connection, err
 }
 
-// Load sends queries at a mean rate until it is stopped, without waiting for answers.
+// StartLoad sends queries of a tenant at a mean rate, without waiting for answers, until stop is called. pick returns the aggregator
+// for the n-th query, or nil to skip the query. stop waits for the answers to the queries that were sent.
 func (c *Cluster) StartLoad(perSecond float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
 	var waitGroup sync.WaitGroup
@@ -138,7 +139,8 @@
 	return func() { stopOnce(); waitGroup.Wait() }
 }
 
-// timesSentOf is how often the client sent a query, of which a subquery is named by the query's text and its shard.
+// sendCount returns how often the client sent the query that a subquery belongs to. The ID of a subquery is the text of its query,
+// a space and the shard. For an unknown query the count is 1.
 func (c *Cluster) sendCount(subqueryID string) int64 {
 	query := subqueryID[:max(0, strings.LastIndexByte(subqueryID, ' '))]
 	if n, known := c.sendCounts.Load(query); known {
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -1,5 +1,6 @@
-// Package fleettest starts several real processes of the program on loopback, before fakes, with a relay between every two,
-// and checks what came of them. Only tests use it. What checks here shares no code with what it checks.
+// Package fleettest runs a fleet of real aggregator processes on loopback and checks the answers to the queries that it sends.
+// The backends are fakes. A relay on the path between every two aggregators, and between each aggregator and each backend, injects
+// network faults. The package contains only tests and their helpers. The checkers share no code with the program that they check.
 package fleettest
 
 import (
@@ -23,28 +24,28 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-// Timeout bounds what is waited for, which comes soon unless something is broken.
+// Timeout is how long tests wait for a condition before they fail. Conditions are normally met much sooner.
 const Timeout = time.Minute
 
-// Options are a cluster's.
+// Options configures a cluster.
 type Options struct {
 	Aggregators       int
 	Voters            int
 	LeaseSeconds      float64
-	QuotasJSON        string // the section's text; "" for none
+	QuotasJSON        string // the quotas section of the operator file; empty for none
 	ContractsJSON     string
-	ExtraTenants      []string // beside acme, bolt and cato
-	WithoutFailpoints bool     // without numbered points
-	NoFleet           bool     // aggregators share nothing, to compare with
-	DirectoryForAll   bool     // all aggregators keep a directory, and not the voters alone
+	ExtraTenants      []string // in addition to acme, bolt and cato
+	WithoutFailpoints bool     // run a binary without failpoints
+	NoFleet           bool     // the aggregators form no fleet, as a baseline
+	DirectoryForAll   bool     // every aggregator keeps a directory, not only the voters
 	Backends          int
 	ServiceTime       time.Duration
 	Env               func(aggregator int) []string
-	Binary            string // to start instead of the program as it is
-	Supervised        bool   // from the first moment on, as processes may be killed by what Env arms
+	Binary            string // run instead of the unmodified program, if not empty
+	Supervised        bool   // restart processes from the start on, because failpoints armed by Env may kill them
 }
 
-// Cluster is a fleet with all that is around it.
+// Cluster is a fleet of aggregators with its fake backends, relays, client and checker.
 type Cluster struct {
 	testing.TB
 	Options
@@ -52,25 +53,25 @@
 	Aggregators     []*Aggregator
 	Backends        []*fakes.Backend
 	Checker         *Checker
-	relays          map[[2]int]*Relay // from one aggregator to another
+	relays          map[[2]int]*Relay // by the indexes of the sending and the receiving aggregator
 	dir             string
 	client          *http.Client
 	lastQueryID     atomic.Int64
-	sendCounts      sync.Map                      // query's text -> *atomic.Int64, how often the client sent it: net/http repeats by itself what broke on a used connection
-	StopSupervising func() (killed []*Aggregator) // ends the supervision and returns who was killed
+	sendCounts      sync.Map                      // query's text -> *atomic.Int64, how often the client sent it; net/http itself retries if a reused connection breaks
+	StopSupervising func() (killed []*Aggregator) // ends the supervision and returns the aggregators that were killed
 }
 
-// Aggregator is one process, with what only it sees.
+// Aggregator is one aggregator process with its own backend list, relays and directory.
 type Aggregator struct {
 	Name, Zone    string
 	ClientAddress string
 
 	cluster       *Cluster
 	index         int
-	suffix        string // sets a second process of one name apart
-	fleetAddress  string // of its own fleet's sockets
+	suffix        string // distinguishes the files of a second process of the same name
+	fleetAddress  string // of its fleet listener; peers reach it through relays
 	discovery     *fakes.Register
-	backendRelays []*Relay // of each backend
+	backendRelays []*Relay // by the index of the backend
 	directory     string
 	env           []string
 	mu            sync.Mutex
@@ -80,7 +81,8 @@
 	client        *api.Client
 }
 
-// Start starts a cluster. Aggregators and backends stand in zones a, b and c by turns; each shard is held in two zones.
+// Start starts a cluster and waits until all aggregators serve. Aggregators and backends are spread over zones a, b and c in
+// rotation, and each shard is held in two zones.
 func Start(t testing.TB, options Options) *Cluster {
 	t.Helper()
 	BinaryPath(t, failpointsTag)
@@ -107,7 +109,7 @@
 	return c
 }
 
-// awaitAllServing waits until all aggregators serve.
+// awaitAllServing waits until every aggregator serves queries.
 func (c *Cluster) awaitAllServing() {
 	c.Helper()
 	for _, aggregator := range c.Aggregators {
@@ -115,7 +117,7 @@
 	}
 }
 
-// The usual settings of a cluster.
+// Defaults and lower bounds of the options of a cluster.
 const (
 	minBackends         = 6
 	minVoters           = 3
@@ -123,7 +125,7 @@
 	defaultServiceTime  = 2 * time.Millisecond
 )
 
-// newCluster is one with its directory and key, and nothing else yet.
+// newCluster creates a cluster with its directory and key file, without backends or aggregators.
 func newCluster(t testing.TB, options Options) *Cluster {
 	t.Helper()
 	options.Backends, options.Voters = max(options.Backends, minBackends), max(options.Voters, minVoters)
@@ -133,7 +135,7 @@
 		Site: fakes.Site{Zones: []string{"a", "b", "c"}, Cells: options.Backends, Width: 2, Shards: options.Backends, Aggregators: options.Aggregators, Tenants: append([]string{"acme", "bolt", "cato"}, options.ExtraTenants...),
 			Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", Soft: 0.5, Hard: 2, Value: 1, Minimum: 0.5}, {Name: "orders", Effect: "once", Soft: 0.5, Hard: 2, Value: 3}}}}
 	var err error
-	c.dir, err = os.MkdirTemp("", "rg") // a socket's path is short
+	c.dir, err = os.MkdirTemp("", "rg") // short, because the path of a Unix socket is limited
 	c.must(err)
 	t.Cleanup(func() {
 		if !t.Failed() {
@@ -144,7 +146,7 @@
 	return c
 }
 
-// addBackend starts a fake for a backend, whose subqueries the checker records.
+// addBackend starts a fake backend whose subqueries the checker records.
 func (c *Cluster) addBackend(i int) {
 	c.Helper()
 	backend, err := fakes.NewBackend(fmt.Sprintf("s-%d", i), c.Site.Zones[i%3], i, 16, c.ServiceTime)
@@ -154,7 +156,7 @@
 	c.Backends = append(c.Backends, backend)
 }
 
-// addAggregator prepares an aggregator: its addresses, its list of backends, and a relay before each of them. It does not start it.
+// addAggregator prepares an aggregator without starting it: its addresses, its list of backends, and a relay to each backend.
 func (c *Cluster) addAggregator(i int) {
 	c.Helper()
 	aggregator := &Aggregator{cluster: c, index: i, Name: fmt.Sprintf("m%d", i), Zone: c.Site.Zones[i%3], directory: c.path(fmt.Sprintf("d%d", i))}
@@ -178,7 +180,7 @@
 	c.Aggregators = append(c.Aggregators, aggregator)
 }
 
-// addLinks starts a relay from each aggregator to each other.
+// addLinkRelays starts a relay from each aggregator to every other aggregator.
 func (c *Cluster) addLinkRelays() {
 	c.Helper()
 	for i, from := range c.Aggregators {
@@ -194,7 +196,7 @@
 	}
 }
 
-// shutDown kills all processes, and logs for a failed test how its queries were answered and where the logs are.
+// shutDown kills all processes. If the test failed, it logs why queries were not admitted and where the logs are.
 func (c *Cluster) shutDown() {
 	if c.StopSupervising != nil {
 		c.StopSupervising()
@@ -205,16 +207,18 @@
 	if !c.Failed() {
 		return
 	}
-	for text, n := range c.Checker.RejectionReasons() { // of what was not admitted
+	for text, n := range c.Checker.RejectionReasons() {
 		c.Logf("%d queries: %s", n, text)
 	}
-	c.Logf("logs are in %s", c.dir)
+	c.Logf("the logs of the processes are in %s", c.dir)
 }
 
-// lastPort counts ports that processes are told to listen on. They lie below those that the system hands out by itself, or
-// a relay that starts meanwhile could get one; another run of the tests begins elsewhere.
+// portCounter counts the ports handed out for processes to listen on. These ports lie below the ephemeral range of the system.
+// Otherwise a relay that starts at the same time could be assigned one. The process ID determines the first port, so that test
+// runs in parallel use different ports.
 var portCounter atomic.Int64
 
+// freeAddress returns a loopback address whose port is free for both TCP and UDP.
 func (c *Cluster) freeAddress() string {
 	c.Helper()
 	for range 10000 {
@@ -236,6 +240,7 @@
 
 func (c *Cluster) path(name string) string { return filepath.Join(c.dir, name) }
 
+// must fails the test if err is not nil.
 func (c *Cluster) must(err error) {
 	c.Helper()
 	if err != nil {
@@ -243,27 +248,27 @@
 	}
 }
 
-// operatorCallInterval keeps the tests' calls under the rate limit of operators' calls.
+// operatorCallInterval is the pause before operator calls. It keeps the tests below the rate limit of these calls.
 const operatorCallInterval = 100 * time.Millisecond
 
-// Await waits for something that is to come.
+// Await waits until the condition is met. After Timeout it logs the fleet status of all aggregators and fails the test.
 func (c *Cluster) Await(description string, condition func() bool) {
 	c.Helper()
 	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			for _, aggregator := range c.Aggregators {
 				text, _ := json.Marshal(aggregator.FleetStatus())
-				c.Logf("%s shows %s", aggregator.Name, text)
+				c.Logf("fleet status of %s: %s", aggregator.Name, text)
 			}
-			c.Fatalf("never: %s", description)
+			c.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
 
-// Link is the relay from one aggregator to another.
+// LinkRelay returns the relay from one aggregator to another.
 func (c *Cluster) LinkRelay(from, to int) *Relay { return c.relays[[2]int{from, to}] }
 
-// SetLinkFaults sets a fault on every link between two aggregators that the function selects.
+// SetLinkFaults sets a fault on each link between two aggregators for which selected returns true.
 func (c *Cluster) SetLinkFaults(f Fault, selected func(from, to int) bool) {
 	for pair, r := range c.relays {
 		if selected(pair[0], pair[1]) {
@@ -272,7 +277,8 @@
 	}
 }
 
-// Partition partitions one side of the fleet from the others; without arguments it heals all links.
+// Partition cuts all links between the given aggregators and the others, and heals all other links. Without arguments it heals all
+// links.
 func (c *Cluster) Partition(side ...int) {
 	onSide := map[int]bool{}
 	for _, i := range side {
@@ -283,16 +289,16 @@
 	}
 }
 
-// RoundRobin picks every aggregator by turns.
+// RoundRobin returns the aggregator for the n-th query, in rotation.
 func (c *Cluster) RoundRobin(n int) *Aggregator { return c.Aggregators[n%len(c.Aggregators)] }
 
-// Arming is the variable that arms a point.
+// FailpointEnv returns the environment variable that triggers a fault when the process passes a failpoint for the pass-th time.
 func FailpointEnv(p failpoint.Point, pass int, fault string) string {
 	return "PUFFINLINK_FAILPOINT=" + strconv.Itoa(int(p)) + ":" + strconv.Itoa(pass) + ":" + fault
 }
 
-// CheckInvariants checks what holds in every scenario: each query of an aggregator that was not killed got its answer, no order ran more often than
-// its client sent it, and no subquery began outside of a contract.
+// CheckInvariants checks the invariants of every scenario. Each query to an aggregator that was not killed has a final answer. No
+// subquery of an order ran more often than the client sent the order. No subquery began outside of a contract.
 func (c *Cluster) CheckInvariants(killed ...*Aggregator) {
 	c.Helper()
 	var excluded []string
@@ -308,7 +314,7 @@
 	}
 	for id, n := range executions {
 		if tenant, _, _ := strings.Cut(id, " "); n > max(1, c.sendCount(id)) && tenant == OrdersTenant {
-			c.Errorf("subquery %q of an order ran %d times, and was sent %d times", id, n, c.sendCount(id))
+			c.Errorf("subquery %q of an order ran %d times, but the order was sent %d times", id, n, c.sendCount(id))
 		}
 	}
 	for i, violation := range c.Checker.ContractViolations() {
@@ -322,9 +328,9 @@
 func (c *Cluster) CheckQuota(tenant string, perSecond, burst float64) {
 	c.Helper()
 	if excess, window := c.Checker.QuotaExcess(tenant, perSecond, burst); excess > 0 {
-		c.Errorf("%s: %.1f over the quota: %s", tenant, excess, window)
+		c.Errorf("%s: %.1f queries over the quota: %s", tenant, excess, window)
 	}
 }
 
-// OrdersTenant is the tenant whose queries are orders, which run once.
+// OrdersTenant is the tenant whose queries are orders, which must not be executed twice.
 const OrdersTenant = "bolt"
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -11,17 +11,19 @@
 	"puffinlink.example/puffinlink/internal/controlplane/fleet/failpoint"
 )
 
-// allFailpoints plays every point with every fault, and not the sample that CI plays.
+// allFailpoints reports whether to test every failpoint with every fault, instead of the sample that CI runs.
 var allFailpoints = os.Getenv("PUFFINLINK_FAILPOINTS_ALL") != ""
 
+// failpointFaults lists the faults that a failpoint can trigger.
 var failpointFaults = []string{"kill", "stop", "drop", "delay", "double", "fail"}
 
-// workload passes all points: it starts a fleet, spends a quota, narrows a contract, restarts an aggregator that keeps a directory.
+// runWorkload runs a fleet under load and checks the quota and the invariants. It passes all failpoints: the fleet starts, spends a
+// quota and narrows a contract, and the voters keep directories.
 func runWorkload(t *testing.T, env func(aggregator int) []string) {
 	table := strings.Replace(contractsJSON, `["a", "b"]}]`, `["a", "b", "c"]}`, 1)
 	table = strings.TrimSuffix(table, "}")
 	var tenants []string
-	for i := range 100 { // whose table does not fit a datagram
+	for i := range 100 { // so many that the contracts do not fit into one datagram
 		tenants = append(tenants, fmt.Sprintf("tenant-%d", i))
 		table += fmt.Sprintf(`, {"tenant": "tenant-%d", "zones": ["a", "b", "c"]}`, i)
 	}
@@ -36,10 +38,10 @@
 		}
 		return err == nil
 	})
-	c.Await("it holds", func() bool { applied, _ := c.Aggregators[3].ContractApplied(version, "cato"); return applied })
+	c.Await("the contract is reported as applied", func() bool { applied, _ := c.Aggregators[3].ContractApplied(version, "cato"); return applied })
 	c.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(2 * time.Second)
-	c.Await("tenants are served at every aggregator", func() bool {
+	c.Await("every aggregator serves both tenants", func() bool {
 		for _, aggregator := range c.Aggregators {
 			if !c.isServed(aggregator, "acme") {
 				return false
@@ -58,8 +60,9 @@
 	c.CheckInvariants(killed...)
 }
 
-// Each numbered point goes wrong in turn, at whichever aggregator passes it first, and every promise holds: CI plays a fixed sample,
-// PUFFINLINK_FAILPOINTS_ALL=1 all of them. Which points the workload passes is listed first.
+// TestInvariantsHoldAtEachFailpoint triggers a fault at one failpoint per run of the workload, at the first aggregator that reaches
+// the given pass, and checks that quotas and invariants hold. CI runs a fixed sample; PUFFINLINK_FAILPOINTS_ALL=1 runs every fault
+// at every failpoint. The subtest "listed" checks that the workload passes every failpoint.
 func TestInvariantsHoldAtEachFailpoint(t *testing.T) {
 	t.Parallel()
 	type injectedFault struct {
@@ -91,7 +94,7 @@
 		}
 		for p := failpoint.Point(1); int(p) < len(failpoint.Names); p++ {
 			if !passed[fmt.Sprint(p)] {
-				t.Errorf("the workload does not pass point %d, %s", p, failpoint.Names[p])
+				t.Errorf("the workload does not pass failpoint %d, %s", p, failpoint.Names[p])
 			}
 		}
 	})
@@ -103,7 +106,7 @@
 				return []string{FailpointEnv(injected.point, injected.pass, injected.fault), "PUFFINLINK_FAILPOINT_ONCE=" + oncePath}
 			})
 			if _, err := os.Stat(oncePath); err != nil {
-				t.Errorf("the point was not passed %d times by any aggregator", injected.pass)
+				t.Errorf("no aggregator passed the failpoint %d times", injected.pass)
 			}
 		})
 	}
--- a/internal/tools/fleettest/massrestart_test.go
+++ b/internal/tools/fleettest/massrestart_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// restartTimeout is the longest time that nine in ten aggregators may take until they serve again.
+// restartTimeout is the time within which 90% of the aggregators must serve again after a mass restart.
 const restartTimeout = 6 * time.Second
 
-// All aggregators are killed at once under load and restarted: nine in ten serve within the bound, also where no list can be had, and none breaks a rule.
+// TestNinetyPercentServeSoonAfterMassRestart kills and restarts all aggregators under load. 90% of them must serve again within
+// restartTimeout, even if the discovery service is unreachable, and the invariants must hold.
 func TestNinetyPercentServeSoonAfterMassRestart(t *testing.T) {
 	t.Parallel()
-	for name, reachable := range map[string]bool{"discovery in reach": true, "discovery out of reach": false} {
+	for name, reachable := range map[string]bool{"discovery reachable": true, "discovery unreachable": false} {
 		t.Run(name, func(t *testing.T) {
 			c := Start(t, Options{Aggregators: 10, NoFleet: true, WithoutFailpoints: true})
 			stop := c.StartLoad(50, OrdersTenant, "orders", c.RoundRobin)
@@ -28,14 +29,14 @@
 			stop()
 			t.Logf("serving again after %s", times)
 			if ninetieth := times[len(times)*9/10-1]; ninetieth > restartTimeout {
-				t.Errorf("nine in ten serve again after %s, expected %s at most", ninetieth, restartTimeout)
+				t.Errorf("90%% of the aggregators serve again after %s, expected %s at most", ninetieth, restartTimeout)
 			}
 			c.CheckInvariants(c.Aggregators...)
 		})
 	}
 }
 
-// restartAll starts all processes at once, and returns how long each took until it served, the shortest first.
+// restartAll starts all processes at once and returns the times until each of them served, in ascending order.
 func (c *Cluster) restartAll() (times []time.Duration) {
 	began := time.Now()
 	for _, aggregator := range c.Aggregators {
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// requireMeasuring is for a machine that does nothing else: it prints the figures of docs/results.md.
+// skipUnlessMeasuring skips a test that measures the figures of docs/results.md, unless PUFFINLINK_MEASURE is set. Such a test needs
+// an otherwise idle machine.
 func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("PUFFINLINK_MEASURE") == "" {
 		t.Skip("PUFFINLINK_MEASURE is not set")
 	}
 }
 
-// cpuSeconds is what a process has used, in seconds.
+// cpuSeconds returns the CPU time that the process has used, in seconds.
 func (a *Aggregator) cpuSeconds() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", a.command.Process.Pid))
 	a.cluster.must(err)
@@ -28,7 +29,7 @@
 	return (user + system) / 100
 }
 
-// memoryMB is what it has resident, in MB.
+// memoryMB returns the resident memory of the process, in MB.
 func (a *Aggregator) memoryMB() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", a.command.Process.Pid))
 	a.cluster.must(err)
@@ -36,10 +37,11 @@
 	return pages * 4096 / (1 << 20)
 }
 
+// highQuotasJSON holds quotas that the measured load never reaches.
 const highQuotasJSON = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 1e6, "burst": 1e6, "floor_share": 0.1}, {"tenant": "cato", "per_s": 1e6, "burst": 1e6}]}`
 
-// The cost of a query with and without a fleet, by turns in one run, one aggregator of three asked by four clients one after the
-// other; what the fleet itself costs at rest is subtracted and logged separately.
+// TestMeasureCost measures the CPU time of a query with and without a fleet, in alternating rounds. Four clients send their queries
+// one after the other to one of three aggregators. The CPU time of the idle process is subtracted and logged separately.
 func TestMeasureCost(t *testing.T) {
 	skipUnlessMeasuring(t)
 	with := Start(t, Options{Aggregators: 3, WithoutFailpoints: true, QuotasJSON: highQuotasJSON, ContractsJSON: `{"version": 1, "strict": ["*"], "tenants": [{"tenant": "acme", "zones": ["a", "b"]}]}`, Backends: 12, ServiceTime: time.Millisecond})
@@ -70,16 +72,16 @@
 	for round := range 8 {
 		roundCPUWith, roundSecondsWith := runQueries(with, 4000)
 		roundCPUWithout, roundSecondsWithout := runQueries(without, 4000)
-		if round > 0 { // the first warms up
+		if round > 0 { // the first round is a warm-up
 			cpuWith, cpuWithout, secondsWith, secondsWithout = cpuWith+roundCPUWith-idleWith*roundSecondsWith, cpuWithout+roundCPUWithout-idleWithout*roundSecondsWithout, secondsWith+roundSecondsWith, secondsWithout+roundSecondsWithout
 		}
 	}
-	t.Logf("CPU of a query: %.0f us without, %.0f with, %.3f; wall %.3f; at rest %.4f and %.4f of a core; memory %.1f and %.1f MB",
+	t.Logf("CPU time of a query: %.0f us without a fleet, %.0f us with one, ratio %.3f; ratio of elapsed time %.3f; idle %.4f and %.4f of a core; memory %.1f and %.1f MB",
 		cpuWithout/28000*1e6, cpuWith/28000*1e6, cpuWith/cpuWithout, secondsWith/secondsWithout, idleWithout, idleWith, without.Aggregators[0].memoryMB(), with.Aggregators[0].memoryMB())
 }
 
-// The traffic of an aggregator to others, by the fleet's size, with a tenant that uses its quota at all of them; how long a crash takes to be
-// known, and who learns of a slow backend.
+// TestMeasureTraffic measures the traffic between aggregators for several fleet sizes, while a tenant uses its quota at all of them.
+// It also measures how long it takes until all other aggregators know that one has crashed.
 func TestMeasureTraffic(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, n := range []int{3, 9, 30} {
@@ -107,7 +109,7 @@
 		}
 		victim.Kill()
 		killed := time.Now()
-		c.Await("all know", func() bool {
+		c.Await("all other aggregators know of the crash", func() bool {
 			for _, aggregator := range c.Aggregators {
 				if aggregator == victim {
 					continue
@@ -117,20 +119,21 @@
 					return false
 				}
 				for _, member := range status["members"].([]any) {
-					if x := member.(map[string]any); x["mixer"] == victim.Name && x["status"] != "dead" {
+					if fields := member.(map[string]any); fields["mixer"] == victim.Name && fields["status"] != "dead" {
 						return false
 					}
 				}
 			}
 			return true
 		})
-		t.Logf("%d aggregators: %.0f bytes a second each, %.0f at the granter; %.1f of %.0f a second admitted; a crash known everywhere after %.1f s", n, sum/float64(n), maximum, rate, quotaPerSecond, time.Since(killed).Seconds())
+		t.Logf("%d aggregators: %.0f bytes per second on average, %.0f at most; %.1f of %.0f queries per second admitted; a crash known to all after %.1f s", n, sum/float64(n), maximum, rate, quotaPerSecond, time.Since(killed).Seconds())
 		c.CheckQuota("acme", quotaPerSecond, quotaBurst)
 		victim.Start()
 	}
 }
 
-// How much of a quota is used by where a tenant's queries come: spread, at one aggregator, and in the first seconds at another.
+// TestMeasureSkew measures the used share of a quota for three distributions of a tenant's queries: over all aggregators, at one
+// aggregator, and at another aggregator from 1 s to 11 s after the queries moved there.
 func TestMeasureSkew(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, n := range []int{3, 9} {
@@ -145,14 +148,15 @@
 			t.Logf("%d aggregators, %s: %.3f of the quota", n, distribution, c.Checker.AdmittedRate("acme", "", from, time.Now())/quotaPerSecond)
 			stop()
 		}
-		measureUse("spread", 3, 10, c.RoundRobin)
-		measureUse("at one", 3, 10, func(int) *Aggregator { return c.Aggregators[0] })
-		measureUse("moved to another a second ago", 1, 10, func(int) *Aggregator { return c.Aggregators[1] })
+		measureUse("at all aggregators", 3, 10, c.RoundRobin)
+		measureUse("at one aggregator", 3, 10, func(int) *Aggregator { return c.Aggregators[0] })
+		measureUse("1 s after the move to another aggregator", 1, 10, func(int) *Aggregator { return c.Aggregators[1] })
 		c.CheckQuota("acme", quotaPerSecond, quotaBurst)
 	}
 }
 
-// How many slow queries a slow backend costs a fleet of nine, each aggregator with few queries, with judgements and without.
+// TestMeasureSlowBackend measures how many queries a slow backend delays in a fleet of nine aggregators with few queries each. It
+// compares a fleet, whose aggregators share verdicts on outliers, with aggregators that form no fleet.
 func TestMeasureSlowBackend(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, withoutFleet := range []bool{true, false, true, false} {
@@ -175,7 +179,7 @@
 		}
 		n := len(c.Checker.queries)
 		c.Checker.mu.Unlock()
-		t.Logf("judgements %t: %d of %d queries over 100 ms, %d subqueries at the slow backend", !withoutFleet, slow, n, calls)
+		t.Logf("shared verdicts %t: %d of %d queries took over 100 ms, %d subqueries at the slow backend", !withoutFleet, slow, n, calls)
 		for _, aggregator := range c.Aggregators {
 			aggregator.Signal(syscall.SIGKILL)
 		}
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -11,7 +11,8 @@
 	"puffinlink.example/puffinlink/internal/operators/api"
 )
 
-// OperatorClient is its operators' client, one for all: the listener takes few connections.
+// OperatorClient returns the client of the aggregator's operator API. All callers share one client, because the listener accepts only
+// a few connections.
 func (a *Aggregator) OperatorClient() *api.Client {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -23,7 +24,7 @@
 	return a.client
 }
 
-// FleetStatus is the aggregator's status of the fleet for operators, as decoded JSON; nil where it does not answer.
+// FleetStatus returns the fleet status that the aggregator reports to operators, as decoded JSON, or nil if the request fails.
 func (a *Aggregator) FleetStatus() map[string]any {
 	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -35,7 +36,7 @@
 	return status
 }
 
-// Leader is the aggregator that leads and grants, by its own status; nil for none.
+// Leader returns the aggregator that leads the fleet and grants leases according to its own status, or nil if there is none.
 func (c *Cluster) Leader() *Aggregator {
 	for _, aggregator := range c.Aggregators {
 		if s := aggregator.FleetStatus(); s != nil && s["leads"] == true && s["grants_in_s"] == nil {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// Command sends a command through one aggregator, and returns the version that it made.
+// SendCommand sends a command to the aggregator and returns the version that the command created.
 func (a *Aggregator) SendCommand(command map[string]any) (version uint64, err error) {
 	body, _ := json.Marshal(command)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -56,7 +57,8 @@
 	return response.Version, err
 }
 
-// ContractApplied requests from one aggregator whether a version is applied everywhere, and each node's state.
+// ContractApplied reports whether the version of a tenant's contract is applied at all nodes according to the aggregator, with the
+// state of each node. It returns false and nil if the request fails.
 func (a *Aggregator) ContractApplied(version uint64, tenant string) (applied bool, states map[string]string) {
 	time.Sleep(operatorCallInterval)
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
@@ -72,13 +74,13 @@
 	return progress.Applied, states
 }
 
-// Counter reads a counter of the process from its log, after a SIGUSR1.
+// Counter sends SIGUSR1 to the process and returns the value of a counter from the log entry that the signal causes.
 func (a *Aggregator) Counter(name string) (value float64) {
 	a.cluster.Helper()
 	text, _ := os.ReadFile(a.logPath)
 	from := len(text)
 	a.Signal(syscall.SIGUSR1)
-	a.cluster.Await("counters of "+a.Name, func() bool {
+	a.cluster.Await(a.Name+" logs its counters", func() bool {
 		text, _ := os.ReadFile(a.logPath)
 		for line := range bytes.Lines(text[min(from, len(text)):]) {
 			var fields map[string]any
--- a/internal/tools/fleettest/process_test.go
+++ b/internal/tools/fleettest/process_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// operatorFile is an aggregator's operator's file: of its peers it knows the relays' addresses.
+// operatorFileJSON returns the content of the aggregator's operator file. It names the relays' addresses as the addresses of peers.
 func (a *Aggregator) operatorFileJSON() string {
 	c := a.cluster
 	var b strings.Builder
@@ -44,9 +44,10 @@
 	return b.String()
 }
 
+// socketPath returns the path of the Unix socket for operators.
 func (a *Aggregator) socketPath() string { return filepath.Join(a.cluster.dir, a.Name+a.suffix+".s") }
 
-// Start starts the process.
+// Start writes the configuration of the process and starts it, without waiting until it serves.
 func (a *Aggregator) Start() {
 	c := a.cluster
 	c.Helper()
@@ -78,14 +79,15 @@
 	}(a.command, a.ended)
 }
 
-// StartTwin starts a second process of the same name, address and directory, which listens elsewhere for clients.
+// StartDuplicate starts a second process with the same name, fleet address and directory, and waits until it serves. It listens for
+// clients on another address.
 func (a *Aggregator) StartDuplicate() *Aggregator {
 	c := a.cluster
 	c.Helper()
 	duplicate := &Aggregator{Name: a.Name, Zone: a.Zone, ClientAddress: c.freeAddress(), cluster: c, index: a.index, suffix: "-2", fleetAddress: a.fleetAddress, discovery: a.discovery, backendRelays: a.backendRelays, directory: a.directory}
 	duplicate.Start()
 	c.Cleanup(duplicate.Kill)
-	c.Await("the twin serves", duplicate.isServing)
+	c.Await("the duplicate serves", duplicate.isServing)
 	return duplicate
 }
 
@@ -96,7 +98,7 @@
 	a.command.Process.Signal(s)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has ended.
 func (a *Aggregator) Kill() {
 	a.Signal(syscall.SIGKILL)
 	<-a.ended
@@ -121,7 +123,7 @@
 	return err == nil && i >= 0 && i+2 < len(text) && text[i+2] == 'T'
 }
 
-// Restart kills the process and starts it anew, with an empty directory where that is lost.
+// Restart kills the process, starts it again and waits until it serves. If directoryLost is true, it starts with an empty directory.
 func (a *Aggregator) Restart(directoryLost bool) {
 	a.cluster.Helper()
 	a.Kill()
@@ -132,7 +134,8 @@
 	a.cluster.Await(a.Name+" serves again", a.isServing)
 }
 
-// supervise keeps a fleet going as its machines would: who was killed starts again, who is paused resumes after 3 s.
+// supervise acts as the process supervisor of the fleet. It restarts processes that ended, without failpoints, and resumes stopped
+// processes after 3 s. stop ends the supervision and returns the aggregators that were restarted.
 func (c *Cluster) supervise() (stop func() (killed []*Aggregator)) {
 	done := make(chan struct{})
 	var waitGroup sync.WaitGroup
@@ -163,9 +166,10 @@
 	return func() []*Aggregator { close(done); waitGroup.Wait(); return killed }
 }
 
-// Arm lets its next start have a point armed.
+// SetEnv sets the additional environment variables of the next start of the process, such as those that arm a failpoint.
 func (a *Aggregator) SetEnv(env ...string) { a.env = env }
 
+// isServing reports whether the aggregator answers its health check with status 200.
 func (a *Aggregator) isServing() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/tools/fleettest/processslots_test.go
+++ b/internal/tools/fleettest/processslots_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// processSlots bounds how many processes of all clusters run at once. A cluster whose processes wait for a core measures the machine
-// and not the program: its time-outs, latencies and leases are of real time.
+// processSlots limits how many processes of all clusters run at once to the number of cores. Time-outs, latencies and leases use real
+// time, so a cluster whose processes wait for a core would test the machine and not the program.
 var processSlots = newSlotQueue(runtime.NumCPU())
 
-// slotQueue hands out a fixed number of slots in the order in which they are asked for, so that a large cluster is not passed over
-// by small ones for ever.
+// slotQueue grants a fixed number of slots in the order of the requests, so that requests of small clusters cannot starve the request
+// of a large one.
 type slotQueue struct {
 	mu      sync.Mutex
 	size    int
@@ -20,17 +20,18 @@
 	holders map[testing.TB]bool
 }
 
-// slotRequest is somebody who waits for so many slots.
+// slotRequest is a pending request for a number of slots. granted is closed when they are granted.
 type slotRequest struct {
 	slots   int
 	granted chan struct{}
 }
 
+// newSlotQueue returns a queue with the given number of free slots.
 func newSlotQueue(size int) *slotQueue {
 	return &slotQueue{size: size, free: size, holders: map[testing.TB]bool{}}
 }
 
-// acquire waits for slots and returns how many it got: never more than there are.
+// acquire waits for the wanted number of slots, or for all slots if fewer exist, and returns the number that it was granted.
 func (q *slotQueue) acquire(wanted int) (got int) {
 	request := &slotRequest{slots: min(wanted, q.size), granted: make(chan struct{})}
 	q.mu.Lock()
@@ -41,7 +42,7 @@
 	return request.slots
 }
 
-// release returns slots.
+// release returns slots to the queue and grants pending requests.
 func (q *slotQueue) release(count int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -49,7 +50,7 @@
 	q.grant()
 }
 
-// grant serves those who wait, the first first. The caller holds the lock.
+// grant grants pending requests in order, as long as enough slots are free. The caller holds the lock.
 func (q *slotQueue) grant() {
 	for len(q.waiting) > 0 && q.waiting[0].slots <= q.free {
 		q.free -= q.waiting[0].slots
@@ -58,7 +59,7 @@
 	}
 }
 
-// markHolder reports whether a test has slots, and records that it now does.
+// markHolder records that a test holds slots and reports whether it held some before.
 func (q *slotQueue) markHolder(t testing.TB) (before bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,8 +68,9 @@
 	return before
 }
 
-// acquireSlots waits until a cluster's processes may run; the test's end gives the slots back, after its clusters have ended. A test
-// that starts several clusters, one after the other, plays the later ones on the slots of the first: it could wait for itself.
+// acquireSlots waits until the processes of a cluster may run. The slots are released at the end of the test, after its clusters have
+// ended. If a test starts several clusters, the later ones use the slots of the first, because the test would otherwise wait for
+// slots that it holds itself.
 func acquireSlots(t testing.TB, processes int) {
 	if processSlots.markHolder(t) {
 		return
@@ -80,7 +82,7 @@
 func TestSlotsAreGrantedInOrder(t *testing.T) {
 	q := newSlotQueue(4)
 	if got := q.acquire(9); got != 4 {
-		t.Fatalf("%d slots of 4 for one that wants 9", got)
+		t.Fatalf("got %d slots for a request of 9, expected all 4", got)
 	}
 	q.release(1)
 	large, small := &slotRequest{slots: 3, granted: make(chan struct{})}, &slotRequest{slots: 1, granted: make(chan struct{})}
@@ -88,9 +90,9 @@
 	q.release(1)
 	select {
 	case <-large.granted:
-		t.Fatal("three slots handed out of two")
+		t.Fatal("three slots were granted while two were free")
 	case <-small.granted:
-		t.Fatal("a small cluster passed a large one over")
+		t.Fatal("a later small request was granted before a large one")
 	default:
 	}
 	q.release(1)
@@ -98,6 +100,6 @@
 	q.release(1)
 	<-small.granted
 	if q.free != 0 {
-		t.Errorf("%d slots free, expected none", q.free)
+		t.Errorf("%d slots are free, expected none", q.free)
 	}
 }
--- a/internal/tools/fleettest/relay_test.go
+++ b/internal/tools/fleettest/relay_test.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// Fault is what a relay does to what goes through it.
+// Fault describes the network faults that a relay injects.
 type Fault struct {
 	Partitioned bool
-	Drop        float64 // share of datagrams
-	Duplicate   float64 // the same
+	Drop        float64 // share of datagrams that are dropped
+	Duplicate   float64 // share of datagrams that are sent twice
 	Delay       time.Duration
-	Jitter      time.Duration // more delay, drawn anew for each datagram, so that datagrams are reordered
+	Jitter      time.Duration // upper bound of an additional random delay per datagram, which reorders datagrams
 }
 
-// Relay stands before one address for one other process: datagrams and connections that come to it go on there, as its fault
-// allows. It works in one direction: replies on a connection pass without faults, and datagrams back take the other process's relay.
+// Relay forwards datagrams and connections of one process to the address of another and injects a fault. Faults apply to one direction:
+// replies on a connection are not delayed, and datagrams in the other direction use the relay of the other process. A partition
+// closes connections as a whole.
 type Relay struct {
 	target string
 	udp    *net.UDPConn
@@ -32,7 +33,8 @@
 	rng         *rand.Rand
 }
 
-// NewRelay listens on loopback, on one port for both. Connections alone where no datagrams are wanted.
+// NewRelay starts a relay to a target address on a loopback port. If datagrams is true, it forwards datagrams on the same port number
+// as connections; otherwise it forwards connections only.
 func NewRelay(target string, datagrams bool, seed uint64) (*Relay, error) {
 	r := &Relay{target: target, connections: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 1))}
 	r.fault.Store(&Fault{})
@@ -59,10 +61,10 @@
 	return r, nil
 }
 
-// Address is where it listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.tcp.Addr().String() }
 
-// Set changes its fault. A partition ends all connections.
+// SetFault replaces the fault that the relay injects. A partition closes all connections.
 func (r *Relay) SetFault(f Fault) {
 	r.fault.Store(&f)
 	if f.Partitioned {
@@ -74,7 +76,7 @@
 	}
 }
 
-// Close ends it.
+// Close stops the relay and closes all its connections.
 func (r *Relay) Close() {
 	r.tcp.Close()
 	if r.udp != nil {
@@ -83,12 +85,14 @@
 	r.SetFault(Fault{Partitioned: true})
 }
 
+// randomFloat returns a random number in [0, 1) from the seeded generator.
 func (r *Relay) randomFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64()
 }
 
+// forwardDatagrams forwards datagrams to the target until the relay is closed.
 func (r *Relay) forwardDatagrams() {
 	to, err := net.ResolveUDPAddr("udp", r.target)
 	if err != nil {
@@ -100,7 +104,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // a datagram that found nobody comes back as an error
+		case err != nil: // an earlier datagram was rejected by a closed port
 			continue
 		}
 		fault := r.fault.Load()
@@ -126,6 +130,7 @@
 	}
 }
 
+// accept accepts connections until the relay is closed. During a partition it closes them at once.
 func (r *Relay) accept() {
 	for {
 		inbound, err := r.tcp.Accept()
@@ -140,7 +145,7 @@
 	}
 }
 
-// forward carries one connection both ways. Delay applies to what is sent towards the address.
+// forward forwards one connection in both directions. The delay applies only towards the target.
 func (r *Relay) forward(inbound net.Conn) {
 	outbound, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
@@ -160,6 +165,8 @@
 	r.mu.Unlock()
 }
 
+// copyWithDelay copies data from one connection to another until the connection ends, and then closes both. If delayed is true, each
+// write is delayed by the delay of the current fault.
 func (r *Relay) copyWithDelay(to, from net.Conn, delayed bool) {
 	defer to.Close()
 	defer from.Close()
--- a/internal/tools/fleettest/scenarios_test.go
+++ b/internal/tools/fleettest/scenarios_test.go
@@ -9,27 +9,29 @@
 	"time"
 )
 
-// The quota of most scenarios, and the floor of one of three aggregators.
+// Settings that most scenarios share.
 const (
-	quotaPerSecond, quotaBurst = 60.0, 90.0
-	floorPerSecond             = 0.1 * quotaPerSecond / 3
-	quotasJSON                 = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90, "floor_share": 0.1}]}`
-	contractsJSON              = `{"version": 1, "strict": ["cato"], "tenants": [{"tenant": "cato", "zones": ["a", "b"]}]}`
-	leaseDuration              = 8 * time.Second
-	leaseWithMargin            = leaseDuration + 2*time.Second // a busy machine's
+	quotaPerSecond   = 60.0                     // of acme in quotasJSON
+	quotaBurst       = 90.0                     // of acme in quotasJSON
+	minimumPerSecond = 0.1 * quotaPerSecond / 3 // guaranteed to each of three aggregators: 10% of the quota in equal shares
+	quotasJSON       = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90, "floor_share": 0.1}]}`
+	contractsJSON    = `{"version": 1, "strict": ["cato"], "tenants": [{"tenant": "cato", "zones": ["a", "b"]}]}`
+	leaseDuration    = 8 * time.Second
+	leaseWithMargin  = leaseDuration + 2*time.Second // the margin is for a busy machine
 )
 
 func TestMain(m *testing.M) { os.Exit(RunTests(m)) }
 
-// awaitGranter waits until an aggregator grants, and returns it.
+// awaitGranter waits until an aggregator grants leases and returns it.
 func (c *Cluster) awaitGranter() *Aggregator {
 	c.Helper()
 	var aggregator *Aggregator
-	c.Await("somebody grants", func() bool { aggregator = c.Leader(); return aggregator != nil })
+	c.Await("an aggregator grants leases", func() bool { aggregator = c.Leader(); return aggregator != nil })
 	return aggregator
 }
 
-// loadAllTenants sends queries of all three tenants: acme for well over its quota at every aggregator, orders of bolt, reads of cato.
+// startAllTenantsLoad sends queries of three tenants to all aggregators until stop is called: reads of acme far above its quota,
+// orders of bolt, and reads of cato.
 func (c *Cluster) startAllTenantsLoad() (stop func()) {
 	stopAcme := c.StartLoad(150, "acme", "reads", c.RoundRobin)
 	stopOrders := c.StartLoad(20, OrdersTenant, "orders", c.RoundRobin)
@@ -37,7 +39,7 @@
 	return func() { stopAcme(); stopOrders(); stopCato() }
 }
 
-// awaitFullUse waits until acme, which demands more than its quota, has nearly all of it, over two seconds at a time.
+// awaitQuotaUsed waits until acme, whose load exceeds its quota, uses over 85% of the quota for two seconds.
 func (c *Cluster) awaitQuotaUsed(description string) {
 	c.Helper()
 	c.Await(description, func() bool {
@@ -47,7 +49,8 @@
 	})
 }
 
-// requireStrictContracts waits until strict tenants are served everywhere, and from then on holds their subqueries to the contract.
+// requireStrictContracts waits until every aggregator serves the strict tenant cato. From then on the checker requires that its
+// subqueries begin within the contract.
 func (c *Cluster) requireStrictContracts() {
 	c.Helper()
 	for _, aggregator := range c.Aggregators {
@@ -56,9 +59,10 @@
 	c.Checker.RequireZones("cato", "a", "b")
 }
 
-// An aggregator that is partitioned admits its floor and no more; the side that holds the majority has the rest of the quota within a
-// lease of the partition, be it the granter that is partitioned or another. Strict tenants are refused where contracts are not sure.
-func TestPartitionedAggregatorAdmitsOnlyItsFloor(t *testing.T) {
+// TestPartitionedAggregatorAdmitsOnlyItsMinimum checks that a partitioned aggregator admits its guaranteed minimum and no more. The
+// majority must have the rest of the quota within a lease of the partition, whether the granter or another aggregator is partitioned.
+// The partitioned aggregator must reject strict tenants, because it cannot know whether their contracts are current.
+func TestPartitionedAggregatorAdmitsOnlyItsMinimum(t *testing.T) {
 	t.Parallel()
 	for _, granter := range []bool{false, true} {
 		t.Run(fmt.Sprintf("granter=%t", granter), func(t *testing.T) {
@@ -74,29 +78,29 @@
 			c.awaitQuotaUsed("the whole quota is used")
 			partitionedAt := time.Now()
 			c.Partition(isolated.index)
-			c.Await("it receives nothing", func() bool { s := isolated.FleetStatus(); return s != nil && s["hears_nothing"] == true })
+			c.Await("the partitioned aggregator reports that it receives nothing", func() bool { s := isolated.FleetStatus(); return s != nil && s["hears_nothing"] == true })
 			detectionTime := time.Since(partitionedAt)
 			time.Sleep(time.Until(partitionedAt.Add(leaseWithMargin)))
 			from := time.Now()
 			time.Sleep(5 * time.Second)
 			to := time.Now()
 			total, isolatedRate := c.Checker.AdmittedRate("acme", "", from, to), c.Checker.AdmittedRate("acme", isolated.Name, from, to)
-			t.Logf("receives nothing after %.1f s; alone %.2f a second of a floor of %.2f, the others %.1f of %.1f", detectionTime.Seconds(), isolatedRate, floorPerSecond, total-isolatedRate, quotaPerSecond-floorPerSecond)
-			if isolatedRate < 0.5*floorPerSecond || isolatedRate > 1.5*floorPerSecond+1 {
-				t.Errorf("alone it admits %.2f a second, expected its floor of %.2f", isolatedRate, floorPerSecond)
+			t.Logf("partition detected after %.1f s; the partitioned aggregator admits %.2f queries per second of a minimum of %.2f, the others %.1f of %.1f", detectionTime.Seconds(), isolatedRate, minimumPerSecond, total-isolatedRate, quotaPerSecond-minimumPerSecond)
+			if isolatedRate < 0.5*minimumPerSecond || isolatedRate > 1.5*minimumPerSecond+1 {
+				t.Errorf("the partitioned aggregator admits %.2f queries per second, expected its minimum of %.2f", isolatedRate, minimumPerSecond)
 			}
-			if total-isolatedRate < 0.85*(quotaPerSecond-floorPerSecond) {
-				t.Errorf("the majority admits %.1f a second a lease after the partition, expected nearly %.1f", total-isolatedRate, quotaPerSecond-floorPerSecond)
+			if total-isolatedRate < 0.85*(quotaPerSecond-minimumPerSecond) {
+				t.Errorf("the majority admits %.1f queries per second a lease after the partition, expected nearly %.1f", total-isolatedRate, quotaPerSecond-minimumPerSecond)
 			}
 			if n := c.Checker.StatusCounts("cato", isolated.Name, from); n[200] > 0 || n[429] == 0 {
-				t.Errorf("a strict tenant where contracts are not sure: %v", n)
+				t.Errorf("answers to a strict tenant at the partitioned aggregator, by status: %v, expected 429 and no 200", n)
 			}
-			t.Logf("p99 of a tenant that is not concerned: %s before, %s after the partition", c.Checker.P99(OrdersTenant, began, partitionedAt), c.Checker.P99(OrdersTenant, partitionedAt, to))
+			t.Logf("p99 of a tenant without a quota: %s before, %s after the partition", c.Checker.P99(OrdersTenant, began, partitionedAt), c.Checker.P99(OrdersTenant, partitionedAt, to))
 			c.Partition()
 			healed := time.Now()
 			c.awaitQuotaUsed("the whole quota is used again")
 			c.Await("the strict tenant is served again", func() bool { return c.isServed(isolated, "cato") })
-			t.Logf("all is used and served again %.1f s after the partition has healed, 2 s of them measured", time.Since(healed).Seconds())
+			t.Logf("the quota is used and the strict tenant served %.1f s after the partition healed, including 2 s of measurement", time.Since(healed).Seconds())
 			stop()
 			c.CheckQuota("acme", quotaPerSecond, quotaBurst)
 			c.CheckInvariants()
@@ -104,8 +108,9 @@
 	}
 }
 
-// The granter is killed; the next one is stopped for longer than a lease and resumes, in the middle of spending; then all
-// are killed together, and a voter comes back with an empty directory. The quota holds in every window through all of it.
+// TestQuotaHoldsWhenGranterIsKilledOrPaused checks that the quota holds in every window through a series of failures under load. The
+// granter is killed. Its successor is paused for longer than a lease and resumed. All aggregators are killed at once, and one voter
+// restarts with an empty directory.
 func TestQuotaHoldsWhenGranterIsKilledOrPaused(t *testing.T) {
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 3, QuotasJSON: quotasJSON, ContractsJSON: contractsJSON, DirectoryForAll: true})
@@ -117,8 +122,8 @@
 	killed := time.Now()
 	first.Kill()
 	var second *Aggregator
-	c.Await("another grants", func() bool { second = c.Leader(); return second != nil && second != first })
-	t.Logf("another grants %.1f s after the kill; p99 of a tenant that is not concerned: %s before, %s after", time.Since(killed).Seconds(),
+	c.Await("another aggregator grants leases", func() bool { second = c.Leader(); return second != nil && second != first })
+	t.Logf("another aggregator grants leases %.1f s after the kill; p99 of a tenant without a quota: %s before, %s after", time.Since(killed).Seconds(),
 		c.Checker.P99(OrdersTenant, began, killed), c.Checker.P99(OrdersTenant, killed, time.Now()))
 	first.Start()
 	time.Sleep(2 * time.Second)
@@ -138,22 +143,23 @@
 	}
 	c.awaitAllServing()
 	c.awaitGranter()
-	c.Await("the voter whose directory was lost votes again", func() bool {
+	c.Await("the voter whose directory was lost knows the leader and the quotas", func() bool {
 		s := c.Aggregators[1].FleetStatus()
 		return s != nil && s["leader"] != nil && s["leader"] != "" && s["quotas_version"] != 0.0
 	})
 	from := time.Now()
 	time.Sleep(4 * time.Second)
 	if used := c.Checker.AdmittedRate("acme", "", from, time.Now()); used < 0.8*quotaPerSecond {
-		t.Errorf("%.1f a second admitted after all came back, expected nearly %.0f", used, quotaPerSecond)
+		t.Errorf("%.1f queries per second admitted after all restarted, expected nearly %.0f", used, quotaPerSecond)
 	}
 	stop()
 	c.CheckQuota("acme", quotaPerSecond, quotaBurst)
 	c.CheckInvariants(c.Aggregators...)
 }
 
-// A contract is narrowed while one aggregator is partitioned, and again while a backend moves to another zone under its name. No
-// subquery begins outside of it once it is reported as applied, and none later than a lease after it was accepted.
+// TestNarrowedContractHoldsWithinALease checks that no subquery begins outside of a narrowed contract once the contract is reported as
+// applied, and none later than a lease after it was accepted. The contract is narrowed with all links up, and again while one
+// aggregator is partitioned. Then a backend moves to another zone under the same name.
 func TestNarrowedContractHoldsWithinALease(t *testing.T) {
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 3, ContractsJSON: strings.Replace(contractsJSON, `["a", "b"]`, `["a", "b", "c"]`, 1)})
@@ -170,7 +176,7 @@
 		return requested, version
 	}
 	awaitApplied := func(version uint64) (states map[string]string) {
-		c.Await("it is reported as applied", func() bool {
+		c.Await("the contract is reported as applied", func() bool {
 			applied := false
 			applied, states = c.Aggregators[0].ContractApplied(version, "cato")
 			return applied
@@ -179,7 +185,7 @@
 	}
 	accepted, version := narrow("a", "b")
 	awaitApplied(version)
-	t.Logf("applied everywhere %.2f s after it was accepted", time.Since(accepted).Seconds())
+	t.Logf("the contract was applied at all nodes %.2f s after it was accepted", time.Since(accepted).Seconds())
 	c.Checker.RequireZones("cato", "a", "b")
 	time.Sleep(time.Second)
 
@@ -193,27 +199,28 @@
 	c.Checker.RequireZonesFrom(accepted.Add(leaseWithMargin), "cato", "b")
 	states := awaitApplied(version)
 	notified := time.Now()
-	t.Logf("with %s partitioned reported as applied %.2f s after it was accepted: %v", isolated.Name, notified.Sub(accepted).Seconds(), states)
+	t.Logf("with %s partitioned, the contract was reported as applied %.2f s after it was accepted: %v", isolated.Name, notified.Sub(accepted).Seconds(), states)
 	if notified.Sub(accepted) > leaseWithMargin {
-		t.Errorf("reported as applied %s after it was accepted, expected a lease at most", notified.Sub(accepted))
+		t.Errorf("the contract was reported as applied %s after it was accepted, expected a lease at most", notified.Sub(accepted))
 	}
 	if states[isolated.Name] != "refuses" {
-		t.Errorf("the aggregator that is partitioned is shown as %q", states[isolated.Name])
+		t.Errorf("the state of the partitioned aggregator is %q, expected refuses", states[isolated.Name])
 	}
 	c.Checker.RequireZones("cato", "b")
 	time.Sleep(time.Second)
-	t.Logf("p99 of a tenant that is not concerned: %s before, %s after the partition", c.Checker.P99(OrdersTenant, began, partitionedAt), c.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
+	t.Logf("p99 of a tenant without a quota: %s before, %s after the partition", c.Checker.P99(OrdersTenant, began, partitionedAt), c.Checker.P99(OrdersTenant, partitionedAt, time.Now()))
 	c.Partition()
-	c.Await("it is served at the aggregator that was partitioned, by the new contract", func() bool { return c.isServed(isolated, "cato") })
+	c.Await("the aggregator that was partitioned serves cato", func() bool { return c.isServed(isolated, "cato") })
 
-	// s-1 and s-4 stand in b. s-1 now moves to c under its name: it is outside wherever the list calls it so.
+	// s-1 and s-4 are in zone b. s-1 now moves to zone c under the same name, so it is outside of the contract at each aggregator as
+	// soon as its list of backends shows the move.
 	moved := c.Backends[1]
 	for _, aggregator := range c.Aggregators {
 		entry := moved.Entry("SERVING", true)
 		entry.Zone, entry.Address = "c", aggregator.backendRelays[1].Address()
 		aggregator.discovery.Set(entry)
 	}
-	c.Await("shards without another holder in b are refused", func() bool {
+	c.Await("queries of a shard without another backend in zone b are rejected", func() bool {
 		for _, aggregator := range c.Aggregators {
 			if status, _ := c.Query(aggregator, "cato", "reads", 1); status != 429 {
 				return false
@@ -228,8 +235,8 @@
 	callsAfter := moved.CallsOf(0) + moved.CallsOf(1)
 	stop()
 	stopOrders()
-	if callsAfter > callsBefore+int64(len(c.Checker.admittedQueries(OrdersTenant, ""))) { // orders have no contract and may go there
-		t.Errorf("%d subqueries to a backend that moved", callsAfter-callsBefore)
+	if callsAfter > callsBefore+int64(len(c.Checker.admittedQueries(OrdersTenant, ""))) { // orders have no contract, so their subqueries may go there
+		t.Errorf("%d subqueries to the backend that moved out of the contract", callsAfter-callsBefore)
 	}
 	for _, s := range c.Backends {
 		if s == moved {
@@ -239,8 +246,9 @@
 	c.CheckInvariants()
 }
 
-// A tenant demands twice its quota at all aggregators at once, while links drop a fifth of all messages, double and reorder
-// others; then everything takes 2 s longer. The quota holds, and queries of other tenants are not delayed.
+// TestQuotaHoldsOnLossyAndSlowLinks checks that the quota holds while a tenant sends twice its quota over all aggregators and links
+// between aggregators are faulty. First they drop a fifth of all messages, and duplicate and reorder others; then they delay all
+// messages by 2 s. The test logs the latency of another tenant for comparison.
 func TestQuotaHoldsOnLossyAndSlowLinks(t *testing.T) {
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 3, QuotasJSON: quotasJSON})
@@ -258,7 +266,7 @@
 	used := c.Checker.AdmittedRate("acme", "", from, lossEnded)
 	for _, aggregator := range c.Aggregators {
 		if aggregator.Counter("fleet_dropped.replayed") == 0 {
-			t.Errorf("%s opened every message that came twice", aggregator.Name)
+			t.Errorf("%s counted no duplicate message as replayed", aggregator.Name)
 		}
 	}
 	c.SetLinkFaults(Fault{Delay: 2 * time.Second}, func(int, int) bool { return true })
@@ -269,16 +277,17 @@
 	p99 := func(a, b time.Time) time.Duration {
 		return c.Checker.P99(OrdersTenant, a, b).Round(100 * time.Microsecond)
 	}
-	t.Logf("with a fifth lost %.1f of %.0f a second are used; p99 of others %s without, %s with loss, %s with 2 s of delay", used, quotaPerSecond, p99(measuredFrom, lossBegan), p99(from, lossEnded), p99(lossEnded, to))
+	t.Logf("with a fifth of the messages lost, %.1f of %.0f queries per second are admitted; p99 of another tenant: %s without faults, %s with loss, %s with 2 s of delay", used, quotaPerSecond, p99(measuredFrom, lossBegan), p99(from, lossEnded), p99(lossEnded, to))
 	if used < 0.6*quotaPerSecond {
-		t.Errorf("with a fifth of the messages lost %.1f a second are used of %.0f", used, quotaPerSecond)
+		t.Errorf("with a fifth of the messages lost, %.1f of %.0f queries per second are admitted", used, quotaPerSecond)
 	}
 	c.CheckQuota("acme", quotaPerSecond, quotaBurst)
 	c.CheckInvariants()
 }
 
-// Two processes under one name: the second has neither floors nor leases until the first lets go of the address, as it does
-// when it begins to stop; its successor then takes over.
+// TestSecondProcessOfOneNameAdmitsNothing checks that a second process with the name of a running one admits no queries of tenants
+// with a quota or a strict contract. It has neither minimums nor leases until the first process begins to stop and releases the fleet
+// address. Then the second process must take over.
 func TestSecondProcessOfOneNameAdmitsNothing(t *testing.T) {
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 3, QuotasJSON: quotasJSON, ContractsJSON: contractsJSON, DirectoryForAll: true})
@@ -291,14 +300,14 @@
 	duplicate := aggregator.StartDuplicate()
 	for range 20 {
 		if c.isServed(duplicate, "acme") {
-			t.Fatal("a second process of one name admits queries of a quota")
+			t.Fatal("the second process with the name admits queries of a tenant with a quota")
 		}
 		if c.isServed(duplicate, "cato") {
-			t.Fatal("a second process of one name serves a strict tenant")
+			t.Fatal("the second process with the name serves a strict tenant")
 		}
 	}
 	aggregator.Signal(syscall.SIGTERM)
-	c.Await("the twin takes over", func() bool {
+	c.Await("the duplicate takes over", func() bool {
 		acme, cato := c.isServed(duplicate, "acme"), c.isServed(duplicate, "cato")
 		return acme && cato
 	})
@@ -307,8 +316,9 @@
 	c.CheckInvariants()
 }
 
-// A voter's directory is restored from an old copy, which nothing can distinguish from a start: the voter may stop
-// voting, but the aggregator continues, and so does the consensus group of the others.
+// TestAggregatorServesAfterOldDirectoryIsRestored checks the restart of a voter whose directory was restored from an old copy. The
+// voter cannot distinguish that from an ordinary restart. It may stop voting, but its aggregator must continue to serve, and the other
+// voters must continue to accept commands.
 func TestAggregatorServesAfterOldDirectoryIsRestored(t *testing.T) {
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 3, QuotasJSON: quotasJSON})
@@ -316,9 +326,9 @@
 	aggregator.Kill()
 	c.must(os.CopyFS(aggregator.directory+"-copy", os.DirFS(aggregator.directory)))
 	aggregator.Start()
-	c.Await("it serves", aggregator.isServing)
+	c.Await("the restarted aggregator serves", aggregator.isServing)
 	changeQuota := func(i int) {
-		c.Await("the consensus group acts", func() bool {
+		c.Await("the consensus group accepts a command", func() bool {
 			_, err := c.Aggregators[aggregator.index].SendCommand(map[string]any{"id": fmt.Sprint("c", i), "author": "t", "reason": "r", "tenant": "cato", "quota": map[string]any{"per_s": 100 + i, "burst": 100}})
 			return err == nil
 		})
@@ -330,7 +340,7 @@
 	c.must(os.RemoveAll(aggregator.directory))
 	c.must(os.Rename(aggregator.directory+"-copy", aggregator.directory))
 	aggregator.Start()
-	c.Await("it serves", aggregator.isServing)
+	c.Await("the restarted aggregator serves", aggregator.isServing)
 	stop := c.StartLoad(40, OrdersTenant, "orders", c.RoundRobin)
 	time.Sleep(3 * time.Second)
 	changeQuota(9)
@@ -339,6 +349,6 @@
 		t.Error("the aggregator ended")
 	}
 	text, _ := os.ReadFile(aggregator.logPath)
-	t.Logf("the library panicked: %t", strings.Contains(string(text), "library panicked"))
+	t.Logf("the consensus library panicked: %t", strings.Contains(string(text), "library panicked"))
 	c.CheckInvariants()
 }
--- a/internal/tools/fleettest/shutdown_test.go
+++ b/internal/tools/fleettest/shutdown_test.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// After SIGTERM clients send on every connection that stays open, up to SIGKILL: each query gets its final answer, the last one on
-// a connection announces its close, and no connection is closed under a query.
+// TestShutdownAnswersOpenConnections guards against queries lost in a graceful shutdown. Clients continue to send on open connections
+// after SIGTERM. Each query must be answered, and no connection may be closed while a query is in flight. The last answer on each
+// connection must announce that the connection is closed.
 func TestShutdownAnswersOpenConnections(t *testing.T) {
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 1, NoFleet: true, WithoutFailpoints: true, ServiceTime: 5 * time.Millisecond})
@@ -39,7 +40,7 @@
 				sent := time.Now()
 				res, readErr := http.ReadResponse(reader, nil)
 				if writeErr != nil || readErr != nil {
-					t.Errorf("connection %d, query %d, sent %s before: no answer: %v %v", i, n, time.Since(sent), writeErr, readErr)
+					t.Errorf("connection %d, query %d, sent %s ago: no answer: write error %v, read error %v", i, n, time.Since(sent), writeErr, readErr)
 					return
 				}
 				io.Copy(io.Discard, res.Body)
@@ -52,7 +53,7 @@
 					announcedClose.Add(1)
 					return
 				}
-				time.Sleep(time.Duration(i%5) * 20 * time.Millisecond) // some at once, some after a pause
+				time.Sleep(time.Duration(i%5) * 20 * time.Millisecond) // some clients send at once, others after a pause
 			}
 		})
 	}
@@ -62,7 +63,7 @@
 	connections.Wait()
 	c.Await("the process ends", aggregator.Ended)
 	if t.Logf("%d queries answered after SIGTERM", answeredAfterSignal.Load()); answeredAfterSignal.Load() < 24 || announcedClose.Load() != 24 {
-		t.Errorf("%d answered after SIGTERM, %d of 24 connections announced their close", answeredAfterSignal.Load(), announcedClose.Load())
+		t.Errorf("%d queries answered after SIGTERM, %d of 24 connections announced their close", answeredAfterSignal.Load(), announcedClose.Load())
 	}
 	c.CheckInvariants()
 }
--- a/internal/tools/layout/doc.go
+++ b/internal/tools/layout/doc.go
@@ -1,3 +1,3 @@
-// Package layout holds the tree to what docs/architecture.md says of it: which package may import which, and that the pages
-// name only files and folders that exist. It has tests alone.
+// Package layout checks the import rules of docs/architecture.md, and that the documentation names only files and folders that exist.
+// It contains only tests.
 package layout
--- a/internal/tools/layout/imports_test.go
+++ b/internal/tools/layout/imports_test.go
@@ -15,13 +15,13 @@
 	module         = "puffinlink.example/puffinlink/"
 )
 
-// listedPackage is what go list tells of a package, with paths relative to the module.
+// listedPackage is a package as printed by go list, with paths relative to the module.
 type listedPackage struct {
 	ImportPath string
-	Imports    []string // of its files but tests
+	Imports    []string // packages of the module that its non-test files import
 }
 
-// listPackages returns all packages of the module with those packages of it that they import.
+// listPackages returns all packages of the module and their imports from the module.
 func listPackages(t *testing.T) []listedPackage {
 	t.Helper()
 	command := exec.CommandContext(t.Context(), "go", "list", "-json=ImportPath,Imports", "./...")
@@ -36,7 +36,7 @@
 		if err := decoder.Decode(&listed); errors.Is(err, io.EOF) {
 			return packages
 		} else if err != nil {
-			t.Fatalf("decode what go list prints: %v", err)
+			t.Fatalf("decode the output of go list: %v", err)
 		}
 		listed.ImportPath = strings.TrimPrefix(listed.ImportPath, module)
 		var ownImports []string
@@ -50,7 +50,7 @@
 	}
 }
 
-// isWithin reports whether a path is one of the folders or below one of them.
+// isWithin reports whether a path is one of the folders or lies below one of them.
 func isWithin(path string, folders ...string) bool {
 	for _, folder := range folders {
 		if path == folder || strings.HasPrefix(path, folder+"/") {
@@ -60,13 +60,15 @@
 	return false
 }
 
-// The packages of the cluster scheduler and of the aggregator, the two products in one binary.
+// isScheduler reports whether a package belongs to the cluster scheduler. The scheduler and the aggregator are two products in one
+// binary.
 func isScheduler(path string) bool {
 	return isWithin(path, "internal/jobs", "internal/dataplane/proxy", "internal/dataplane/agent", "internal/nodesettings", "internal/transport",
 		"internal/rpcerror", "internal/metrics", "internal/operatorclient") ||
 		isWithin(path, "internal/controlplane") && !isWithin(path, "internal/controlplane/fleet")
 }
 
+// isAggregator reports whether a package belongs to the aggregator.
 func isAggregator(path string) bool {
 	return isWithin(path, "policy", "internal/controlplane/fleet", "internal/operators", "internal/aggregatorstore", "internal/counters", "internal/eventqueue") ||
 		isWithin(path, "internal/dataplane") && !isScheduler(path)
@@ -77,10 +79,10 @@
 	return strings.HasSuffix(path, "test") || isWithin(path, "internal/virtualtime", "internal/raceflag", "internal/systemtest")
 }
 
-// isTool reports whether a package is no part of a running process of the product.
+// isTool reports whether a package is a command, a development tool or a fake.
 func isTool(path string) bool { return isWithin(path, "cmd", "internal/tools", "internal/fakes") }
 
-// importRules are the rules of docs/architecture.md; each returns true for an import that breaks it.
+// importRules are the import rules of docs/architecture.md. broken reports whether an import violates the rule.
 var importRules = []struct {
 	name   string
 	broken func(importer, imported string) bool
@@ -99,10 +101,11 @@
 	}},
 }
 
+// TestImportsFollowRules checks that no import in the module violates a rule.
 func TestImportsFollowRules(t *testing.T) {
 	packages := listPackages(t)
 	if len(packages) < 50 {
-		t.Fatalf("only %d packages are listed", len(packages))
+		t.Fatalf("go list printed only %d packages", len(packages))
 	}
 	for _, importer := range packages {
 		for _, imported := range importer.Imports {
@@ -115,7 +118,7 @@
 	}
 }
 
-// Each rule finds an import that breaks it.
+// TestImportRulesDetectViolations checks that each rule detects an example of an import that violates it.
 func TestImportRulesDetectViolations(t *testing.T) {
 	violations := map[string][2]string{
 		"the decision module imports nothing of the module":           {"policy", "internal/random"},
@@ -129,9 +132,9 @@
 	for _, rule := range importRules {
 		violation, found := violations[rule.name]
 		if !found {
-			t.Errorf("%s: no import that breaks it is known", rule.name)
+			t.Errorf("%s: no example of a violation", rule.name)
 		} else if !rule.broken(violation[0], violation[1]) {
-			t.Errorf("%s: not broken by %s importing %s", rule.name, violation[0], violation[1])
+			t.Errorf("%s: the import by %s of %s is not detected", rule.name, violation[0], violation[1])
 		}
 	}
 }
--- a/internal/tools/layout/pages_test.go
+++ b/internal/tools/layout/pages_test.go
@@ -13,10 +13,10 @@
 	namedPath       = regexp.MustCompile(`^(\./)?(internal|cmd|docs|policy|deploy|scripts|tools)(/[\w.-]+)+/?$`)
 	namedFile       = regexp.MustCompile(`^([\w-]+/)*[\w-]+\.go$`)
 	pageLink        = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
-	historicalPages = []string{"docs/results.md", "docs/further-account.md", "CHANGELOG.md"} // they name what was there then
+	historicalPages = []string{"docs/results.md", "docs/further-account.md", "CHANGELOG.md"} // they may name files that no longer exist
 )
 
-// pages returns the paths of the pages that speak of the present tree.
+// currentPages returns the paths of the pages that describe the current tree.
 func currentPages(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", "*.md"))
@@ -41,7 +41,7 @@
 	return current
 }
 
-// goFiles returns the paths of all Go files, each with a leading slash.
+// goFiles returns the paths of all Go files of the module, relative to this package and with slashes as separators.
 func goFiles(t *testing.T) []string {
 	t.Helper()
 	var files []string
@@ -59,8 +59,8 @@
 	return files
 }
 
-// TestPagesNamePresentPaths holds the paths and Go files that pages name in code spans to the tree. A file may be named by the
-// end of its path.
+// TestPathsNamedInPagesExist checks that the paths and Go files named in code spans of the pages exist. A Go file may be named by the
+// last elements of its path.
 func TestPathsNamedInPagesExist(t *testing.T) {
 	files := goFiles(t)
 	checked := 0
@@ -80,16 +80,17 @@
 			case namedFile.MatchString(name):
 				checked++
 				if !anyHasSuffix(files, "/"+name) {
-					t.Errorf("%s names %s, which is no file of the tree", page, name)
+					t.Errorf("%s names %s, which is not a file of the tree", page, name)
 				}
 			}
 		}
 	}
 	if checked < 200 {
-		t.Errorf("only %d paths were found in the pages", checked)
+		t.Errorf("found only %d paths in the pages", checked)
 	}
 }
 
+// anyHasSuffix reports whether one of the files has the suffix.
 func anyHasSuffix(files []string, suffix string) bool {
 	for _, file := range files {
 		if strings.HasSuffix(file, suffix) {
@@ -99,7 +100,7 @@
 	return false
 }
 
-// TestPageLinks holds the links between pages to the tree.
+// TestPageLinksHaveTargets checks that the targets of the links between pages exist.
 func TestPageLinksHaveTargets(t *testing.T) {
 	for _, page := range currentPages(t) {
 		text, err := os.ReadFile(page)
--- a/internal/tools/mutants/mutants_test.go
+++ b/internal/tools/mutants/mutants_test.go
@@ -17,10 +17,11 @@
 	repositoryRoot = "../../.."
 	tableDir       = "testdata"
 
-	// testLimit bounds the run of one mutant's test, its build included.
+	// testTimeout limits the run of one mutant's test, passed to go test as -timeout.
 	testTimeout = 10 * time.Minute
 )
 
+// loadTable returns the mutants of the table, of which there must be at least one.
 func loadTable(t *testing.T) []Mutant {
 	t.Helper()
 	mutants, err := Load(tableDir)
@@ -33,8 +34,8 @@
 	return mutants
 }
 
-// TestTable holds the table to the sources and to the page on control safety: each mutant can be made, its test exists, and
-// the page has its row.
+// TestTableMatchesSourcesAndPage checks that each mutant applies to its source file, that its test exists, and that it has a row in
+// docs/control-safety.md.
 func TestTableMatchesSourcesAndPage(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", "control-safety.md"))
 	if err != nil {
@@ -43,7 +44,7 @@
 	names := map[string]bool{}
 	for _, mutant := range loadTable(t) {
 		if names[mutant.Name] {
-			t.Errorf("two mutants are called %q", mutant.Name)
+			t.Errorf("two mutants have the name %q", mutant.Name)
 		}
 		names[mutant.Name] = true
 		if _, err := mutant.Source(repositoryRoot); err != nil {
@@ -58,9 +59,10 @@
 	}
 }
 
+// testFunction matches the declaration of a test or fuzz test.
 var testFunction = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz)\w*)\(`)
 
-// hasTest tells whether the mutant's package has a test that its expression selects.
+// hasTest reports whether the mutant's package has a test that matches its regular expression.
 func hasTest(t *testing.T, mutant *Mutant) bool {
 	t.Helper()
 	topLevel, _, _ := strings.Cut(mutant.Test, "/")
@@ -87,7 +89,7 @@
 	return false
 }
 
-// TestMutantsAreCaught builds each mutant and runs its test, which must fail. It takes minutes.
+// TestMutantsAreCaught builds each mutant and runs its test, which must fail. It takes several minutes.
 func TestMutantsAreCaught(t *testing.T) {
 	if os.Getenv("PUFFINLINK_MUTANTS") == "" {
 		t.Skip("set PUFFINLINK_MUTANTS=1 to build every mutant and run its test")
@@ -100,13 +102,13 @@
 		t.Run(mutant.Table+"/"+strings.ReplaceAll(mutant.Name, " ", "-"), func(t *testing.T) {
 			output, caught := runMutantTest(t, &mutant)
 			if !caught {
-				t.Errorf("nothing notices that %s: %s passes or does not build\n%s", mutant.Rule, mutant.Test, output)
+				t.Errorf("mutant not caught; rule: %s; test %s passes or does not build\n%s", mutant.Rule, mutant.Test, output)
 			}
 		})
 	}
 }
 
-// run tells whether the mutant's test fails, which a failure to build does not count as.
+// runMutantTest runs the mutant's test and reports whether it failed. A failed build does not count as caught.
 func runMutantTest(t *testing.T, mutant *Mutant) (output string, caught bool) {
 	t.Helper()
 	overlay, err := mutant.WriteOverlay(repositoryRoot, t.TempDir())
@@ -125,13 +127,13 @@
 }
 
 func TestInvalidTableIsRejected(t *testing.T) {
-	Convey("A table with a mistake is refused", t, func() {
+	Convey("A table with a mistake is rejected", t, func() {
 		folder := t.TempDir()
 		write := func(text string) {
 			So(os.WriteFile(filepath.Join(folder, "a.toml"), []byte(text), 0o600), ShouldBeNil)
 		}
 		validTable := "[[mutant]]\nname = \"n\"\nrule = \"r\"\nfile = \"f.go\"\nold = \"a\"\nnew = \"b\"\npackage = \"./p\"\ntest = \"T\"\n"
-		Convey("a whole one is not", func() {
+		Convey("a valid table is accepted", func() {
 			write(validTable)
 			mutants, err := Load(folder)
 			So(err, ShouldBeNil)
@@ -154,7 +156,7 @@
 			So(err, ShouldNotBeNil)
 		})
 	})
-	Convey("A source that holds the text twice, or not at all, makes no mutant", t, func() {
+	Convey("A mutant does not apply to a source that contains its text twice or not at all", t, func() {
 		folder := t.TempDir()
 		So(os.WriteFile(filepath.Join(folder, "f.go"), []byte("a a c"), 0o600), ShouldBeNil)
 		for text, valid := range map[string]bool{"a": false, "b": false, "c": true} {
--- a/internal/tools/mutants/overlay.go
+++ b/internal/tools/mutants/overlay.go
@@ -8,12 +8,13 @@
 	"strings"
 )
 
-// overlayFile is what go test -overlay reads.
+// buildOverlay is the content of a file for the -overlay flag of go test.
 type buildOverlay struct {
 	Replace map[string]string
 }
 
-// Source returns the mutant's source file as it would be with the mistake. root is the repository's root.
+// Source returns the text of the source file with the mutation applied. root is the root directory of the repository. It returns a
+// TableError unless the file contains the old text exactly once.
 func (m *Mutant) Source(root string) (string, error) {
 	text, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
@@ -25,7 +26,7 @@
 	return strings.Replace(string(text), m.Old, m.New, 1), nil
 }
 
-// WriteOverlay writes the changed source and an overlay that names it into folder, and returns the overlay's path.
+// WriteOverlay writes the mutated source file and an overlay file that refers to it into folder. It returns the path of the overlay file.
 func (m *Mutant) WriteOverlay(root, folder string) (path string, err error) {
 	source, err := m.Source(root)
 	if err != nil {
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -10,25 +10,25 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Mutant is one check of the product, how to remove it, and the test that notices.
+// Mutant describes a change that breaks one check of the product, and the test that must catch it.
 type Mutant struct {
 	Name    string `toml:"name" validate:"required"`
-	Rule    string `toml:"rule" validate:"required"`         // what the check promises
-	File    string `toml:"file" validate:"required"`         // path of the source file from the repository's root
-	Old     string `toml:"old" validate:"required"`          // text that stands exactly once in the file
+	Rule    string `toml:"rule" validate:"required"`         // what the check guarantees
+	File    string `toml:"file" validate:"required"`         // path of the source file, relative to the repository's root
+	Old     string `toml:"old" validate:"required"`          // text that occurs exactly once in the file
 	New     string `toml:"new" validate:"nefield=Old"`       // text that replaces it
-	Package string `toml:"package" validate:"startswith=./"` // package of the test, from the repository's root
+	Package string `toml:"package" validate:"startswith=./"` // package of the test, relative to the repository's root
 	Test    string `toml:"test" validate:"required"`         // regular expression for go test -run
 
-	Table string `toml:"-"` // file of the table that the mutant is in
+	Table string `toml:"-"` // base name of the table file that contains the mutant
 }
 
-// tableFile is the content of one file of the table.
+// tableFile is the decoded content of one table file.
 type tableFile struct {
 	Mutants []Mutant `toml:"mutant" validate:"required,dive"`
 }
 
-// Load reads all files of a table, in the order of their names.
+// Load reads and validates all TOML files of a folder in the order of their names, and returns their mutants.
 func Load(folder string) ([]Mutant, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.toml"))
 	if err != nil {
@@ -46,6 +46,7 @@
 	return all, nil
 }
 
+// loadFile reads and validates one table file.
 func loadFile(path string) ([]Mutant, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
