--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -192,7 +192,8 @@
 	return counts
 }
 
-// P99 returns the 99th percentile of the latency of a tenant's admitted queries that were sent between two times.
+// P99 returns the latency that 99 of 100 admitted queries of a tenant did not exceed, of those sent between two times. It returns 0
+// if there are none.
 func (c *Checker) P99(tenant string, from, to time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -32,13 +32,13 @@
 		"Idempotency-Key": {}} // An empty value is not sent. It lets net/http retry on a new connection if the aggregator has closed an idle one.
 	sent := time.Now()
 	query := fmt.Sprintf("%s %d", tenant, id)
-	res, request, err := c.send(req, query)
-	if err != nil && request.closedBeforeSend() { // the query was not sent yet, so any client may retry
+	res, trace, err := c.send(req, query)
+	if err != nil && trace.closedBeforeSend() { // the query was not sent yet, so any client may retry
 		req.Body, _ = req.GetBody()
-		res, request, err = c.send(req, query)
+		res, trace, err = c.send(req, query)
 	}
 	if err != nil {
-		c.Checker.RecordQuery(aggregator.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
+		c.Checker.RecordQuery(aggregator.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, trace))
 		return 0, err.Error()
 	}
 	defer res.Body.Close()
@@ -60,33 +60,33 @@
 type connectionTrace struct {
 	mu           sync.Mutex
 	began, ended time.Time
-	// connected is when dialing began, and zero if the request used an existing connection. It is not the time when dialing
-	// ended: on a stalled machine the aggregator can accept the connection long before the client sees it established.
-	connected, wrote time.Time
+	// dialBegan is zero if the request used an existing connection. The trace records the start of dialing and not its end, because
+	// on a stalled machine the aggregator can accept the connection long before the client sees it established.
+	dialBegan, written time.Time
 }
 
 // closedBeforeSend reports whether a new connection was idle for at least idleTimeout before the request was written, so that the
 // aggregator had closed it and received no query. This happens on a stalled machine.
-func (r *connectionTrace) closedBeforeSend() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	firstWrite := r.wrote
+func (trace *connectionTrace) closedBeforeSend() bool {
+	trace.mu.Lock()
+	defer trace.mu.Unlock()
+	firstWrite := trace.written
 	if firstWrite.IsZero() {
-		firstWrite = r.ended
+		firstWrite = trace.ended
 	}
-	return !r.connected.IsZero() && firstWrite.Sub(r.connected) >= idleTimeout
+	return !trace.dialBegan.IsZero() && firstWrite.Sub(trace.dialBegan) >= idleTimeout
 }
 
-func (r *connectionTrace) String() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (trace *connectionTrace) String() string {
+	trace.mu.Lock()
+	defer trace.mu.Unlock()
 	sinceBegan := func(t time.Time) string {
 		if t.IsZero() {
 			return "never"
 		}
-		return t.Sub(r.began).Round(time.Millisecond).String()
+		return t.Sub(trace.began).Round(time.Millisecond).String()
 	}
-	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", sinceBegan(r.connected), sinceBegan(r.wrote), sinceBegan(r.ended))
+	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", sinceBegan(trace.dialBegan), sinceBegan(trace.written), sinceBegan(trace.ended))
 }
 
 // send sends a request, traces its connection, and counts how often the query was written.
@@ -99,17 +99,17 @@
 		*at = time.Now()
 	}
 	trace := &httptrace.ClientTrace{
-		ConnectStart: func(string, string) { recordTime(&connection.connected) },
+		ConnectStart: func(string, string) { recordTime(&connection.dialBegan) },
 		GotConn: func(info httptrace.GotConnInfo) {
 			if info.Reused { // the connection dialed for this request is not used
 				connection.mu.Lock()
 				defer connection.mu.Unlock()
-				connection.connected = time.Time{}
+				connection.dialBegan = time.Time{}
 			}
 		},
 		WroteRequest: func(httptrace.WroteRequestInfo) {
 			counter.(*atomic.Int64).Add(1)
-			recordTime(&connection.wrote)
+			recordTime(&connection.written)
 		},
 	}
 	res, err := c.client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -30,19 +30,19 @@
 // Options configures a cluster.
 type Options struct {
 	Aggregators       int
-	Voters            int
-	LeaseSeconds      float64
-	QuotasJSON        string // the quotas section of the operator file; empty for none
-	ContractsJSON     string
-	ExtraTenants      []string // in addition to acme, bolt and cato
-	WithoutFailpoints bool     // run a binary without failpoints
-	NoFleet           bool     // the aggregators form no fleet, as a baseline
-	DirectoryForAll   bool     // every aggregator keeps a directory, not only the voters
-	Backends          int
-	ServiceTime       time.Duration
-	Env               func(aggregator int) []string
-	Binary            string // run instead of the unmodified program, if not empty
-	Supervised        bool   // restart processes from the start on, because failpoints armed by Env may kill them
+	Voters            int                           // the first aggregators vote; at least minVoters
+	LeaseSeconds      float64                       // defaultLeaseSeconds if 0
+	QuotasJSON        string                        // the quotas section of the operator file; empty for none
+	ContractsJSON     string                        // the contracts section of the operator file; empty for none
+	ExtraTenants      []string                      // in addition to acme, bolt and cato
+	WithoutFailpoints bool                          // run a binary without failpoints
+	NoFleet           bool                          // the aggregators form no fleet, as a baseline
+	DirectoryForAll   bool                          // every aggregator keeps a directory, not only the voters
+	Backends          int                           // at least minBackends
+	ServiceTime       time.Duration                 // of a subquery at a fake backend; defaultServiceTime if 0
+	Env               func(aggregator int) []string // additional environment variables of an aggregator; may be nil
+	Binary            string                        // run instead of the unmodified program, if not empty
+	Supervised        bool                          // restart processes from the start on, because failpoints armed by Env may kill them
 }
 
 // Cluster is a fleet of aggregators with its fake backends, relays, client and checker.
--- a/internal/tools/fleettest/operator_test.go
+++ b/internal/tools/fleettest/operator_test.go
@@ -80,7 +80,7 @@
 	text, _ := os.ReadFile(a.logPath)
 	from := len(text)
 	a.Signal(syscall.SIGUSR1)
-	a.cluster.Await(a.Name+" logs its counters", func() bool {
+	a.cluster.Await("the log shows the counters of "+a.Name, func() bool {
 		text, _ := os.ReadFile(a.logPath)
 		for line := range bytes.Lines(text[min(from, len(text)):]) {
 			var fields map[string]any
--- a/internal/tools/fleettest/outlier_test.go
+++ b/internal/tools/fleettest/outlier_test.go
@@ -24,8 +24,8 @@
 	return reports
 }
 
-// recentCallWindow is how long after its last report of calls the test counts an aggregator as a witness of a backend. It is shorter
-// than the 10 s over which the aggregators discount the calls that they observed.
+// recentCallWindow is how long the test counts an aggregator as a witness of a backend after its last report of calls. It is shorter
+// than 10 s, the time constant with which aggregators decay the number of calls that they observed.
 const recentCallWindow = 5 * time.Second
 
 // TestSlowBackendIsDetectedFromPeerReports checks that an aggregator without queries detects a slow backend from the reports of two
@@ -35,8 +35,8 @@
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 5})
 	c.awaitGranter()
-	// Aggregators 1 and 4 are the witnesses. They query shards 0 and 1, which s-1 in their zone holds, more often than shards 3 and 4,
-	// which s-4 holds, so s-1 is the backend that both call most. The unhealthy aggregator 3 queries other shards.
+	// Aggregators 1 and 4 are the witnesses. They query shards 0 and 1, which s-1 in their zone holds, twice as often as shards 3 and
+	// 4, which s-4 holds, so s-1 is the backend that both call most. The unhealthy aggregator 3 queries other shards.
 	stopWitnesses := c.StartLoad(60, "cato", "reads", func(n int) *Aggregator {
 		if n%3 != 0 {
 			return nil
@@ -84,7 +84,8 @@
 	}
 	c.Await("both witnesses call s-1 and report no slow backend", func() bool { _, _, healthyCalled := readReports(); return healthyCalled })
 	c.delayBackends(c.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // half of all backends are slow to the unhealthy aggregator
-	var firstBlamed time.Time                                        // when a backend was first reported by the unhealthy aggregator only; verdicts follow within a second of a report
+	// firstBlamed is when a backend was first reported by the unhealthy aggregator only. A verdict would follow within a second. The check lasts 2 s from then on.
+	var firstBlamed time.Time
 	c.Await("only the unhealthy aggregator reports a slow backend", func() bool {
 		status, onlyUnhealthyBlames, healthyCalled := readReports()
 		for _, name := range onlyUnhealthyBlames {
