--- a/internal/tools/fleettest/brokenbuilds_test.go
+++ b/internal/tools/fleettest/brokenbuilds_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// These modifications each remove one rule from the program.
+// Each of these modifications removes one rule from the program.
 var (
 	minimumsNotReserved = modification{"internal/controlplane/fleet/leadership.go", "	return perS, burst\n}", "	return 0, 0\n}"}
 	appliedTooEarly     = modification{"internal/controlplane/fleet/residency/residency.go", "			progress.Applied = false\n", ""}
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestCheckersDetectBrokenBuilds checks that the checkers report a violation when a rule is removed from the program. It runs only
-// if PUFFINLINK_FAILPOINTS_ALL is set, because it builds each modified program.
+// TestCheckersDetectBrokenBuilds checks that the checkers report a violation when a rule is removed from the program. It builds
+// each modified program, and runs only if PUFFINLINK_FAILPOINTS_ALL is set.
 func TestCheckersDetectBrokenBuilds(t *testing.T) {
 	if !allFailpoints {
 		t.Skip("PUFFINLINK_FAILPOINTS_ALL is not set")
--- a/internal/tools/fleettest/outlier_test.go
+++ b/internal/tools/fleettest/outlier_test.go
@@ -84,7 +84,8 @@
 	}
 	c.Await("both witnesses call s-1 and report no slow backend", func() bool { _, _, healthyCalled := readReports(); return healthyCalled })
 	c.delayBackends(c.Aggregators[3], 300*time.Millisecond, 0, 1, 4) // half of all backends are slow to the unhealthy aggregator
-	// firstBlamed is when a backend was first reported by the unhealthy aggregator only. A verdict would follow within a second. The check lasts 2 s from then on.
+	// firstBlamed is when a backend was first reported by the unhealthy aggregator only. The check lasts 2 s from
+	// then on, because a verdict would follow within a second.
 	var firstBlamed time.Time
 	c.Await("only the unhealthy aggregator reports a slow backend", func() bool {
 		status, onlyUnhealthyBlames, healthyCalled := readReports()
