--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Query sends a query and returns its answer's status, 0 where there is none. A complete or partial answer is recorded as
-// admitted, at some time between its sending and its answer.
-func (c *Cluster) Query(m *Aggregator, tenant, index string, shards ...int) (status int, text string) {
-	id := c.lastID.Add(1)
+// Query sends a query to an aggregator and returns the status and text of the answer. If there is no answer, the status is 0 and
+// the text is the error. The checker records the query; status 200, for a complete or partial answer, counts as admitted.
+func (c *Cluster) Query(aggregator *Aggregator, tenant, index string, shards ...int) (status int, text string) {
+	id := c.lastQueryID.Add(1)
 	var body strings.Builder
 	body.WriteString(`{"targets":[`)
 	for i, s := range shards {
@@ -27,121 +27,123 @@
 	fmt.Fprintf(&body, `],"query":"%s %d"}`, tenant, id)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Listen+"/"+index, strings.NewReader(body.String()))
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+aggregator.ClientAddress+"/"+index, strings.NewReader(body.String()))
 	req.Header = http.Header{"Req-Id": {fmt.Sprintf("%016x", id)}, "Req-Kind": {index}, "Req-Owner": {tenant}, "Req-Deadline": {"2"},
-		"Idempotency-Key": {}} // not sent: it lets the client retry on a new connection, where the aggregator closed an idle one meanwhile
+		"Idempotency-Key": {}} // An empty value is not sent. It lets net/http retry on a new connection if the aggregator has closed an idle one.
 	sent := time.Now()
 	query := fmt.Sprintf("%s %d", tenant, id)
-	res, request, err := c.send(req, query)
-	if err != nil && request.closedBeforeSend() { // a retry, as every client may make that has not sent its query yet
+	res, trace, err := c.send(req, query)
+	if err != nil && trace.closedBeforeSend() { // the query was not sent yet, so any client may retry
 		req.Body, _ = req.GetBody()
-		res, request, err = c.send(req, query)
+		res, trace, err = c.send(req, query)
 	}
 	if err != nil {
-		c.Checker.RecordQuery(m.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, request))
+		c.Checker.RecordQuery(aggregator.Name, tenant, sent, 0, fmt.Sprintf("%v, %s", err, trace))
 		return 0, err.Error()
 	}
 	defer res.Body.Close()
 	answer, _ := io.ReadAll(res.Body)
-	c.Checker.RecordQuery(m.Name, tenant, sent, res.StatusCode, string(answer))
+	c.Checker.RecordQuery(aggregator.Name, tenant, sent, res.StatusCode, string(answer))
 	return res.StatusCode, string(answer)
 }
 
-// isServed sends a tenant's query to an aggregator, and reports whether it was answered with 200.
-func (c *Cluster) isServed(m *Aggregator, tenant string) bool {
-	status, _ := c.Query(m, tenant, "reads", 0, 1)
+// isServed sends a query of a tenant to an aggregator and reports whether the answer has status 200.
+func (c *Cluster) isServed(aggregator *Aggregator, tenant string) bool {
+	status, _ := c.Query(aggregator, tenant, "reads", 0, 1)
 	return status == http.StatusOK
 }
 
-// idleTimeout is how long an aggregator keeps a connection open on which nothing was sent yet (it must have closed it by then).
+// idleTimeout is the time after which an aggregator has closed a new connection on which nothing was sent.
 const idleTimeout = 2 * time.Second
 
-// connectionTrace is what the client's side of one saw of its connection; zero times for what did not happen.
+// connectionTrace records what the client observed of a request's connection. A time is zero if the event did not happen.
 type connectionTrace struct {
 	mu           sync.Mutex
 	began, ended time.Time
-	// connected is when the connection was begun, only where this is the first on it: on a machine that is paused the other side
-	// may have it long before this one learns of that.
-	connected, wrote time.Time
+	// dialBegan is zero if the request used an existing connection. The trace records the start of dialing and not its end, because
+	// on a stalled machine the aggregator can accept the connection long before the client sees it established.
+	dialBegan, written time.Time
 }
 
-// closedBeforeSend reports whether the connection stood silent for so long before the request was written, as on a machine that stands
-// still, that the aggregator had closed it by then: no query was sent.
-func (r *connectionTrace) closedBeforeSend() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	spoke := r.wrote
-	if spoke.IsZero() {
-		spoke = r.ended
+// closedBeforeSend reports whether a new connection was idle for at least idleTimeout before the request was written, so that the
+// aggregator had closed it and received no query. This happens on a stalled machine.
+func (trace *connectionTrace) closedBeforeSend() bool {
+	trace.mu.Lock()
+	defer trace.mu.Unlock()
+	firstWrite := trace.written
+	if firstWrite.IsZero() {
+		firstWrite = trace.ended
 	}
-	return !r.connected.IsZero() && spoke.Sub(r.connected) >= idleTimeout
+	return !trace.dialBegan.IsZero() && firstWrite.Sub(trace.dialBegan) >= idleTimeout
 }
 
-func (r *connectionTrace) String() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	at := func(t time.Time) string {
+func (trace *connectionTrace) String() string {
+	trace.mu.Lock()
+	defer trace.mu.Unlock()
+	sinceBegan := func(t time.Time) string {
 		if t.IsZero() {
 			return "never"
 		}
-		return t.Sub(r.began).Round(time.Millisecond).String()
+		return t.Sub(trace.began).Round(time.Millisecond).String()
 	}
-	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", at(r.connected), at(r.wrote), at(r.ended))
+	return fmt.Sprintf("new connection after %s, written after %s, ended after %s", sinceBegan(trace.dialBegan), sinceBegan(trace.written), sinceBegan(trace.ended))
 }
 
-// send sends a request and records how its connection was used, and how often the query went out.
+// send sends a request, traces its connection, and counts how often the query was written.
 func (c *Cluster) send(req *http.Request, query string) (*http.Response, *connectionTrace, error) {
-	r := &connectionTrace{began: time.Now()}
-	counted, _ := c.timesSent.LoadOrStore(query, &atomic.Int64{})
-	note := func(at *time.Time) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
+	connection := &connectionTrace{began: time.Now()}
+	counter, _ := c.sendCounts.LoadOrStore(query, &atomic.Int64{})
+	recordTime := func(at *time.Time) {
+		connection.mu.Lock()
+		defer connection.mu.Unlock()
 		*at = time.Now()
 	}
 	trace := &httptrace.ClientTrace{
-		ConnectStart: func(string, string) { note(&r.connected) },
+		ConnectStart: func(string, string) { recordTime(&connection.dialBegan) },
 		GotConn: func(info httptrace.GotConnInfo) {
-			if info.Reused { // another's, and what was dialled meanwhile is not used
-				r.mu.Lock()
-				defer r.mu.Unlock()
-				r.connected = time.Time{}
+			if info.Reused { // the connection dialed for this request is not used
+				connection.mu.Lock()
+				defer connection.mu.Unlock()
+				connection.dialBegan = time.Time{}
 			}
 		},
 		WroteRequest: func(httptrace.WroteRequestInfo) {
-			counted.(*atomic.Int64).Add(1)
-			note(&r.wrote)
+			counter.(*atomic.Int64).Add(1)
+			recordTime(&connection.written)
 		},
 	}
 	res, err := c.client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
-	note(&r.ended)
-	return res, r, err
+	recordTime(&connection.ended)
+	return res, connection, err
 }
 
-// Load sends queries at a mean rate until it is stopped, without waiting for answers.
-func (c *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
+// StartLoad sends queries of a tenant at a mean rate, without waiting for answers, until stop is called. pick returns the aggregator
+// for the n-th query, or nil to skip the query. stop waits for the answers to the queries that were sent.
+func (c *Cluster) StartLoad(perSecond float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
-	var all sync.WaitGroup
-	all.Go(func() {
+	var waitGroup sync.WaitGroup
+	waitGroup.Go(func() {
 		began := time.Now()
 		for n := 0; ; n++ {
 			select {
-			case <-time.After(time.Until(began.Add(time.Duration(float64(n) / perS * float64(time.Second))))):
+			case <-time.After(time.Until(began.Add(time.Duration(float64(n) / perSecond * float64(time.Second))))):
 			case <-stopped:
 				return
 			}
-			if m := pick(n); m != nil {
-				all.Go(func() { c.Query(m, tenant, index, n%c.Site.Shards, (n+1)%c.Site.Shards) })
+			if aggregator := pick(n); aggregator != nil {
+				waitGroup.Go(func() { c.Query(aggregator, tenant, index, n%c.Site.Shards, (n+1)%c.Site.Shards) })
 			}
 		}
 	})
-	end := sync.OnceFunc(func() { close(stopped) })
-	return func() { end(); all.Wait() }
+	stopOnce := sync.OnceFunc(func() { close(stopped) })
+	return func() { stopOnce(); waitGroup.Wait() }
 }
 
-// timesSentOf is how often the client sent a query, of which a subquery is named by the query's text and its shard.
-func (c *Cluster) timesSentOf(part string) int64 {
-	query := part[:max(0, strings.LastIndexByte(part, ' '))]
-	if n, known := c.timesSent.Load(query); known {
+// sendCount returns how often the client sent the query that a subquery belongs to. The ID of a subquery is the text of its query,
+// a space and the shard. For an unknown query the count is 1.
+func (c *Cluster) sendCount(subqueryID string) int64 {
+	query := subqueryID[:max(0, strings.LastIndexByte(subqueryID, ' '))]
+	if n, known := c.sendCounts.Load(query); known {
 		return n.(*atomic.Int64).Load()
 	}
 	return 1
--- a/internal/tools/fleettest/massrestart_test.go
+++ b/internal/tools/fleettest/massrestart_test.go
@@ -7,51 +7,52 @@
 	"time"
 )
 
-// restartTimeout is the longest time that nine in ten aggregators may take until they serve again.
+// restartTimeout is the time within which 90% of the aggregators must serve again after a mass restart.
 const restartTimeout = 6 * time.Second
 
-// All aggregators are killed at once under load and restarted: nine in ten serve within the bound, also where no list can be had, and none breaks a rule.
-func TestNineInTenServeSoonAfterMassRestart(t *testing.T) {
+// TestNinetyPercentServeSoonAfterMassRestart kills and restarts all aggregators under load. 90% of them must serve again within
+// restartTimeout, even if the discovery service is unreachable, and the invariants must hold.
+func TestNinetyPercentServeSoonAfterMassRestart(t *testing.T) {
 	t.Parallel()
-	for name, reachable := range map[string]bool{"discovery in reach": true, "discovery out of reach": false} {
+	for name, reachable := range map[string]bool{"discovery reachable": true, "discovery unreachable": false} {
 		t.Run(name, func(t *testing.T) {
 			c := Start(t, Options{Aggregators: 10, NoFleet: true, WithoutFailpoints: true})
-			stop := c.Load(50, OrdersTenant, "orders", c.RoundRobin)
+			stop := c.StartLoad(50, OrdersTenant, "orders", c.RoundRobin)
 			c.Await("queries are answered", func() bool { return c.Checker.StatusCounts(OrdersTenant, "", time.Time{})[200] > 20 })
-			for _, m := range c.Aggregators {
-				m.Kill()
+			for _, aggregator := range c.Aggregators {
+				aggregator.Kill()
 				if !reachable {
-					m.discovery.Close()
+					aggregator.discovery.Close()
 				}
 			}
-			took := c.restartAll()
+			times := c.restartAll()
 			stop()
-			t.Logf("serving again after %s", took)
-			if most := took[len(took)*9/10-1]; most > restartTimeout {
-				t.Errorf("nine in ten serve again after %s, expected %s at most", most, restartTimeout)
+			t.Logf("serving again after %s", times)
+			if ninetieth := times[len(times)*9/10-1]; ninetieth > restartTimeout {
+				t.Errorf("90%% of the aggregators serve again after %s, expected %s at most", ninetieth, restartTimeout)
 			}
 			c.CheckInvariants(c.Aggregators...)
 		})
 	}
 }
 
-// restartAll starts all processes at once, and returns how long each took until it served, the shortest first.
-func (c *Cluster) restartAll() (took []time.Duration) {
+// restartAll starts all processes at once and returns the times until each of them served, in ascending order.
+func (c *Cluster) restartAll() (times []time.Duration) {
 	began := time.Now()
-	for _, m := range c.Aggregators {
-		m.Start()
+	for _, aggregator := range c.Aggregators {
+		aggregator.Start()
 	}
-	took = make([]time.Duration, len(c.Aggregators))
-	var all sync.WaitGroup
-	for i, m := range c.Aggregators {
-		all.Go(func() {
-			for late := began.Add(Timeout); !m.isServing() && time.Now().Before(late); {
+	times = make([]time.Duration, len(c.Aggregators))
+	var waitGroup sync.WaitGroup
+	for i, aggregator := range c.Aggregators {
+		waitGroup.Go(func() {
+			for deadline := began.Add(Timeout); !aggregator.isServing() && time.Now().Before(deadline); {
 				time.Sleep(5 * time.Millisecond)
 			}
-			took[i] = time.Since(began)
+			times[i] = time.Since(began)
 		})
 	}
-	all.Wait()
-	slices.Sort(took)
-	return took
+	waitGroup.Wait()
+	slices.Sort(times)
+	return times
 }
--- a/internal/tools/layout/pages_test.go
+++ b/internal/tools/layout/pages_test.go
@@ -9,44 +9,44 @@
 )
 
 var (
-	codeSpan   = regexp.MustCompile("`([^`\n]+)`")
-	namedPath  = regexp.MustCompile(`^(\./)?(internal|cmd|docs|policy|deploy|scripts|tools)(/[\w.-]+)+/?$`)
-	namedFile  = regexp.MustCompile(`^([\w-]+/)*[\w-]+\.go$`)
-	pageLink   = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
-	historical = []string{"docs/results.md", "docs/further-account.md", "CHANGELOG.md"} // they name what was there then
+	codeSpan        = regexp.MustCompile("`([^`\n]+)`")
+	namedPath       = regexp.MustCompile(`^(\./)?(internal|cmd|docs|policy|deploy|scripts|tools)(/[\w.-]+)+/?$`)
+	namedFile       = regexp.MustCompile(`^([\w-]+/)*[\w-]+\.go$`)
+	pageLink        = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
+	historicalPages = []string{"docs/results.md", "docs/further-account.md", "CHANGELOG.md"} // they may name files that no longer exist
 )
 
-// pages returns the paths of the pages that speak of the present tree.
-func pages(t *testing.T) []string {
+// currentPages returns the paths of the pages that describe the current tree.
+func currentPages(t *testing.T) []string {
 	t.Helper()
-	found, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	paths, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ofOperators, err := filepath.Glob(filepath.Join(root, "docs", "operators", "*.md"))
+	operatorPages, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", "operators", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	found = append(append(found, ofOperators...), filepath.Join(root, "README.md"))
-	var present []string
-	for _, path := range found {
-		relative, err := filepath.Rel(root, path)
+	paths = append(append(paths, operatorPages...), filepath.Join(repositoryRoot, "README.md"))
+	var current []string
+	for _, path := range paths {
+		relative, err := filepath.Rel(repositoryRoot, path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !isWithin(relative, historical...) {
-			present = append(present, path)
+		if !isWithin(relative, historicalPages...) {
+			current = append(current, path)
 		}
 	}
-	return present
+	return current
 }
 
-// goFiles returns the paths of all Go files, each with a leading slash.
+// goFiles returns the paths of all Go files of the module, relative to this package and with slashes as separators.
 func goFiles(t *testing.T) []string {
 	t.Helper()
 	var files []string
 	for _, folder := range []string{"internal", "cmd", "policy"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ os.DirEntry, err error) error {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(path string, _ os.DirEntry, err error) error {
 			if err == nil && strings.HasSuffix(path, ".go") {
 				files = append(files, filepath.ToSlash(path))
 			}
@@ -59,12 +59,12 @@
 	return files
 }
 
-// TestPagesNamePresentPaths holds the paths and Go files that pages name in code spans to the tree. A file may be named by the
-// end of its path.
-func TestPagesNamePresentPaths(t *testing.T) {
+// TestPathsNamedInPagesExist checks that the paths and Go files named in code spans of the pages exist. A Go file may be named by the
+// last elements of its path.
+func TestPathsNamedInPagesExist(t *testing.T) {
 	files := goFiles(t)
 	checked := 0
-	for _, page := range pages(t) {
+	for _, page := range currentPages(t) {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
@@ -74,23 +74,24 @@
 			switch {
 			case namedPath.MatchString(name):
 				checked++
-				if _, err := os.Stat(filepath.Join(root, name)); err != nil {
+				if _, err := os.Stat(filepath.Join(repositoryRoot, name)); err != nil {
 					t.Errorf("%s names %s: %v", page, name, err)
 				}
 			case namedFile.MatchString(name):
 				checked++
-				if !hasSuffix(files, "/"+name) {
-					t.Errorf("%s names %s, which is no file of the tree", page, name)
+				if !anyHasSuffix(files, "/"+name) {
+					t.Errorf("%s names %s, which is not a file of the tree", page, name)
 				}
 			}
 		}
 	}
 	if checked < 200 {
-		t.Errorf("only %d paths were found in the pages", checked)
+		t.Errorf("found only %d paths in the pages", checked)
 	}
 }
 
-func hasSuffix(files []string, suffix string) bool {
+// anyHasSuffix reports whether one of the files has the suffix.
+func anyHasSuffix(files []string, suffix string) bool {
 	for _, file := range files {
 		if strings.HasSuffix(file, suffix) {
 			return true
@@ -99,9 +100,9 @@
 	return false
 }
 
-// TestPageLinks holds the links between pages to the tree.
-func TestPageLinks(t *testing.T) {
-	for _, page := range pages(t) {
+// TestPageLinksHaveTargets checks that the targets of the links between pages exist.
+func TestPageLinksHaveTargets(t *testing.T) {
+	for _, page := range currentPages(t) {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/tools/mutants/overlay.go
+++ b/internal/tools/mutants/overlay.go
@@ -8,24 +8,25 @@
 	"strings"
 )
 
-// overlayFile is what go test -overlay reads.
-type overlayFile struct {
+// buildOverlay is the content of a file for the -overlay flag of go test.
+type buildOverlay struct {
 	Replace map[string]string
 }
 
-// Source returns the mutant's source file as it would be with the mistake. root is the repository's root.
+// Source returns the text of the source file with the mutation applied. root is the root directory of the repository. It returns a
+// TableError unless the file contains the old text exactly once.
 func (m *Mutant) Source(root string) (string, error) {
 	text, err := os.ReadFile(filepath.Join(root, m.File))
 	if err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
-	if times := strings.Count(string(text), m.Old); times != 1 {
-		return "", wrong("mutant %q: %s holds %q %d times, want once", m.Name, m.File, m.Old, times)
+	if count := strings.Count(string(text), m.Old); count != 1 {
+		return "", tableErrorf("mutant %q: %s holds %q %d times, want once", m.Name, m.File, m.Old, count)
 	}
 	return strings.Replace(string(text), m.Old, m.New, 1), nil
 }
 
-// WriteOverlay writes the changed source and an overlay that names it into folder, and returns the overlay's path.
+// WriteOverlay writes the mutated source file and an overlay file that refers to it into folder. It returns the path of the overlay file.
 func (m *Mutant) WriteOverlay(root, folder string) (path string, err error) {
 	source, err := m.Source(root)
 	if err != nil {
@@ -35,16 +36,16 @@
 	if err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
-	changed := filepath.Join(folder, "mutant.go")
-	overlay, err := json.Marshal(overlayFile{Replace: map[string]string{original: changed}})
+	mutantPath := filepath.Join(folder, "mutant.go")
+	overlayJSON, err := json.Marshal(buildOverlay{Replace: map[string]string{original: mutantPath}})
 	if err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
 	path = filepath.Join(folder, "overlay.json")
-	if err := os.WriteFile(changed, []byte(source), 0o600); err != nil {
+	if err := os.WriteFile(mutantPath, []byte(source), 0o600); err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
-	if err := os.WriteFile(path, overlay, 0o600); err != nil {
+	if err := os.WriteFile(path, overlayJSON, 0o600); err != nil {
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
 	return path, nil
