--- a/cmd/puffinlink/proxy.go
+++ b/cmd/puffinlink/proxy.go
@@ -94,13 +94,13 @@
 	}
 	service, _ := r.table.Service(found.Service) // always found: Parse rejects routes to unknown services
 	queue := jobapi.Queue{
-		Route:           found.Name,
-		Service:         found.Service,
-		Priority:        found.Priority,
-		MaxAttempts:     found.MaxAttempts,
-		Extension:       found.Extension,
-		TargetLatencyMS: found.TargetLatency().Milliseconds(),
-		Guards:          service.Guards,
+		Route:            found.Name,
+		Service:          found.Service,
+		Priority:         found.Priority,
+		MaxAttempts:      found.MaxAttempts,
+		Extension:        found.Extension,
+		TargetLatencyMS:  found.TargetLatency().Milliseconds(),
+		EnforcesCapacity: service.EnforcesCapacity,
 	}
 	return proxy.Route{Queue: queue, Timeout: found.Timeout()}, rest, true
 }
--- a/cmd/puffinlink/system_test.go
+++ b/cmd/puffinlink/system_test.go
@@ -84,7 +84,7 @@
 		So(route.Queue.MaxAttempts, ShouldEqual, 3)
 		So(route.Queue.Extension, ShouldEqual, 2.2)
 		So(route.Queue.TargetLatencyMS, ShouldEqual, 1000)
-		So(route.Queue.Guards, ShouldBeTrue)
+		So(route.Queue.EnforcesCapacity, ShouldBeTrue)
 		So(router.Limits().BodyBytes, ShouldEqual, 262144)
 		So(router.Limits().IdleTimeout, ShouldEqual, 15*time.Second)
 		_, _, ok = router.Match("other.example", "/lohu930/")
--- a/cmd/puffinlink/whyoutput.go
+++ b/cmd/puffinlink/whyoutput.go
@@ -60,8 +60,8 @@
 		return
 	}
 	fmt.Fprintf(stdout, "  waiting for %v; stages that come first: %d\n", millisecondsToDuration(stage.WaitMS), stage.StagesAhead)
-	if len(stage.OpenWorkers) > 0 {
-		fmt.Fprintf(stdout, "  could take one: %s\n", strings.Join(stage.OpenWorkers, " "))
+	if len(stage.AcceptingWorkers) > 0 {
+		fmt.Fprintf(stdout, "  could take one: %s\n", strings.Join(stage.AcceptingWorkers, " "))
 	}
 	if stage.Reason == jobreport.ReasonNoWorker && len(stage.Exclusions) == 0 {
 		fmt.Fprintln(stdout, "  no searcher of the service is known: look at the platform's list")
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -32,7 +32,7 @@
 		So(parsed.Routes[0], ShouldResemble, Route{Name: "r-1", Host: "Prices.example", PathPrefix: "/nav/", Kind: "non_idempotent",
 			TimeoutMS: 3000, TargetLatencyMS: 1000, Priority: 1, Service: "pricing", MaxAttempts: 3, Extension: 2.2})
 		So(parsed.Routes[1].Timeout(), ShouldEqual, 2500500*time.Microsecond)
-		So(parsed.Services[0], ShouldResemble, Service{Name: "pricing", HealthCheckPath: "/health", MaxConnections: 64, Protocol: "h1", Guards: true})
+		So(parsed.Services[0], ShouldResemble, Service{Name: "pricing", HealthCheckPath: "/health", MaxConnections: 64, Protocol: "h1", EnforcesCapacity: true})
 		So(parsed.Limits.IdleTimeout(), ShouldEqual, 15*time.Second)
 	})
 	Convey("A configuration without routes and services is valid", t, func() {
--- a/internal/controlplane/configuration/readloop.go
+++ b/internal/controlplane/configuration/readloop.go
@@ -16,8 +16,8 @@
 	readRetryDelay = 200 * time.Millisecond
 	// readTimeout is the timeout of one quorum read.
 	readTimeout = 1500 * time.Millisecond
-	// FreshAge is the maximum age at which the cached configuration counts as current. It tolerates one failed quorum read.
-	FreshAge = readInterval + readTimeout
+	// MaxFreshAge is the maximum age at which the cached configuration counts as current. It tolerates one failed quorum read.
+	MaxFreshAge = readInterval + readTimeout
 )
 
 // Run reads the configuration at regular intervals and whenever another member announces a newer one. When ctx ends, it waits for
--- a/internal/controlplane/configuration/routingtable_test.go
+++ b/internal/controlplane/configuration/routingtable_test.go
@@ -38,7 +38,7 @@
 		So(table.Limits(), ShouldResemble, parsed.Limits)
 		service, known := table.Service("pricing")
 		So(known, ShouldBeTrue)
-		So(service.Guards, ShouldBeTrue)
+		So(service.EnforcesCapacity, ShouldBeTrue)
 		_, known = table.Service("none")
 		So(known, ShouldBeFalse)
 	})
--- a/internal/controlplane/configuration/simulationcluster_test.go
+++ b/internal/controlplane/configuration/simulationcluster_test.go
@@ -88,7 +88,7 @@
 
 func (c *simulatedCluster) addMembership(m *memberProcess, mux *transport.Mux, founder bool) {
 	caller := simulatedCaller{c.network, m.address, m.store.Alive}
-	succession := register.NewSuccession(register.SuccessionConfig{
+	viewChange := register.NewViewChange(register.ViewChangeConfig{
 		Self: m.address, Store: m.store, Caller: caller,
 		Ready:       m.ready,
 		View:        func() replicaset.View { return m.manager.View() },
@@ -96,7 +96,7 @@
 	})
 	manager, err := replicaset.NewManager(replicaset.Config{
 		Self: m.address, Seeds: c.firstView.Members, CountsForQuorum: true, Store: m.store, Caller: caller,
-		Succession: succession, Logger: zap.NewNop(),
+		ViewChange: viewChange, Logger: zap.NewNop(),
 		Liveness: func() replicaset.Liveness { return c.liveness(m) },
 	})
 	if err != nil {
@@ -115,7 +115,7 @@
 		c.t.Error(err)
 	}
 	m.rebuilder.Register(register.Merge, register.TablePrefix)
-	succession.Serve(mux)
+	viewChange.Serve(mux)
 	manager.Serve(mux)
 	m.rebuilder.Serve(mux)
 }
--- a/internal/controlplane/configuration/types.go
+++ b/internal/controlplane/configuration/types.go
@@ -40,7 +40,7 @@
 	MaxConnections    int    `json:"maxConnections" validate:"gte=0"` // to one worker; 0 if omitted
 	Protocol          string `json:"protocol"`                        // such as "h1"
 	TransportSecurity bool   `json:"transportSecurity"`
-	Guards            bool   `json:"guards"` // whether its workers reject tasks that do not fit
+	EnforcesCapacity  bool   `json:"guards"` // whether its workers reject tasks that do not fit
 }
 
 // Limits limits the requests of clients. A value of 0 means that the operator set no limit.
--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -41,11 +41,11 @@
 
 func (c *Coordinator) assembleReplicaSet(self string) error {
 	ready := func() bool { return c.rebuilder.Ready() }
-	founding := register.NewFounding(register.FoundingConfig{
+	bootstrap := register.NewBootstrap(register.BootstrapConfig{
 		Self: self, Store: c.store, Ready: ready, Caller: c.caller,
 		Founders: func() []string { return c.replicaSet.Founders() },
 	})
-	succession := register.NewSuccession(register.SuccessionConfig{
+	viewChange := register.NewViewChange(register.ViewChangeConfig{
 		Self: self, Store: c.store, Ready: ready, Caller: c.caller,
 		View:      func() replicaset.View { return c.replicaSet.View() },
 		Departing: func() bool { return c.replicaSet.Departing() },
@@ -54,13 +54,13 @@
 	c.replicaSet, err = replicaset.NewManager(replicaset.Config{
 		Self: self, Zone: c.settings.Zone, Seeds: c.settings.SeedInternalAddresses(), FirstStart: c.settings.FirstStart,
 		CountsForQuorum: true, Store: c.store, Caller: c.caller, Logger: c.log,
-		Founding: founding, Succession: succession, Liveness: c.memberLiveness,
+		Bootstrap: bootstrap, ViewChange: viewChange, Liveness: c.memberLiveness,
 	})
 	if err != nil {
 		return fmt.Errorf("replica set: %w", err)
 	}
-	founding.Serve(c.mux)
-	succession.Serve(c.mux)
+	bootstrap.Serve(c.mux)
+	viewChange.Serve(c.mux)
 	c.replicaSet.Serve(c.mux)
 	return nil
 }
@@ -96,8 +96,8 @@
 	c.jobManager = manager.New(manager.Config{
 		HTTP: c.workerHTTP, Connections: c.workerConnections, Log: c.log,
 		Settings: scheduler.Settings{
-			RemoteSlowdown: bounds.FarFactor, MaxStopDuration: bounds.Stop, RestoreDuration: bounds.Restore,
-			MaxLease: bounds.HoldMax, MinDrainDuration: bounds.Drain, StatusRetention: bounds.Status + endedJobRetentionMargin,
+			RemoteSlowdown: bounds.RemoteSlowdownFactor, MaxStopDuration: bounds.MaxStopDuration, RestoreDuration: bounds.RestoreDuration,
+			MaxLease: bounds.MaxLease, MinDrainDuration: bounds.DrainDelay, StatusRetention: bounds.StatusRetention + endedJobRetentionMargin,
 		},
 	})
 	var err error
@@ -120,9 +120,9 @@
 		Sources: feedserver.Sources{
 			Configuration: c.configurator.Current,
 			Leaders:       c.replicationNode.Leaders,
-			Core:          func() []string { return c.replicaSet.View().Members },
+			Coordinators:  func() []string { return c.replicaSet.View().Members },
 			InContact:     c.isCurrent,
-			Changed:       []func() <-chan struct{}{c.configurator.Changed, c.replicationNode.LeadersChanged, c.replicaSet.Changed},
+			ChangeSignals: []func() <-chan struct{}{c.configurator.Changed, c.replicationNode.LeadersChanged, c.replicaSet.Changed},
 		},
 	})
 	c.feedServer.Mount(c.mux)
--- a/internal/controlplane/coordinator/connections.go
+++ b/internal/controlplane/coordinator/connections.go
@@ -31,7 +31,7 @@
 }
 
 // limitListeners limits the servers to their shares of the connections. A part of the share for nodes is reserved for the other
-// core nodes, so that heartbeats and votes are accepted regardless of the number of agents and proxies.
+// coordinators, so that heartbeats and votes are accepted regardless of the number of agents and proxies.
 func (c *Coordinator) limitListeners(listeners Listeners, budget nodesettings.ConnectionBudget, internal, operator *http.Server) Listeners {
 	nodes := transport.NewBoundedListener(listeners.Internal, budget.Nodes)
 	nodes.Reserve(budget.CorePeers, c.isCorePeer)
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -50,7 +50,7 @@
 	Control  net.Listener // the operator's API
 }
 
-// Coordinator is a core node. It is created by New or Open. Run may be called once.
+// Coordinator is a coordinator process. It is created by New or Open. Run may be called once.
 type Coordinator struct {
 	settings          nodesettings.Settings
 	log               *zap.Logger
--- a/internal/controlplane/coordinator/current_test.go
+++ b/internal/controlplane/coordinator/current_test.go
@@ -87,10 +87,10 @@
 			So(c.replicationNode.InContact(), ShouldBeTrue)
 			So(isReportedCurrent(c), ShouldBeFalse)
 		})
-		Convey("After a quorum read, it is current for FreshAge", t, func() {
+		Convey("After a quorum read, it is current for MaxFreshAge", t, func() {
 			So(read(), ShouldBeNil)
 			So(isReportedCurrent(c), ShouldBeTrue)
-			<-time.After(configuration.FreshAge)
+			<-time.After(configuration.MaxFreshAge)
 			So(isReportedCurrent(c), ShouldBeTrue)
 		})
 		Convey("After reads have failed for longer, it is not current although a majority replies to pings", t, func() {
--- a/internal/controlplane/coordinator/run.go
+++ b/internal/controlplane/coordinator/run.go
@@ -92,7 +92,7 @@
 // pings and recently confirmed the configuration. Pings alone are not sufficient: they may succeed while quorum reads fail,
 // for example while members are being rebuilt or know a different view.
 func (c *Coordinator) isCurrent() bool {
-	return c.replicationNode.InContact() && c.configurator.Fresh(configuration.FreshAge)
+	return c.replicationNode.InContact() && c.configurator.Fresh(configuration.MaxFreshAge)
 }
 
 func (c *Coordinator) adoptView(view replicaset.View) {
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -112,7 +112,7 @@
 		}
 		submit := func(id job.ID, service string) {
 			request := jobapi.SubmitRequest{Group: feed.GroupOf(service), ID: id,
-				Queue:         jobapi.Queue{Route: "r-0", Service: service, Priority: 1, MaxAttempts: 3, Extension: 2.5, TargetLatencyMS: 1000, Guards: true},
+				Queue:         jobapi.Queue{Route: "r-0", Service: service, Priority: 1, MaxAttempts: 3, Extension: 2.5, TargetLatencyMS: 1000, EnforcesCapacity: true},
 				Specification: job.Specification{Text: "do it", Stages: []job.Stage{{Count: 2, Resources: job.Resources{Processors: 500}}}}}
 			retryUntilDone(ctx, t, func() error {
 				_, err := jobapi.SubmitCall.Call(ctx, c.caller, storedInternalAddress, request)
--- a/internal/controlplane/feed/configurationcatalog_test.go
+++ b/internal/controlplane/feed/configurationcatalog_test.go
@@ -90,13 +90,13 @@
 func TestConfigurationsAreOfferedByChunks(t *testing.T) {
 	Convey("Given a store with a configuration", t, func() {
 		store := NewSnapshotStore()
-		store.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: testConfiguration(5), Core: []string{"a:1"}})
+		store.MergeWithMembers(&Snapshot{ConfigurationVersion: 5, Configuration: testConfiguration(5), Coordinators: []string{"a:1"}})
 		update, _ := store.UpdateSince(Digest{})
 		Convey("a reader that accepts chunks gets an offer with chunks", func() {
 			offered := store.AsOffer(update, Digest{}, 1<<20)
 			So(offered.Configuration, ShouldBeEmpty)
 			So(offered.ConfigurationVersion, ShouldEqual, 5)
-			So(offered.Core, ShouldResemble, []string{"a:1"})
+			So(offered.Coordinators, ShouldResemble, []string{"a:1"})
 			content, err := assembleOffer(offered.Offer, nil).Content()
 			So(err, ShouldBeNil)
 			So(bytes.Equal(content, testConfiguration(5)), ShouldBeTrue)
@@ -114,7 +114,7 @@
 		Convey("known members are not sent again", func() {
 			known := Digest{MembersSum: store.Digest().MembersSum}
 			update, _ := store.UpdateSince(known)
-			So(update.Core, ShouldBeEmpty)
+			So(update.Coordinators, ShouldBeEmpty)
 			So(update.Configuration, ShouldNotBeEmpty)
 		})
 	})
--- a/internal/controlplane/feed/digest.go
+++ b/internal/controlplane/feed/digest.go
@@ -16,18 +16,18 @@
 	return Digest{
 		ConfigurationVersion: s.ConfigurationVersion,
 		LeaderTerms:          terms,
-		MembersSum:           membersSum(s.Core, s.Agents),
+		MembersSum:           membersSum(s.Coordinators, s.Agents),
 	}
 }
 
 // membersSum returns a checksum of the member addresses. It is 0 if there are no members, so that the zero Digest is the digest
 // of an empty Snapshot.
-func membersSum(core, agents []string) uint64 {
-	if len(core) == 0 && len(agents) == 0 {
+func membersSum(coordinators, agents []string) uint64 {
+	if len(coordinators) == 0 && len(agents) == 0 {
 		return 0
 	}
 	hash := xxh3.New()
-	for _, list := range [][]string{core, agents} {
+	for _, list := range [][]string{coordinators, agents} {
 		for _, address := range list {
 			hash.WriteString(address)
 			hash.WriteString("\n")
@@ -74,10 +74,10 @@
 	return s
 }
 
-// withMembersOf returns s with the members of update. It returns s unchanged if update has no core nodes.
+// withMembersOf returns s with the members of update. It returns s unchanged if update has no coordinators.
 func (s Snapshot) withMembersOf(update *Snapshot) Snapshot {
-	if len(update.Core) > 0 {
-		s.Core = slices.Clone(update.Core)
+	if len(update.Coordinators) > 0 {
+		s.Coordinators = slices.Clone(update.Coordinators)
 		s.Agents = slices.Clone(update.Agents)
 	}
 	return s
--- a/internal/controlplane/feed/messages.go
+++ b/internal/controlplane/feed/messages.go
@@ -7,15 +7,15 @@
 
 // Internal calls. They are idempotent because their contents are ordered by versions, terms or ages.
 var (
-	// WatchCall is served by core nodes. It is a long poll that returns when the state differs from the reader's digest.
+	// WatchCall is served by coordinators. It is a long poll that returns when the state differs from the reader's digest.
 	WatchCall = transport.NewIdempotent[WatchRequest, WatchReply]("/feed/watch")
 	// ExchangeCall is served by agents for anti-entropy: agents exchange digests first, then what the other side lacks.
 	ExchangeCall = transport.NewIdempotent[Exchange, Exchange]("/feed/exchange")
-	// ChunksCall is served by core nodes and agents. It returns chunks of the newest configuration.
+	// ChunksCall is served by coordinators and agents. It returns chunks of the newest configuration.
 	ChunksCall = transport.NewIdempotent[ChunksRequest, ChunksReply]("/feed/parts")
 	// LocalCall is served by an agent to the proxy on its machine.
 	LocalCall = transport.NewIdempotent[WatchRequest, WatchReply]("/feed/local")
-	// AgentContactsCall is served by core nodes. They use it to exchange which agents have called them.
+	// AgentContactsCall is served by coordinators. They use it to exchange which agents have called them.
 	AgentContactsCall = transport.NewIdempotent[AgentContacts, AgentContacts]("/feed/front")
 )
 
@@ -30,7 +30,7 @@
 	ConfigurationVersion uint64            `msgpack:"c"`
 	LeaderTerms          map[string]uint64 `msgpack:"l"` // by group
 	MembersSum           uint64            `msgpack:"m"` // checksum of the members' addresses
-	// MembersAgeMS is the time since a core node confirmed the members, in milliseconds. Only agents set it.
+	// MembersAgeMS is the time since a coordinator confirmed the members, in milliseconds. Only agents set it.
 	MembersAgeMS int64 `msgpack:"g,omitempty"`
 }
 
@@ -39,7 +39,7 @@
 	ConfigurationVersion uint64            `msgpack:"c"`
 	Configuration        []byte            `msgpack:"b"`           // as submitted by the operator; empty if there is none, if the reader has it, or if Offer is set
 	Leaders              map[string]Leader `msgpack:"l"`           // by group
-	Core                 []string          `msgpack:"k"`           // internal addresses of core nodes
+	Coordinators         []string          `msgpack:"k"`           // internal addresses of coordinators
 	Agents               []string          `msgpack:"f"`           // internal addresses of agents
 	Offer                *Offer            `msgpack:"o,omitempty"` // replaces Configuration for readers that accept chunks
 }
@@ -62,11 +62,11 @@
 	Chunks [][]byte `msgpack:"p"` // in packed form; only chunks that the callee has
 }
 
-// WatchRequest asks a core node, or the agent on the same machine, for changes.
+// WatchRequest asks a coordinator, or the agent on the same machine, for changes.
 type WatchRequest struct {
 	Known  Digest `msgpack:"k"`
 	WaitMS int64  `msgpack:"w"` // maximum wait for a change, in milliseconds
-	Agent  string `msgpack:"a"` // internal address of the calling agent, which the core node records; empty for a proxy
+	Agent  string `msgpack:"a"` // internal address of the calling agent, which the coordinator records; empty for a proxy
 	// Current is the value from the caller's last reply. An agent replies to its proxy at once if the value has changed.
 	Current bool `msgpack:"u,omitempty"`
 	// Suspects are agents whose exchanges with the calling agent failed several times in a row.
@@ -75,8 +75,8 @@
 	MaxBytes int `msgpack:"r,omitempty"`
 }
 
-// WatchReply is the reply to a WatchRequest. Current is false if the core node is not in contact with a majority. The reader then
-// tries another core node. In an agent's reply to its proxy, Current reports whether the agent is in contact with the control plane.
+// WatchReply is the reply to a WatchRequest. Current is false if the coordinator is not in contact with a majority. The reader then
+// tries another coordinator. In an agent's reply to its proxy, Current reports whether the agent is in contact with the control plane.
 type WatchReply struct {
 	Current  bool      `msgpack:"u"`
 	Changed  bool      `msgpack:"h"`
@@ -91,7 +91,7 @@
 	MaxBytes int       `msgpack:"r,omitempty"` // as in WatchRequest
 }
 
-// AgentContact records the last call of an agent to a core node.
+// AgentContact records the last call of an agent to a coordinator.
 type AgentContact struct {
 	Address string `msgpack:"a"` // internal address
 	AgeMS   int64  `msgpack:"g"` // milliseconds since its last call
--- a/internal/controlplane/feed/snapshotstore.go
+++ b/internal/controlplane/feed/snapshotstore.go
@@ -46,7 +46,7 @@
 	return s.setSnapshot(s.snapshot.mergedWith(update))
 }
 
-// MergeWithMembers is like Merge but also replaces the members, unless update has no core nodes.
+// MergeWithMembers is like Merge but also replaces the members, unless update has no coordinators.
 func (s *SnapshotStore) MergeWithMembers(update *Snapshot) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -86,7 +86,7 @@
 		return nil
 	}
 	update := s.updateFor(known)
-	update.Core, update.Agents = nil, nil
+	update.Coordinators, update.Agents = nil, nil
 	return update
 }
 
@@ -98,7 +98,7 @@
 		update.Configuration = nil
 	}
 	if known.MembersSum == s.digest.MembersSum {
-		update.Core, update.Agents = nil, nil
+		update.Coordinators, update.Agents = nil, nil
 	}
 	return &update
 }
--- a/internal/controlplane/feed/snapshotstore_test.go
+++ b/internal/controlplane/feed/snapshotstore_test.go
@@ -12,12 +12,12 @@
 )
 
 // testSnapshot returns a snapshot with one leader, of group g.
-func testSnapshot(version uint64, term uint64, core ...string) *Snapshot {
+func testSnapshot(version uint64, term uint64, coordinators ...string) *Snapshot {
 	return &Snapshot{
 		ConfigurationVersion: version,
 		Configuration:        []byte{byte(version)},
 		Leaders:              map[string]Leader{"g": {Address: "a:1", Term: term}},
-		Core:                 core,
+		Coordinators:         coordinators,
 	}
 }
 
@@ -50,7 +50,7 @@
 			So(store.Merge(testSnapshot(5, 3, "b:1")), ShouldBeFalse)
 			So(store.MergeWithMembers(testSnapshot(5, 3)), ShouldBeFalse)
 			So(store.MergeWithMembers(testSnapshot(5, 3, "b:1")), ShouldBeTrue)
-			So(store.Snapshot().Core, ShouldResemble, []string{"b:1"})
+			So(store.Snapshot().Coordinators, ShouldResemble, []string{"b:1"})
 		})
 	})
 }
@@ -82,7 +82,7 @@
 		Convey("different members are an update, but not for NewerThan", func() {
 			known := testSnapshot(5, 3, "b:1").Digest()
 			update, _ := store.UpdateSince(known)
-			So(update.Core, ShouldResemble, []string{"a:1"})
+			So(update.Coordinators, ShouldResemble, []string{"a:1"})
 			So(store.NewerThan(known), ShouldBeNil)
 		})
 		Convey("a store without members returns no update of members", func() {
--- a/internal/controlplane/feedserver/agentset.go
+++ b/internal/controlplane/feedserver/agentset.go
@@ -15,7 +15,7 @@
 	minSuspectSilence = 3 * time.Second
 )
 
-// agentSet tracks the agents that have recently called this core node or another one. Its methods are safe for concurrent use.
+// agentSet tracks the agents that have recently called this coordinator or another one. Its methods are safe for concurrent use.
 type agentSet struct {
 	mutex       sync.Mutex
 	lastContact map[string]time.Time
@@ -78,7 +78,7 @@
 	}
 }
 
-// contacts returns the message for other core nodes.
+// contacts returns the message for other coordinators.
 func (a *agentSet) contacts(now time.Time) feed.AgentContacts {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -89,7 +89,7 @@
 	return contacts
 }
 
-// merge records the contacts of another core node and reports whether an agent was added.
+// merge records the contacts of another coordinator and reports whether an agent was added.
 func (a *agentSet) merge(contacts feed.AgentContacts, now time.Time) bool {
 	added := false
 	for _, agent := range contacts.Agents {
--- a/internal/controlplane/feedserver/feedserver.go
+++ b/internal/controlplane/feedserver/feedserver.go
@@ -1,6 +1,6 @@
-// Package feedserver serves the feed (package feed) on core nodes. It publishes the state of its Sources to agents, which wait for
-// changes with a long poll. It also tracks the active agents: those that have recently called any core node. A reply is marked as
-// current only while this core node is in contact with a majority, and it then contains the newest configuration known here.
+// Package feedserver serves the feed (package feed) on a coordinator. It publishes the state of its Sources to agents, which wait for
+// changes with a long poll. It also tracks the active agents: those that have recently called any coordinator. A reply is marked as
+// current only while this coordinator is in contact with a majority, and it then contains the newest configuration known here.
 package feedserver
 
 import (
@@ -23,7 +23,7 @@
 	agentBatchDelay = 500 * time.Millisecond
 	// expiryInterval is the interval between checks for agents that have not called for contactTimeout.
 	expiryInterval = time.Second
-	// exchangeInterval is the interval between exchanges of agent contacts with another core node.
+	// exchangeInterval is the interval between exchanges of agent contacts with another coordinator.
 	exchangeInterval = time.Second
 	// exchangeTimeout limits the duration of one exchange of agent contacts.
 	exchangeTimeout = 800 * time.Millisecond
@@ -35,20 +35,20 @@
 	Configuration func() (version uint64, body []byte)
 	// Leaders returns the leaders by group.
 	Leaders func() map[string]feed.Leader
-	// Core returns the internal addresses of the core nodes.
-	Core func() []string
-	// InContact reports whether a majority has recently confirmed the state of this core node.
+	// Coordinators returns the internal addresses of the coordinators.
+	Coordinators func() []string
+	// InContact reports whether a majority has recently confirmed the state of this coordinator.
 	InContact func() bool
-	// Changed holds one function per source of changes. Each returns a channel that is closed at the source's next change.
-	Changed []func() <-chan struct{}
+	// ChangeSignals holds one function per source of changes. Each returns a channel that is closed at the source's next change.
+	ChangeSignals []func() <-chan struct{}
 }
 
 // Options holds the dependencies and settings of a Server.
 type Options struct {
 	Sources Sources
-	// Caller makes calls to the other core nodes.
+	// Caller makes calls to the other coordinators.
 	Caller transport.Caller
-	// Address is this core node's internal address, host:port.
+	// Address is this coordinator's internal address, host:port.
 	Address string
 	Logger  *zap.Logger
 }
@@ -76,10 +76,10 @@
 // Notify schedules publishing of the current state of the sources. It never blocks.
 func (s *Server) Notify() { s.changed.Notify() }
 
-// Agents returns the sorted internal addresses of the agents that have recently called a core node.
+// Agents returns the sorted internal addresses of the agents that have recently called a coordinator.
 func (s *Server) Agents() []string { return s.agents.active(time.Now()) }
 
-// Mount registers the handlers for calls from agents and other core nodes.
+// Mount registers the handlers for calls from agents and other coordinators.
 func (s *Server) Mount(mux *transport.Mux) {
 	transport.Handle(mux, feed.WatchCall, s.watch)
 	transport.Handle(mux, feed.ChunksCall, s.chunks)
@@ -105,7 +105,7 @@
 	return s.snapshots.Chunks(request), nil
 }
 
-// isStale reports whether the newest configuration known here has not been published yet. A core node that regains contact with
+// isStale reports whether the newest configuration known here has not been published yet. A coordinator that regains contact with
 // a majority is current as soon as it knows the configuration that it missed. Its current replies must contain that configuration.
 func (s *Server) isStale() bool {
 	version, _ := s.options.Sources.Configuration()
--- a/internal/controlplane/feedserver/feedserver_test.go
+++ b/internal/controlplane/feedserver/feedserver_test.go
@@ -50,13 +50,13 @@
 			defer s.mutex.Unlock()
 			return s.leaders
 		},
-		Core: func() []string { return []string{"b:1", "a:1"} },
+		Coordinators: func() []string { return []string{"b:1", "a:1"} },
 		InContact: func() bool {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
 			return s.inContact
 		},
-		Changed: []func() <-chan struct{}{func() <-chan struct{} {
+		ChangeSignals: []func() <-chan struct{}{func() <-chan struct{} {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
 			return s.changed
@@ -115,7 +115,7 @@
 			So(time.Since(start), ShouldEqual, 0)
 			So(reply.Current, ShouldBeTrue)
 			So(reply.Changed, ShouldBeTrue)
-			So(reply.Snapshot.Core, ShouldResemble, []string{"a:1", "b:1"})
+			So(reply.Snapshot.Coordinators, ShouldResemble, []string{"a:1", "b:1"})
 		})
 		Convey("Without a change the reply arrives after the requested wait, which is limited to maxWatchWait", t, func() {
 			for _, c := range []struct{ requested, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxWatchWait}} {
@@ -185,7 +185,7 @@
 		<-time.After(batchDelay) // wait until the initial state is published
 		synctest.Wait()
 
-		Convey("Agents that call are published together after a delay, by the other core nodes too", t, func() {
+		Convey("Agents that call are published together after a delay, by the other coordinators too", t, func() {
 			start := time.Now()
 			known := first.snapshots.Digest()
 			watch(first, known, 0, "x:2")
@@ -205,12 +205,12 @@
 			<-time.After(2 * exchangeInterval)
 			So(first.Agents(), ShouldResemble, []string{"x:2"})
 		})
-		Convey("A removed agent is added again when it calls any core node", t, func() {
+		Convey("A removed agent is added again when it calls any coordinator", t, func() {
 			watch(second, feed.Digest{}, 0, "y:2")
 			<-time.After(2 * exchangeInterval)
 			So(first.Agents(), ShouldResemble, []string{"x:2", "y:2"})
 		})
-		Convey("Agents that stop calling expire at all core nodes", t, func() {
+		Convey("Agents that stop calling expire at all coordinators", t, func() {
 			<-time.After(contactTimeout + exchangeInterval + time.Millisecond)
 			So(first.Agents(), ShouldBeEmpty)
 			So(second.Agents(), ShouldBeEmpty)
--- a/internal/controlplane/feedserver/publish.go
+++ b/internal/controlplane/feedserver/publish.go
@@ -11,11 +11,11 @@
 	"puffinlink.example/puffinlink/internal/controlplane/feed"
 )
 
-// Run publishes changes of the sources and exchanges agent contacts with other core nodes until ctx ends.
+// Run publishes changes of the sources and exchanges agent contacts with other coordinators until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
-	for _, source := range s.options.Sources.Changed {
+	for _, source := range s.options.Sources.ChangeSignals {
 		running.Go(func() { s.followSource(ctx, source) })
 	}
 	running.Go(func() { s.exchangePeriodically(ctx) })
@@ -74,12 +74,12 @@
 		ConfigurationVersion: version,
 		Configuration:        body,
 		Leaders:              sources.Leaders(),
-		Core:                 slices.Sorted(slices.Values(sources.Core())), // sorted, so that the checksum is independent of the order
+		Coordinators:         slices.Sorted(slices.Values(sources.Coordinators())), // sorted, so that the checksum is independent of the order
 		Agents:               s.agents.active(time.Now()),
 	})
 }
 
-// exchangePeriodically exchanges agent contacts with the other core nodes in turn, one per exchangeInterval.
+// exchangePeriodically exchanges agent contacts with the other coordinators in turn, one per exchangeInterval.
 func (s *Server) exchangePeriodically(ctx context.Context) {
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
@@ -95,10 +95,10 @@
 	}
 }
 
-// peers returns the addresses of the other core nodes.
+// peers returns the addresses of the other coordinators.
 func (s *Server) peers() []string {
 	var peers []string
-	for _, address := range s.options.Sources.Core() {
+	for _, address := range s.options.Sources.Coordinators() {
 		if address != s.options.Address {
 			peers = append(peers, address)
 		}
@@ -106,12 +106,12 @@
 	return peers
 }
 
-func (s *Server) exchangeWith(ctx context.Context, core string) {
+func (s *Server) exchangeWith(ctx context.Context, coordinator string) {
 	callCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := feed.AgentContactsCall.Call(callCtx, s.options.Caller, core, s.agents.contacts(time.Now()))
+	reply, err := feed.AgentContactsCall.Call(callCtx, s.options.Caller, coordinator, s.agents.contacts(time.Now()))
 	if err != nil {
-		s.options.Logger.Debug("agent list not shared", zap.String("core", core), zap.Error(err))
+		s.options.Logger.Debug("agent list not shared", zap.String("core", coordinator), zap.Error(err))
 		return
 	}
 	s.mergeContacts(reply, time.Now())
--- a/internal/controlplane/rebuild/calls.go
+++ b/internal/controlplane/rebuild/calls.go
@@ -38,7 +38,7 @@
 type readyReply struct {
 	Ready     bool `msgpack:"r"`
 	Departing bool `msgpack:"d,omitempty"` // the process is about to stop
-	Joining   bool `msgpack:"j,omitempty"` // the process knows of a core node that is waiting to become a member
+	Joining   bool `msgpack:"j,omitempty"` // the process knows of a coordinator that is waiting to become a member
 }
 
 // Serve registers the internal calls. Other members use them to fetch snapshots, and to ask whether this member may vote.
--- a/internal/controlplane/rebuild/cluster_test.go
+++ b/internal/controlplane/rebuild/cluster_test.go
@@ -25,16 +25,16 @@
 const inFlightTime = 20 * time.Second
 
 // departures is what a member knows about members that are about to stop or to join.
-type departures struct{ departing, joining, othersDepart bool }
+type departures struct{ departing, joining, allOthersDeparting bool }
 
 // Departing implements rebuild.Views.
 func (d *departures) Departing() bool { return d.departing }
 
-// KnowsJoiningMember implements rebuild.Views.
-func (d *departures) KnowsJoiningMember() bool { return d.joining }
+// HasJoiningMember implements rebuild.Views.
+func (d *departures) HasJoiningMember() bool { return d.joining }
 
-// OthersDepart implements rebuild.Views.
-func (d *departures) OthersDepart() bool { return d.othersDepart }
+// AllOthersDeparting implements rebuild.Views.
+func (d *departures) AllOthersDeparting() bool { return d.allOthersDeparting }
 
 // fixedViews implements rebuild.Views with a view that never changes.
 type fixedViews struct {
@@ -105,7 +105,7 @@
 	v.changed = make(chan struct{})
 }
 
-// cluster is a set of core nodes on an in-memory network in simulated time.
+// cluster is a set of coordinators on an in-memory network in simulated time.
 type cluster struct {
 	t       *testing.T
 	network *networktest.Network
--- a/internal/controlplane/rebuild/config.go
+++ b/internal/controlplane/rebuild/config.go
@@ -26,14 +26,14 @@
 	Changed() <-chan struct{}
 	// Learn stores a view that another member sent, and makes it the current view if it is newer.
 	Learn(view replicaset.View) error
-	// Absences returns how often this process has learned that it is no longer a member.
+	// Absences returns how often this process has learned that it is not a member.
 	Absences() uint64
 	// Departing reports whether this process is about to stop.
 	Departing() bool
-	// KnowsJoiningMember reports whether a core node that is waiting to become a member was announced recently.
-	KnowsJoiningMember() bool
-	// OthersDepart reports whether all other members are about to stop.
-	OthersDepart() bool
+	// HasJoiningMember reports whether a coordinator that is waiting to become a member was announced recently.
+	HasJoiningMember() bool
+	// AllOthersDeparting reports whether all other members are about to stop.
+	AllOthersDeparting() bool
 }
 
 // Config is the configuration of a Rebuilder.
--- a/internal/controlplane/rebuild/doc.go
+++ b/internal/controlplane/rebuild/doc.go
@@ -1,4 +1,4 @@
-// Package rebuild restores the replicated state of a core node that lost its disk. The node fetches snapshots from a majority
+// Package rebuild restores the replicated state of a coordinator that lost its disk. The node fetches snapshots from a majority
 // of the other members, merges them, and writes the result in one write. Until then it must not vote, promise or answer
 // reads, because it no longer knows what it promised.
 //
--- a/internal/controlplane/rebuild/handover.go
+++ b/internal/controlplane/rebuild/handover.go
@@ -23,7 +23,7 @@
 	return readyReply{
 		Ready:     r.Ready() && views.View().Has(r.config.Self),
 		Departing: views.Departing(),
-		Joining:   views.KnowsJoiningMember(),
+		Joining:   views.HasJoiningMember(),
 	}, nil
 }
 
@@ -77,7 +77,7 @@
 	views := r.config.Views
 	joined.update(views.View())
 	departure := replicaset.Departure{
-		View: joined.view, Self: r.config.Self, JoiningMember: views.KnowsJoiningMember(), OthersDepart: views.OthersDepart(),
+		View: joined.view, Self: r.config.Self, JoiningMember: views.HasJoiningMember(), AllOthersDeparting: views.AllOthersDeparting(),
 	}
 	for _, result := range r.requestReadyFromAll(ctx, joined.view) {
 		ready := result.err == nil && result.reply.Ready
--- a/internal/controlplane/rebuild/handover_test.go
+++ b/internal/controlplane/rebuild/handover_test.go
@@ -75,7 +75,7 @@
 		{"a member with a higher address stops too", func(m *threeMembers) { m.views[2].departing = true }, true, atOnce},
 		{"all members stop", func(m *threeMembers) {
 			m.network.Partition("member-0", true)
-			m.views[1].othersDepart = true
+			m.views[1].allOthersDeparting = true
 		}, true, handOverLimit},
 		{"another member knows a joining member", func(m *threeMembers) { m.views[2].joining = true }, false, handOverLimit},
 		{"the departing member knows a joining member", func(m *threeMembers) { m.views[1].joining = true }, false, handOverLimit},
--- a/internal/controlplane/register/acceptortransfer.go
+++ b/internal/controlplane/register/acceptortransfer.go
@@ -73,7 +73,7 @@
 	if len(value) <= inlineValueBytes {
 		return nil
 	}
-	return chunks.NewChunking(value, a.chunks.newest())
+	return chunks.NewChunking(value, a.chunks.newestChunking())
 }
 
 // servePush caches chunks of a value that a proposer is about to propose.
@@ -89,7 +89,7 @@
 
 // serveFetch returns chunks of the value that was accepted last, or no chunks if the value is small.
 func (a *Acceptor) serveFetch(_ context.Context, request fetchRequest) (fetchReply, error) {
-	chunking := a.chunks.newest()
+	chunking := a.chunks.newestChunking()
 	if chunking == nil {
 		return fetchReply{}, nil
 	}
--- a/internal/controlplane/register/founding.go
+++ b/internal/controlplane/register/bootstrap.go
@@ -11,20 +11,20 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// foundingName is the name of the register that stores the first view.
-const foundingName = "replicaset/founding"
+// bootstrapName is the name of the register that stores the first view.
+const bootstrapName = "replicaset/founding"
 
-// Founding commits the first view of the replica set. It uses a write-once register on the founders, which are the initial
-// members. Therefore two founders cannot commit different views. Founding implements replicaset.Founding.
-type Founding struct {
+// Bootstrap commits the first view of the replica set. It uses a write-once register on the founders, which are the initial
+// members. Therefore two founders cannot commit different views. Bootstrap implements replicaset.Bootstrap.
+type Bootstrap struct {
 	self     string
 	caller   transport.Caller
 	acceptor *Acceptor
 	founders func() []string
 }
 
-// FoundingConfig configures a Founding.
-type FoundingConfig struct {
+// BootstrapConfig configures a Bootstrap.
+type BootstrapConfig struct {
 	Self     string // internal address of this process
 	Store    storage.Store
 	Ready    func() bool     // reports whether this member may vote
@@ -32,29 +32,29 @@
 	Caller   transport.Caller
 }
 
-// NewFounding returns a Founding with the local acceptor of the first view.
-func NewFounding(config FoundingConfig) *Founding {
-	f := &Founding{self: config.Self, caller: config.Caller, founders: config.Founders}
-	f.acceptor = NewAcceptor(AcceptorConfig{
-		Name:  foundingName,
+// NewBootstrap returns a Bootstrap with the local acceptor of the first view.
+func NewBootstrap(config BootstrapConfig) *Bootstrap {
+	b := &Bootstrap{self: config.Self, caller: config.Caller, founders: config.Founders}
+	b.acceptor = NewAcceptor(AcceptorConfig{
+		Name:  bootstrapName,
 		Store: config.Store,
 		Ready: config.Ready,
-		View:  f.view,
+		View:  b.view,
 	})
-	return f
+	return b
 }
 
 // Serve registers the handlers of the acceptor's internal calls.
-func (f *Founding) Serve(mux *transport.Mux) { f.acceptor.Serve(mux) }
+func (b *Bootstrap) Serve(mux *transport.Mux) { b.acceptor.Serve(mux) }
 
 // Commit proposes the first view and returns the view that was committed. That may be the view of an earlier proposal. Errors
 // of a quorum round wrap an rpcerror.Error.
-func (f *Founding) Commit(ctx context.Context, view replicaset.View) (replicaset.View, error) {
+func (b *Bootstrap) Commit(ctx context.Context, view replicaset.View) (replicaset.View, error) {
 	proposed, err := msgpack.Marshal(view)
 	if err != nil {
 		return replicaset.View{}, fmt.Errorf("encode first view: %w", err)
 	}
-	register := New(Config{Name: foundingName, Self: f.self, Acceptor: f.acceptor, View: f.view, Caller: f.caller})
+	register := New(Config{Name: bootstrapName, Self: b.self, Acceptor: b.acceptor, View: b.view, Caller: b.caller})
 	value, err := register.Change(ctx, writeOnce(proposed))
 	if err != nil {
 		return replicaset.View{}, fmt.Errorf("commit first view: %w", err)
@@ -67,8 +67,8 @@
 }
 
 // view returns the founders as a view, or an empty view while they are unknown.
-func (f *Founding) view() replicaset.View {
-	founders := f.founders()
+func (b *Bootstrap) view() replicaset.View {
+	founders := b.founders()
 	if len(founders) == 0 {
 		return replicaset.View{}
 	}
--- a/internal/controlplane/register/founding_test.go
+++ b/internal/controlplane/register/bootstrap_test.go
@@ -24,7 +24,7 @@
 		network.SetFaults(networktest.Faults{MaxDelay: 20 * time.Millisecond})
 		var running sync.WaitGroup
 		for i, self := range founders {
-			founding := NewFounding(FoundingConfig{
+			bootstrap := NewBootstrap(BootstrapConfig{
 				Self:     self,
 				Store:    storage.NewMemory(),
 				Ready:    func() bool { return true },
@@ -32,12 +32,12 @@
 				Caller:   network.Caller(self),
 			})
 			mux := transport.NewMux()
-			founding.Serve(mux)
+			bootstrap.Serve(mux)
 			network.Serve(self, mux)
 			running.Go(func() {
 				<-time.After(time.Millisecond) // all founders serve requests by then
 				proposed := replicaset.View{Version: 1, Members: append([]string{"proposed by " + self}, founders...)}
-				committed[i], errs[i] = founding.Commit(context.Background(), proposed)
+				committed[i], errs[i] = bootstrap.Commit(context.Background(), proposed)
 			})
 		}
 		running.Wait()
--- a/internal/controlplane/register/chunkcache.go
+++ b/internal/controlplane/register/chunkcache.go
@@ -33,8 +33,8 @@
 	return c.chunking
 }
 
-// newest returns the chunks of the value that was chunked last, or nil.
-func (c *chunkCache) newest() *chunks.Chunking {
+// newestChunking returns the chunks of the value that was chunked last, or nil.
+func (c *chunkCache) newestChunking() *chunks.Chunking {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.chunking
--- a/internal/controlplane/register/cluster_test.go
+++ b/internal/controlplane/register/cluster_test.go
@@ -59,8 +59,8 @@
 func (c *cluster) Learn(replicaset.View) error { return nil }
 func (c *cluster) Absences() uint64            { return 0 }
 func (c *cluster) Departing() bool             { return false }
-func (c *cluster) KnowsJoiningMember() bool    { return false }
-func (c *cluster) OthersDepart() bool          { return false }
+func (c *cluster) HasJoiningMember() bool      { return false }
+func (c *cluster) AllOthersDeparting() bool    { return false }
 
 // newCluster starts a cluster with the given number of members. A nil brokenRule breaks no rule.
 func newCluster(seed uint64, size int, broken *brokenRule) *cluster {
--- a/internal/controlplane/register/doc.go
+++ b/internal/controlplane/register/doc.go
@@ -24,7 +24,7 @@
 // Reads and changes are linearizable. This relies on the following rules:
 //
 //   - An acceptor makes a promise or an accepted state durable before it replies (see [Acceptor] and acceptorState).
-//   - Two majorities of a view share a member, and an acceptor replies only to proposers of its own view. [Succession]
+//   - Two majorities of a view share a member, and an acceptor replies only to proposers of its own view. [ViewChange]
 //     changes the view. It is a write-once register on the members of the previous view.
 //   - A member that lost its disk does not vote until it has been rebuilt from a majority of the other members ([Merge]). A
 //     round may have counted a reply that the member sent before it lost the disk. Therefore the rebuild waits until every
--- a/internal/controlplane/register/storedcompatibility_test.go
+++ b/internal/controlplane/register/storedcompatibility_test.go
@@ -51,8 +51,8 @@
 // storedAcceptors are the acceptors of a coordinator's registers. All of them may vote.
 type storedAcceptors struct {
 	configuration, small *Acceptor
-	founding             *Founding
-	succession           *Succession
+	bootstrap            *Bootstrap
+	viewChange           *ViewChange
 }
 
 func newStoredAcceptors(store storage.Store) storedAcceptors {
@@ -61,9 +61,9 @@
 	return storedAcceptors{
 		configuration: NewAcceptor(AcceptorConfig{Name: "configuration", Store: store, Ready: ready, View: view}),
 		small:         NewAcceptor(AcceptorConfig{Name: "small", Store: store, Ready: ready, View: view}),
-		founding: NewFounding(FoundingConfig{Self: storedSelfAddress, Store: store, Ready: ready,
+		bootstrap: NewBootstrap(BootstrapConfig{Self: storedSelfAddress, Store: store, Ready: ready,
 			Founders: func() []string { return storedFirstView.Members }}),
-		succession: NewSuccession(SuccessionConfig{Self: storedSelfAddress, Store: store, Ready: ready, View: view}),
+		viewChange: NewViewChange(ViewChangeConfig{Self: storedSelfAddress, Store: store, Ready: ready, View: view}),
 	}
 }
 
@@ -87,8 +87,8 @@
 	accept(acceptors.configuration, 3, ProposalNumber{2, storedOtherAddress}, first.next([]byte(storedText(2)), ProposalNumber{2, storedOtherAddress}))
 	promise(acceptors.configuration, 3, ProposalNumber{300, storedSelfAddress})
 	accept(acceptors.small, 3, ProposalNumber{70000, storedOtherAddress}, state{Value: []byte("small"), Sequence: 9, History: []ProposalNumber{{70000, storedOtherAddress}, {7, storedSelfAddress}}})
-	accept(acceptors.founding.acceptor, 1, ProposalNumber{1, storedOtherAddress}, state{Value: encodeView(t, storedFirstView), Sequence: 1, History: []ProposalNumber{{1, storedOtherAddress}}})
-	accept(acceptors.succession.acceptor, 3, ProposalNumber{5, storedSelfAddress}, state{Value: encodeView(t, storedNextView), Sequence: 1, History: []ProposalNumber{{5, storedSelfAddress}}})
+	accept(acceptors.bootstrap.acceptor, 1, ProposalNumber{1, storedOtherAddress}, state{Value: encodeView(t, storedFirstView), Sequence: 1, History: []ProposalNumber{{1, storedOtherAddress}}})
+	accept(acceptors.viewChange.acceptor, 3, ProposalNumber{5, storedSelfAddress}, state{Value: encodeView(t, storedNextView), Sequence: 1, History: []ProposalNumber{{5, storedSelfAddress}}})
 }
 
 func encodeView(t *testing.T, view replicaset.View) []byte {
@@ -175,14 +175,14 @@
 		Convey("the first view and the next view are loaded", func() {
 			proposalNumber := ProposalNumber{Counter: 1, Member: storedOtherAddress}
 			value := state{Value: encodeView(t, storedFirstView), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			expectLoaded(acceptors.founding.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
-			next, found, err := acceptors.succession.Pending(replicaset.View{Version: 3})
+			expectLoaded(acceptors.bootstrap.acceptor, 1, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			next, found, err := acceptors.viewChange.Pending(replicaset.View{Version: 3})
 			So(err, ShouldBeNil)
 			So(found, ShouldBeTrue)
 			So(next, ShouldResemble, storedNextView)
 			proposalNumber = ProposalNumber{Counter: 5, Member: storedSelfAddress}
 			value = state{Value: encodeView(t, storedNextView), Sequence: 1, History: []ProposalNumber{proposalNumber}}
-			expectLoaded(acceptors.succession.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
+			expectLoaded(acceptors.viewChange.acceptor, 3, acceptorState{promised: proposalNumber, accepted: acceptedState{ProposalNumber: proposalNumber, State: value}})
 		})
 		Convey("this build stores the same bytes, so that the earlier build can read them", func() {
 			memory := storage.NewMemory()
--- a/internal/controlplane/register/succession.go
+++ b/internal/controlplane/register/viewchange.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	successionName  = "replicaset/next" // part of the paths of the calls
-	successionTable = TablePrefix + "replicaset/"
+	viewChangeName  = "replicaset/next" // part of the paths of the calls
+	viewChangeTable = TablePrefix + "replicaset/"
 )
 
 // errExcludesSelf reports a proposed view that does not contain the member that has to accept it.
 var errExcludesSelf = errors.New("the proposed view excludes this member, which is not about to stop")
 
-// Succession commits the view that follows the current one. It uses one write-once register for each version of the view. The
+// ViewChange commits the view that follows the current one. It uses one write-once register for each version of the view. The
 // acceptors are the members of the current view. Therefore two members cannot commit different views.
 //
 // A member does not accept a view without itself, unless it is about to stop. In that case, it keeps running until the joining
 // member has copied its tables. Therefore a quorum of members that may vote is available to the next view, and the joining
-// members can be rebuilt from it. Succession implements replicaset.Succession.
-type Succession struct {
-	config   SuccessionConfig
+// members can be rebuilt from it. ViewChange implements replicaset.ViewChange.
+type ViewChange struct {
+	config   ViewChangeConfig
 	acceptor *Acceptor
 }
 
-// SuccessionConfig configures a Succession.
-type SuccessionConfig struct {
+// ViewChangeConfig configures a ViewChange.
+type ViewChangeConfig struct {
 	Self   string // internal address of this process
 	Store  storage.Store
 	Ready  func() bool            // reports whether this member may vote
@@ -45,19 +45,19 @@
 	RandomBelow func(bound time.Duration) time.Duration // see Config; may be nil
 }
 
-// NewSuccession returns a Succession with the local acceptor of the next view.
-func NewSuccession(config SuccessionConfig) *Succession {
-	acceptor := NewAcceptor(AcceptorConfig{Name: successionName, Store: config.Store, Ready: config.Ready, View: config.View})
+// NewViewChange returns a ViewChange with the local acceptor of the next view.
+func NewViewChange(config ViewChangeConfig) *ViewChange {
+	acceptor := NewAcceptor(AcceptorConfig{Name: viewChangeName, Store: config.Store, Ready: config.Ready, View: config.View})
 	acceptor.tableName = func(viewVersion uint64) string {
-		return successionTable + strconv.FormatUint(viewVersion+1, 10)
+		return viewChangeTable + strconv.FormatUint(viewVersion+1, 10)
 	}
-	s := &Succession{config: config, acceptor: acceptor}
-	acceptor.validateValue = s.validateNextView
-	return s
+	v := &ViewChange{config: config, acceptor: acceptor}
+	acceptor.validateValue = v.validateNextView
+	return v
 }
 
 // validateNextView returns an error for a view without this member, unless this member is departing.
-func (s *Succession) validateNextView(value []byte) error {
+func (v *ViewChange) validateNextView(value []byte) error {
 	if value == nil {
 		return nil
 	}
@@ -65,19 +65,19 @@
 	if err := msgpack.Unmarshal(value, &next); err != nil {
 		return fmt.Errorf("decode the next view: %w", err)
 	}
-	if !next.Has(s.config.Self) && !s.departing() {
+	if !next.Has(v.config.Self) && !v.departing() {
 		return errExcludesSelf
 	}
 	return nil
 }
 
 // departing reports whether this member is about to stop.
-func (s *Succession) departing() bool { return s.config.Departing != nil && s.config.Departing() }
+func (v *ViewChange) departing() bool { return v.config.Departing != nil && v.config.Departing() }
 
 // Pending returns the view after current that this member has accepted, if there is one. This view is not necessarily
 // committed.
-func (s *Succession) Pending(current replicaset.View) (next replicaset.View, found bool, err error) {
-	stored, err := decodeAcceptorState(s.config.Store.Table(s.acceptor.tableName(current.Version)))
+func (v *ViewChange) Pending(current replicaset.View) (next replicaset.View, found bool, err error) {
+	stored, err := decodeAcceptorState(v.config.Store.Table(v.acceptor.tableName(current.Version)))
 	if err != nil || stored.accepted.State.Value == nil {
 		return replicaset.View{}, false, err
 	}
@@ -88,21 +88,21 @@
 }
 
 // Serve registers the handlers of the acceptor's internal calls.
-func (s *Succession) Serve(mux *transport.Mux) { s.acceptor.Serve(mux) }
+func (v *ViewChange) Serve(mux *transport.Mux) { v.acceptor.Serve(mux) }
 
 // Commit proposes the view that follows current and returns the view that was committed. That may be the view of an earlier
 // proposal. If a member reports a newer view than current, Commit returns that view. Commit fails with ErrNoView if this process
 // already uses another view than current.
-func (s *Succession) Commit(ctx context.Context, current, next replicaset.View) (replicaset.View, error) {
+func (v *ViewChange) Commit(ctx context.Context, current, next replicaset.View) (replicaset.View, error) {
 	proposed, err := msgpack.Marshal(next)
 	if err != nil {
 		return replicaset.View{}, fmt.Errorf("encode view %d: %w", next.Version, err)
 	}
 	var newer replicaset.View
 	register := New(Config{
-		Name: successionName, Self: s.config.Self, Acceptor: s.acceptor, Caller: s.config.Caller, RandomBelow: s.config.RandomBelow,
+		Name: viewChangeName, Self: v.config.Self, Acceptor: v.acceptor, Caller: v.config.Caller, RandomBelow: v.config.RandomBelow,
 		View: func() replicaset.View {
-			if newer.Version > current.Version || s.config.View().Version != current.Version {
+			if newer.Version > current.Version || v.config.View().Version != current.Version {
 				return replicaset.View{}
 			}
 			return current
--- a/internal/controlplane/register/succession_test.go
+++ b/internal/controlplane/register/viewchange_test.go
@@ -69,12 +69,12 @@
 	})
 }
 
-// newSuccessions creates the Succession of each member of a view on a network.
-func newSuccessions(network *networktest.Network, view replicaset.View, views map[string]*mutableView) map[string]*Succession {
-	created := make(map[string]*Succession)
+// newViewChanges creates the ViewChange of each member of a view on a network.
+func newViewChanges(network *networktest.Network, view replicaset.View, views map[string]*mutableView) map[string]*ViewChange {
+	created := make(map[string]*ViewChange)
 	for _, self := range view.Members {
 		views[self] = &mutableView{view: view}
-		created[self] = NewSuccession(SuccessionConfig{
+		created[self] = NewViewChange(ViewChangeConfig{
 			Self: self, Store: storage.NewMemory(), Ready: func() bool { return true }, View: views[self].get,
 			Caller: network.Caller(self),
 		})
@@ -85,7 +85,7 @@
 	return created
 }
 
-func TestConcurrentSuccessionsCommitOneView(t *testing.T) {
+func TestConcurrentViewChangesCommitOneView(t *testing.T) {
 	current := replicaset.View{Version: 4, Members: []string{"a", "b", "c"}}
 	committed := make([]replicaset.View, len(current.Members))
 	errs := make([]error, len(current.Members))
@@ -95,19 +95,19 @@
 		network := networktest.New(1)
 		network.SetFaults(networktest.Faults{MaxDelay: 20 * time.Millisecond})
 		views := make(map[string]*mutableView)
-		successions := newSuccessions(network, current, views)
+		viewChanges := newViewChanges(network, current, views)
 		var running sync.WaitGroup
 		for i, self := range current.Members {
 			running.Go(func() {
 				next := replicaset.View{Version: 5, Members: append([]string{"proposed by " + self}, current.Members...)}
-				committed[i], errs[i] = successions[self].Commit(context.Background(), current, next)
+				committed[i], errs[i] = viewChanges[self].Commit(context.Background(), current, next)
 			})
 		}
 		running.Wait()
 		views["b"].set(committed[0])
 		views["c"].set(committed[0])
-		lateView, lateErr = successions["a"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
-		_, previousViewErr = successions["b"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
+		lateView, lateErr = viewChanges["a"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
+		_, previousViewErr = viewChanges["b"].Commit(context.Background(), current, replicaset.View{Version: 5, Members: []string{"late"}})
 		<-time.After(drainTime)
 	})
 	convey.Convey("Members that propose different views concurrently get the same committed view", t, func() {
@@ -132,7 +132,7 @@
 	var pending bool
 	virtualtime.Test(t, func(*testing.T) {
 		network := networktest.New(1)
-		made := newSuccessions(network, current, make(map[string]*mutableView))
+		made := newViewChanges(network, current, make(map[string]*mutableView))
 		network.Partition("b", true)
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
--- a/internal/controlplane/replicaset/announcements.go
+++ b/internal/controlplane/replicaset/announcements.go
@@ -8,10 +8,10 @@
 
 // Timing of the proposal of the first view.
 const (
-	foundingDelay       = 1500 * time.Millisecond // minimum time from this process's start until it proposes
-	foundingQuietPeriod = 700 * time.Millisecond  // time without an announcement of a new address before this process proposes
-	founderTimeout      = 3 * time.Second         // time without an announcement of a founder after which the next founder proposes
-	foundingTimeout     = 8 * time.Second         // time from this process's start after which it no longer waits for other founders
+	bootstrapDelay       = 1500 * time.Millisecond // minimum time from this process's start until it proposes
+	bootstrapQuietPeriod = 700 * time.Millisecond  // time without an announcement of a new address before this process proposes
+	founderTimeout       = 3 * time.Second         // time without an announcement of a founder after which the next founder proposes
+	bootstrapTimeout     = 8 * time.Second         // time from this process's start after which it no longer waits for other founders
 )
 
 // announcements holds the announcements that a founder has received from coordinators while no view is known. It determines
@@ -39,14 +39,14 @@
 }
 
 // due reports whether the founder must propose the first view now. This requires that no new address has announced itself for
-// foundingQuietPeriod. The founders before it in the sorted list must have sent no announcement for founderTimeout, unless
-// foundingTimeout has passed.
+// bootstrapQuietPeriod. The founders before it in the sorted list must have sent no announcement for founderTimeout, unless
+// bootstrapTimeout has passed.
 func (a *announcements) due(self string, founders []string, now time.Time) bool {
 	rank := slices.Index(founders, self)
-	if rank < 0 || now.Sub(a.startTime) < foundingDelay || now.Sub(a.lastNewAddress) < foundingQuietPeriod {
+	if rank < 0 || now.Sub(a.startTime) < bootstrapDelay || now.Sub(a.lastNewAddress) < bootstrapQuietPeriod {
 		return false
 	}
-	if now.Sub(a.startTime) >= foundingTimeout {
+	if now.Sub(a.startTime) >= bootstrapTimeout {
 		return true
 	}
 	for _, earlier := range founders[:rank] {
--- a/internal/controlplane/replicaset/assembly_test.go
+++ b/internal/controlplane/replicaset/assembly_test.go
@@ -18,11 +18,11 @@
 
 func (c *cluster) assembleViews(coordinator *testCoordinator, mux *transport.Mux, firstStart bool) {
 	ready := func() bool { return coordinator.store.alive() && coordinator.rebuilder.Ready() }
-	founding := register.NewFounding(register.FoundingConfig{
+	bootstrap := register.NewBootstrap(register.BootstrapConfig{
 		Self: coordinator.address, Store: coordinator.store, Ready: ready, Caller: coordinator.caller,
 		Founders: func() []string { return coordinator.manager.Founders() },
 	})
-	succession := register.NewSuccession(register.SuccessionConfig{
+	viewChange := register.NewViewChange(register.ViewChangeConfig{
 		Self: coordinator.address, Store: coordinator.store, Ready: ready, Caller: coordinator.caller,
 		View:      func() replicaset.View { return coordinator.manager.View() },
 		Departing: func() bool { return !c.mutation.refusesOwnReplacement && coordinator.manager.Departing() },
@@ -30,18 +30,18 @@
 	config := replicaset.Config{
 		Self: coordinator.address, Zone: coordinator.zone, Seeds: c.seeds, FirstStart: firstStart, CountsForQuorum: true,
 		Store: coordinator.store, Caller: coordinator.caller, Logger: zap.NewNop(),
-		Founding: founding, Succession: succession, Liveness: coordinator.liveness,
+		Bootstrap: bootstrap, ViewChange: viewChange, Liveness: coordinator.liveness,
 	}
 	if c.mutation.commitsWithoutQuorum {
-		config.Succession = unilateralSuccession{}
+		config.ViewChange = unilateralViewChange{}
 	}
 	manager, err := replicaset.NewManager(config)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	coordinator.manager = manager
-	founding.Serve(mux)
-	succession.Serve(mux)
+	bootstrap.Serve(mux)
+	viewChange.Serve(mux)
 	manager.Serve(mux)
 }
 
--- a/internal/controlplane/replicaset/founding.go
+++ b/internal/controlplane/replicaset/bootstrap.go
@@ -19,7 +19,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	committed, err := m.config.Founding.Commit(ctx, proposed)
+	committed, err := m.config.Bootstrap.Commit(ctx, proposed)
 	if err != nil {
 		m.config.Logger.Warn("first view not committed", zap.Error(err))
 		return
@@ -31,7 +31,7 @@
 func (m *Manager) proposedFirstView() (view View, due bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.config.Founding == nil || !m.announcements.due(m.config.Self, m.founders, time.Now()) {
+	if m.config.Bootstrap == nil || !m.announcements.due(m.config.Self, m.founders, time.Now()) {
 		return View{}, false
 	}
 	if m.config.Zone != "" {
--- a/internal/controlplane/replicaset/founding_test.go
+++ b/internal/controlplane/replicaset/bootstrap_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-func TestNewAnnouncementDelaysFounding(t *testing.T) {
+func TestNewAnnouncementDelaysBootstrap(t *testing.T) {
 	all := addresses(4)
 	var view replicaset.View
 	var elapsed time.Duration
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestFoundingResumesAfterRestart(t *testing.T) {
+func TestBootstrapResumesAfterRestart(t *testing.T) {
 	all := addresses(3)
 	var before, after []replicaset.View
 	runInManagerCluster(t, all, func(c *managerCluster, start time.Time) {
--- a/internal/controlplane/replicaset/config.go
+++ b/internal/controlplane/replicaset/config.go
@@ -10,14 +10,14 @@
 	"puffinlink.example/puffinlink/internal/transport"
 )
 
-// Founding commits the first view in a write-once register on the founders.
-type Founding interface {
+// Bootstrap commits the first view in a write-once register on the founders.
+type Bootstrap interface {
 	// Commit proposes a first view and returns the committed one, which may be that of another proposer.
 	Commit(ctx context.Context, view View) (View, error)
 }
 
-// Succession commits the view after the current one in a write-once register on the members of the current view.
-type Succession interface {
+// ViewChange commits the view after the current one in a write-once register on the members of the current view.
+type ViewChange interface {
 	// Commit proposes next as the view after current and returns the committed one, which may be that of another proposer.
 	Commit(ctx context.Context, current, next View) (View, error)
 	// Pending returns the view after current that this member has accepted, if there is one. The caller must complete it:
@@ -41,8 +41,8 @@
 	CountsForQuorum bool     // whether this process is a coordinator that may become a member
 	Store           storage.Store
 	Caller          transport.Caller
-	Founding        Founding        // nil if CountsForQuorum is false
-	Succession      Succession      // nil if members are never replaced
-	Liveness        func() Liveness // required if Succession is set
+	Bootstrap       Bootstrap       // nil if CountsForQuorum is false
+	ViewChange      ViewChange      // nil if members are never replaced
+	Liveness        func() Liveness // required if ViewChange is set
 	Logger          *zap.Logger
 }
--- a/internal/controlplane/replicaset/departure.go
+++ b/internal/controlplane/replicaset/departure.go
@@ -5,11 +5,11 @@
 	View View   // newest view that the member knows
 	Self string // the member's internal address
 
-	WasMember        bool // whether it was a member when the departure began
-	Staying          int  // number of other members that have just replied that they may vote and do not stop before this one
-	JoinedIncomplete bool // whether a member that joined since the departure began has not yet replied that it may vote
-	JoiningMember    bool // whether this member, or one that replied, recently received an announcement of a joining member
-	OthersDepart     bool // whether every other member is about to stop as well
+	WasMember          bool // whether it was a member when the departure began
+	Staying            int  // number of other members that have just replied that they may vote and do not stop before this one
+	JoinedIncomplete   bool // whether a member that joined since the departure began has not yet replied that it may vote
+	JoiningMember      bool // whether this member, or one that replied, recently received an announcement of a joining member
+	AllOthersDeparting bool // whether every other member is about to stop as well
 }
 
 // MayStop reports whether the set loses nothing but this member if the member stops. This requires that a quorum of other
@@ -28,7 +28,7 @@
 		return false
 	case d.JoiningMember && !replaced:
 		return false
-	case d.OthersDepart:
+	case d.AllOthersDeparting:
 		return true
 	}
 	return d.KeepsQuorum()
--- a/internal/controlplane/replicaset/departure_test.go
+++ b/internal/controlplane/replicaset/departure_test.go
@@ -253,7 +253,7 @@
 func TestMayStopWithTooFewOthersOrJoiningMembers(t *testing.T) {
 	view := func(size int) replicaset.View { return replicaset.View{Version: 1, Members: addresses(size)} }
 	convey.Convey("If all members stop, none waits for the others", t, func() {
-		convey.So(replicaset.Departure{View: view(3), Self: "core-0", WasMember: true, OthersDepart: true}.MayStop(), convey.ShouldBeTrue)
+		convey.So(replicaset.Departure{View: view(3), Self: "core-0", WasMember: true, AllOthersDeparting: true}.MayStop(), convey.ShouldBeTrue)
 	})
 	convey.Convey("If the others are too few for a quorum, the member may stop", t, func() {
 		convey.So(replicaset.Departure{View: view(1), Self: "core-0", WasMember: true}.MayStop(), convey.ShouldBeTrue)
--- a/internal/controlplane/replicaset/handover_test.go
+++ b/internal/controlplane/replicaset/handover_test.go
@@ -220,9 +220,9 @@
 		c.network.Partition("new", true)
 		<-time.After(2 * time.Second)
 		manager := c.coordinatorAt(members[0]).manager
-		proposable, known = manager.HasJoiningMembers(), manager.KnowsJoiningMember()
+		proposable, known = manager.HasProposableMembers(), manager.HasJoiningMember()
 		<-time.After(2 * time.Second)
-		forgotten = !manager.KnowsJoiningMember()
+		forgotten = !manager.HasJoiningMember()
 	})
 	convey.Convey("2 s after its last announcement a joining member is no longer proposed, but still known", t, func() {
 		convey.So(proposable, convey.ShouldBeFalse)
@@ -231,18 +231,18 @@
 	convey.Convey("4 s after its last announcement a joining member is no longer known", t, func() { convey.So(forgotten, convey.ShouldBeTrue) })
 }
 
-func TestOthersDepartAfterAllLeaveRequests(t *testing.T) {
+func TestAllOthersDepartingAfterAllLeaveRequests(t *testing.T) {
 	members := addresses(3)
 	var byOne, byBoth, afterwards bool
 	runInCluster(t, 1, ruleMutation{}, members, func(c *cluster) {
 		staying, first, second := c.coordinatorAt(members[0]).manager, c.coordinatorAt(members[1]), c.coordinatorAt(members[2])
 		first.manager.Leave(first.ctx)
-		byOne = staying.OthersDepart()
+		byOne = staying.AllOthersDeparting()
 		second.manager.Leave(second.ctx)
-		byBoth = staying.OthersDepart()
+		byBoth = staying.AllOthersDeparting()
 		c.stop(first)
 		<-time.After(2 * time.Second)
-		afterwards = staying.OthersDepart()
+		afterwards = staying.AllOthersDeparting()
 	})
 	convey.Convey("All others depart once each has sent a leave request, until one of them continues to send messages", t, func() {
 		convey.So(byOne, convey.ShouldBeFalse)
--- a/internal/controlplane/replicaset/joining.go
+++ b/internal/controlplane/replicaset/joining.go
@@ -9,7 +9,7 @@
 const (
 	joiningMemberDelay    = 300 * time.Millisecond // from a joining member's first announcement until it may become a member
 	announcementTimeout   = time.Second            // time without an announcement after which a joining member is no longer proposed
-	announcementRetention = 3 * time.Second        // how long an announcement counts for KnowsJoiningMember
+	announcementRetention = 3 * time.Second        // how long an announcement counts for HasJoiningMember
 )
 
 // joiningMember is a coordinator that is not a member and has announced itself to become one.
--- a/internal/controlplane/replicaset/leave.go
+++ b/internal/controlplane/replicaset/leave.go
@@ -39,9 +39,9 @@
 	calls.Wait()
 }
 
-// OthersDepart reports whether every other member has sent a leave request, and no message later than leaveGracePeriod after
+// AllOthersDeparting reports whether every other member has sent a leave request, and no message later than leaveGracePeriod after
 // it.
-func (m *Manager) OthersDepart() bool {
+func (m *Manager) AllOthersDeparting() bool {
 	var sinceContactByAddress map[string]time.Duration
 	if m.config.Liveness != nil {
 		sinceContactByAddress = m.config.Liveness().SinceContact
--- a/internal/controlplane/replicaset/manager.go
+++ b/internal/controlplane/replicaset/manager.go
@@ -24,7 +24,7 @@
 	startTime         time.Time
 	incarnation       uint64            // random number that identifies this process; a restarted one has another
 	departing         atomic.Bool       // this process is about to stop
-	founders          []string          // sorted; empty if this process does not participate in the founding
+	founders          []string          // sorted; empty if this process does not participate in the bootstrap
 	wake              wakeup.Signal     // notified when a joining member announces itself or a member sends a leave request
 	storeFailures     chan error        // errors that end Run
 	observation       quorumObservation // used only by Run, like the next three fields
@@ -47,7 +47,7 @@
 }
 
 // NewManager creates a Manager and loads the view from the store. At the first start of a coordinator it also stores the list
-// of founders, so that a process that is killed during the founding resumes it after a restart.
+// of founders, so that a process that is killed during the bootstrap resumes it after a restart.
 func NewManager(config Config) (*Manager, error) {
 	m := &Manager{
 		config: config, startTime: time.Now(), incarnation: max(1, rand.Uint64()),
--- a/internal/controlplane/replicaset/managercluster_test.go
+++ b/internal/controlplane/replicaset/managercluster_test.go
@@ -22,7 +22,7 @@
 // messageDrainTime is the simulated time in which all messages in flight at the end of a test are delivered.
 const messageDrainTime = 10 * time.Second
 
-// managerCluster is a set of processes on an in-memory network that each run only a Manager, and the founding register. It must
+// managerCluster is a set of processes on an in-memory network that each run only a Manager, and the bootstrap register. It must
 // run in simulated time.
 type managerCluster struct {
 	t       *testing.T
@@ -56,7 +56,7 @@
 func (c *managerCluster) start(self string, store *storage.Memory, firstStart, isCoordinator bool) *managerProcess {
 	c.t.Helper()
 	var manager *replicaset.Manager
-	founding := register.NewFounding(register.FoundingConfig{
+	bootstrap := register.NewBootstrap(register.BootstrapConfig{
 		Self:     self,
 		Store:    store,
 		Ready:    func() bool { return true },
@@ -70,7 +70,7 @@
 		CountsForQuorum: isCoordinator,
 		Store:           store,
 		Caller:          c.network.Caller(self),
-		Founding:        founding,
+		Bootstrap:       bootstrap,
 		Logger:          zap.NewNop(),
 	})
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	mux := transport.NewMux()
 	manager.Serve(mux)
-	founding.Serve(mux)
+	bootstrap.Serve(mux)
 	c.network.Serve(self, mux)
 	ctx, stop := context.WithCancel(context.Background())
 	process := &managerProcess{manager, store, stop, make(chan error, 1)}
--- a/internal/controlplane/replicaset/replacement.go
+++ b/internal/controlplane/replicaset/replacement.go
@@ -12,18 +12,18 @@
 // has restarted, and invalidates the request.
 const leaveGracePeriod = 500 * time.Millisecond
 
-// HasJoiningMembers reports whether this process is a member and knows joining members that it may propose.
-func (m *Manager) HasJoiningMembers() bool {
+// HasProposableMembers reports whether this process is a member and knows joining members that it may propose.
+func (m *Manager) HasProposableMembers() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.joiningMembers.removeExpired(time.Now())
-	return m.config.Succession != nil && m.view.Has(m.config.Self) && len(m.joiningMembers) > 0
+	return m.config.ViewChange != nil && m.view.Has(m.config.Self) && len(m.joiningMembers) > 0
 }
 
-// KnowsJoiningMember reports whether a coordinator that is not a member has announced itself within announcementRetention.
-// This is longer than for HasJoiningMembers, so that a departing member does not miss its successor when single announcements
+// HasJoiningMember reports whether a coordinator that is not a member has announced itself within announcementRetention.
+// This is longer than for HasProposableMembers, so that a departing member does not miss its successor when single announcements
 // are late or lost.
-func (m *Manager) KnowsJoiningMember() bool {
+func (m *Manager) HasJoiningMember() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	oldest := time.Now().Add(-announcementRetention)
@@ -38,10 +38,10 @@
 // completePendingView commits the next view that this member has accepted, if there is one.
 func (m *Manager) completePendingView(ctx context.Context) {
 	current := m.View()
-	if m.config.Succession == nil || !current.Has(m.config.Self) {
+	if m.config.ViewChange == nil || !current.Has(m.config.Self) {
 		return
 	}
-	next, found, err := m.config.Succession.Pending(current)
+	next, found, err := m.config.ViewChange.Pending(current)
 	if err != nil {
 		m.config.Logger.Error("pending view not readable", zap.Error(err))
 		return
@@ -115,7 +115,7 @@
 func (m *Manager) commitNextView(ctx context.Context, current, next View) {
 	commitCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	committed, err := m.config.Succession.Commit(commitCtx, current, next)
+	committed, err := m.config.ViewChange.Commit(commitCtx, current, next)
 	if err != nil {
 		m.config.Logger.Warn("next view not committed", zap.Uint64("version", next.Version), zap.Error(err))
 		m.broadcastView(ctx, current.Members)
--- a/internal/controlplane/replicaset/rulemutants_test.go
+++ b/internal/controlplane/replicaset/rulemutants_test.go
@@ -21,16 +21,16 @@
 	replacedGivesNoSnapshot bool // a replaced member provides no snapshot
 }
 
-// unilateralSuccession commits a view without the other members.
-type unilateralSuccession struct{}
+// unilateralViewChange commits a view without the other members.
+type unilateralViewChange struct{}
 
-// Commit implements replicaset.Succession.
-func (unilateralSuccession) Commit(_ context.Context, _, next replicaset.View) (replicaset.View, error) {
+// Commit implements replicaset.ViewChange.
+func (unilateralViewChange) Commit(_ context.Context, _, next replicaset.View) (replicaset.View, error) {
 	return next, nil
 }
 
-// Pending implements replicaset.Succession.
-func (unilateralSuccession) Pending(replicaset.View) (replicaset.View, bool, error) {
+// Pending implements replicaset.ViewChange.
+func (unilateralViewChange) Pending(replicaset.View) (replicaset.View, bool, error) {
 	return replicaset.View{}, false, nil
 }
 
--- a/internal/controlplane/replicaset/run.go
+++ b/internal/controlplane/replicaset/run.go
@@ -111,18 +111,18 @@
 			role.step(ctx)
 			step.Reset(role.interval)
 		case <-pendingView:
-			if m.HasJoiningMembers() {
+			if m.HasProposableMembers() {
 				m.completePendingView(ctx)
 			}
 		case <-exchange:
 			m.completePendingView(ctx)
-			if !m.HasJoiningMembers() {
+			if !m.HasProposableMembers() {
 				m.exchangeWithNext(ctx)
 			}
 		case <-wake:
 		case <-replacement.C:
 		}
-		if role.replacesMembers && m.HasJoiningMembers() {
+		if role.replacesMembers && m.HasProposableMembers() {
 			m.replaceDueMember(ctx)
 			replacement.Reset(replacementInterval)
 		}
--- a/internal/controlplane/replicaset/scheduledfaults_test.go
+++ b/internal/controlplane/replicaset/scheduledfaults_test.go
@@ -81,7 +81,7 @@
 		if planned {
 			s.startJoiningMember()
 			<-time.After(catchUpTime + duration/4)
-			s.logEvent("%s is to stop, joining members %v, view %v", coordinator.address, coordinator.manager.HasJoiningMembers(), coordinator.manager.View().Members)
+			s.logEvent("%s is to stop, joining members %v, view %v", coordinator.address, coordinator.manager.HasProposableMembers(), coordinator.manager.View().Members)
 			if diskLoss == 1 {
 				s.loseDisk(coordinator, index, duration)
 			}
--- a/internal/controlplane/replication/doc.go
+++ b/internal/controlplane/replication/doc.go
@@ -1,4 +1,4 @@
-// Package replication replicates key/value state across the core nodes, one state per replication group. The
+// Package replication replicates key/value state across the coordinators, one state per replication group. The
 // replicas of a group elect a leader. The leader collects proposed changes into batches and sends them to the other replicas.
 //
 // A batch is committed once a majority of the replicas has synced it to disk. Each new leader starts with a state that contains
--- a/internal/controlplane/replication/members.go
+++ b/internal/controlplane/replication/members.go
@@ -9,7 +9,7 @@
 // never is a time before all others.
 const never = -1 << 62 * time.Nanosecond
 
-// member is the contact state of another core node.
+// member is the contact state of another coordinator.
 type member struct {
 	lastPing           time.Duration // when its newest ping arrived
 	ready              bool          // it may vote, according to its newest ping
@@ -17,7 +17,7 @@
 	pendingPings       int           // pings in flight
 }
 
-// members tracks which core nodes are alive and in contact with this node.
+// members tracks which coordinators are alive and in contact with this node.
 type members struct {
 	self            string
 	livenessTimeout time.Duration
--- a/internal/controlplane/replication/merge.go
+++ b/internal/controlplane/replication/merge.go
@@ -32,7 +32,7 @@
 	return merged
 }
 
-// MergeTables applies MergeReplicas to all groups in the snapshots. Each snapshot belongs to one core node, and maps the names of
+// MergeTables applies MergeReplicas to all groups in the snapshots. Each snapshot belongs to one coordinator, and maps the names of
 // its tables with the prefix StateTablePrefix or MetaTablePrefix to their content.
 func MergeTables(snapshots []map[string]map[string][]byte) map[string]map[string][]byte {
 	merged := make(map[string]map[string][]byte)
--- a/internal/controlplane/replication/node.go
+++ b/internal/controlplane/replication/node.go
@@ -39,7 +39,7 @@
 	errRequestCancelled = errors.New("replication: request cancelled before a reply was available")
 )
 
-// Node runs the replicas of all replication groups on one core node.
+// Node runs the replicas of all replication groups on one coordinator.
 type Node struct {
 	config Config
 	log    *zap.Logger
--- a/internal/dataplane/agent/agent.go
+++ b/internal/dataplane/agent/agent.go
@@ -93,7 +93,7 @@
 
 // candidates returns the coordinators to follow in order of preference: first those in the feed, then the other seeds.
 func (a *Agent) candidates() []string {
-	members := rank(a.config.Address, a.snapshots.Snapshot().Core)
+	members := rank(a.config.Address, a.snapshots.Snapshot().Coordinators)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return appendMissing(members, rank(a.config.Address, a.seeds))
--- a/internal/dataplane/agent/agent_test.go
+++ b/internal/dataplane/agent/agent_test.go
@@ -32,7 +32,7 @@
 	withTestCluster(t, 3, 8, func(cluster *testCluster) {
 		Convey("All agents know all members and are in contact", t, func() {
 			for _, a := range cluster.agents {
-				So(len(a.Snapshot().Core), ShouldEqual, 3)
+				So(len(a.Snapshot().Coordinators), ShouldEqual, 3)
 				So(len(a.Snapshot().Agents), ShouldEqual, 8)
 				So(a.InContact(), ShouldBeTrue)
 			}
@@ -164,13 +164,13 @@
 
 func TestReplyThatIsNotCurrentDoesNotConfirmContact(t *testing.T) {
 	Convey("Its configuration is used, its members are not, and it does not confirm contact", t, func() {
-		update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
+		update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Coordinators: []string{"core-9"}}
 		a := New(Config{Address: "agent-0", Caller: fixedReplyCaller{Changed: true, Snapshot: update}, Logger: zap.NewNop()})
 		_, err := a.poll(context.Background(), "core-0", 0, time.Minute)
 		So(err, ShouldEqual, errNotCurrent)
 		So(a.InContact(), ShouldBeFalse)
 		So(a.Snapshot().ConfigurationVersion, ShouldEqual, 5)
-		So(a.Snapshot().Core, ShouldBeEmpty)
+		So(a.Snapshot().Coordinators, ShouldBeEmpty)
 	})
 }
 
@@ -190,14 +190,14 @@
 func TestReplyReadAfterPauseDoesNotConfirmContact(t *testing.T) {
 	virtualtime.Test(t, func(*testing.T) {
 		Convey("Its configuration is used, its members are not, and it does not confirm contact", t, func() {
-			update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Core: []string{"core-9"}}
+			update := &feed.Snapshot{ConfigurationVersion: 5, Configuration: []byte("5"), Coordinators: []string{"core-9"}}
 			caller := pausedCaller{feed.WatchReply{Current: true, Changed: true, Snapshot: update}, 20 * time.Second}
 			a := New(Config{Address: "agent-0", Caller: caller, Logger: zap.NewNop()})
 			_, err := a.poll(context.Background(), "core-0", pollWait, pollWait+replyMargin)
 			So(err, ShouldEqual, errReplyTooLate)
 			So(a.InContact(), ShouldBeFalse)
 			So(a.Snapshot().ConfigurationVersion, ShouldEqual, 5)
-			So(a.Snapshot().Core, ShouldBeEmpty)
+			So(a.Snapshot().Coordinators, ShouldBeEmpty)
 		})
 	})
 }
@@ -212,7 +212,7 @@
 			agent.SetSeeds([]string{"gone-1", "core-2"})
 			<-time.After(2 * time.Second)
 			So(agent.InContact(), ShouldBeTrue)
-			So(agent.Snapshot().Core, ShouldResemble, []string{"core-0", "core-1", "core-2"})
+			So(agent.Snapshot().Coordinators, ShouldResemble, []string{"core-0", "core-1", "core-2"})
 		})
 		Convey("An agent without seeds waits until it gets some", t, func() {
 			idle := cluster.addAgent("agent-idle", nil)
--- a/internal/dataplane/agent/cluster_test.go
+++ b/internal/dataplane/agent/cluster_test.go
@@ -47,13 +47,13 @@
 			defer c.mutex.Unlock()
 			return map[string]feed.Leader{"g": {Address: members[0], Term: c.term}}
 		},
-		Core: func() []string { return members },
+		Coordinators: func() []string { return members },
 		InContact: func() bool {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			return c.inContact
 		},
-		Changed: []func() <-chan struct{}{func() <-chan struct{} {
+		ChangeSignals: []func() <-chan struct{}{func() <-chan struct{} {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			return c.changed
--- a/internal/dataplane/agent/exchange.go
+++ b/internal/dataplane/agent/exchange.go
@@ -128,7 +128,7 @@
 	now := time.Now()
 	peerAge := max(0, time.Duration(received.Known.MembersAgeMS)*time.Millisecond)
 	ownAge := a.membersAge(now)
-	if ownAge <= staleMembersAge || peerAge >= ownAge || len(received.Snapshot.Core) == 0 {
+	if ownAge <= staleMembersAge || peerAge >= ownAge || len(received.Snapshot.Coordinators) == 0 {
 		a.snapshots.Merge(received.Snapshot)
 		return nil
 	}
--- a/internal/dataplane/agent/exchange_test.go
+++ b/internal/dataplane/agent/exchange_test.go
@@ -119,9 +119,9 @@
 	Convey("Given an agent whose members were confirmed a while ago", t, func() {
 		network := newNetwork()
 		a := New(Config{Address: "agent-0", Caller: endpoint{network, "agent-0"}})
-		a.snapshots.MergeWithMembers(&feed.Snapshot{Core: []string{"core-0"}, Agents: []string{"agent-0"}})
-		received := feed.Exchange{Snapshot: &feed.Snapshot{Core: []string{"core-9"}, Agents: []string{"agent-9"}}}
-		coordinator := func() string { return a.Snapshot().Core[0] }
+		a.snapshots.MergeWithMembers(&feed.Snapshot{Coordinators: []string{"core-0"}, Agents: []string{"agent-0"}})
+		received := feed.Exchange{Snapshot: &feed.Snapshot{Coordinators: []string{"core-9"}, Agents: []string{"agent-9"}}}
+		coordinator := func() string { return a.Snapshot().Coordinators[0] }
 		sendExchange := func(age time.Duration) {
 			received.Known.MembersAgeMS = age.Milliseconds()
 			_, err := a.handleExchange(context.Background(), received)
--- a/internal/dataplane/agent/local_test.go
+++ b/internal/dataplane/agent/local_test.go
@@ -23,7 +23,7 @@
 			reply := callLocal(cluster, "agent-0", feed.WatchRequest{})
 			So(reply.Current, ShouldBeTrue)
 			So(string(reply.Snapshot.Configuration), ShouldEqual, "configuration 5")
-			So(len(reply.Snapshot.Core), ShouldEqual, 3)
+			So(len(reply.Snapshot.Coordinators), ShouldEqual, 3)
 		})
 		Convey("A call without an update returns after the requested wait, which is limited to maxLocalWait", t, func() {
 			for _, c := range []struct{ requested, waited time.Duration }{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, maxLocalWait}} {
--- a/internal/dataplane/agent/metrics.go
+++ b/internal/dataplane/agent/metrics.go
@@ -14,7 +14,7 @@
 			func() float64 { return float64(a.Snapshot().ConfigurationVersion) }),
 		metrics.Gauge("puffinlink_known_leaders", "Services whose jobs have a known leader.",
 			func() float64 { return float64(len(a.Snapshot().Leaders)) }),
-		metrics.Gauge("puffinlink_known_core", "Coordinators known.", func() float64 { return float64(len(a.Snapshot().Core)) }),
+		metrics.Gauge("puffinlink_known_core", "Coordinators known.", func() float64 { return float64(len(a.Snapshot().Coordinators)) }),
 		metrics.Gauge("puffinlink_known_agents", "Agents of front machines known.", func() float64 { return float64(len(a.Snapshot().Agents)) }),
 	}
 }
--- a/internal/dataplane/proxy/feed_test.go
+++ b/internal/dataplane/proxy/feed_test.go
@@ -103,7 +103,7 @@
 	Convey("An update without members keeps the checksum of the known ones", t, func() {
 		f := newTestFeedFollower()
 		complete := update(5, configurationOf(1000), nil)
-		complete.Snapshot.Core = []string{"core:1"}
+		complete.Snapshot.Coordinators = []string{"core:1"}
 		f.apply(complete, f.now())
 		named := f.digest().MembersSum
 		So(named, ShouldNotEqual, 0)
--- a/internal/jobs/jobapi/jobapi.go
+++ b/internal/jobs/jobapi/jobapi.go
@@ -20,13 +20,13 @@
 // Queue contains the settings of a job's route at the time when the job is submitted. Later changes of the configuration
 // do not affect the job.
 type Queue struct {
-	Route           string  `msgpack:"r"`
-	Service         string  `msgpack:"s"`
-	Priority        int     `msgpack:"p"` // 0 is the highest priority
-	MaxAttempts     int     `msgpack:"a"` // number of failed attempts of a task after which the job fails; values below 1 count as 1
-	Extension       float64 `msgpack:"e"` // multiple of the critical path that a job may take; values below 1 count as 1
-	TargetLatencyMS int64   `msgpack:"t"` // time that a job may take in addition, milliseconds
-	Guards          bool    `msgpack:"g"` // the service's workers reject tasks that exceed their free capacity
+	Route            string  `msgpack:"r"`
+	Service          string  `msgpack:"s"`
+	Priority         int     `msgpack:"p"` // 0 is the highest priority
+	MaxAttempts      int     `msgpack:"a"` // number of failed attempts of a task after which the job fails; values below 1 count as 1
+	Extension        float64 `msgpack:"e"` // multiple of the critical path that a job may take; values below 1 count as 1
+	TargetLatencyMS  int64   `msgpack:"t"` // time that a job may take in addition, milliseconds
+	EnforcesCapacity bool    `msgpack:"g"` // the service's workers reject tasks that exceed their free capacity
 }
 
 // SubmitRequest adds a job. A repeated request with the same ID does not add another job.
--- a/internal/jobs/jobreport/explanation.go
+++ b/internal/jobs/jobreport/explanation.go
@@ -45,17 +45,17 @@
 
 // WaitingStage explains why tasks of one stage wait.
 type WaitingStage struct {
-	Repetition  int           `msgpack:"r" json:"repetition"`
-	Stage       int           `msgpack:"s" json:"stage"`
-	Tasks       int           `msgpack:"t" json:"tasks"`
-	Reason      Reason        `msgpack:"w" json:"reason"`
-	DependsOn   []int         `msgpack:"d" json:"dependsOn,omitempty"` // earlier stages that are not complete
-	DueMS       int64         `msgpack:"m" json:"dueMs,omitzero"`      // when the repetition is due, milliseconds since 1970
-	WaitMS      int64         `msgpack:"a" json:"ageMs,omitzero"`      // time since the stage last began to wait, milliseconds
-	StagesAhead int           `msgpack:"h" json:"ahead,omitzero"`      // number of stages that precede this one in the queue
-	Request     job.Resources `msgpack:"q" json:"request"`             // resources that one task requests
-	OpenWorkers []string      `msgpack:"o" json:"open,omitempty"`      // IDs of the first few workers that could take a task
-	Exclusions  []Exclusion   `msgpack:"x" json:"ruledOut,omitempty"`
+	Repetition       int           `msgpack:"r" json:"repetition"`
+	Stage            int           `msgpack:"s" json:"stage"`
+	Tasks            int           `msgpack:"t" json:"tasks"`
+	Reason           Reason        `msgpack:"w" json:"reason"`
+	DependsOn        []int         `msgpack:"d" json:"dependsOn,omitempty"` // earlier stages that are not complete
+	DueMS            int64         `msgpack:"m" json:"dueMs,omitzero"`      // when the repetition is due, milliseconds since 1970
+	WaitMS           int64         `msgpack:"a" json:"ageMs,omitzero"`      // time since the stage last began to wait, milliseconds
+	StagesAhead      int           `msgpack:"h" json:"ahead,omitzero"`      // number of stages that precede this one in the queue
+	Request          job.Resources `msgpack:"q" json:"request"`             // resources that one task requests
+	AcceptingWorkers []string      `msgpack:"o" json:"open,omitempty"`      // IDs of the first few workers that could take a task
+	Exclusions       []Exclusion   `msgpack:"x" json:"ruledOut,omitempty"`
 }
 
 // Explanation explains why a job's tasks wait.
--- a/internal/jobs/manager/links.go
+++ b/internal/jobs/manager/links.go
@@ -42,7 +42,7 @@
 	}
 	link := workerclient.NewLink(workerclient.Config{
 		Instance: *instance, FencingToken: l.term.Number(), MaxLease: l.config.Settings.MaxLease,
-		LeaderLeaseValid: l.term.Valid, FencedOff: l.term.Resign, Events: linkEvents{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
+		LeaderLeaseValid: l.term.Valid, OnFenced: l.term.Resign, Events: linkEvents{l}, HTTP: l.config.HTTP, Connections: l.config.Connections,
 		Log: l.config.Log, Now: time.Now,
 	})
 	l.links[instance.ID] = link
@@ -70,7 +70,7 @@
 }
 
 // StartResult implements workerclient.Events. It ignores a rejection because of a higher fencing token: by then
-// workerclient.Config.FencedOff has already ended the leadership.
+// workerclient.Config.OnFenced has already ended the leadership.
 func (e linkEvents) StartResult(result workerclient.StartResult) {
 	if result.Outcome != workerclient.Started {
 		e.leadership.config.Log.Debug("start not confirmed", zap.Stringer("task", result.Command.Task),
@@ -87,8 +87,8 @@
 	e.leadership.handle(func(scheduler.Now) { e.leadership.scheduler.HandleStopResult(&result) })
 }
 
-// Gone implements workerclient.Events. It removes the worker and closes its link.
-func (e linkEvents) Gone(removed workerclient.Gone) {
+// WorkerReplaced implements workerclient.Events. It removes the worker and closes its link.
+func (e linkEvents) WorkerReplaced(removed workerclient.WorkerReplaced) {
 	e.leadership.handle(func(now scheduler.Now) {
 		e.leadership.scheduler.RemoveWorker(now, removed.Worker)
 		if link := e.leadership.links[removed.Worker]; link != nil {
@@ -97,9 +97,9 @@
 	})
 }
 
-// Fenced implements workerclient.Events. It does nothing because workerclient.Config.FencedOff has already ended the
+// FencingTokenRejected implements workerclient.Events. It does nothing because workerclient.Config.OnFenced has already ended the
 // leadership.
-func (e linkEvents) Fenced(workerclient.Fenced) {}
+func (e linkEvents) FencingTokenRejected(workerclient.FencingTokenRejected) {}
 
 // Reachability implements workerclient.Events.
 func (e linkEvents) Reachability(change workerclient.ReachabilityChange) {
--- a/internal/jobs/scheduler/admission.go
+++ b/internal/jobs/scheduler/admission.go
@@ -39,7 +39,7 @@
 // isBackingOff reports whether starts on a worker are suspended for a short time, because the worker rejected a start or an
 // attempt stalled there.
 func (worker *workerState) isBackingOff(now Now) bool {
-	return now.Monotonic.Before(worker.backoffUntil) || now.Monotonic.Before(worker.fullUntil)
+	return now.Monotonic.Before(worker.backoffUntil) || now.Monotonic.Before(worker.capacityBackoffUntil)
 }
 
 // admits reports whether a worker that accepts starts can run one more task of a stage, in addition to plannedTasks tasks of
@@ -62,16 +62,16 @@
 // workersAcceptingStarts returns the workers for which acceptsStarts is true. The list is computed at most once per dispatch,
 // when the first task cannot start on the worker that it is bound to.
 func (s *Scheduler) workersAcceptingStarts(now Now) []*workerState {
-	if s.openWorkersCached {
-		return s.openWorkersCache
+	if s.acceptingWorkersListed {
+		return s.acceptingWorkers
 	}
-	s.openWorkersCached = true
+	s.acceptingWorkersListed = true
 	for _, worker := range s.sortedWorkers {
 		if s.acceptsStarts(now, worker) {
-			s.openWorkersCache = append(s.openWorkersCache, worker)
+			s.acceptingWorkers = append(s.acceptingWorkers, worker)
 		}
 	}
-	return s.openWorkersCache
+	return s.acceptingWorkers
 }
 
 // attemptsOfStage returns the number of a stage's attempts on the worker.
--- a/internal/jobs/scheduler/commandresults.go
+++ b/internal/jobs/scheduler/commandresults.go
@@ -37,7 +37,7 @@
 	case workerclient.RejectedFencingToken:
 		return // a newer leader has replaced this one
 	case workerclient.RejectedCapacity:
-		worker.fullUntil = now.Monotonic.Add(backoffAfterFull)
+		worker.capacityBackoffUntil = now.Monotonic.Add(backoffAfterFull)
 	case workerclient.RejectedUnhealthy:
 		worker.backoffUntil = now.Monotonic.Add(backoffAfterUnhealthy)
 		worker.failureRate += failureWeight * (1 - worker.failureRate)
--- a/internal/jobs/scheduler/completion.go
+++ b/internal/jobs/scheduler/completion.go
@@ -85,7 +85,7 @@
 		return
 	}
 	stage.repetition.remainingMS = stage.repetition.criticalPathMS()
-	s.beginReadyStages(now, stage.repetition)
+	s.startReadyStages(now, stage.repetition)
 }
 
 // handleFailure counts a failed attempt and queues the task again. The job fails if the task has reached the number of failed
--- a/internal/jobs/scheduler/dispatch.go
+++ b/internal/jobs/scheduler/dispatch.go
@@ -11,10 +11,10 @@
 func (s *Scheduler) Dispatch(now Now) {
 	s.dispatchNeeded = false
 	s.orderQueue(now)
-	s.openWorkersCache, s.openWorkersCached = s.openWorkersCache[:0], false
+	s.acceptingWorkers, s.acceptingWorkersListed = s.acceptingWorkers[:0], false
 	var unplaceable unplaceableRequests
 	for _, stage := range s.waitingStages {
-		if s.openWorkersCached && len(s.openWorkersCache) == 0 {
+		if s.acceptingWorkersListed && len(s.acceptingWorkers) == 0 {
 			return
 		}
 		if len(stage.waiting) == 0 || unplaceable.covers(stage) {
--- a/internal/jobs/scheduler/explain.go
+++ b/internal/jobs/scheduler/explain.go
@@ -70,31 +70,31 @@
 		Repetition: stage.repetition.number, Stage: stage.number, Tasks: len(stage.waiting), Request: stage.Resources,
 		WaitMS: now.Monotonic.Sub(stage.waitingSince).Milliseconds(), StagesAhead: max(0, slices.Index(s.waitingStages, stage)),
 	}
-	openCount := 0
+	acceptingCount := 0
 	for _, worker := range s.sortedWorkers {
 		cause := s.exclusionCause(now, stage, worker)
 		if cause != "" {
 			waiting.Exclusions = addExclusion(waiting.Exclusions, cause, string(worker.ID))
 			continue
 		}
-		openCount++
-		if len(waiting.OpenWorkers) < maxNamedWorkers {
-			waiting.OpenWorkers = append(waiting.OpenWorkers, string(worker.ID))
+		acceptingCount++
+		if len(waiting.AcceptingWorkers) < maxNamedWorkers {
+			waiting.AcceptingWorkers = append(waiting.AcceptingWorkers, string(worker.ID))
 		}
 	}
-	waiting.Reason = s.waitingReason(now, stage, openCount)
+	waiting.Reason = s.waitingReason(now, stage, acceptingCount)
 	return waiting
 }
 
-// waitingReason returns the first reason that applies to a stage. openCount is the number of workers that could take a
+// waitingReason returns the first reason that applies to a stage. acceptingCount is the number of workers that could take a
 // task of it.
-func (s *Scheduler) waitingReason(now Now, stage *stageState, openCount int) jobreport.Reason {
+func (s *Scheduler) waitingReason(now Now, stage *stageState, acceptingCount int) jobreport.Reason {
 	switch {
 	case stage.GangScheduled && len(stage.waiting) < max(stage.incompleteTasks, stage.Count):
 		return jobreport.ReasonGangActive
 	case isStageBackingOff(now, stage):
 		return jobreport.ReasonBackoff
-	case openCount == 0:
+	case acceptingCount == 0:
 		return jobreport.ReasonNoWorker
 	case stage.GangScheduled && s.placeableMembers(now, stage) < stage.Count:
 		return jobreport.ReasonGangCapacity
--- a/internal/jobs/scheduler/explain_test.go
+++ b/internal/jobs/scheduler/explain_test.go
@@ -124,7 +124,7 @@
 			gang.GangScheduled, gang.Processors = true, 8000
 			waiting := explainOnlyWaitingStage(w, w.submitStages(1, gang))
 			So(waiting.Reason, ShouldEqual, jobreport.ReasonGangCapacity)
-			So(len(waiting.OpenWorkers), ShouldEqual, maxNamedWorkers)
+			So(len(waiting.AcceptingWorkers), ShouldEqual, maxNamedWorkers)
 		})
 		Convey("a repetition waits until it is due", func() {
 			facts := &simulatedJob{request: jobapi.SubmitRequest{Group: "jobs/x", ID: "000000000000000a", Queue: jobapi.Queue{Route: "r", Service: "x"},
--- a/internal/jobs/scheduler/jobs.go
+++ b/internal/jobs/scheduler/jobs.go
@@ -14,7 +14,7 @@
 	j := newJob(request.ID, jobRecord{Queue: request.Queue, Specification: request.Specification, Arrival: s.lastArrival, ArrivedMS: now.WallMS})
 	s.addJob(j)
 	s.writeRecord(jobKey(j.id), j.jobRecord)
-	s.beginDueRepetitions(now, j)
+	s.startDueRepetitions(now, j)
 	s.dispatchNeeded = true
 }
 
--- a/internal/jobs/scheduler/ordering_test.go
+++ b/internal/jobs/scheduler/ordering_test.go
@@ -148,12 +148,12 @@
 	}
 	Convey("If each task fits on the worker that it is bound to, Dispatch does not list the other workers", t, func() {
 		submit(1, 60)
-		So(s.openWorkersCached, ShouldBeFalse)
+		So(s.acceptingWorkersListed, ShouldBeFalse)
 		So(s.waitingStages[0].waiting, ShouldBeEmpty)
 		Convey("and otherwise it starts the task on any worker with free capacity, or leaves it waiting", func() {
 			submit(2, 1)
-			So(s.openWorkersCached, ShouldBeTrue)
-			So(s.openWorkersCache, ShouldHaveLength, 30)
+			So(s.acceptingWorkersListed, ShouldBeTrue)
+			So(s.acceptingWorkers, ShouldHaveLength, 30)
 			freed := s.sortedWorkers[7]
 			s.endAllAttempts(now, freed) // its two tasks wait again, bound to arbitrary workers
 			s.Dispatch(now)
--- a/internal/jobs/scheduler/repetitions.go
+++ b/internal/jobs/scheduler/repetitions.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// beginDueRepetitions begins a job's repetitions that are due, and schedules the next one.
-func (s *Scheduler) beginDueRepetitions(now Now, j *jobState) {
+// startDueRepetitions starts a job's repetitions that are due, and schedules the next one.
+func (s *Scheduler) startDueRepetitions(now Now, j *jobState) {
 	for len(j.repetitions) < j.Specification.RepetitionCount() {
 		dueMS := j.dueMS(len(j.repetitions))
 		if dueMS > now.WallMS {
@@ -60,7 +60,7 @@
 		}
 		repetition := newRepetitionState(j, len(j.repetitions))
 		j.repetitions = append(j.repetitions, repetition)
-		s.beginReadyStages(now, repetition)
+		s.startReadyStages(now, repetition)
 	}
 	j.nextDueMS = 0
 	s.unscheduleRepetition(j)
@@ -76,8 +76,8 @@
 	return repetition
 }
 
-// beginReadyStages queues the tasks of each stage that has not begun and whose dependencies are all complete.
-func (s *Scheduler) beginReadyStages(now Now, repetition *repetitionState) {
+// startReadyStages queues the tasks of each stage that has not started and whose dependencies are all complete.
+func (s *Scheduler) startReadyStages(now Now, repetition *repetitionState) {
 	for _, stage := range repetition.stages {
 		if stage.tasks != nil || !repetition.stagesComplete(stage.DependsOn) {
 			continue
--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -101,7 +101,7 @@
 	for len(j.repetitions) < j.Specification.RepetitionCount() && j.dueMS(len(j.repetitions)) <= now.WallMS {
 		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions)))
 	}
-	s.beginDueRepetitions(now, j) // schedules the next repetition
+	s.startDueRepetitions(now, j) // schedules the next repetition
 }
 
 // restoreTasks restores the tasks that have a record, and then queues all tasks that wait for a start.
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -54,11 +54,11 @@
 	orderingNumber uint64        // number of calls of waitingCandidates so far
 
 	// Buffers that are reused, so that a dispatch does not allocate memory for each waiting job.
-	openWorkersCache  []*workerState // workers that accept starts, during the current dispatch
-	openWorkersCached bool           // openWorkersCache has been filled during the current dispatch
-	candidateScratch  []*candidate
-	unitCostScratch   unitCosts
-	paceRatioScratch  []float64
+	acceptingWorkers       []*workerState // workers that accept starts, during the current dispatch
+	acceptingWorkersListed bool           // acceptingWorkers has been filled during the current dispatch
+	candidateScratch       []*candidate
+	unitCostScratch        unitCosts
+	paceRatioScratch       []float64
 }
 
 // New creates the scheduler of a new leadership from the replicated state. It returns an error that wraps ErrCorruptState
@@ -92,7 +92,7 @@
 func (s *Scheduler) Tick(now Now) {
 	s.pruneEndedJobs(now)
 	for _, j := range s.dueJobs(now) {
-		s.beginDueRepetitions(now, j)
+		s.startDueRepetitions(now, j)
 	}
 	s.inspectAttempts(now)
 	s.dispatchNeeded = true
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -86,23 +86,23 @@
 // workerState is one incarnation of a worker.
 type workerState struct {
 	workerclient.Instance
-	rack              string
-	attempts          map[job.TaskID]*attemptState // attempts of this scheduler that may be under way at the worker
-	orphans           map[orphanAttempt]bool       // reported attempts that belong to no task; they are being stopped
-	used              job.Resources                // resources requested by attempts
-	boundTasks        int                          // number of waiting tasks that are bound to the worker
-	reachable         bool
-	fencedAt          time.Time // when the worker adopted our fencing token; from then on it starts no attempt of an earlier leadership
-	inInventory       bool      // the platform has listed the worker during this leadership
-	missedInventories int       // number of consecutive complete inventories that do not list the worker
-	lastCompletion    uint64    // highest completion number that has been processed
-	window            float64   // limit on the attempts of this scheduler at the worker, adapted to their outcomes
-	latencyMS         float64   // smoothed duration of the worker's attempts; 0 before the first
-	failureRate       float64   // smoothed share of the worker's attempts that fail, 0 to 1
-	paceRatio         float64   // smoothed ratio of actual to expected duration, derived from the progress of attempts; 0 if unknown
-	backoffUntil      time.Time // no starts before this time
-	fullUntil         time.Time // set when a start is rejected for lack of capacity: no starts before this time or the worker's next report
-	queueLength       float64   // temporary value of orderQueue: number of attempts plus tasks ranked so far
+	rack                 string
+	attempts             map[job.TaskID]*attemptState // attempts of this scheduler that may be under way at the worker
+	orphans              map[orphanAttempt]bool       // reported attempts that belong to no task; they are being stopped
+	used                 job.Resources                // resources requested by attempts
+	boundTasks           int                          // number of waiting tasks that are bound to the worker
+	reachable            bool
+	fencedAt             time.Time // when the worker adopted our fencing token; from then on it starts no attempt of an earlier leadership
+	inInventory          bool      // the platform has listed the worker during this leadership
+	missedInventories    int       // number of consecutive complete inventories that do not list the worker
+	lastCompletion       uint64    // highest completion number that has been processed
+	window               float64   // limit on the attempts of this scheduler at the worker, adapted to their outcomes
+	latencyMS            float64   // smoothed duration of the worker's attempts; 0 before the first
+	failureRate          float64   // smoothed share of the worker's attempts that fail, 0 to 1
+	paceRatio            float64   // smoothed ratio of actual to expected duration, derived from the progress of attempts; 0 if unknown
+	backoffUntil         time.Time // no starts before this time
+	capacityBackoffUntil time.Time // set when a start is rejected for lack of capacity: no starts before this time or the worker's next report
+	queueLength          float64   // temporary value of orderQueue: number of attempts plus tasks ranked so far
 }
 
 // orphanAttempt identifies an attempt that a worker lists but that belongs to no task.
--- a/internal/jobs/scheduler/stored_test.go
+++ b/internal/jobs/scheduler/stored_test.go
@@ -126,7 +126,7 @@
 
 // writeStoredJobs writes the records of two groups. They contain records of each kind, and jobs in each state.
 func writeStoredJobs(store storage.Store) {
-	queue := jobapi.Queue{Route: "render", Service: "render", Priority: 2, MaxAttempts: 3, Extension: 1.5, TargetLatencyMS: 700, Guards: true}
+	queue := jobapi.Queue{Route: "render", Service: "render", Priority: 2, MaxAttempts: 3, Extension: 1.5, TargetLatencyMS: 700, EnforcesCapacity: true}
 	oneTask := job.Stage{Count: 1, EstimatedDurationMS: 500, Resources: job.Resources{Processors: 1000, MemoryMB: 100}}
 	specificationOf := func(stages ...job.Stage) job.Specification {
 		return job.Specification{Text: "do \"it\"\n", Stages: stages}
@@ -197,7 +197,7 @@
 		queue := j.Queue
 		writeLine("job %s: %s, arrival %d at %d, repetitions left %d, next due %d", j.id, state, j.Arrival, j.ArrivedMS, j.incompleteRepetitions, j.nextDueMS)
 		writeLine("  queue: route %s, service %s, priority %d, attempts %d, extension %g, target %d ms, guards %v",
-			queue.Route, queue.Service, queue.Priority, queue.MaxAttempts, queue.Extension, queue.TargetLatencyMS, queue.Guards)
+			queue.Route, queue.Service, queue.Priority, queue.MaxAttempts, queue.Extension, queue.TargetLatencyMS, queue.EnforcesCapacity)
 		writeLine("  specification: %s", specification)
 		for number, repetition := range j.repetitions {
 			if repetition == nil {
--- a/internal/jobs/scheduler/workerreports.go
+++ b/internal/jobs/scheduler/workerreports.go
@@ -23,7 +23,7 @@
 	if worker.fencedAt.IsZero() {
 		worker.fencedAt = now.Monotonic
 	}
-	worker.fullUntil = time.Time{}
+	worker.capacityBackoffUntil = time.Time{}
 	for i := range report.Finished {
 		s.handleCompletion(now, worker, &report.Finished[i])
 	}
--- a/internal/jobs/workerclient/bench_test.go
+++ b/internal/jobs/workerclient/bench_test.go
@@ -61,12 +61,12 @@
 
 type discardEvents struct{ started chan StartOutcome }
 
-func (discardEvents) Listing(Listing)                 {}
-func (e discardEvents) StartResult(r StartResult)     { e.started <- r.Outcome }
-func (discardEvents) StopResult(StopResult)           {}
-func (discardEvents) Gone(Gone)                       {}
-func (discardEvents) Fenced(Fenced)                   {}
-func (discardEvents) Reachability(ReachabilityChange) {}
+func (discardEvents) Listing(Listing)                           {}
+func (e discardEvents) StartResult(r StartResult)               { e.started <- r.Outcome }
+func (discardEvents) StopResult(StopResult)                     {}
+func (discardEvents) WorkerReplaced(WorkerReplaced)             {}
+func (discardEvents) FencingTokenRejected(FencingTokenRejected) {}
+func (discardEvents) Reachability(ReachabilityChange)           {}
 
 func newBenchmarkLink(b *testing.B, body string) (*Link, discardEvents) {
 	client := NewHTTPClient()
--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -139,8 +139,8 @@
 func (l *Link) outcomeAfterEnd(fallback StartOutcome) StartOutcome {
 	switch {
 	case l.endReason == incarnationEnded:
-		return IncarnationOver
-	case l.endReason == fencedOff && fallback == NotSent:
+		return IncarnationEnded
+	case l.endReason == tokenRejected && fallback == NotSent:
 		return RejectedFencingToken
 	}
 	return fallback
@@ -217,7 +217,7 @@
 	}
 	if l.endedBy(response) {
 		if response.status == http.StatusMisdirectedRequest {
-			return IncarnationOver
+			return IncarnationEnded
 		}
 		return RejectedFencingToken
 	}
--- a/internal/jobs/workerclient/fixture_test.go
+++ b/internal/jobs/workerclient/fixture_test.go
@@ -54,11 +54,11 @@
 		r.onListing(e)
 	}
 }
-func (r *recorder) StartResult(e StartResult)         { r.add(e) }
-func (r *recorder) StopResult(e StopResult)           { r.add(e) }
-func (r *recorder) Gone(e Gone)                       { r.add(e) }
-func (r *recorder) Fenced(e Fenced)                   { r.add(e) }
-func (r *recorder) Reachability(e ReachabilityChange) { r.add(e) }
+func (r *recorder) StartResult(e StartResult)                   { r.add(e) }
+func (r *recorder) StopResult(e StopResult)                     { r.add(e) }
+func (r *recorder) WorkerReplaced(e WorkerReplaced)             { r.add(e) }
+func (r *recorder) FencingTokenRejected(e FencingTokenRejected) { r.add(e) }
+func (r *recorder) Reachability(e ReachabilityChange)           { r.add(e) }
 
 // eventsOf returns the events of one type recorded so far.
 func eventsOf[T any](r *recorder) []T {
@@ -109,7 +109,7 @@
 	worker             *cluster.Worker
 	events             *recorder
 	leaderLeaseExpired atomic.Bool // the leader lease of all links has expired
-	onFencedOff        func()      // called by FencedOff of all links; may be nil
+	onFenced           func()      // called by OnFenced of all links; may be nil
 	link               *Link       // newest link
 	client             *http.Client
 	minTimeout         time.Duration // minimum timeout of a call
@@ -150,9 +150,9 @@
 	link := NewLink(Config{
 		Instance:     Instance{ID: WorkerID(worker.ID()), Address: worker.Address()},
 		FencingToken: token, MaxLease: testMaxLease, LeaderLeaseValid: func() bool { return !f.leaderLeaseExpired.Load() },
-		FencedOff: func() {
-			if f.onFencedOff != nil {
-				f.onFencedOff()
+		OnFenced: func() {
+			if f.onFenced != nil {
+				f.onFenced()
 			}
 		},
 		Events: f.events, HTTP: f.client, MinTimeout: f.minTimeout,
--- a/internal/jobs/workerclient/leaderlease_test.go
+++ b/internal/jobs/workerclient/leaderlease_test.go
@@ -56,7 +56,7 @@
 	t.Helper()
 	f := newMemoryFixture(t, delay)
 	l := &pausedLeader{fixture: f, second: f.cluster.AddWorker(cluster.WorkerConfig{ID: "i-2"})}
-	f.onFencedOff = func() { f.leaderLeaseExpired.Store(true) }
+	f.onFenced = func() { f.leaderLeaseExpired.Store(true) }
 	f.connect(1)
 	first := f.link
 	f.connectTo(l.second, 1)
@@ -96,10 +96,10 @@
 // resume resumes the leader's process. It returns the number of calls that arrived after the leader had received the first rejection and
 // the calls in flight had arrived.
 func (l *pausedLeader) resume(delay time.Duration) (callsAfterRejection int) {
-	fencedOff := make(chan struct{}, 1000)
-	l.onFencedOff = func() {
+	fenced := make(chan struct{}, 1000)
+	l.onFenced = func() {
 		l.leaderLeaseExpired.Store(true)
-		fencedOff <- struct{}{}
+		fenced <- struct{}{}
 	}
 	l.leaderLeaseExpired.Store(false)
 	for i := range queuedCommands {
@@ -107,7 +107,7 @@
 		l.secondLink.Start(startCommand(queuedCommands+i, 2))
 	}
 	select {
-	case <-fencedOff:
+	case <-fenced:
 	case <-time.After(eventTimeout):
 		l.t.Error("the leader received no rejection")
 	}
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -34,10 +34,10 @@
 	FencingToken     uint64
 	MaxLease         time.Duration // the longest lease that a worker accepts; setting bounds.holdMaxMs
 	LeaderLeaseValid func() bool   // reports whether this process may send calls now; called right before each call
-	// FencedOff is called as soon as the worker rejects a call because it has seen a higher fencing token. It is called before the
+	// OnFenced is called as soon as the worker rejects a call because it has seen a higher fencing token. It is called before the
 	// rejection is reported, as reports may be delayed. It must make LeaderLeaseValid false permanently for all links under the
 	// token. May be nil.
-	FencedOff   func()
+	OnFenced    func()
 	Events      Events
 	HTTP        *http.Client // shared by all links; from NewHTTPClient or Connections.HTTPClient
 	Connections *Connections // budget shared by all links; nil for no limit
@@ -55,7 +55,7 @@
 	notEnded         endReason = iota
 	closedLocally              // by Close, or by the end of Run's context
 	incarnationEnded           // the incarnation of the worker has ended
-	fencedOff                  // the worker has seen a higher fencing token
+	tokenRejected              // the worker has seen a higher fencing token
 )
 
 // Link connects to one incarnation of one worker under one fencing token. Its methods are safe for concurrent use. Only Run waits for
@@ -168,8 +168,8 @@
 	switch {
 	case reason == closedLocally:
 		l.cancel()
-	case reason == fencedOff && l.config.FencedOff != nil:
-		l.config.FencedOff()
+	case reason == tokenRejected && l.config.OnFenced != nil:
+		l.config.OnFenced()
 	}
 	l.mu.Lock()
 	first := l.endReason == notEnded
@@ -189,10 +189,10 @@
 	switch reason {
 	case incarnationEnded:
 		l.log.Info("worker incarnation is over")
-		l.events.post(func(e Events) { e.Gone(Gone{id}) })
-	case fencedOff:
+		l.events.post(func(e Events) { e.WorkerReplaced(WorkerReplaced{id}) })
+	case tokenRejected:
 		l.log.Info("worker has seen a higher fencing token", zap.Uint64("fencing_token", l.config.FencingToken))
-		l.events.post(func(e Events) { e.Fenced(Fenced{id}) })
+		l.events.post(func(e Events) { e.FencingTokenRejected(FencingTokenRejected{id}) })
 	}
 }
 
@@ -209,7 +209,7 @@
 	case response.status == http.StatusMisdirectedRequest:
 		l.end(incarnationEnded)
 	case response.status == http.StatusConflict && response.body.Reason == reasonFencingToken:
-		l.end(fencedOff)
+		l.end(tokenRejected)
 	default:
 		return false
 	}
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -68,15 +68,15 @@
 		})
 		convey.Convey("a crash ends the link", func() {
 			f.worker.Crash("i-2")
-			awaitEvent(t, f.events, anyEvent[Gone])
+			awaitEvent(t, f.events, anyEvent[WorkerReplaced])
 			awaitReturn()
-			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, IncarnationOver)
+			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, IncarnationEnded)
 		})
 		convey.Convey("a higher fencing token ends the link", func() {
 			old := f.link
 			f.connect(8)
-			awaitEvent(t, f.events, anyEvent[Fenced])
-			convey.So(len(eventsOf[Fenced](f.events)), convey.ShouldEqual, 1)
+			awaitEvent(t, f.events, anyEvent[FencingTokenRejected])
+			convey.So(len(eventsOf[FencingTokenRejected](f.events)), convey.ShouldEqual, 1)
 			f.link, old = old, f.link
 			convey.So(f.start(startCommand(0, 1)), convey.ShouldEqual, RejectedFencingToken)
 			f.link = old
@@ -99,7 +99,7 @@
 		convey.So(responseOutcome(conflict(reasonLeaseExpired)), convey.ShouldEqual, RejectedLeaseExpired)
 		convey.So(responseOutcome(conflict(reasonFencingToken)), convey.ShouldEqual, RejectedFencingToken)
 		convey.So(responseOutcome(conflict("new")), convey.ShouldEqual, Unclear)
-		convey.So(responseOutcome(workerResponse{status: http.StatusMisdirectedRequest}), convey.ShouldEqual, IncarnationOver)
+		convey.So(responseOutcome(workerResponse{status: http.StatusMisdirectedRequest}), convey.ShouldEqual, IncarnationEnded)
 		convey.So(StartOutcome(200).String(), convey.ShouldEqual, "unknown")
 		convey.So(RejectedCapacity.String(), convey.ShouldEqual, "rejected: room")
 	})
--- a/internal/jobs/workerclient/outcome.go
+++ b/internal/jobs/workerclient/outcome.go
@@ -18,7 +18,7 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return RejectedUnhealthy
 	case http.StatusMisdirectedRequest:
-		return IncarnationOver
+		return IncarnationEnded
 	}
 	return Unclear
 }
--- a/internal/jobs/workerclient/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -77,14 +77,14 @@
 	RejectedUnhealthy
 	// NotSent means that the command never left this process.
 	NotSent
-	// IncarnationOver means that the worker's incarnation has ended.
-	IncarnationOver
+	// IncarnationEnded means that the worker's incarnation has ended.
+	IncarnationEnded
 )
 
 var outcomeNames = [...]string{
 	Unclear: "unclear", Started: "started", RejectedFencingToken: "rejected: fence", RejectedStaleAttempt: "rejected: old",
 	RejectedLeaseExpired: "rejected: late", RejectedCapacity: "rejected: room", RejectedInvalid: "rejected: invalid",
-	RejectedUnhealthy: "unhealthy", NotSent: "not sent", IncarnationOver: "life over",
+	RejectedUnhealthy: "unhealthy", NotSent: "not sent", IncarnationEnded: "life over",
 }
 
 // String returns the outcome's name for logs.
@@ -134,11 +134,11 @@
 	At       time.Time
 }
 
-// Gone reports that the incarnation of the worker has ended, because another incarnation responds at its address. The link has ended.
-type Gone struct{ Worker WorkerID }
+// WorkerReplaced reports that the incarnation of the worker has ended, because another incarnation responds at its address. The link has ended.
+type WorkerReplaced struct{ Worker WorkerID }
 
-// Fenced reports that the worker has seen a higher fencing token. The link has ended.
-type Fenced struct{ Worker WorkerID }
+// FencingTokenRejected reports that the worker has rejected the link's fencing token because it has seen a higher fencing token. The link has ended.
+type FencingTokenRejected struct{ Worker WorkerID }
 
 // ReachabilityChange reports that a worker became reachable or unreachable. A worker is unreachable after two consecutive list calls,
 // including their hedged requests, got no response or were refused. Any response makes it reachable again.
@@ -153,7 +153,7 @@
 	Listing(Listing)
 	StartResult(StartResult)
 	StopResult(StopResult)
-	Gone(Gone)
-	Fenced(Fenced)
+	WorkerReplaced(WorkerReplaced)
+	FencingTokenRejected(FencingTokenRejected)
 	Reachability(ReachabilityChange)
 }
--- a/internal/nodesettings/connectionbudget.go
+++ b/internal/nodesettings/connectionbudget.go
@@ -30,7 +30,7 @@
 type ConnectionBudget struct {
 	Workers   int // to workers
 	Nodes     int // from other nodes
-	CorePeers int // part of Nodes that is reserved for other core nodes
+	CorePeers int // part of Nodes that is reserved for other coordinators
 	Operators int // from operators and the platform
 	Outbound  int // to other nodes and the platform
 }
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -76,29 +76,29 @@
 
 // Bounds holds the time limits and factors that the deployment guarantees or requires.
 type Bounds struct {
-	SeedLag            time.Duration `property:"bounds.seedLagS" unit:"s" default:"3" validate:"gte=0"`
-	AddressReuse       time.Duration `property:"bounds.addressReuseS" unit:"s" default:"2" validate:"gte=0"`
-	Contact            time.Duration `property:"bounds.contactMs" unit:"ms" default:"3000" validate:"gte=0"`
-	Acknowledge        time.Duration `property:"bounds.acknowledgeMs" unit:"ms" default:"4000" validate:"gte=0"`
-	CatchUp            time.Duration `property:"bounds.catchUpS" unit:"s" default:"4" validate:"gte=0"`
-	Drain              time.Duration `property:"bounds.drainMs" unit:"ms" default:"3000" validate:"gte=0"`
-	GracePeriod        time.Duration `property:"bounds.gracePeriodS" unit:"s" default:"6" validate:"gt=0"`
-	LossSlack          time.Duration `property:"bounds.lossSlackMs" unit:"ms" default:"200" validate:"gte=0"`
-	ConfigurationApply time.Duration `property:"bounds.configurationApplyMs" unit:"ms" default:"2000" validate:"gte=0"`
-	RollbackSlack      time.Duration `property:"bounds.rollbackSlackMs" unit:"ms" default:"250" validate:"gte=0"`
-	Outer              time.Duration `property:"bounds.outerBoundMs" unit:"ms" default:"5000" validate:"gte=0"`
-	Recovery           time.Duration `property:"bounds.recoveryS" unit:"s" default:"12" validate:"gte=0"`
-	HoldMax            time.Duration `property:"bounds.holdMaxMs" unit:"ms" default:"6000" validate:"gt=0"`
-	Stop               time.Duration `property:"bounds.stop_ms" unit:"ms" default:"400" validate:"gte=0"`
-	Gang               time.Duration `property:"bounds.gang_ms" unit:"ms" default:"3000" validate:"gte=0"`
-	Cancel             time.Duration `property:"bounds.cancel_ms" unit:"ms" default:"3000" validate:"gte=0"`
-	Visible            time.Duration `property:"bounds.visible_ms" unit:"ms" default:"3000" validate:"gte=0"`
-	Early              time.Duration `property:"bounds.early_ms" unit:"ms" default:"250" validate:"gte=0"`
-	Finish             time.Duration `property:"bounds.finish_s" unit:"s" default:"14" validate:"gte=0"`
-	Status             time.Duration `property:"bounds.status_s" unit:"s" default:"120" validate:"gte=0"`
-	FarFactor          float64       `property:"bounds.far_x" default:"1.5" validate:"gte=1"`
-	Save               time.Duration `property:"bounds.save_s" unit:"s" default:"2" validate:"gte=0"`
-	Restore            time.Duration `property:"bounds.restore_ms" unit:"ms" default:"250" validate:"gte=0"`
+	SeedLag              time.Duration `property:"bounds.seedLagS" unit:"s" default:"3" validate:"gte=0"`
+	AddressReuse         time.Duration `property:"bounds.addressReuseS" unit:"s" default:"2" validate:"gte=0"`
+	Contact              time.Duration `property:"bounds.contactMs" unit:"ms" default:"3000" validate:"gte=0"`
+	Acknowledge          time.Duration `property:"bounds.acknowledgeMs" unit:"ms" default:"4000" validate:"gte=0"`
+	CatchUp              time.Duration `property:"bounds.catchUpS" unit:"s" default:"4" validate:"gte=0"`
+	DrainDelay           time.Duration `property:"bounds.drainMs" unit:"ms" default:"3000" validate:"gte=0"`
+	GracePeriod          time.Duration `property:"bounds.gracePeriodS" unit:"s" default:"6" validate:"gt=0"`
+	LossSlack            time.Duration `property:"bounds.lossSlackMs" unit:"ms" default:"200" validate:"gte=0"`
+	ConfigurationApply   time.Duration `property:"bounds.configurationApplyMs" unit:"ms" default:"2000" validate:"gte=0"`
+	RollbackSlack        time.Duration `property:"bounds.rollbackSlackMs" unit:"ms" default:"250" validate:"gte=0"`
+	Outer                time.Duration `property:"bounds.outerBoundMs" unit:"ms" default:"5000" validate:"gte=0"`
+	Recovery             time.Duration `property:"bounds.recoveryS" unit:"s" default:"12" validate:"gte=0"`
+	MaxLease             time.Duration `property:"bounds.holdMaxMs" unit:"ms" default:"6000" validate:"gt=0"`
+	MaxStopDuration      time.Duration `property:"bounds.stop_ms" unit:"ms" default:"400" validate:"gte=0"`
+	Gang                 time.Duration `property:"bounds.gang_ms" unit:"ms" default:"3000" validate:"gte=0"`
+	Cancel               time.Duration `property:"bounds.cancel_ms" unit:"ms" default:"3000" validate:"gte=0"`
+	Visible              time.Duration `property:"bounds.visible_ms" unit:"ms" default:"3000" validate:"gte=0"`
+	Early                time.Duration `property:"bounds.early_ms" unit:"ms" default:"250" validate:"gte=0"`
+	Finish               time.Duration `property:"bounds.finish_s" unit:"s" default:"14" validate:"gte=0"`
+	StatusRetention      time.Duration `property:"bounds.status_s" unit:"s" default:"120" validate:"gte=0"`
+	RemoteSlowdownFactor float64       `property:"bounds.far_x" default:"1.5" validate:"gte=1"`
+	Save                 time.Duration `property:"bounds.save_s" unit:"s" default:"2" validate:"gte=0"`
+	RestoreDuration      time.Duration `property:"bounds.restore_ms" unit:"ms" default:"250" validate:"gte=0"`
 }
 
 // CloudAPI configures the access to the platform's list of workers.
--- a/internal/systemtest/childprocess_test.go
+++ b/internal/systemtest/childprocess_test.go
@@ -152,7 +152,7 @@
 	service, _ := r.table.Service(found.Service)
 	queue := jobapi.Queue{
 		Route: found.Name, Service: found.Service, Priority: found.Priority, MaxAttempts: found.MaxAttempts,
-		Extension: found.Extension, TargetLatencyMS: found.TargetLatency().Milliseconds(), Guards: service.Guards,
+		Extension: found.Extension, TargetLatencyMS: found.TargetLatency().Milliseconds(), EnforcesCapacity: service.EnforcesCapacity,
 	}
 	return proxy.Route{Queue: queue, Timeout: found.Timeout()}, rest, true
 }
--- a/internal/systemtest/controlmodel/actors_test.go
+++ b/internal/systemtest/controlmodel/actors_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// pollFeed polls the feed of a core node as an agent does, or of an agent as its proxy does. It checks each feed that is marked
+// pollFeed polls the feed of a coordinator as an agent does, or of an agent as its proxy does. It checks each feed that is marked
 // as current.
 func (s *simulation) pollFeed(ctx context.Context, m *machine) {
 	random := rand.New(rand.NewPCG(s.seed, uint64(len(m.address))<<32+uint64(m.address[5])))
--- a/internal/systemtest/controlmodel/checker_test.go
+++ b/internal/systemtest/controlmodel/checker_test.go
@@ -18,9 +18,9 @@
 const checkSlack = 100 * time.Millisecond
 
 const (
-	// maxFeedAge is the largest age of a configuration that a core node marks as current.
-	maxFeedAge = configuration.FreshAge + checkSlack
-	// maxAgentFeedAge is the same for an agent. The core node's answer takes at most 1.3 s, and the agent relies on it for 1.5 s.
+	// maxFeedAge is the largest age of a configuration that a coordinator marks as current.
+	maxFeedAge = configuration.MaxFreshAge + checkSlack
+	// maxAgentFeedAge is the same for an agent. The coordinator's answer takes at most 1.3 s, and the agent relies on it for 1.5 s.
 	maxAgentFeedAge = maxFeedAge + 1300*time.Millisecond + 1500*time.Millisecond
 )
 
--- a/internal/systemtest/controlmodel/doc.go
+++ b/internal/systemtest/controlmodel/doc.go
@@ -1,4 +1,4 @@
-// Package controlmodel tests the control plane on a virtual clock, network and disk. A simulation has core nodes, agents,
+// Package controlmodel tests the control plane on a virtual clock, network and disk. A simulation has coordinators, agents,
 // operators, clients and workers, and injects faults by a seeded schedule. The tests check all answers against the guarantees
 // of docs/control-safety.md about stale state: no component serves it, accepts or rejects a request on the basis of it, or sends
 // a command on the basis of it.
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -46,7 +46,7 @@
 	{"partitioned from the core", func(s *simulation, m *machine, _ time.Duration) func() { return s.partition(m, s.cores, true, true) }},
 }
 
-// pauseMachine pauses a machine. A core node is sent requests about recent jobs shortly before it resumes.
+// pauseMachine pauses a machine. A coordinator is sent requests about recent jobs shortly before it resumes.
 func pauseMachine(s *simulation, m *machine, length time.Duration) func() {
 	m.pause(length)
 	if m.disk != nil {
@@ -116,7 +116,7 @@
 }
 
 // inject injects one fault after the delay at, unless the machine has another fault then. With toLeader, it uses the leader of that
-// time instead of a core node m.
+// time instead of a coordinator m.
 func (s *simulation) inject(kind faultKind, m *machine, toLeader bool, at, length time.Duration) {
 	<-time.After(at)
 	if leader := s.leader(); toLeader && leader != nil && m.disk != nil {
@@ -131,7 +131,7 @@
 	end()
 }
 
-// leader returns the core node that is the leader according to a running core node, or nil if there is none.
+// leader returns the coordinator that is the leader according to a running coordinator, or nil if there is none.
 func (s *simulation) leader() *machine {
 	for _, m := range s.cores {
 		if m.running() {
@@ -155,7 +155,7 @@
 	m.hasFault = false
 }
 
-// addMachine adds a machine to the network. Core nodes have a disk.
+// addMachine adds a machine to the network. Coordinators have a disk.
 func (s *simulation) addMachine(address string) *machine {
 	m := &machine{simulation: s, address: address}
 	if address[0] == 'c' {
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -29,11 +29,11 @@
 
 var group = feed.GroupOf(service)
 
-// machine is a simulated machine with one process: a core node, an agent, or the clients.
+// machine is a simulated machine with one process: a coordinator, an agent, or the clients.
 type machine struct {
 	simulation *simulation
 	address    string
-	disk       *storage.Memory // nil except on core nodes
+	disk       *storage.Memory // nil except on coordinators
 
 	mutex          sync.Mutex
 	incarnation    int // number of the current process
@@ -146,7 +146,7 @@
 	return err
 }
 
-// startCore starts a core node with the machine's disk.
+// startCore starts a coordinator with the machine's disk.
 func (m *machine) startCore() {
 	ctx, end := context.WithCancel(context.Background())
 	m.mutex.Lock()
@@ -185,9 +185,9 @@
 	server := feedserver.New(feedserver.Options{
 		Caller: caller, Address: m.address, Logger: zap.NewNop(),
 		Sources: feedserver.Sources{
-			Configuration: configurator.Current, Leaders: node.Leaders, Core: func() []string { return s.membership.Members },
-			InContact: func() bool { return node.InContact() && configurator.Fresh(configuration.FreshAge) },
-			Changed:   []func() <-chan struct{}{configurator.Changed, node.LeadersChanged},
+			Configuration: configurator.Current, Leaders: node.Leaders, Coordinators: func() []string { return s.membership.Members },
+			InContact:     func() bool { return node.InContact() && configurator.Fresh(configuration.MaxFreshAge) },
+			ChangeSignals: []func() <-chan struct{}{configurator.Changed, node.LeadersChanged},
 		},
 	})
 	server.Mount(mux)
--- a/internal/systemtest/controlmodel/processorquota_test.go
+++ b/internal/systemtest/controlmodel/processorquota_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// runUnderQuota runs a simulation without faults in which each process has a processor quota, and each core node does uninterrupted
+// runUnderQuota runs a simulation without faults in which each process has a processor quota, and each coordinator does uninterrupted
 // work once a second. It returns the simulation and its violations.
 func runUnderQuota(t *testing.T, seed uint64, work time.Duration) (s *simulation, violations []string) {
 	t.Helper()
