--- a/internal/controlplane/coordinator/connections.go
+++ b/internal/controlplane/coordinator/connections.go
@@ -34,14 +34,14 @@
 // coordinators, so that heartbeats and votes are accepted regardless of the number of agents and proxies.
 func (c *Coordinator) limitListeners(listeners Listeners, budget nodesettings.ConnectionBudget, internal, operator *http.Server) Listeners {
 	nodes := transport.NewBoundedListener(listeners.Internal, budget.Nodes)
-	nodes.Reserve(budget.CorePeers, c.isCorePeer)
+	nodes.Reserve(budget.CoordinatorPeers, c.isCoordinatorPeer)
 	operators := transport.NewBoundedListener(listeners.Control, budget.Operators)
 	internal.ConnState, operator.ConnState = nodes.ConnState, operators.ConnState
 	return Listeners{Internal: nodes, Control: operators}
 }
 
-// isCorePeer reports whether a host is that of a member of the current view or of a seed. A seed may become a member.
-func (c *Coordinator) isCorePeer(host string) bool {
+// isCoordinatorPeer reports whether a host is that of a member of the current view or of a seed. A seed may become a member.
+func (c *Coordinator) isCoordinatorPeer(host string) bool {
 	return hasHost(c.replicaSet.View().Members, host) || hasHost(c.settings.SeedInternalAddresses(), host)
 }
 
--- a/internal/controlplane/replication/catchup_test.go
+++ b/internal/controlplane/replication/catchup_test.go
@@ -17,69 +17,69 @@
 		So(n.disk.Table("group/jobs/a"), ShouldResemble, state)
 	}
 	Convey("Given a replica without a state", t, func() {
-		s, n := singleReplica(defects{})
+		s, n := newSingleReplica(defects{})
 		Convey("the state changes only with the last chunk", func() {
-			n.expectMissingChunk(n.appendChunk(7, 3, 0, 3), 1)
-			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 2)
-			reply := n.appendChunk(7, 3, 2, 3)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 0, 3), 1)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 1, 3), 2)
+			reply := n.sendSnapshotChunk(7, 3, 2, 3)
 			So(reply.Outcome, ShouldEqual, accepted)
 			So(reply.Position, ShouldResemble, Position{7, 3})
 			expectState(n, 7, 3, 3)
 		})
 		Convey("a duplicate chunk changes nothing", func() {
-			n.appendChunk(7, 3, 0, 3)
-			n.expectMissingChunk(n.appendChunk(7, 3, 0, 3), 1)
-			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 2)
-			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 2)
-			n.appendChunk(7, 3, 2, 3)
+			n.sendSnapshotChunk(7, 3, 0, 3)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 0, 3), 1)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 1, 3), 2)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 1, 3), 2)
+			n.sendSnapshotChunk(7, 3, 2, 3)
 			expectState(n, 7, 3, 3)
 		})
 		Convey("if a chunk is lost, the reply to the next one names the lost chunk", func() {
-			n.appendChunk(7, 3, 0, 3)
-			n.expectMissingChunk(n.appendChunk(7, 3, 2, 3), 1)
-			n.appendChunk(7, 3, 1, 3)
-			n.appendChunk(7, 3, 2, 3)
+			n.sendSnapshotChunk(7, 3, 0, 3)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 2, 3), 1)
+			n.sendSnapshotChunk(7, 3, 1, 3)
+			n.sendSnapshotChunk(7, 3, 2, 3)
 			expectState(n, 7, 3, 3)
 		})
 		Convey("a later chunk is not kept without the first one", func() {
-			n.expectMissingChunk(n.appendChunk(7, 3, 2, 3), 0)
-			n.expectMissingChunk(n.appendChunk(7, 3, 1, 3), 0)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 2, 3), 0)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 1, 3), 0)
 		})
 		Convey("the chunks of a newer snapshot replace those of an older one, and are not mixed with them", func() {
-			n.appendChunk(7, 3, 0, 2)
-			n.expectMissingChunk(n.appendChunk(7, 5, 0, 2), 1)
-			n.expectMissingChunk(n.appendChunk(7, 3, 1, 2), 0)
-			n.expectMissingChunk(n.appendChunk(7, 3, 0, 2), 0)
-			n.appendChunk(7, 5, 1, 2)
+			n.sendSnapshotChunk(7, 3, 0, 2)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 5, 0, 2), 1)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 1, 2), 0)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 0, 2), 0)
+			n.sendSnapshotChunk(7, 5, 1, 2)
 			expectState(n, 7, 5, 2)
 		})
 		Convey("the chunks of a stale leader are rejected, and its earlier ones are dropped", func() {
-			n.appendChunk(7, 3, 0, 2)
-			n.expectMissingChunk(n.appendChunk(8, 1, 0, 2), 1)
-			So(n.appendChunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
-			n.appendChunk(8, 1, 1, 2)
+			n.sendSnapshotChunk(7, 3, 0, 2)
+			n.expectMissingChunk(n.sendSnapshotChunk(8, 1, 0, 2), 1)
+			So(n.sendSnapshotChunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
+			n.sendSnapshotChunk(8, 1, 1, 2)
 			expectState(n, 8, 1, 2)
 		})
 		Convey("a vote for another candidate between two chunks discards the snapshot", func() {
-			n.appendChunk(7, 3, 0, 2)
+			n.sendSnapshotChunk(7, 3, 0, 2)
 			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
-			So(n.requestVote("y", 8).Granted, ShouldBeTrue)
-			So(n.appendChunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
+			So(n.sendVoteRequest("y", 8).Granted, ShouldBeTrue)
+			So(n.sendSnapshotChunk(7, 3, 1, 2).Outcome, ShouldEqual, staleTerm)
 			So(n.core.group("jobs/a").replica.assembly == nil, ShouldBeTrue)
 		})
 		Convey("after a restart the replica asks for the first chunk", func() {
-			n.appendChunk(7, 3, 0, 2)
+			n.sendSnapshotChunk(7, 3, 0, 2)
 			n.restart()
-			n.expectMissingChunk(n.appendChunk(7, 3, 1, 2), 0)
-			n.appendChunk(7, 3, 0, 2)
-			n.appendChunk(7, 3, 1, 2)
+			n.expectMissingChunk(n.sendSnapshotChunk(7, 3, 1, 2), 0)
+			n.sendSnapshotChunk(7, 3, 0, 2)
+			n.sendSnapshotChunk(7, 3, 1, 2)
 			expectState(n, 7, 3, 2)
 		})
 		Convey("the term of the first chunk is durable before the reply", func() {
-			n.appendChunk(7, 3, 0, 2)
+			n.sendSnapshotChunk(7, 3, 0, 2)
 			n.restart()
 			So(s.run(2*s.timing.FollowerLease), ShouldBeNil)
-			So(n.requestVote("y", 7).Granted, ShouldBeFalse)
+			So(n.sendVoteRequest("y", 7).Granted, ShouldBeFalse)
 		})
 	})
 }
@@ -123,8 +123,8 @@
 	return leader, follower
 }
 
-// newElectedCluster starts a cluster without faults, and runs it until all groups have a leader and for 2 s after that.
-func newElectedCluster(seed uint64, limits Limits, groups ...string) *simulation {
+// newSimulationWithLeaders starts a simulation without faults, and runs it until all groups have a leader and for 2 s after that.
+func newSimulationWithLeaders(seed uint64, limits Limits, groups ...string) *simulation {
 	s := newSimulation(seed, 3, defects{}, Timing{})
 	s.limits, s.groups = limits, groups
 	s.checker = newChecker(s)
@@ -139,7 +139,7 @@
 	// The seed determines which batches are sent during the transfer of the snapshot, so the test runs several seeds.
 	for seed := range uint64(10) {
 		Convey(fmt.Sprintf("A follower with a slow link receives the batches after its snapshot, and no second snapshot: seed %d", seed), t, func() {
-			s := newElectedCluster(seed, smallLimits, "jobs/a")
+			s := newSimulationWithLeaders(seed, smallLimits, "jobs/a")
 			_, follower := killFollower(s)
 			s.slowLinks = map[string]time.Duration{follower.address: 60 * time.Millisecond}
 			follower.start()
@@ -153,7 +153,7 @@
 		})
 	}
 	Convey("A leader with a slower disk than its followers still sends a snapshot", t, func() {
-		s := newElectedCluster(4, smallLimits, "jobs/a")
+		s := newSimulationWithLeaders(4, smallLimits, "jobs/a")
 		s.proposeOften = true
 		leader, follower := killFollower(s)
 		s.slowDisks[leader.address] = 300 * time.Millisecond
@@ -170,7 +170,7 @@
 		groups = append(groups, "jobs/a")
 		singleChunkLimits := smallLimits
 		singleChunkLimits.ChunkBytes = 4000
-		s := newElectedCluster(4, singleChunkLimits, groups...)
+		s := newSimulationWithLeaders(4, singleChunkLimits, groups...)
 		_, follower := killFollower(s)
 		s.proposing = false
 		follower.start()
@@ -184,7 +184,7 @@
 		So(countLagging(), ShouldEqual, 0)
 	})
 	Convey("A leader that needs long to split a snapshot into chunks keeps its term meanwhile, and sends only one snapshot", t, func() {
-		s := newElectedCluster(4, smallLimits, "jobs/a")
+		s := newSimulationWithLeaders(4, smallLimits, "jobs/a")
 		leader, follower := killFollower(s)
 		term := leader.core.group("jobs/a").leadership.termNumber
 		delete(s.traffic.snapshots, follower.address)
@@ -199,7 +199,7 @@
 		So(leader.core.group("jobs/a").leadership.termNumber, ShouldEqual, term)
 	})
 	Convey("A follower that does not reply does not delay the snapshot of another follower", t, func() {
-		s := newElectedCluster(4, smallLimits, "jobs/a")
+		s := newSimulationWithLeaders(4, smallLimits, "jobs/a")
 		leader := s.leader("jobs/a")
 		var others []*simulatedNode
 		for _, address := range s.view.Members {
@@ -224,7 +224,7 @@
 func TestCandidateFetchesNewestState(t *testing.T) {
 	Convey("The candidate fetches the newest state in chunks before it leads", t, func() {
 		for seed := range uint64(10) {
-			s := newElectedCluster(seed, smallLimits, "jobs/a")
+			s := newSimulationWithLeaders(seed, smallLimits, "jobs/a")
 			leader, staleMember := killFollower(s)
 			var newestMember *simulatedNode
 			for _, address := range s.view.Members {
@@ -247,8 +247,8 @@
 		}
 	})
 	Convey("A fetched state replaces only an older one", t, func() {
-		s, n := singleReplica(defects{})
-		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
+		s, n := newSingleReplica(defects{})
+		So(n.sendBatchOrSnapshot(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
 		So(s.run(time.Second), ShouldBeNil)
 		stateAfterFetch := func(position Position) byte {
 			n.step(func() {
@@ -265,8 +265,8 @@
 		So(decodeMeta(n.disk.Table("group-meta/jobs/a")).term, ShouldEqual, 8)
 	})
 	Convey("A member serves its state only if it is at the requested position", t, func() {
-		_, n := singleReplica(defects{})
-		So(n.append(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
+		_, n := newSingleReplica(defects{})
+		So(n.sendBatchOrSnapshot(true, 0, 3, 3).Outcome, ShouldEqual, accepted)
 		serve := func(position Position, chunk uint32) (result snapshotReply) {
 			request := snapshotRequest{Group: "jobs/a", View: 1, Position: position, Chunk: chunk}
 			n.step(func() { n.core.serveSnapshot(request, func(reply snapshotReply) { result = reply }) })
@@ -275,11 +275,11 @@
 		So(serve(Position{7, 3}, 0), ShouldResemble, snapshotReply{Chunks: 1, Entries: []Entry{{"key", []byte{3}}}})
 		So(serve(Position{7, 3}, 1).Chunks, ShouldEqual, 0)
 		So(serve(Position{7, 2}, 0).Chunks, ShouldEqual, 0)
-		So(n.append(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
+		So(n.sendBatchOrSnapshot(false, 3, 4, 4).Outcome, ShouldEqual, accepted)
 		So(serve(Position{7, 3}, 0).Chunks, ShouldEqual, 0)
 	})
 	Convey("A candidate that receives no chunks ends the fetch and backs off", t, func() {
-		s, n := singleReplica(defects{})
+		s, n := newSingleReplica(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() { g.startFetch("x", Position{5, 9}) })
 		n.step(func() { g.fetch.receiveChunk(snapshotReply{}, nil) })
@@ -290,7 +290,7 @@
 
 func TestCandidateWithoutNewestStateDoesNotLead(t *testing.T) {
 	Convey("A candidate does not lead if the newest state was omitted from the vote", t, func() {
-		s, n := singleReplica(defects{})
+		s, n := newSingleReplica(defects{})
 		g := n.core.group("jobs/a")
 		n.step(func() {
 			g.startCampaign()
--- a/internal/controlplane/replication/chunkfaults_test.go
+++ b/internal/controlplane/replication/chunkfaults_test.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	maxMessageBytes  = 64 << 20 // limit of package transport for one message
-	hugeValueBytes   = 64 << 10 // size of a value
-	hugeBatchEntries = 16       // number of entries proposed together
-	hugeEntries      = maxMessageBytes/hugeValueBytes + 5*hugeBatchEntries
-	raceEntries      = 12 * hugeBatchEntries // under the race detector
+	maxMessageBytes          = 64 << 20 // limit of package transport for one message
+	chunkedStateValueBytes   = 64 << 10 // size of a value
+	chunkedStateBatchEntries = 16       // number of entries proposed together
+	fullEntryCount           = maxMessageBytes/chunkedStateValueBytes + 5*chunkedStateBatchEntries
+	raceEntryCount           = 12 * chunkedStateBatchEntries // under the race detector
 )
 
-// hugeEntryCount returns the number of entries in the group. Their size exceeds the limit of one message. Under the race detector,
-// which needs several times the memory, and in short mode it is only 12 MB.
-func hugeEntryCount() int {
+// chunkedStateEntryCount returns the number of entries in the group. Their size exceeds the limit of one message. Under the race
+// detector, which needs several times the memory, and in short mode it is only 12 MB.
+func chunkedStateEntryCount() int {
 	if raceflag.On || testing.Short() {
-		return raceEntries
+		return raceEntryCount
 	}
-	return hugeEntries
+	return fullEntryCount
 }
 
 // Numbers of the chunks at which faults are injected. The first snapshot is interrupted half-way, and the faults affect the
@@ -56,7 +56,7 @@
 	firstChunk        appendRequest          // first chunk of the first leader's snapshot
 	interrupted       chan uint64            // receives the term of the first snapshot when half of it has arrived
 	interruptedTerm   uint64                 // term of the interrupted snapshot, whose chunks are no longer delivered; 0 before the interruption
-	newestChunks      uint32                 // number of chunks of the newest snapshot
+	newestChunkCount  uint32                 // number of chunks of the newest snapshot
 	largestMessage    int                    // largest size of the entries in one message, in bytes
 	outOfOrderReplies map[uint32]appendReply // replies to chunks out of order, by the number of the chunk that was due
 }
@@ -75,7 +75,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if chunk.Term == f.interruptedTerm || f.interruptsFirstSnapshot(chunk) {
+	if chunk.Term == f.interruptedTerm || f.interruptFirstSnapshot(chunk) {
 		return errLostInTransit
 	}
 	f.recordChunk(chunk)
@@ -89,7 +89,7 @@
 
 // recordChunk records the size of a chunk, and stores the very first chunk.
 func (f *chunkFaults) recordChunk(chunk appendRequest) {
-	f.newestChunks = chunk.Chunks
+	f.newestChunkCount = chunk.Chunks
 	sum := 0
 	for _, entry := range chunk.Entries {
 		sum += entry.bytes()
@@ -100,8 +100,8 @@
 	}
 }
 
-// interruptsFirstSnapshot interrupts the first snapshot half-way, and reports whether it did so at this chunk.
-func (f *chunkFaults) interruptsFirstSnapshot(chunk appendRequest) bool {
+// interruptFirstSnapshot interrupts the first snapshot half-way, and reports whether it did so at this chunk.
+func (f *chunkFaults) interruptFirstSnapshot(chunk appendRequest) bool {
 	if f.interruptedTerm != 0 || f.firstChunk.Chunks == 0 || chunk.Chunk < chunk.Chunks/2 {
 		return false
 	}
@@ -139,28 +139,28 @@
 }
 
 // deliverOutOfOrder delivers a chunk out of order, and records the reply. If there is no reply, which can happen on a busy machine,
-// the chunk in turn is lost too, and the fault is injected again when that chunk is resent.
-func (f *chunkFaults) deliverOutOfOrder(inTurn, outOfTurn appendRequest, deliver func(request any, reply *appendReply) error) error {
+// the due chunk is lost too, and the fault is injected again when that chunk is resent.
+func (f *chunkFaults) deliverOutOfOrder(due, outOfOrder appendRequest, deliver func(request any, reply *appendReply) error) error {
 	var reply appendReply
-	err := deliver(outOfTurn, &reply)
+	err := deliver(outOfOrder, &reply)
 	if err != nil {
-		delete(f.injected, inTurn.Chunk)
+		delete(f.injected, due.Chunk)
 		return err
 	}
-	f.outOfOrderReplies[inTurn.Chunk] = reply
+	f.outOfOrderReplies[due.Chunk] = reply
 	return nil
 }
 
-// check verifies that no message was larger than a chunk, that each fault was injected, and that chunks out of order were ignored.
-func (f *chunkFaults) check() {
+// checkFaults verifies that no message was larger than a chunk, that each fault was injected, and that chunks out of order were ignored.
+func (f *chunkFaults) checkFaults() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	So(f.largestMessage, ShouldBeLessThanOrEqualTo, DefaultLimits.ChunkBytes)
 	So(f.injected[lostChunk] && f.injected[unansweredChunk], ShouldBeTrue)
 	So(f.outOfOrderReplies[staleTermChunk].Outcome, ShouldEqual, staleTerm)
-	for inTurn, next := range map[uint32]uint32{duplicatedChunk: duplicatedChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
-		So(f.outOfOrderReplies[inTurn].Outcome, ShouldEqual, incomplete)
-		So(f.outOfOrderReplies[inTurn].NextChunk, ShouldEqual, next)
+	for due, next := range map[uint32]uint32{duplicatedChunk: duplicatedChunk + 1, lateChunk: lateChunk, earlyChunk: earlyChunk} {
+		So(f.outOfOrderReplies[due].Outcome, ShouldEqual, incomplete)
+		So(f.outOfOrderReplies[due].NextChunk, ShouldEqual, next)
 	}
 }
 
@@ -180,7 +180,7 @@
 		leader := c.awaitValidElection()
 		lagging := c.anyFollower(leader)
 		lagging.stop()
-		leader = c.proposeHugeState(leader)
+		leader = c.proposeChunkedState(leader)
 		faults := newChunkFaults(lagging.address)
 		c.faults.Store(faults)
 		listener, err := net.Listen("tcp", lagging.address)
@@ -191,18 +191,18 @@
 		So(err, ShouldBeNil)
 		// The leader may have retained the one batch that it could not deliver when the replica stopped. The replica may contain
 		// that batch.
-		So(len(stores[lagging.address].Table(stateTable("jobs/x"))), ShouldBeLessThanOrEqualTo, hugeBatchEntries)
+		So(len(stores[lagging.address].Table(stateTable("jobs/x"))), ShouldBeLessThanOrEqualTo, chunkedStateBatchEntries)
 		leader.node.kill()
-		c.awaitHugeState(stores[lagging.address])
+		c.awaitChunkedState(stores[lagging.address])
 		t.Logf("%d entries of %d KB, %d chunks, the largest of %d bytes: caught up after %v",
-			hugeEntryCount(), hugeValueBytes>>10, faults.newestChunks, faults.largestMessage, time.Since(began).Round(time.Millisecond))
+			chunkedStateEntryCount(), chunkedStateValueBytes>>10, faults.newestChunkCount, faults.largestMessage, time.Since(began).Round(time.Millisecond))
 
 		state := stores[lagging.address].Table(stateTable("jobs/x"))
-		So(wrongEntries(state), ShouldBeEmpty)
+		So(findWrongEntries(state), ShouldBeEmpty)
 		if !raceflag.On && !testing.Short() {
 			So(stateBytes(state), ShouldBeGreaterThan, maxMessageBytes)
 		}
-		faults.check()
+		faults.checkFaults()
 		// The replica counts towards a majority: two of three nodes are left, and they commit another entry.
 		next := c.awaitValidElection()
 		for !commits(next.term, []Entry{{"after", []byte{1}}}) {
@@ -211,13 +211,13 @@
 	})
 }
 
-// proposeHugeState proposes all entries, and returns the last leader. On a busy machine, a leader may lose its lease. The next
+// proposeChunkedState proposes all entries, and returns the last leader. On a busy machine, a leader may lose its lease. The next
 // leader then continues.
-func (c *cluster) proposeHugeState(leader election) election {
-	for first := 0; first < hugeEntryCount(); first += hugeBatchEntries {
+func (c *cluster) proposeChunkedState(leader election) election {
+	for first := 0; first < chunkedStateEntryCount(); first += chunkedStateBatchEntries {
 		var entries []Entry
-		for i := first; i < first+hugeBatchEntries; i++ {
-			entries = append(entries, Entry{hugeKey(i), hugeEntryValue(i)})
+		for i := first; i < first+chunkedStateBatchEntries; i++ {
+			entries = append(entries, Entry{chunkedStateKey(i), chunkedStateValue(i)})
 		}
 		for !commits(leader.term, entries) {
 			leader = c.awaitValidElection()
@@ -226,27 +226,27 @@
 	return leader
 }
 
-func hugeKey(i int) string { return fmt.Sprintf("task/%08d", i) }
-func hugeEntryValue(i int) []byte {
-	return bytes.Repeat([]byte{byte(i), byte(i >> 8)}, hugeValueBytes/2)
+func chunkedStateKey(i int) string { return fmt.Sprintf("task/%08d", i) }
+func chunkedStateValue(i int) []byte {
+	return bytes.Repeat([]byte{byte(i), byte(i >> 8)}, chunkedStateValueBytes/2)
 }
 
-// wrongEntries lists the entries of a state that are missing or have another value, and reports surplus entries.
-func wrongEntries(state map[string][]byte) (wrong []string) {
-	for i := range hugeEntryCount() {
-		if !bytes.Equal(state[hugeKey(i)], hugeEntryValue(i)) {
-			wrong = append(wrong, hugeKey(i))
+// findWrongEntries lists the entries of a state that are missing or have another value, and reports surplus entries.
+func findWrongEntries(state map[string][]byte) (wrong []string) {
+	for i := range chunkedStateEntryCount() {
+		if !bytes.Equal(state[chunkedStateKey(i)], chunkedStateValue(i)) {
+			wrong = append(wrong, chunkedStateKey(i))
 		}
 	}
-	if excess := len(state) - hugeEntryCount(); excess > 1 { // permits one extra entry, for the position
+	if excess := len(state) - chunkedStateEntryCount(); excess > 1 { // permits one extra entry, for the position
 		wrong = append(wrong, fmt.Sprintf("%d entries too many", excess))
 	}
 	return wrong
 }
 
-// awaitHugeState waits until a store contains all entries of the state. They arrive in one write.
-func (c *cluster) awaitHugeState(store *notifyingStore) {
-	for len(store.Table(stateTable("jobs/x"))) < hugeEntryCount() {
+// awaitChunkedState waits until a store contains all entries of the state. They arrive in one write.
+func (c *cluster) awaitChunkedState(store *notifyingStore) {
+	for len(store.Table(stateTable("jobs/x"))) < chunkedStateEntryCount() {
 		_, err := receive(store.written)
 		So(err, ShouldBeNil)
 	}
--- a/internal/controlplane/replication/disk_test.go
+++ b/internal/controlplane/replication/disk_test.go
@@ -144,30 +144,30 @@
 
 func TestReplicaWithFullDiskRejectsVotesAndBatches(t *testing.T) {
 	Convey("Given a replica whose disk is full", t, func() {
-		s, n := singleReplica(defects{})
+		s, n := newSingleReplica(defects{})
 		s.fullDisks[n.address] = true
 		Convey("it denies a vote at once, and votes again after rejectionBackoff once there is space", func() {
-			So(n.requestVote("x", 7).Granted, ShouldBeFalse)
+			So(n.sendVoteRequest("x", 7).Granted, ShouldBeFalse)
 			So(n.disk, ShouldBeEmpty)
 			delete(s.fullDisks, n.address)
-			So(n.requestVote("x", 8).Granted, ShouldBeFalse)
+			So(n.sendVoteRequest("x", 8).Granted, ShouldBeFalse)
 			So(s.run(rejectionBackoff), ShouldBeNil)
-			So(n.requestVote("x", 9).Granted, ShouldBeTrue)
+			So(n.sendVoteRequest("x", 9).Granted, ShouldBeTrue)
 			So(decodeMeta(n.disk.Table(metaTable("jobs/a"))).term, ShouldEqual, 9)
 		})
 		Convey("it rejects a leader of a lower term than that of a denied vote request", func() {
-			So(n.requestVote("x", 7).Granted, ShouldBeFalse)
+			So(n.sendVoteRequest("x", 7).Granted, ShouldBeFalse)
 			delete(s.fullDisks, n.address)
 			So(s.run(rejectionBackoff), ShouldBeNil)
-			So(n.appendFirst("jobs/a", 6).Outcome, ShouldEqual, staleTerm)
+			So(n.sendFirstBatch("jobs/a", 6).Outcome, ShouldEqual, staleTerm)
 		})
 		Convey("it rejects a batch at once, and accepts it after rejectionBackoff once there is space", func() {
-			So(n.appendFirst("jobs/a", 7).Outcome, ShouldEqual, unavailable)
+			So(n.sendFirstBatch("jobs/a", 7).Outcome, ShouldEqual, unavailable)
 			So(n.disk, ShouldBeEmpty)
 			delete(s.fullDisks, n.address)
 			So(n.sendHeartbeat("jobs/a", 7).Outcome, ShouldEqual, unavailable)
 			So(s.run(rejectionBackoff), ShouldBeNil)
-			retried := n.appendFirst("jobs/a", 7)
+			retried := n.sendFirstBatch("jobs/a", 7)
 			So(retried.Outcome, ShouldEqual, accepted)
 			So(retried.Position, ShouldResemble, Position{7, 1})
 			So(n.disk.Table(stateTable("jobs/a")), ShouldResemble, map[string][]byte{"key": []byte("value")})
@@ -184,26 +184,26 @@
 			n.core.fail(errors.New("store failed"))
 			delete(s.fullDisks, n.address)
 			So(s.run(2*rejectionBackoff), ShouldBeNil)
-			So(n.requestVote("x", 9).Granted, ShouldBeFalse)
+			So(n.sendVoteRequest("x", 9).Granted, ShouldBeFalse)
 		})
 	})
 }
 
 func TestReplicaWithStalledDiskRejectsRequestsThatNeedIt(t *testing.T) {
 	Convey("Given a replica that follows a leader and whose disk stalls", t, func() {
-		s, n := singleReplica(defects{})
-		So(n.appendFirst("jobs/a", 7).Outcome, ShouldEqual, accepted)
-		So(n.appendFirst("jobs/b", 7).Outcome, ShouldEqual, accepted)
+		s, n := newSingleReplica(defects{})
+		So(n.sendFirstBatch("jobs/a", 7).Outcome, ShouldEqual, accepted)
+		So(n.sendFirstBatch("jobs/b", 7).Outcome, ShouldEqual, accepted)
 		s.stalledUntil[n.address] = s.now + 5*time.Second
-		So(n.requestVote("x", 8) == nil, ShouldBeTrue)
+		So(n.sendVoteRequest("x", 8) == nil, ShouldBeTrue)
 		Convey("it answers heartbeats of the other group, and rejects those of a stale term of this group", func() {
 			So(n.sendHeartbeat("jobs/b", 7).Outcome, ShouldEqual, accepted)
 			So(n.sendHeartbeat("jobs/a", 7).Outcome, ShouldEqual, staleTerm)
 		})
 		Convey("it rejects requests that need the disk at once, when a write has been in progress for stallLimit", func() {
 			So(s.run(stallLimit), ShouldBeNil)
-			So(n.appendFirst("jobs/a", 8).Outcome, ShouldEqual, unavailable)
-			So(n.requestVote("x", 9).Granted, ShouldBeFalse)
+			So(n.sendFirstBatch("jobs/a", 8).Outcome, ShouldEqual, unavailable)
+			So(n.sendVoteRequest("x", 9).Granted, ShouldBeFalse)
 			So(n.sendHeartbeat("jobs/a", 8).Outcome, ShouldEqual, unavailable)
 		})
 		Convey("it continues when the stall is over", func() {
--- a/internal/controlplane/replication/scriptedpeer_test.go
+++ b/internal/controlplane/replication/scriptedpeer_test.go
@@ -7,13 +7,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// replyWait is how long a scripted peer waits for a reply. All disks and links of the simulation are faster, unless a test slows
+// replyTimeout is how long a scripted peer waits for a reply. All disks and links of the simulation are faster, unless a test slows
 // them down.
-const replyWait = 100 * time.Millisecond
+const replyTimeout = 100 * time.Millisecond
 
-// singleReplica returns a simulation in which only one member runs, and that member. The test acts as its scripted peer: it sends
+// newSingleReplica returns a simulation in which only one member runs, and that member. The test acts as its scripted peer: it sends
 // the requests of candidates and leaders.
-func singleReplica(injected defects) (*simulation, *simulatedNode) {
+func newSingleReplica(injected defects) (*simulation, *simulatedNode) {
 	s := newSimulation(1, 3, injected, Timing{})
 	n := s.nodes[s.view.Members[0]]
 	n.start()
@@ -21,16 +21,16 @@
 	return s, n
 }
 
-// replyOf runs a step that sends a request to a replica. It returns the reply, or nil if there is none within replyWait.
+// replyOf runs a step that sends a request to a replica. It returns the reply, or nil if there is none within replyTimeout.
 func replyOf[Reply any](n *simulatedNode, step func(reply func(Reply))) *Reply {
 	var result *Reply
 	n.step(func() { step(func(reply Reply) { result = &reply }) })
-	So(n.simulation.run(replyWait), ShouldBeNil)
+	So(n.simulation.run(replyTimeout), ShouldBeNil)
 	return result
 }
 
-// requestVote sends a vote request for the group "jobs/a".
-func (n *simulatedNode) requestVote(candidate string, term uint64) *voteReply {
+// sendVoteRequest sends a vote request for the group "jobs/a".
+func (n *simulatedNode) sendVoteRequest(candidate string, term uint64) *voteReply {
 	request := voteRequest{Group: "jobs/a", Term: term, Candidate: candidate, View: 1}
 	return replyOf(n, func(reply func(voteReply)) { n.core.requestVote(request, reply) })
 }
@@ -44,8 +44,8 @@
 	})
 }
 
-// append sends a batch or a snapshot of term 7 for the group "jobs/a". A batch with the previous index 0 is the first one.
-func (n *simulatedNode) append(snapshot bool, previous, index uint64, value byte) *appendReply {
+// sendBatchOrSnapshot sends a batch or a snapshot of term 7 for the group "jobs/a". A batch with the previous index 0 is the first one.
+func (n *simulatedNode) sendBatchOrSnapshot(snapshot bool, previous, index uint64, value byte) *appendReply {
 	request := appendRequest{
 		Group: "jobs/a", Term: 7, Snapshot: snapshot, Position: Position{7, index}, Entries: []Entry{{"key", []byte{value}}},
 	}
@@ -55,15 +55,15 @@
 	return n.sendAppend(request)
 }
 
-// appendFirst sends the first batch of a term.
-func (n *simulatedNode) appendFirst(group string, term uint64) *appendReply {
+// sendFirstBatch sends the first batch of a term.
+func (n *simulatedNode) sendFirstBatch(group string, term uint64) *appendReply {
 	return n.sendAppend(appendRequest{
 		Group: group, Term: term, Position: Position{term, 1}, Entries: []Entry{{"key", []byte("value")}},
 	})
 }
 
-// appendChunk sends one chunk of a snapshot of the group "jobs/a". The chunk contains one entry, "key N" for chunk N.
-func (n *simulatedNode) appendChunk(term, index uint64, number, chunks uint32) *appendReply {
+// sendSnapshotChunk sends one chunk of a snapshot of the group "jobs/a". The chunk contains one entry, "key N" for chunk N.
+func (n *simulatedNode) sendSnapshotChunk(term, index uint64, number, chunks uint32) *appendReply {
 	return n.sendAppend(appendRequest{
 		Group: "jobs/a", Term: term, Snapshot: true, Position: Position{term, index}, Chunk: number, Chunks: chunks,
 		Entries: []Entry{{fmt.Sprintf("key %d", number), []byte{byte(term), byte(index)}}},
--- a/internal/jobs/scheduler/repetitions.go
+++ b/internal/jobs/scheduler/repetitions.go
@@ -20,7 +20,7 @@
 	return due
 }
 
-// NextDueMS returns the earliest due time of the repetitions that have not begun, in milliseconds since 1970. It returns 0
+// NextDueMS returns the earliest due time of the repetitions that have not started, in milliseconds since 1970. It returns 0
 // if there is none.
 func (s *Scheduler) NextDueMS() int64 {
 	if !s.nextDueStale {
@@ -35,7 +35,7 @@
 	return s.nextDueMS
 }
 
-// scheduleRepetition sets when a job's next repetition begins.
+// scheduleRepetition sets when a job's next repetition starts.
 func (s *Scheduler) scheduleRepetition(j *jobState, dueMS int64) {
 	j.nextDueMS = dueMS
 	s.jobsAwaitingRepetition[j] = true
--- a/internal/jobs/scheduler/restore.go
+++ b/internal/jobs/scheduler/restore.go
@@ -139,7 +139,7 @@
 		return fmt.Errorf("%w: task %v: its job has no record", ErrCorruptState, id)
 	}
 	for id.Repetition >= len(j.repetitions) && len(j.repetitions) < j.Specification.RepetitionCount() {
-		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions))) // begun by an earlier leader whose clock was ahead of ours
+		j.repetitions = append(j.repetitions, newRepetitionState(j, len(j.repetitions))) // started by an earlier leader whose clock was ahead of ours
 	}
 	if id.Repetition >= len(j.repetitions) || j.repetitions[id.Repetition] == nil || id.Stage >= len(j.Specification.Stages) {
 		return fmt.Errorf("%w: task %v: its job has no such repetition or stage", ErrCorruptState, id)
--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -34,7 +34,7 @@
 	endedJobs              map[job.ID]endedRecord // jobs that ended less than StatusRetention ago
 	pendingByRoute         map[string]int         // number of jobs that have not ended; routes without such jobs are absent
 	lastArrival            uint64                 // arrival number of the newest job
-	jobsAwaitingRepetition map[*jobState]bool     // jobs with a repetition that has not begun
+	jobsAwaitingRepetition map[*jobState]bool     // jobs with a repetition that has not started
 	nextDueMS              int64                  // earliest due time among jobsAwaitingRepetition, milliseconds since 1970; 0 for none
 	nextDueStale           bool                   // nextDueMS must be recomputed
 
@@ -87,7 +87,7 @@
 // NeedsDispatch reports whether an event since the last Dispatch may allow waiting tasks to start.
 func (s *Scheduler) NeedsDispatch() bool { return s.dispatchNeeded }
 
-// Tick performs the time-based work: it prunes jobs that ended long ago, begins due repetitions, and checks the attempts
+// Tick performs the time-based work: it prunes jobs that ended long ago, starts due repetitions, and checks the attempts
 // under way for stalls and slow workers.
 func (s *Scheduler) Tick(now Now) {
 	s.pruneEndedJobs(now)
--- a/internal/jobs/scheduler/state.go
+++ b/internal/jobs/scheduler/state.go
@@ -11,9 +11,9 @@
 type jobState struct {
 	jobRecord
 	id                    job.ID
-	repetitions           []*repetitionState // repetitions that have begun, indexed by number; nil once complete
-	incompleteRepetitions int                // number of incomplete repetitions, begun or not
-	nextDueMS             int64              // when the next repetition is due, milliseconds since 1970; 0 if all have begun
+	repetitions           []*repetitionState // repetitions that have started, indexed by number; nil once complete
+	incompleteRepetitions int                // number of incomplete repetitions, started or not
+	nextDueMS             int64              // when the next repetition is due, milliseconds since 1970; 0 if all have started
 	started               bool               // a task has been assigned at least once
 	ended                 bool
 }
--- a/internal/jobs/workerclient/link_test.go
+++ b/internal/jobs/workerclient/link_test.go
@@ -95,7 +95,9 @@
 func TestResponseOutcomes(t *testing.T) {
 	t.Parallel()
 	convey.Convey("Every response to a start has an outcome", t, func() {
-		conflict := func(why reason) workerResponse { return workerResponse{http.StatusConflict, responseBody{Reason: why}} }
+		conflict := func(conflictReason reason) workerResponse {
+			return workerResponse{http.StatusConflict, responseBody{Reason: conflictReason}}
+		}
 		convey.So(responseOutcome(conflict(reasonLeaseExpired)), convey.ShouldEqual, RejectedLeaseExpired)
 		convey.So(responseOutcome(conflict(reasonFencingToken)), convey.ShouldEqual, RejectedFencingToken)
 		convey.So(responseOutcome(conflict("new")), convey.ShouldEqual, Unclear)
--- a/internal/nodesettings/connectionbudget.go
+++ b/internal/nodesettings/connectionbudget.go
@@ -10,13 +10,13 @@
 // those for another.
 const (
 	workersPercent   = 70 // to workers
-	nodesPercent     = 22 // from other nodes: core peers, agents, proxies
+	nodesPercent     = 22 // from other nodes: coordinators, agents, proxies
 	operatorsPercent = 3
 	outboundPercent  = 5 // to other nodes and the platform
 	allPercent       = 100
 
-	corePeersPercentOfNodes = 25 // part of the nodes' share that agents and proxies cannot use
-	minConnections          = 4  // minimum of each share
+	coordinatorPeersPercentOfNodes = 25 // part of the nodes' share that agents and proxies cannot use
+	minConnections                 = 4  // minimum of each share
 )
 
 // Rates of new connections to workers and of polls of idle workers, for one processor core. A new connection takes about
@@ -28,11 +28,11 @@
 
 // ConnectionBudget holds the numbers of connections that a coordinator may have open for each purpose.
 type ConnectionBudget struct {
-	Workers   int // to workers
-	Nodes     int // from other nodes
-	CorePeers int // part of Nodes that is reserved for other coordinators
-	Operators int // from operators and the platform
-	Outbound  int // to other nodes and the platform
+	Workers          int // to workers
+	Nodes            int // from other nodes
+	CoordinatorPeers int // part of Nodes that is reserved for other coordinators
+	Operators        int // from operators and the platform
+	Outbound         int // to other nodes and the platform
 }
 
 // ConnectionBudget divides the file descriptors of a coordinator's process among the purposes.
@@ -41,7 +41,7 @@
 	connections := func(percent int) int { return max(minConnections, all*percent/allPercent) }
 	nodes := connections(nodesPercent)
 	return ConnectionBudget{
-		Workers: connections(workersPercent), Nodes: nodes, CorePeers: nodes * corePeersPercentOfNodes / allPercent,
+		Workers: connections(workersPercent), Nodes: nodes, CoordinatorPeers: nodes * coordinatorPeersPercentOfNodes / allPercent,
 		Operators: connections(operatorsPercent), Outbound: connections(outboundPercent),
 	}
 }
--- a/internal/nodesettings/connectionbudget_test.go
+++ b/internal/nodesettings/connectionbudget_test.go
@@ -17,14 +17,14 @@
 	})
 	convey.Convey("At 4,096 descriptors", t, func() {
 		limits := Limits{FileDescriptors: 4096, ProcessorShare: 0.5}
-		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{Workers: 2716, Nodes: 853, CorePeers: 213, Operators: 116, Outbound: 194})
+		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{Workers: 2716, Nodes: 853, CoordinatorPeers: 213, Operators: 116, Outbound: 194})
 		convey.So(limits.DialsPerSecond(), convey.ShouldEqual, dialsPerSecondPerCore/2)
 		convey.So(limits.PollsPerSecond(), convey.ShouldEqual, pollsPerSecondPerCore/2)
 	})
 	convey.Convey("With too few descriptors each share has the minimum", t, func() {
 		limits := Limits{FileDescriptors: 100}
 		convey.So(limits.ConnectionBudget(), convey.ShouldResemble, ConnectionBudget{
-			Workers: minConnections, Nodes: minConnections, CorePeers: 1, Operators: minConnections, Outbound: minConnections,
+			Workers: minConnections, Nodes: minConnections, CoordinatorPeers: 1, Operators: minConnections, Outbound: minConnections,
 		})
 	})
 }
--- a/internal/systemtest/clients_test.go
+++ b/internal/systemtest/clients_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// retryUntil sends a request to one front after the other until an answer's status is accepted.
+// retryUntil sends a request to one proxy after the other until an answer's status is accepted.
 func (s *system) retryUntil(ctx context.Context, random *rand.Rand, method, path string, body []byte, serves func(status int) bool) (checker.Request, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -103,7 +103,7 @@
 	return true
 }
 
-// submit submits a job until a front accepts it.
+// submit submits a job until a proxy accepts it.
 func (s *system) submit(ctx context.Context, random *rand.Rand, plan jobPlan) error {
 	s.plans.add(plan)
 	if _, err := s.retryUntil(ctx, random, http.MethodPost, plan.path(), plan.encode(), isSuccess); err != nil {
--- a/internal/systemtest/controlmodel/faults_test.go
+++ b/internal/systemtest/controlmodel/faults_test.go
@@ -33,7 +33,7 @@
 	{"paused", pauseMachine},
 	{"restarted", func(_ *simulation, m *machine, _ time.Duration) func() {
 		m.kill()
-		return m.startCore
+		return m.startCoordinator
 	}},
 	{"slow disk", func(_ *simulation, m *machine, length time.Duration) func() {
 		m.setWriteDelay(length / 4)
@@ -168,7 +168,7 @@
 func (s *simulation) startAll() {
 	s.clientMachine = &machine{simulation: s, address: "outside", isUp: true}
 	for _, m := range s.cores {
-		m.startCore()
+		m.startCoordinator()
 	}
 	for _, m := range s.agents {
 		m.startAgent()
--- a/internal/systemtest/controlmodel/machine_test.go
+++ b/internal/systemtest/controlmodel/machine_test.go
@@ -146,8 +146,8 @@
 	return err
 }
 
-// startCore starts a coordinator with the machine's disk.
-func (m *machine) startCore() {
+// startCoordinator starts a coordinator with the machine's disk.
+func (m *machine) startCoordinator() {
 	ctx, end := context.WithCancel(context.Background())
 	m.mutex.Lock()
 	m.incarnation++
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -251,7 +251,7 @@
 	}
 }
 
-// awaitJob waits until a front knows the job's state, which must not be that there is none.
+// awaitJob waits until a proxy knows the job's state, which must not be that there is none.
 func (h *handOver) awaitJob(ctx context.Context, acknowledged jobPlan) error {
 	for {
 		got := h.clientRequest(ctx, h.fronts[0], http.MethodGet, acknowledged.path(), nil)
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -22,7 +22,7 @@
 	cancelAfter time.Duration
 }
 
-// path is the path of the job at a front.
+// path is the path of the job at a proxy.
 func (p jobPlan) path() string { return p.route.prefix + string(p.id) }
 
 // jobKind is a kind of job of the load.
--- a/internal/systemtest/longpause_test.go
+++ b/internal/systemtest/longpause_test.go
@@ -231,7 +231,7 @@
 	return err
 }
 
-// probeFront requests from a front whose agent was paused a route that was added meanwhile: it must not answer that there is none, nor
+// probeFront requests a route that was added while the proxy's agent was paused. The proxy must answer neither that there is none, nor
 // that there is no job.
 func (s *system) probeFront(ctx context.Context, front *machine, added routePlan) {
 	wasReady := s.ready(ctx, front)
@@ -245,7 +245,7 @@
 	}
 }
 
-// ready reports the readiness of a front, as the platform sees it.
+// ready reports the readiness of a proxy, as the platform sees it.
 func (s *system) ready(ctx context.Context, front *machine) bool {
 	bounded, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/systemtest/mixedversions_test.go
+++ b/internal/systemtest/mixedversions_test.go
@@ -27,7 +27,7 @@
 
 // useOtherBuild lets processes of a machine be started from the other build, if there is one. That listens where its settings
 // say, without relays. Its agent and its proxy meet at the loopback address of the standard port, which is the same for all
-// machines: a system can have one such front.
+// machines: a system can have one such front machine.
 func (m *machine) useOtherBuild(roles ...role) {
 	program := os.Getenv(otherBuildVariable)
 	if program == "" {
