--- a/internal/jobs/workerclient/commands.go
+++ b/internal/jobs/workerclient/commands.go
@@ -138,7 +138,7 @@
 // caller holds the lock.
 func (l *Link) outcomeAfterEnd(fallback StartOutcome) StartOutcome {
 	switch {
-	case l.endReason == incarnationEnded:
+	case l.endReason == workerReplaced:
 		return IncarnationEnded
 	case l.endReason == tokenRejected && fallback == NotSent:
 		return RejectedFencingToken
--- a/internal/jobs/workerclient/link.go
+++ b/internal/jobs/workerclient/link.go
@@ -52,10 +52,10 @@
 type endReason uint8
 
 const (
-	notEnded         endReason = iota
-	closedLocally              // by Close, or by the end of Run's context
-	incarnationEnded           // the incarnation of the worker has ended
-	tokenRejected              // the worker has seen a higher fencing token
+	notEnded       endReason = iota
+	closedLocally            // by Close, or by the end of Run's context
+	workerReplaced           // another incarnation responds at the address of the worker
+	tokenRejected            // the worker has seen a higher fencing token
 )
 
 // Link connects to one incarnation of one worker under one fencing token. Its methods are safe for concurrent use. Only Run waits for
@@ -187,7 +187,7 @@
 func (l *Link) reportEnd(reason endReason) {
 	id := l.config.Instance.ID
 	switch reason {
-	case incarnationEnded:
+	case workerReplaced:
 		l.log.Info("worker incarnation is over")
 		l.events.post(func(e Events) { e.WorkerReplaced(WorkerReplaced{id}) })
 	case tokenRejected:
@@ -207,7 +207,7 @@
 func (l *Link) endedBy(response workerResponse) bool {
 	switch {
 	case response.status == http.StatusMisdirectedRequest:
-		l.end(incarnationEnded)
+		l.end(workerReplaced)
 	case response.status == http.StatusConflict && response.body.Reason == reasonFencingToken:
 		l.end(tokenRejected)
 	default:
--- a/internal/jobs/workerclient/types.go
+++ b/internal/jobs/workerclient/types.go
@@ -134,10 +134,12 @@
 	At       time.Time
 }
 
-// WorkerReplaced reports that the incarnation of the worker has ended, because another incarnation responds at its address. The link has ended.
+// WorkerReplaced reports that the incarnation of the worker has ended, because another incarnation responds at its address. The link
+// has ended.
 type WorkerReplaced struct{ Worker WorkerID }
 
-// FencingTokenRejected reports that the worker has rejected the link's fencing token because it has seen a higher fencing token. The link has ended.
+// FencingTokenRejected reports that the worker has rejected the link's fencing token, because it has seen a higher one. The link has
+// ended.
 type FencingTokenRejected struct{ Worker WorkerID }
 
 // ReachabilityChange reports that a worker became reachable or unreachable. A worker is unreachable after two consecutive list calls,
