--- a/internal/controlplane/coordinator/assemble.go
+++ b/internal/controlplane/coordinator/assemble.go
@@ -97,7 +97,7 @@
 		HTTP: c.workerHTTP, Connections: c.workerConnections, Log: c.log,
 		Settings: scheduler.Settings{
 			RemoteSlowdown: bounds.RemoteSlowdownFactor, MaxStopDuration: bounds.MaxStopDuration, RestoreDuration: bounds.RestoreDuration,
-			MaxLease: bounds.MaxLease, MinDrainDuration: bounds.DrainDelay, StatusRetention: bounds.StatusRetention + endedJobRetentionMargin,
+			MaxLease: bounds.MaxLease, MinDrainDuration: bounds.DrainDuration, StatusRetention: bounds.StatusRetention + endedJobRetentionMargin,
 		},
 	})
 	var err error
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -81,7 +81,7 @@
 	Contact              time.Duration `property:"bounds.contactMs" unit:"ms" default:"3000" validate:"gte=0"`
 	Acknowledge          time.Duration `property:"bounds.acknowledgeMs" unit:"ms" default:"4000" validate:"gte=0"`
 	CatchUp              time.Duration `property:"bounds.catchUpS" unit:"s" default:"4" validate:"gte=0"`
-	DrainDelay           time.Duration `property:"bounds.drainMs" unit:"ms" default:"3000" validate:"gte=0"`
+	DrainDuration        time.Duration `property:"bounds.drainMs" unit:"ms" default:"3000" validate:"gte=0"`
 	GracePeriod          time.Duration `property:"bounds.gracePeriodS" unit:"s" default:"6" validate:"gt=0"`
 	LossSlack            time.Duration `property:"bounds.lossSlackMs" unit:"ms" default:"200" validate:"gte=0"`
 	ConfigurationApply   time.Duration `property:"bounds.configurationApplyMs" unit:"ms" default:"2000" validate:"gte=0"`
--- a/internal/nodesettings/settings_test.go
+++ b/internal/nodesettings/settings_test.go
@@ -71,7 +71,7 @@
 		So(s.Contracts, ShouldResemble, []string{"base", "drain", "config"})
 		So(s.Bounds.SeedLag, ShouldEqual, 3*time.Second)
 		So(s.Bounds.GracePeriod, ShouldEqual, 6500*time.Millisecond)
-		So(s.Bounds.DrainDelay, ShouldEqual, 2500*time.Millisecond)
+		So(s.Bounds.DrainDuration, ShouldEqual, 2500*time.Millisecond)
 		So(s.Bounds.MaxStopDuration, ShouldEqual, 450500*time.Microsecond)
 		So(s.Bounds.RemoteSlowdownFactor, ShouldEqual, 3)
 		So(s.CloudAPI.Address, ShouldEqual, "10.200.0.4:8142")
