--- a/internal/jobs/scheduler/scheduler.go
+++ b/internal/jobs/scheduler/scheduler.go
@@ -34,7 +34,7 @@
 	endedJobs              map[job.ID]endedRecord // jobs that ended less than StatusRetention ago
 	pendingByRoute         map[string]int         // number of jobs that have not ended; routes without such jobs are absent
 	lastArrival            uint64                 // arrival number of the newest job
-	jobsAwaitingRepetition map[*jobState]bool     // jobs with a repetition that has not begun
+	jobsAwaitingRepetition map[*jobState]bool     // jobs with a repetition that has not started
 	nextDueMS              int64                  // earliest due time among jobsAwaitingRepetition, milliseconds since 1970; 0 for none
 	nextDueStale           bool                   // nextDueMS must be recomputed
 
@@ -54,11 +54,11 @@
 	orderingNumber uint64        // number of calls of waitingCandidates so far
 
 	// Buffers that are reused, so that a dispatch does not allocate memory for each waiting job.
-	openWorkersCache  []*workerState // workers that accept starts, during the current dispatch
-	openWorkersCached bool           // openWorkersCache has been filled during the current dispatch
-	candidateScratch  []*candidate
-	unitCostScratch   unitCosts
-	paceRatioScratch  []float64
+	acceptingWorkers       []*workerState // workers that accept starts, during the current dispatch
+	acceptingWorkersListed bool           // acceptingWorkers has been filled during the current dispatch
+	candidateScratch       []*candidate
+	unitCostScratch        unitCosts
+	paceRatioScratch       []float64
 }
 
 // New creates the scheduler of a new leadership from the replicated state. It returns an error that wraps ErrCorruptState
@@ -87,12 +87,12 @@
 // NeedsDispatch reports whether an event since the last Dispatch may allow waiting tasks to start.
 func (s *Scheduler) NeedsDispatch() bool { return s.dispatchNeeded }
 
-// Tick performs the time-based work: it prunes jobs that ended long ago, begins due repetitions, and checks the attempts
+// Tick performs the time-based work: it prunes jobs that ended long ago, starts due repetitions, and checks the attempts
 // under way for stalls and slow workers.
 func (s *Scheduler) Tick(now Now) {
 	s.pruneEndedJobs(now)
 	for _, j := range s.dueJobs(now) {
-		s.beginDueRepetitions(now, j)
+		s.startDueRepetitions(now, j)
 	}
 	s.inspectAttempts(now)
 	s.dispatchNeeded = true
--- a/internal/systemtest/handover_test.go
+++ b/internal/systemtest/handover_test.go
@@ -256,7 +256,7 @@
 	}
 }
 
-// awaitJob waits until a front answers with the job's state. Any other definite answer, such as 404, is an error.
+// awaitJob waits until a proxy answers with the job's state. Any other definite answer, such as 404, is an error.
 func (h *handOver) awaitJob(ctx context.Context, acknowledged jobPlan) error {
 	for {
 		got := h.clientRequest(ctx, h.fronts[0], http.MethodGet, acknowledged.path(), nil)
--- a/internal/systemtest/jobplan_test.go
+++ b/internal/systemtest/jobplan_test.go
@@ -22,7 +22,7 @@
 	cancelAfter time.Duration // from the job's acceptance; 0 if it is not cancelled
 }
 
-// path returns the URL path of the job at a front.
+// path returns the URL path of the job at a proxy.
 func (p jobPlan) path() string { return p.route.prefix + string(p.id) }
 
 // jobKind is a kind of job of the load.
