--- a/internal/controlplane/fleet/publish.go
+++ b/internal/controlplane/fleet/publish.go
@@ -55,7 +55,7 @@
 		return rule.Zones
 	}
 	applied := f.contractsAppliedFunc(f.tables.versions.Contracts)
-	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Rules: &aggregator.Rules{Zones: zones, InForce: applied}})
+	f.aggregatorEvents.Put(aggregator.Event{Event: policy.Event{Kind: policy.OverridesChanged}, Rules: &aggregator.Rules{Zones: zones, OnApplied: applied}})
 }
 
 // contractsAppliedFunc returns the function that the aggregator's goroutine calls once it applies the contracts of a version.
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -21,7 +21,7 @@
 // callKey identifies a call.
 type callKey struct {
 	subquery policy.SubqueryID
-	number   policy.CallNo
+	number   policy.CallNumber
 }
 
 // execute executes one of the policy's actions.
@@ -37,7 +37,7 @@
 	case policy.Answer:
 		a.finishQuery(action.Query, "satisfied", Reply{End: Satisfied, Complete: action.Complete}, now)
 	case policy.Nack:
-		a.finishQuery(action.Query, "nacked", Reply{End: Nacked, RetryAfter: action.Wait}, now)
+		a.finishQuery(action.Query, "nacked", Reply{End: Rejected, RetryAfter: action.Wait}, now)
 	case policy.Abort:
 		a.finishQuery(action.Query, "aborted", Reply{End: Aborted}, now)
 	case policy.SetTimer:
@@ -51,8 +51,8 @@
 		a.backends.CloseIdle(action.Backend)
 	case policy.Subscribe:
 		a.discovery.Subscribe(action.On)
-	case policy.RequestFullList:
-		a.discovery.RequestFullList()
+	case policy.RequestCompleteList:
+		a.discovery.RequestCompleteList()
 	case policy.NotifyPeer:
 		a.counters.Add("messages", "no_way_to_mixers", 1)
 	case policy.Log:
--- a/internal/dataplane/aggregator/admission.go
+++ b/internal/dataplane/aggregator/admission.go
@@ -35,10 +35,10 @@
 }
 
 // Rules are agreed rules that apply to all queries from now on, including those in progress. Zones returns the locations
-// that may serve a query; nil means all. InForce is called once all calls in flight comply with the rules.
+// that may serve a query; nil means all. OnApplied is called once all calls in flight comply with the rules.
 type Rules struct {
-	Zones   func(policy.CustomerID, policy.IndexID) *policy.Zones
-	InForce func()
+	Zones     func(policy.CustomerID, policy.IndexID) *policy.Zones
+	OnApplied func()
 }
 
 // PeerObservation is the latency of a backend that peers observed, as a multiple of the usual latency. It is valid for
@@ -78,7 +78,7 @@
 	decision := a.admissionState.admission.Admit(q.Customer, q.Index)
 	if decision.Reason != "" {
 		a.counters.Add("lookups", decision.Reason, 1)
-		q.Done <- Reply{End: Nacked, RetryAfter: min(decision.RetryAfter, a.settings.Limits.MaxRetryAfter), Text: decision.Text}
+		q.Done <- Reply{End: Rejected, RetryAfter: min(decision.RetryAfter, a.settings.Limits.MaxRetryAfter), Text: decision.Text}
 		return nil, false
 	}
 	if decision.MaxTimeout > 0 {
@@ -200,6 +200,6 @@
 			return
 		}
 	}
-	a.admissionState.rules.InForce()
+	a.admissionState.rules.OnApplied()
 	a.admissionState.rules = nil
 }
--- a/internal/dataplane/aggregator/aggregator_test.go
+++ b/internal/dataplane/aggregator/aggregator_test.go
@@ -35,14 +35,14 @@
 func (r *fixture) Probe(at policy.BackendID, _ bool) { r.probes = append(r.probes, at) }
 func (r *fixture) CloseIdle(policy.BackendID)        {}
 func (r *fixture) Subscribe(bool)                    { r.subscribeCalls++ }
-func (r *fixture) RequestFullList()                  {}
+func (r *fixture) RequestCompleteList()              {}
 func (r *fixture) Send(backend policy.BackendID, calls []Call) {
 	r.batchSizes = append(r.batchSizes, len(calls))
 	for _, c := range calls {
 		r.sent = append(r.sent, sentCall{backend, c})
 	}
 }
-func (r *fixture) Cancel(_ policy.BackendID, subquery policy.SubqueryID, _ policy.CallNo) {
+func (r *fixture) Cancel(_ policy.BackendID, subquery policy.SubqueryID, _ policy.CallNumber) {
 	r.canceled = append(r.canceled, subquery)
 }
 
--- a/internal/dataplane/aggregator/interface.go
+++ b/internal/dataplane/aggregator/interface.go
@@ -24,7 +24,7 @@
 // Call is an attempt of a subquery at a backend.
 type Call struct {
 	Subquery policy.SubqueryID
-	Number   policy.CallNo
+	Number   policy.CallNumber
 	Query    *Query // only fields that never change may be read
 	Shard    policy.ShardID
 	Sent     time.Time
@@ -41,7 +41,7 @@
 	// Send sends calls to a backend as one batch.
 	Send(backend policy.BackendID, calls []Call)
 	// Cancel cancels a call.
-	Cancel(backend policy.BackendID, subquery policy.SubqueryID, number policy.CallNo)
+	Cancel(backend policy.BackendID, subquery policy.SubqueryID, number policy.CallNumber)
 	// Probe sends a probe to a backend, on a separate connection if so requested.
 	Probe(backend policy.BackendID, separateConnection bool)
 	// CloseIdle closes idle connections to a backend.
@@ -52,6 +52,6 @@
 type Discovery interface {
 	// Subscribe turns the subscription to changes of the list on or off.
 	Subscribe(on bool)
-	// RequestFullList requests the complete list.
-	RequestFullList()
+	// RequestCompleteList requests the complete list.
+	RequestCompleteList()
 }
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -42,7 +42,7 @@
 	q.id = policy.QueryID(a.lastID)
 	a.queries[q.id], a.byClientID[q.ID] = q, q
 	remaining := q.Timeout - now.Sub(q.Arrived).Seconds()
-	event := policy.Event{Kind: policy.QueryReceived, Query: q.id, No: policy.QueryNo(q.id), Index: q.Index,
+	event := policy.Event{Kind: policy.QueryReceived, Query: q.id, QueryNumber: policy.QueryNumber(q.id), Index: q.Index,
 		Customer: q.Customer, Key: q.Key, HasKey: q.HasKey, Remaining: remaining, Subqueries: len(q.Subqueries), Resent: q.Resent, Zones: zones}
 	for i := range q.Subqueries {
 		event.Hint += q.Subqueries[i].Hint
@@ -78,7 +78,7 @@
 }
 
 // captureEnds maps the ends of queries that the policy has ended to those of the capture.
-var captureEnds = [...]capture.End{Satisfied: capture.Answered, Nacked: capture.Nacked, Aborted: capture.Aborted}
+var captureEnds = [...]capture.End{Satisfied: capture.Answered, Rejected: capture.Nacked, Aborted: capture.Aborted}
 
 // isOpen reports whether a query is pending: it was passed to the policy and has neither a final reply nor a disconnected
 // client.
--- a/internal/dataplane/aggregator/query.go
+++ b/internal/dataplane/aggregator/query.go
@@ -32,7 +32,7 @@
 	Answered     bool
 	Value        []byte
 
-	attempts policy.CallNo // number of calls sent so far
+	attempts policy.CallNumber // number of calls sent so far
 }
 
 // End is the way a query ended for its client.
@@ -41,7 +41,7 @@
 // The possible ends of a query.
 const (
 	Satisfied End = iota
-	Nacked
+	Rejected
 	Aborted
 	QueueFull // rejected because of the limit of pending queries; not passed to the policy
 	Duplicate // rejected because a query with the same ID is pending; not passed to the policy
--- a/internal/dataplane/aggregator/races_test.go
+++ b/internal/dataplane/aggregator/races_test.go
@@ -59,7 +59,7 @@
 								}
 							}
 							r.now = r.now.Add(100 * time.Millisecond)
-							r.process(Event{Event: policy.Event{Kind: policy.CallEnded, Subquery: 1 << 40, Call: policy.CallNo(i)}})
+							r.process(Event{Event: policy.Event{Kind: policy.CallEnded, Subquery: 1 << 40, Call: policy.CallNumber(i)}})
 						}
 						if len(r.sent) != sent {
 							t.Fatalf("%s: %d calls were sent after the end of the query", description, len(r.sent)-sent)
--- a/internal/dataplane/backends/actor.go
+++ b/internal/dataplane/backends/actor.go
@@ -15,7 +15,7 @@
 const (
 	messageUpdateEntry messageKind = iota // entry, address
 	messageSend                           // newCalls
-	messageCancel                         // subquery, callNo
+	messageCancel                         // subquery, callNumber
 	messageProbe                          // at, separate
 	messageCloseIdle
 	messageStop
@@ -39,7 +39,7 @@
 	newCalls     []aggregator.Call
 	calls        []*call
 	subquery     policy.SubqueryID
-	callNo       policy.CallNo
+	callNumber   policy.CallNumber
 	connection   *connection
 	answer       answer
 	name         string
@@ -97,7 +97,7 @@
 	case messageSend:
 		a.send(msg.newCalls)
 	case messageCancel:
-		a.cancelCall(msg.subquery, msg.callNo)
+		a.cancelCall(msg.subquery, msg.callNumber)
 	case messageProbe:
 		a.probe(msg.at, msg.separate)
 	case messageCloseIdle:
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -140,7 +140,7 @@
 	p.writeFrame('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
 	r.expectEnd(b[0].Subquery, policy.Rejected)
 	e := r.expectEnd(a[0].Subquery, policy.Answered)
-	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasQueued|policy.HasService || e.Load.Queued != 3 || e.Load.ServiceS != 0.02 {
+	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasQueued|policy.HasServiceTime || e.Load.Queued != 3 || e.Load.ServiceTimeSeconds != 0.02 {
 		t.Fatalf("got %q, %+v", e.Value, e.Load)
 	}
 }
--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -10,9 +10,9 @@
 )
 
 // cancelCall cancels a call at the request of the policy.
-func (a *actor) cancelCall(subquery policy.SubqueryID, callNo policy.CallNo) {
+func (a *actor) cancelCall(subquery policy.SubqueryID, callNumber policy.CallNumber) {
 	for _, c := range a.calls {
-		if c.Subquery == subquery && c.Number == callNo {
+		if c.Subquery == subquery && c.Number == callNumber {
 			a.abandonCall(c, policy.Canceled)
 			return
 		}
--- a/internal/dataplane/backends/frames.go
+++ b/internal/dataplane/backends/frames.go
@@ -153,13 +153,13 @@
 		case "queue":
 			l.Has, l.Queued = l.Has|policy.HasQueued, v
 		case "util":
-			l.Has, l.Util = l.Has|policy.HasUtil, v
+			l.Has, l.Utilization = l.Has|policy.HasUtilization, v
 		case "latency_ms":
-			l.Has, l.ServiceS = l.Has|policy.HasService, v/1000
+			l.Has, l.ServiceTimeSeconds = l.Has|policy.HasServiceTime, v/1000
 		case "qps":
-			l.Has, l.ServedPS = l.Has|policy.HasServed, v
+			l.Has, l.ServedPerSecond = l.Has|policy.HasServed, v
 		case "eps":
-			l.Has, l.FailPS = l.Has|policy.HasFail, v
+			l.Has, l.FailedPerSecond = l.Has|policy.HasFailed, v
 		}
 	}
 	return l
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -116,8 +116,8 @@
 }
 
 // Cancel cancels a call. An answer that arrives after the cancel frame was written is dropped.
-func (h *Hub) Cancel(backend policy.BackendID, subquery policy.SubqueryID, callNo policy.CallNo) {
-	h.put(backend, message{kind: messageCancel, subquery: subquery, callNo: callNo})
+func (h *Hub) Cancel(backend policy.BackendID, subquery policy.SubqueryID, callNumber policy.CallNumber) {
+	h.put(backend, message{kind: messageCancel, subquery: subquery, callNumber: callNumber})
 }
 
 // Probe sends a probe to a backend. If separate is true, the probe uses a connection with nothing else in flight.
--- a/internal/dataplane/clients/races_test.go
+++ b/internal/dataplane/clients/races_test.go
@@ -89,7 +89,7 @@
 			io.WriteString(c, pipelined("c")[:40])
 			io.WriteString(c, pipelined("c")[40:])
 		}
-		q.Done <- aggregator.Reply{End: aggregator.Nacked}
+		q.Done <- aggregator.Reply{End: aggregator.Rejected}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
 			t.Fatalf("the answer to %q closes the connection", id)
 		}
@@ -108,9 +108,9 @@
 	}
 	r.waitForReadAheadOverrun()
 	other.sendQuery()
-	r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
+	r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Rejected}
 	other.expect(429)
-	q.Done <- aggregator.Reply{End: aggregator.Nacked}
+	q.Done <- aggregator.Reply{End: aggregator.Rejected}
 	if head, _ := c.expect(429); head.Get("Connection") != "close" {
 		t.Fatal("the connection stays open")
 	}
@@ -168,7 +168,7 @@
 	r := newFixture(t, 100, func(s *Server) { s.servePeriod = time.Millisecond })
 	idle, partial := r.dial(), r.dial()
 	idle.sendQuery()
-	r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
+	r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Rejected}
 	idle.expect(429)
 	io.WriteString(partial, "POST /reads HTTP/1.1\r\nReq-Id: half")
 	drained := make(chan struct{})
@@ -222,7 +222,7 @@
 		select {
 		case <-ticker.C:
 			if sent == 2 {
-				q.Done <- aggregator.Reply{End: aggregator.Nacked}
+				q.Done <- aggregator.Reply{End: aggregator.Rejected}
 				held.expect(429)
 			}
 			if sent < 10 {
@@ -251,7 +251,7 @@
 	for range 6 {
 		c := r.dial()
 		c.sendQuery()
-		r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Nacked}
+		r.expectEvent(policy.QueryReceived).Done <- aggregator.Reply{End: aggregator.Rejected}
 		c.expect(429)
 	}
 	r.waitForNoConnections()
--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -271,7 +271,7 @@
 	case aggregator.Satisfied:
 		w.Header().Set("Content-Type", "application/json")
 		s.write(w, r, http.StatusOK, appendResults(nil, q, reply.Complete))
-	case aggregator.Nacked:
+	case aggregator.Rejected:
 		if reply.RetryAfter > 0 && s.retryAfter {
 			w.Header().Set("Retry-After", formatRetryAfter(reply.RetryAfter))
 		}
--- a/internal/dataplane/clients/server_test.go
+++ b/internal/dataplane/clients/server_test.go
@@ -155,8 +155,8 @@
 		body  string
 	}{
 		{aggregator.Reply{End: aggregator.Satisfied, Complete: true}, 200, "", `{"whole":true,"results":[{"partition":5,"value":"a\"\\\u0009é"}]}`},
-		{aggregator.Reply{End: aggregator.Nacked, RetryAfter: 0.0501}, 429, "0.051", ""},
-		{aggregator.Reply{End: aggregator.Nacked}, 429, "", ""},
+		{aggregator.Reply{End: aggregator.Rejected, RetryAfter: 0.0501}, 429, "0.051", ""},
+		{aggregator.Reply{End: aggregator.Rejected}, 429, "", ""},
 		{aggregator.Reply{End: aggregator.QueueFull}, 503, "", ""},
 		{aggregator.Reply{End: aggregator.Aborted}, 500, "", ""},
 		{aggregator.Reply{End: aggregator.Duplicate}, 409, "", "a lookup of this id is already held.\n"},
@@ -313,7 +313,7 @@
 	c.sendQuery()
 	q := r.expectEvent(policy.QueryReceived)
 	time.Sleep(100 * time.Millisecond)
-	q.Done <- aggregator.Reply{End: aggregator.Nacked}
+	q.Done <- aggregator.Reply{End: aggregator.Rejected}
 	c.expect(429)
 }
 
@@ -469,7 +469,7 @@
 			case <-r.events.Queue.Ready():
 				for _, e := range r.events.Queue.Take(nil) {
 					if e.Kind == policy.QueryReceived {
-						e.ClientQuery.Done <- aggregator.Reply{End: aggregator.Nacked}
+						e.ClientQuery.Done <- aggregator.Reply{End: aggregator.Rejected}
 					}
 				}
 			case <-done:
@@ -507,7 +507,7 @@
 		if q.Timeout > 0.95 {
 			t.Fatalf("the query may wait %g s, longer than the aggregator runs", q.Timeout)
 		}
-		q.Done <- aggregator.Reply{End: aggregator.Nacked}
+		q.Done <- aggregator.Reply{End: aggregator.Rejected}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
 			t.Fatal("the answer closes the connection during servePeriod")
 		}
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -45,7 +45,7 @@
 
 const (
 	messageSubscribe messageKind = iota // subscribe
-	messageRequestFullList
+	messageRequestCompleteList
 	messageMoveTo       // address
 	messageLine         // watch, line
 	messageWatchEnded   // watch, err
@@ -137,8 +137,8 @@
 // Subscribe starts or ends the watch, at the request of the policy.
 func (r *Client) Subscribe(on bool) { r.inbox.Put(message{kind: messageSubscribe, subscribe: on}) }
 
-// RequestFullList requests the complete list once, at the request of the policy.
-func (r *Client) RequestFullList() { r.inbox.Put(message{kind: messageRequestFullList}) }
+// RequestCompleteList requests the complete list once, at the request of the policy.
+func (r *Client) RequestCompleteList() { r.inbox.Put(message{kind: messageRequestCompleteList}) }
 
 // Stop ends the actor and waits for it.
 func (r *Client) Stop() {
@@ -175,7 +175,7 @@
 		r.subscribed = msg.subscribe
 		r.cancelWatch()
 		r.nextWatchAt = time.Time{}
-	case messageRequestFullList:
+	case messageRequestCompleteList:
 		go r.fetch(r.url, r.version)
 	case messageMoveTo:
 		if url := listURL(msg.address); url != r.url {
--- a/internal/dataplane/discovery/races_test.go
+++ b/internal/dataplane/discovery/races_test.go
@@ -124,7 +124,7 @@
 	r := newRawFixture(t, true, nil)
 	list := listLine(43, true, backend("s2", "SERVING"))
 	for _, text := range []string{untilCloseHeader + list, chunkedHeader + chunk(list), "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + list} {
-		r.RequestFullList()
+		r.RequestCompleteList()
 		c := r.accept("/discovery/hosts")
 		c.Write([]byte(text))
 		reset(c)
@@ -132,7 +132,7 @@
 			t.Fatalf("%q: got %+v", text, e)
 		}
 	}
-	r.RequestFullList()
+	r.RequestCompleteList()
 	c := r.accept("/discovery/hosts")
 	c.Write([]byte(untilCloseHeader + list))
 	c.Close()
@@ -144,7 +144,7 @@
 // A complete list is requested again if it came from the old address, or is older than what a watch has delivered meanwhile.
 func TestOutdatedCompleteListIsRequestedAgain(t *testing.T) {
 	r, other := newRawFixture(t, true, nil), newRawFixture(t, true, nil)
-	r.RequestFullList()
+	r.RequestCompleteList()
 	old := r.accept("/discovery/hosts")
 	if err := r.MoveTo(other.listener.Addr().String()); err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -117,7 +117,7 @@
 	result := Settings{Net: Net{Locations: raw.Locations, MachineKinds: raw.MachineKinds, Shards: layout.Shards, CallsPerConnection: limits.CallsPerConnection,
 		IdleTimeoutS: limits.IdleTimeoutS, ConnectTimeoutS: limits.ConnectTimeoutS, LoadReports: raw.LoadReports.Source == "answers" || raw.LoadReports.Source == "probe"}}
 	result.Settings = policy.Settings{
-		Seed: seed, Self: policy.AggregatorNo(raw.AggregatorIndex), Aggregators: raw.AggregatorCount, Location: policy.LocationID(raw.Location),
+		Seed: seed, Self: policy.AggregatorNumber(raw.AggregatorIndex), Aggregators: raw.AggregatorCount, Location: policy.LocationID(raw.Location),
 		StepInterval: raw.StepIntervalS, OverQuotaValue: raw.OverQuotaValue, ListOnRequest: raw.ListMode == "subscribe",
 		Layout: policy.Layout{Cells: layout.Cells, Width: layout.Width, SubqueriesPerCall: layout.SubqueriesPerCall, CallCost: layout.CallCostS},
 		Limits: policy.Limits{Cancel: limits.Cancel, Probe: limits.Probe, PeerMessages: limits.PeerMessages, Hedge: limits.Hedge,
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -229,10 +229,10 @@
 	default:
 		row.Failed++
 	}
-	if end.Load.Has&(policy.HasService|policy.HasUtil) != 0 {
+	if end.Load.Has&(policy.HasServiceTime|policy.HasUtilization) != 0 {
 		row.Reports++
-		row.Service += end.Load.ServiceS
-		row.Util += end.Load.Util
+		row.Service += end.Load.ServiceTimeSeconds
+		row.Util += end.Load.Utilization
 	}
 }
 
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -229,9 +229,9 @@
 		decodeQuery(line, event)
 	case "ESTABLISHED":
 		event.Kind, event.Subquery, event.Backend = policy.ResponseStarted, policy.SubqueryID(line.unsigned("req")), line.backend()
-		event.Call, event.Elapsed = policy.CallNo(line.integer("copy")), line.number("costTimeS")
+		event.Call, event.Elapsed = policy.CallNumber(line.integer("copy")), line.number("costTimeS")
 	case "ATTEMPT_END":
-		event.Kind, event.Subquery, event.Call = policy.CallEnded, policy.SubqueryID(line.unsigned("req")), policy.CallNo(line.integer("copy"))
+		event.Kind, event.Subquery, event.Call = policy.CallEnded, policy.SubqueryID(line.unsigned("req")), policy.CallNumber(line.integer("copy"))
 		event.Backend, event.Outcome, event.Elapsed = line.backend(), line.outcome(), line.number("costTimeS")
 		line.integer("complete")
 		event.Load = line.load()
@@ -243,7 +243,7 @@
 	case "TICK_DUE":
 		event.Kind, event.Timer = policy.TimerDue, policy.TimerID(line.integer("ctx"))
 	case "PEER_DATA":
-		event.Kind, event.Peer = policy.MessageReceived, policy.AggregatorNo(line.integer("originPeer"))
+		event.Kind, event.Peer = policy.MessageReceived, policy.AggregatorNumber(line.integer("originPeer"))
 		event.Message = line.bytes("blob")
 	default:
 		return malformed("unknown message %q", name)
@@ -275,7 +275,7 @@
 	event.Index, event.Customer = policy.IndexID(line.integer("cls")), policy.CustomerID(line.optional("owner"))
 	event.Key, event.HasKey = line.hex("object")
 	event.Remaining, event.Hint = line.number("timeBudgetS"), line.optional("costS")
-	event.No = policy.QueryNo(line.integer("queryNo"))
+	event.QueryNumber = policy.QueryNumber(line.integer("queryNo"))
 	shard, amount := line.integer("shard"), line.number("amount")
 	event.Resent = line.optional("resent") != 0
 	line.optional("isWrite")
@@ -368,7 +368,7 @@
 	case policy.Subscribe:
 		b = append(b, "LISTEN"...)
 		appendBool(a.On)
-	case policy.RequestFullList:
+	case policy.RequestCompleteList:
 		b = append(b, "LOOKUP"...)
 	case policy.Log:
 		b = append(append(b, "PRINT "...), strings.ReplaceAll(a.Text, "\n", " ")...)
--- a/internal/tools/benchadapter/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -141,13 +141,13 @@
 		case "pending":
 			l.Has, l.Queued = l.Has|policy.HasQueued, v
 		case "cpu_share":
-			l.Has, l.Util = l.Has|policy.HasUtil, v
+			l.Has, l.Utilization = l.Has|policy.HasUtilization, v
 		case "svc_ms":
-			l.Has, l.ServiceS = l.Has|policy.HasService, v/1000
+			l.Has, l.ServiceTimeSeconds = l.Has|policy.HasServiceTime, v/1000
 		case "served_ps":
-			l.Has, l.ServedPS = l.Has|policy.HasServed, v
+			l.Has, l.ServedPerSecond = l.Has|policy.HasServed, v
 		case "failed_ps":
-			l.Has, l.FailPS = l.Has|policy.HasFail, v
+			l.Has, l.FailedPerSecond = l.Has|policy.HasFailed, v
 		}
 	}
 	return l
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -99,7 +99,7 @@
 
 // newAggregator makes the decision module of the site's i-th aggregator, with no query yet.
 func newAggregator(site *Site, seed uint64, i int) *aggregator {
-	settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
+	settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNumber(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
 		StepInterval: site.Step, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, SubqueriesPerCall: 1},
 		Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, site.MaxAttempts), MaxPending: site.MaxPending, MaxRetryAfter: 1, ConnectTimeout: 0.25},
 		Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
@@ -107,7 +107,7 @@
 		settings.Indexes = append(settings.Indexes, policy.IndexSettings{Soft: index.Soft, Hard: index.Hard, Value: max(index.Value, 1e-9), LateValue: index.LateValue, Effect: index.Effect, Required: 1, Minimum: 1})
 	}
 	return &aggregator{policy: policy.New(settings, 0), queries: map[policy.QueryID]*pendingQuery{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
-		nextCall: map[policy.SubqueryID]policy.CallNo{}, inFlight: map[callKey]*call{}, lastStep: -1}
+		nextCall: map[policy.SubqueryID]policy.CallNumber{}, inFlight: map[callKey]*call{}, lastStep: -1}
 }
 
 // schedule lets something happen at a time, or now if that is past.
@@ -174,7 +174,7 @@
 	target.lastID++
 	id, pending := policy.QueryID(target.lastID), &pendingQuery{query: q}
 	target.queries[id] = pending
-	event := policy.Event{Kind: policy.QueryReceived, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(indexNo), Remaining: index.Hard - (sim.now - q.began), Subqueries: len(q.shards), Resent: q.attempts > 1}
+	event := policy.Event{Kind: policy.QueryReceived, Query: id, QueryNumber: policy.QueryNumber(id), Index: policy.IndexID(indexNo), Remaining: index.Hard - (sim.now - q.began), Subqueries: len(q.shards), Resent: q.attempts > 1}
 	events := []policy.Event{event}
 	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
 	for _, shard := range q.shards {
--- a/internal/tools/plan/simulation.go
+++ b/internal/tools/plan/simulation.go
@@ -59,7 +59,7 @@
 type call struct {
 	aggregator *aggregator
 	subquery   policy.SubqueryID
-	no         policy.CallNo
+	no         policy.CallNumber
 	index      policy.IndexID
 	sent       float64
 	completed  bool // its aggregator waits no more
@@ -101,7 +101,7 @@
 	stepScheduled bool // a step is on the agenda
 	queries       map[policy.QueryID]*pendingQuery
 	subqueries    map[policy.SubqueryID]policy.IndexID
-	nextCall      map[policy.SubqueryID]policy.CallNo
+	nextCall      map[policy.SubqueryID]policy.CallNumber
 	inFlight      map[callKey]*call
 	lastID        uint64
 	maxPending    int
@@ -110,7 +110,7 @@
 
 type callKey struct {
 	subquery policy.SubqueryID
-	no       policy.CallNo
+	no       policy.CallNumber
 }
 
 // simulation is a fleet under a load.
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -5,22 +5,22 @@
 
 // The kinds of actions. Each comment lists the fields of Action that are set.
 const (
-	Send            ActionKind = iota // Subquery, Backend, StopAt, StartBy
-	Cancel                            // Subquery, Call
-	Answer                            // Query, Complete
-	Nack                              // Query, Wait
-	Abort                             // Query
-	SetTimer                          // Timer, Wait
-	Probe                             // Backend, SeparateConnection
-	CloseIdle                         // Backend
-	NotifyPeer                        // Peer (AllPeers for all peers), Message
-	Subscribe                         // On
-	RequestFullList                   // no fields
-	Log                               // Text
+	Send                ActionKind = iota // Subquery, Backend, StopAt, StartBy
+	Cancel                                // Subquery, Call
+	Answer                                // Query, Complete
+	Nack                                  // Query, Wait
+	Abort                                 // Query
+	SetTimer                              // Timer, Wait
+	Probe                                 // Backend, SeparateConnection
+	CloseIdle                             // Backend
+	NotifyPeer                            // Peer (AllPeers for all peers), Message
+	Subscribe                             // On
+	RequestCompleteList                   // no fields
+	Log                                   // Text
 )
 
 // AllPeers addresses a message to all other aggregators.
-const AllPeers AggregatorNo = -1
+const AllPeers AggregatorNumber = -1
 
 // Action is an output of Step. Its kind determines which fields are set.
 type Action struct {
@@ -31,12 +31,12 @@
 	Query              QueryID
 	Subquery           SubqueryID
 	Backend            BackendID
-	Call               CallNo
+	Call               CallNumber
 	StopAt             float64 // clock time at which the call ends; 0 for the client's deadline
 	StartBy            float64 // clock time after which the call must not be executed; 0 for StopAt
 	Wait               float64
 	Timer              TimerID
-	Peer               AggregatorNo
+	Peer               AggregatorNumber
 	Message            []byte
 	Text               string
 }
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -19,7 +19,7 @@
 	a := &Aggregator{
 		listPollAt: listAt, settings: settings, now: now, random: pcg(settings.Seed), shortestSoftDeadline: math.Inf(1), maxConnectionIdleTime: math.Inf(1),
 		locationFaults: map[LocationID][]decayingMean{}, backends: map[BackendID]*backend{}, replicasByCell: make([][]*backend, settings.Layout.Cells),
-		queries: map[QueryNo]*query{}, queryNumbers: map[QueryID]QueryNo{}, subqueries: map[SubqueryID]*subquery{},
+		queries: map[QueryNumber]*query{}, queryNumbers: map[QueryID]QueryNumber{}, subqueries: map[SubqueryID]*subquery{},
 		customers: make([]customer, len(settings.Customers)), pins: map[pinKey]*PinOverride{},
 	}
 	for i := range settings.Indexes {
--- a/policy/callrecords.go
+++ b/policy/callrecords.go
@@ -22,7 +22,7 @@
 	}
 	b.lastUsedAt = a.now
 	b.expectAnswer(a.now)
-	c := &call{subquery: sub, no: CallNo(sub.attempts), backend: b, sentAt: a.now, shared: b.shared}
+	c := &call{subquery: sub, no: CallNumber(sub.attempts), backend: b, sentAt: a.now, shared: b.shared}
 	sub.attempts++
 	sub.calls = append(sub.calls, c)
 	b.calls = append(b.calls, c)
@@ -35,7 +35,7 @@
 }
 
 // removeCall removes a call that has ended from the records and returns it. It returns nil for an unknown call.
-func (a *Aggregator) removeCall(id SubqueryID, no CallNo) *call {
+func (a *Aggregator) removeCall(id SubqueryID, no CallNumber) *call {
 	sub := a.subqueries[id]
 	if sub == nil {
 		return nil
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -142,8 +142,8 @@
 func TestEqualMakespansAreOrderedBySize(t *testing.T) {
 	s := newFixture(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
 	aggregator := s.aggregator
-	addQuery := func(no QueryNo, pendingCounts ...int) *query {
-		q := aggregator.addQuery(&Event{Query: QueryID(no), No: no, Subqueries: len(pendingCounts), Remaining: 6})
+	addQuery := func(no QueryNumber, pendingCounts ...int) *query {
+		q := aggregator.addQuery(&Event{Query: QueryID(no), QueryNumber: no, Subqueries: len(pendingCounts), Remaining: 6})
 		for i, n := range pendingCounts {
 			for range n {
 				sub := aggregator.addSubquery(q, &Event{Subquery: SubqueryID(100*int(no) + len(q.subqueries)), Shard: ShardID(i)})
@@ -347,8 +347,8 @@
 func TestPendingSubqueriesAreSentBeforeTheSweep(t *testing.T) {
 	s := newFixture(t, nil)
 	s.receive(6, 1)
-	events := []Event{{Kind: QueryReceived, Query: 50, No: 50, Subqueries: 1, Remaining: 3},
-		{Kind: SubqueryReceived, Subquery: 500, No: 50, Weight: 1}, {Kind: TimerDue, Timer: sweepTimer}}
+	events := []Event{{Kind: QueryReceived, Query: 50, QueryNumber: 50, Subqueries: 1, Remaining: 3},
+		{Kind: SubqueryReceived, Subquery: 500, QueryNumber: 50, Weight: 1}, {Kind: TimerDue, Timer: sweepTimer}}
 	if actions := s.step(0.005, events...); len(ofKind(Send, actions)) != 1 || len(ofKind(Nack, actions)) != 0 {
 		t.Errorf("got %v", actions)
 	}
@@ -570,7 +570,7 @@
 		{3.74, 0}, {3.75, 0}, {5.99, 0.01}, {3.75, 0}, {5, 1}, {5, 1}, {3.73, 0}, {2.2, 3.8}, {3.76, 0},
 	} {
 		s.receive(c.remaining, 0.1)
-		q := s.aggregator.queries[QueryNo(s.lastID)]
+		q := s.aggregator.queries[QueryNumber(s.lastID)]
 		if q == nil {
 			t.Fatalf("attempt %d was rejected on receipt", i)
 		}
--- a/policy/events.go
+++ b/policy/events.go
@@ -6,8 +6,8 @@
 // The kinds of events. Each comment lists the fields of Event that are set.
 const (
 	ListChanged        EventKind = iota // List, Entries
-	QueryReceived                       // Query, No, Index, Customer, Remaining, Hint, Subqueries, Resent
-	SubqueryReceived                    // Subquery, No, Index, Remaining, Hint, Shard, Weight
+	QueryReceived                       // Query, QueryNumber, Index, Customer, Remaining, Hint, Subqueries, Resent
+	SubqueryReceived                    // Subquery, QueryNumber, Index, Remaining, Hint, Shard, Weight
 	ResponseStarted                     // Subquery, Call, Backend: the first part of a streamed answer was received
 	CallEnded                           // Subquery, Call, Backend, Outcome, Elapsed, Load
 	ClientDisconnected                  // Query
@@ -66,8 +66,8 @@
 
 // Load is a backend's own load report. Has states which fields are set.
 type Load struct {
-	Has                                                LoadField
-	InFlight, Queued, Util, ServiceS, ServedPS, FailPS float64
+	Has                                                                                 LoadField
+	InFlight, Queued, Utilization, ServiceTimeSeconds, ServedPerSecond, FailedPerSecond float64
 }
 
 // LoadField is a bit set of fields of Load.
@@ -77,38 +77,38 @@
 const (
 	HasInFlight LoadField = 1 << iota
 	HasQueued
-	HasUtil
-	HasService
+	HasUtilization
+	HasServiceTime
 	HasServed
-	HasFail
+	HasFailed
 )
 
 // Event is an input of Step. Its kind determines which fields are set.
 type Event struct {
-	Kind       EventKind
-	List       ListKind
-	Outcome    Outcome
-	Resent     bool
-	HasKey     bool
-	Query      QueryID
-	No         QueryNo
-	Subquery   SubqueryID
-	Index      IndexID
-	Customer   CustomerID
-	Shard      ShardID
-	Subqueries int
-	Key        uint64
-	Remaining  float64 // time until the client's deadline
-	Hint       float64 // expected work; 0 if not stated
-	Weight     float64
-	Call       CallNo
-	Backend    BackendID
-	Elapsed    float64
-	Load       Load
-	Entries    []Entry
-	Override   *Overrides
-	Zones      *Zones // locations that may serve the query; nil for all
-	Timer      TimerID
-	Peer       AggregatorNo
-	Message    []byte
+	Kind        EventKind
+	List        ListKind
+	Outcome     Outcome
+	Resent      bool
+	HasKey      bool
+	Query       QueryID
+	QueryNumber QueryNumber
+	Subquery    SubqueryID
+	Index       IndexID
+	Customer    CustomerID
+	Shard       ShardID
+	Subqueries  int
+	Key         uint64
+	Remaining   float64 // time until the client's deadline
+	Hint        float64 // expected work; 0 if not stated
+	Weight      float64
+	Call        CallNumber
+	Backend     BackendID
+	Elapsed     float64
+	Load        Load
+	Entries     []Entry
+	Override    *Overrides
+	Zones       *Zones // locations that may serve the query; nil for all
+	Timer       TimerID
+	Peer        AggregatorNumber
+	Message     []byte
 }
--- a/policy/ids.go
+++ b/policy/ids.go
@@ -4,8 +4,8 @@
 type (
 	// QueryID identifies a query.
 	QueryID uint64
-	// QueryNo is the sequence number of a client's query.
-	QueryNo int64
+	// QueryNumber is the sequence number of a client's query.
+	QueryNumber int64
 	// SubqueryID identifies a subquery.
 	SubqueryID uint64
 	// BackendID identifies a backend.
@@ -20,10 +20,10 @@
 	ShardID int
 	// CellID identifies a cell in the placement of shards on backends.
 	CellID int
-	// CallNo is the sequence number of a subquery's call.
-	CallNo int
-	// AggregatorNo is the sequence number of an aggregator.
-	AggregatorNo int
+	// CallNumber is the sequence number of a subquery's call.
+	CallNumber int
+	// AggregatorNumber is the sequence number of an aggregator.
+	AggregatorNumber int
 	// TimerID identifies a timer.
 	TimerID int
 )
--- a/policy/queries.go
+++ b/policy/queries.go
@@ -43,7 +43,7 @@
 
 // receiveSubquery binds a subquery. With the last subquery of a query, it sheds load and decides on admission.
 func (a *Aggregator) receiveSubquery(e *Event) {
-	q := a.queries[e.No]
+	q := a.queries[e.QueryNumber]
 	if q == nil {
 		return
 	}
--- a/policy/queryrecords.go
+++ b/policy/queryrecords.go
@@ -10,12 +10,12 @@
 func (a *Aggregator) addQuery(e *Event) *query {
 	index := &a.indexes[e.Index]
 	a.recordTime(&a.receivedTimes)
-	q := &query{id: e.Query, no: e.No, index: e.Index, expectedSubqueries: e.Subqueries, deadline: a.now + e.Remaining,
+	q := &query{id: e.Query, no: e.QueryNumber, index: e.Index, expectedSubqueries: e.Subqueries, deadline: a.now + e.Remaining,
 		softDeadline: a.now + index.softDeadline, requiredWeight: index.requiredWeight, state: stateLastStep, zones: e.Zones}
 	if index.secondStep > 0 {
 		q.state = stateFirstStep
 	}
-	a.queries[e.No], a.queryNumbers[e.Query] = q, e.No
+	a.queries[e.QueryNumber], a.queryNumbers[e.Query] = q, e.QueryNumber
 	a.openQueries = append(a.openQueries, q)
 	return q
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -75,7 +75,7 @@
 // call is a call in flight.
 type call struct {
 	subquery   *subquery
-	no         CallNo
+	no         CallNumber
 	backend    *backend
 	sentAt     float64
 	shared     *sharedCall
@@ -113,7 +113,7 @@
 // query is kept until it ends with an answer or a rejection, or until its client disconnects.
 type query struct {
 	id                              QueryID
-	no                              QueryNo
+	no                              QueryNumber
 	index                           IndexID
 	state                           state
 	overQuota                       bool // its customer exceeds the quota
@@ -207,8 +207,8 @@
 	backends              map[BackendID]*backend
 	orderedBackends       []*backend   // in the order of first listing, as no decision may depend on the order of a map
 	replicasByCell        [][]*backend // replicas of the shards of each cell
-	queries               map[QueryNo]*query
-	queryNumbers          map[QueryID]QueryNo
+	queries               map[QueryNumber]*query
+	queryNumbers          map[QueryID]QueryNumber
 	subqueries            map[SubqueryID]*subquery
 	openQueries           []*query // in order of arrival
 	sendOrder             []*query
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -13,7 +13,7 @@
 // Settings are the settings of an instance. Times are in seconds. A zero value means that a setting is not stated.
 type Settings struct {
 	Seed           uint64
-	Self           AggregatorNo
+	Self           AggregatorNumber
 	Aggregators    int
 	Location       LocationID
 	StepInterval   float64 // least time between two calls of Step
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -187,7 +187,7 @@
 func (e *simulation) newQuery() []Event {
 	index := IndexID(e.rng.IntN(len(e.settings.Indexes)))
 	n := 1 + e.rng.IntN(5)
-	received := Event{Kind: QueryReceived, Query: QueryID(e.newID()), No: QueryNo(e.newID()), Index: index, Subqueries: n,
+	received := Event{Kind: QueryReceived, Query: QueryID(e.newID()), QueryNumber: QueryNumber(e.newID()), Index: index, Subqueries: n,
 		Customer: CustomerID(e.rng.IntN(3)), Remaining: e.settings.Indexes[index].Hard * (0.3 + 0.7*e.rng.Float64())}
 	q := &clientQuery{event: received, deadline: e.now + received.Remaining}
 	if e.zonesFor != nil {
@@ -200,7 +200,7 @@
 
 func (e *simulation) newSubqueries(q *clientQuery, n int) (events []Event) {
 	for range n {
-		event := Event{Kind: SubqueryReceived, Subquery: SubqueryID(e.newID()), No: q.event.No, Index: q.event.Index,
+		event := Event{Kind: SubqueryReceived, Subquery: SubqueryID(e.newID()), QueryNumber: q.event.QueryNumber, Index: q.event.Index,
 			Shard: ShardID(e.rng.IntN(8)), Weight: 1 / float64(n), Remaining: q.deadline - e.now, Hint: workPerSubquery}
 		sub := &querySubquery{event: event, query: q}
 		q.subqueries = append(q.subqueries, sub)
@@ -245,7 +245,7 @@
 	switch a.Kind {
 	case SetTimer:
 		e.scheduled = append(e.scheduled, scheduledEvent{e.now + max(a.Wait, e.settings.StepInterval/2), Event{Kind: TimerDue, Timer: a.Timer}})
-	case Subscribe, RequestFullList:
+	case Subscribe, RequestCompleteList:
 		e.scheduled = append(e.scheduled, scheduledEvent{e.now + 0.1, e.listEvent(ListComplete)})
 	case Probe:
 		event := Event{Kind: ProbeEnded, Backend: a.Backend, Outcome: Answered}
@@ -271,10 +271,10 @@
 
 func (e *simulation) scheduleEnd(sub *querySubquery, callNo int, outcome Outcome, after float64) {
 	e.scheduled = slices.DeleteFunc(e.scheduled, func(d scheduledEvent) bool {
-		return d.event.Kind == CallEnded && d.event.Subquery == sub.event.Subquery && d.event.Call == CallNo(callNo)
+		return d.event.Kind == CallEnded && d.event.Subquery == sub.event.Subquery && d.event.Call == CallNumber(callNo)
 	})
 	c := sub.calls[callNo]
-	e.scheduled = append(e.scheduled, scheduledEvent{e.now + after, Event{Kind: CallEnded, Subquery: sub.event.Subquery, Call: CallNo(callNo),
+	e.scheduled = append(e.scheduled, scheduledEvent{e.now + after, Event{Kind: CallEnded, Subquery: sub.event.Subquery, Call: CallNumber(callNo),
 		Backend: c.backend.entry.Backend, Outcome: outcome, Elapsed: e.now + after - c.sentAt}})
 }
 
@@ -434,12 +434,12 @@
 // receive passes a query to the instance, with one subquery for each hint. It returns the subqueries and the immediate actions.
 func (s *fixture) receive(remaining float64, hints ...float64) (subqueries []SubqueryID, actions []Action) {
 	s.lastID++
-	no := QueryNo(s.lastID)
-	events := []Event{{Kind: QueryReceived, Query: QueryID(s.lastID), No: no, Subqueries: len(hints), Remaining: remaining}}
+	no := QueryNumber(s.lastID)
+	events := []Event{{Kind: QueryReceived, Query: QueryID(s.lastID), QueryNumber: no, Subqueries: len(hints), Remaining: remaining}}
 	for _, b := range hints {
 		id := SubqueryID(1000*s.lastID) + SubqueryID(len(subqueries))
 		subqueries = append(subqueries, id)
-		events = append(events, Event{Kind: SubqueryReceived, Subquery: id, No: no, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: b})
+		events = append(events, Event{Kind: SubqueryReceived, Subquery: id, QueryNumber: no, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: b})
 	}
 	return subqueries, s.step(0.005, events...)
 }
@@ -448,7 +448,7 @@
 func (s *fixture) endCall(dt float64, sub SubqueryID, from BackendID, outcome Outcome, elapsed float64) []Action {
 	no := s.calls[sub]
 	s.calls[sub]++
-	return s.step(dt, Event{Kind: CallEnded, Subquery: sub, Call: CallNo(no), Backend: from, Outcome: outcome, Elapsed: elapsed})
+	return s.step(dt, Event{Kind: CallEnded, Subquery: sub, Call: CallNumber(no), Backend: from, Outcome: outcome, Elapsed: elapsed})
 }
 
 // answerAll answers all sent subqueries, dt seconds after each other and with the same latency.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -18,7 +18,7 @@
 			var aggregators []*Aggregator
 			now := 100.0
 			for i := range aggregatorCount {
-				aggregator := New(Settings{Seed: rng.Uint64(), Self: AggregatorNo(i), Aggregators: aggregatorCount, StepInterval: 0.005, Layout: Layout{Cells: 1, Width: 1},
+				aggregator := New(Settings{Seed: rng.Uint64(), Self: AggregatorNumber(i), Aggregators: aggregatorCount, StepInterval: 0.005, Layout: Layout{Cells: 1, Width: 1},
 					Indexes: []IndexSettings{{Soft: 0.5, Hard: 1, Value: 1, Required: 1, Minimum: 1}},
 					Limits:  Limits{Cancel: true, Probe: true, MaxAttempts: 3},
 					Rules:   Rules{AnswerSlack: 0.02, SlowStartShare: initialShare, SlowStartS: slowStartS, DrainGrace: 0.25, OverloadMultiple: overloadMultiple, OverloadWindowS: windowS}}, now)
@@ -38,8 +38,8 @@
 				for ; nextArrival < now; nextArrival += rng.ExpFloat64() * work / 1.5 {
 					i := rng.IntN(aggregatorCount)
 					lastID++
-					events[i] = append(events[i], Event{Kind: QueryReceived, Query: QueryID(lastID), No: QueryNo(lastID), Subqueries: 1, Remaining: 1},
-						Event{Kind: SubqueryReceived, Subquery: SubqueryID(lastID), No: QueryNo(lastID), Weight: 1, Hint: work})
+					events[i] = append(events[i], Event{Kind: QueryReceived, Query: QueryID(lastID), QueryNumber: QueryNumber(lastID), Subqueries: 1, Remaining: 1},
+						Event{Kind: SubqueryReceived, Subquery: SubqueryID(lastID), QueryNumber: QueryNumber(lastID), Weight: 1, Hint: work})
 				}
 				remaining := scheduled[:0]
 				for _, d := range scheduled {
