--- a/cmd/puffinlink/overrideset.go
+++ b/cmd/puffinlink/overrideset.go
@@ -45,7 +45,7 @@
 
 func (c *overrideSetCommand) Execute([]string) error {
 	command := api.Command{Kind: string(c.Arguments.Kind), Index: c.Index, Weight: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
-		For: c.For.Seconds(), UntilRestart: c.UntilRestart, Force: c.Force, Key: c.Key}
+		DurationSeconds: c.For.Seconds(), UntilRestart: c.UntilRestart, Force: c.Force, Key: c.Key}
 	if location, isLocation := strings.CutPrefix(c.Arguments.Target, "@"); isLocation {
 		command.Location = location
 	} else {
--- a/cmd/puffinlink/overridewhy.go
+++ b/cmd/puffinlink/overridewhy.go
@@ -27,17 +27,17 @@
 		return printJSON(why)
 	}
 	verdict := "does not go"
-	if why.Goes {
+	if why.Routed {
 		verdict = fmt.Sprintf("goes, at %.0f%% of its usual part calls,", 100*why.Share)
 	}
 	fmt.Fprintf(stdout, "shard %d of %s %s to %s\n", c.Arguments.Shard, c.Arguments.Index, verdict, c.Arguments.Searcher)
 	rows := [][]string{}
 	for _, rule := range why.Rules {
 		by, acts := "-", "suspended"
-		if rule.Override != 0 {
-			by = strconv.FormatUint(rule.Override, 10)
+		if rule.OverrideID != 0 {
+			by = strconv.FormatUint(rule.OverrideID, 10)
 		}
-		if rule.Acts {
+		if rule.Decides {
 			acts = "acts"
 		}
 		rows = append(rows, []string{rule.Rule, acts, by, rule.Text})
--- a/internal/controlplane/fleet/consensus/consensus_test.go
+++ b/internal/controlplane/fleet/consensus/consensus_test.go
@@ -423,7 +423,7 @@
 		t.Errorf("a repeated command was applied again: %+v", repeated)
 	}
 	s.apply(90, &Command{ID: "q", Quota: &QuotaChange{Tenant: "t", Quota: &quota.Quota{Rate: 1, Burst: 1, MinimumShare: 0.1}}})
-	if s.LargestMinimums["t"].PerS < 0.6-1e-9 {
+	if s.LargestMinimums["t"].Rate < 0.6-1e-9 {
 		t.Errorf("the largest minimum was not kept: %+v", s.LargestMinimums)
 	}
 	if d := s.apply(91, &Command{ID: "x"}); d.Failure == "" {
--- a/internal/controlplane/fleet/consensus/state.go
+++ b/internal/controlplane/fleet/consensus/state.go
@@ -58,7 +58,7 @@
 
 // MinimumRate is the sum of the minimums of all nodes for one quota.
 type MinimumRate struct {
-	PerS  float64 `cbor:"1,keyasint"`
+	Rate  float64 `cbor:"1,keyasint"`
 	Burst float64 `cbor:"2,keyasint"`
 }
 
@@ -166,12 +166,12 @@
 		s.Quotas = map[quota.Tenant]quota.Quota{}
 	}
 	s.Quotas[tenant] = q
-	perS, burst := q.MinimumShare*q.Rate, q.MinimumShare*q.Burst
+	rate, burst := q.MinimumShare*q.Rate, q.MinimumShare*q.Burst
 	s.LargestMinimums = maps.Clone(s.LargestMinimums)
 	if s.LargestMinimums == nil {
 		s.LargestMinimums = map[quota.Tenant]MinimumRate{}
 	}
-	s.LargestMinimums[tenant] = MinimumRate{max(s.LargestMinimums[tenant].PerS, perS), max(s.LargestMinimums[tenant].Burst, burst)}
+	s.LargestMinimums[tenant] = MinimumRate{max(s.LargestMinimums[tenant].Rate, rate), max(s.LargestMinimums[tenant].Burst, burst)}
 }
 
 // setVoterID sets the ID of a voter, and adds the voter if it is not in the list.
--- a/internal/controlplane/fleet/leadership.go
+++ b/internal/controlplane/fleet/leadership.go
@@ -113,18 +113,18 @@
 // reservedMinimums returns the sum of the minimums, the part of a tenant's quota that nodes may spend without a grant. For a node
 // that has reported the current version of the quotas, it counts the current minimum. For any other node it counts the largest
 // minimum that the tenant ever had.
-func (l *leadership) reservedMinimums(state *consensus.State, members []membership.Member, tenant quota.Tenant) (perS, burst float64) {
-	currentPerS, currentBurst := state.Quotas[tenant].NodeMinimum(len(members))
+func (l *leadership) reservedMinimums(state *consensus.State, members []membership.Member, tenant quota.Tenant) (rate, burst float64) {
+	currentRate, currentBurst := state.Quotas[tenant].NodeMinimum(len(members))
 	largest := state.LargestMinimums[tenant]
-	largestPerS, largestBurst := quota.Quota{Rate: largest.PerS, Burst: largest.Burst, MinimumShare: 1}.NodeMinimum(len(members))
+	largestRate, largestBurst := quota.Quota{Rate: largest.Rate, Burst: largest.Burst, MinimumShare: 1}.NodeMinimum(len(members))
 	for _, member := range members {
 		if version, reported := l.minimumsAppliedBy[member.Name]; reported && version == state.QuotasVersion {
-			perS, burst = perS+currentPerS, burst+currentBurst
+			rate, burst = rate+currentRate, burst+currentBurst
 		} else {
-			perS, burst = perS+largestPerS, burst+largestBurst
+			rate, burst = rate+largestRate, burst+largestBurst
 		}
 	}
-	return perS, burst
+	return rate, burst
 }
 
 // isConfirmedLeader reports whether this node leads and no other node can lead now. Then its state is the newest agreed one.
@@ -193,7 +193,7 @@
 	if f.leadership.strictMismatch[from] {
 		f.counters.Add("fleet", "other_strict", 1)
 	}
-	reserved := func(tenant quota.Tenant) (perS, burst float64) {
+	reserved := func(tenant quota.Tenant) (rate, burst float64) {
 		return f.leadership.reservedMinimums(state, members.Members, tenant)
 	}
 	for i := range request.Requests {
--- a/internal/controlplane/fleet/status.go
+++ b/internal/controlplane/fleet/status.go
@@ -138,8 +138,8 @@
 		addRule("contract: parts go to searchers in %q alone, whatever a pin or an override says", contract.Zones)
 	}
 	if tenantQuota, has := s.Quotas[string(tenant)]; has {
-		perS, burst := tenantQuota.NodeMinimum(len(f.settings.Membership.Members))
-		addRule("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.Rate, tenantQuota.Burst, perS, burst)
+		rate, burst := tenantQuota.NodeMinimum(len(f.settings.Membership.Members))
+		addRule("quota: %g a second and a burst of %g over all mixers, of which this one has %g and %g by itself", tenantQuota.Rate, tenantQuota.Burst, rate, burst)
 	} else {
 		addRule("quota: none")
 	}
--- a/internal/controlplane/fleet/stored_test.go
+++ b/internal/controlplane/fleet/stored_test.go
@@ -38,7 +38,7 @@
 		Index:     7,
 		Contracts: residency.Table{Version: 5, Contracts: map[residency.Tenant]residency.Contract{"acme": storedContract}},
 		Quotas:    map[quota.Tenant]quota.Quota{"acme": storedQuota}, QuotasVersion: 6,
-		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {PerS: 30, Burst: 15}},
+		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {Rate: 30, Burst: 15}},
 		FileContracts:   2, FileQuotas: 3, Voters: storedVoters,
 		Applied:       []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}},
 		InitialVoters: storedVoters,
@@ -62,7 +62,7 @@
 		Contracts: residency.Table{Version: 8, Contracts: map[residency.Tenant]residency.Contract{
 			"acme": storedContract, "beta": {Zones: []string{"west"}}}},
 		Quotas: map[quota.Tenant]quota.Quota{"acme": {Rate: 200, Burst: 50, MinimumShare: 0.25}}, QuotasVersion: 10,
-		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {PerS: 50, Burst: 15}, "beta": {PerS: 4, Burst: 2}},
+		LargestMinimums: map[quota.Tenant]consensus.MinimumRate{"acme": {Rate: 50, Burst: 15}, "beta": {Rate: 4, Burst: 2}},
 		FileContracts:   2, FileQuotas: 4, Voters: storedVoters,
 		Applied: []consensus.AppliedCommand{{ID: "c-1", Index: 5}, {ID: "c-2", Index: 6, Failure: "nothing"}, {ID: "c-3", Index: 8}, {ID: "c-4", Index: 9},
 			{ID: "c-5", Index: 10, Failure: "contracts: version 2 is not above 2, which is held"}},
--- a/internal/dataplane/aggregator/aggregator_test.go
+++ b/internal/dataplane/aggregator/aggregator_test.go
@@ -30,12 +30,12 @@
 	Call
 }
 
-func (r *fixture) Update(policy.Entry, string)       {}
-func (r *fixture) Retain(map[policy.BackendID]bool)  {}
-func (r *fixture) Probe(at policy.BackendID, _ bool) { r.probes = append(r.probes, at) }
-func (r *fixture) CloseIdle(policy.BackendID)        {}
-func (r *fixture) Subscribe(bool)                    { r.subscribeCalls++ }
-func (r *fixture) RequestCompleteList()              {}
+func (r *fixture) Update(policy.Entry, string)            {}
+func (r *fixture) Retain(map[policy.BackendID]bool)       {}
+func (r *fixture) Probe(backend policy.BackendID, _ bool) { r.probes = append(r.probes, backend) }
+func (r *fixture) CloseIdle(policy.BackendID)             {}
+func (r *fixture) Subscribe(bool)                         { r.subscribeCalls++ }
+func (r *fixture) RequestCompleteList()                   {}
 func (r *fixture) Send(backend policy.BackendID, calls []Call) {
 	r.batchSizes = append(r.batchSizes, len(calls))
 	for _, c := range calls {
@@ -283,8 +283,8 @@
 				events = append(events, c.ended(outcome, c.Query.ID))
 			}
 			pending = remaining
-			for _, at := range r.probes {
-				events = append(events, Event{Event: policy.Event{Kind: policy.ProbeEnded, Backend: at, Outcome: policy.Answered, Elapsed: 0.01}})
+			for _, backend := range r.probes {
+				events = append(events, Event{Event: policy.Event{Kind: policy.ProbeEnded, Backend: backend, Outcome: policy.Answered, Elapsed: 0.01}})
 			}
 			r.probes = nil
 			r.process(events...)
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -285,7 +285,7 @@
 		if fleetSettings.FileTables.Contracts == nil {
 			fleetSettings.FileTables.Contracts = map[residency.Tenant]residency.Contract{}
 		}
-		fleetSettings.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, RestrictsAggregators: t.IncludeAggregators, Indexes: t.Indexes}
+		fleetSettings.FileTables.Contracts[tenant] = residency.Contract{Zones: t.Zones, RestrictsAggregators: t.RestrictsAggregators, Indexes: t.Indexes}
 		fleetSettings.Lines[fleet.ContractLine(tenant)] = t.Line
 	}
 	for _, t := range file.Quotas.Tenants {
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -150,8 +150,8 @@
 	w.Helper()
 	v := w.overrides()
 	c.Revision, c.Author, c.Reason = &v.Revision, "ann", "slow"
-	if c.For == 0 && c.Clear == 0 {
-		c.For = 3600
+	if c.DurationSeconds == 0 && c.Clear == 0 {
+		c.DurationSeconds = 3600
 	}
 	change, err := w.client.Send(context.Background(), c)
 	if err != nil {
@@ -384,7 +384,7 @@
 	w := newCluster(t, 300, 4*time.Millisecond)
 	s := w.backends[3]
 	time.Sleep(3 * time.Second)
-	w.command(api.Command{Kind: "out", Backend: s.Name, For: 10})
+	w.command(api.Command{Kind: "out", Backend: s.Name, DurationSeconds: 10})
 	time.Sleep(4900 * time.Millisecond)
 	w.collectLoad()
 	time.Sleep(5 * time.Second)
@@ -464,7 +464,7 @@
 	w.file.Overrides.Directory = blocked
 	w.start()
 	v := w.overrides()
-	_, err := w.client.Send(context.Background(), api.Command{Revision: &v.Revision, Kind: "out", Backend: "s-1", Author: "ann", Reason: "slow", For: 9})
+	_, err := w.client.Send(context.Background(), api.Command{Revision: &v.Revision, Kind: "out", Backend: "s-1", Author: "ann", Reason: "slow", DurationSeconds: 9})
 	if e := (*api.Error)(nil); !errors.As(err, &e) || e.Code != "not_kept" || len(v.Overrides) > 0 {
 		t.Fatalf("got error %v with %+v, want code not_kept and no overrides", err, v)
 	}
--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -105,7 +105,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go r.client.Watch(ctx, 0, func(c Change) error { changes <- c; return nil })
-	c := Command{Key: "k", Kind: "pin", Backend: "s-0", From: 1, To: 2, Author: "ann", Reason: "slow", For: 60}
+	c := Command{Key: "k", Kind: "pin", Backend: "s-0", From: 1, To: 2, Author: "ann", Reason: "slow", DurationSeconds: 60}
 	made, why := r.sendCommand(0, c)
 	if why != "" || made.Revision != 1 || made.Override.Kind != "pin" || *made.Override.From != 1 {
 		t.Fatalf("set: got %+v, %s", made, why)
@@ -113,13 +113,13 @@
 	if again, why := r.sendCommand(0, c); why != "" || !again.Repeated || again.Revision != 1 {
 		t.Fatalf("sent twice: %+v, %s", again, why)
 	}
-	for want, c := range map[string]Command{"conflict": {Kind: "out", Backend: "s-1", Author: "ann", Reason: "x", For: 5},
+	for want, c := range map[string]Command{"conflict": {Kind: "out", Backend: "s-1", Author: "ann", Reason: "x", DurationSeconds: 5},
 		"invalid": {Kind: "none"}} {
 		if _, why := r.sendCommand(0, c); why != want {
 			t.Errorf("got %s, expected %s", why, want)
 		}
 	}
-	if _, why := r.sendCommand(1, Command{Kind: "out", Location: "north", Author: "ann", Reason: "x", For: 5}); why != "last_holder" {
+	if _, why := r.sendCommand(1, Command{Kind: "out", Location: "north", Author: "ann", Reason: "x", DurationSeconds: 5}); why != "last_holder" {
 		t.Errorf("override of the last backends: got %s, expected last_holder", why)
 	}
 	var v View
@@ -127,7 +127,7 @@
 		t.Fatalf("got %+v, %s", v, why)
 	}
 	var w Explanation
-	if why := r.get("/v1/why?shard=1&index=reads&searcher=s-1", &w); why != "" || w.Goes || w.Rules[0].Rule != "pin" || w.Rules[0].Override != 1 {
+	if why := r.get("/v1/why?shard=1&index=reads&searcher=s-1", &w); why != "" || w.Routed || w.Rules[0].Rule != "pin" || w.Rules[0].OverrideID != 1 {
 		t.Fatalf("got %+v, %s", w, why)
 	}
 	for path, want := range map[string]string{"/v1/why?shard=x": "invalid", "/v1/why?shard=1&index=reads&searcher=zz": "unknown",
@@ -179,7 +179,7 @@
 	if why := r.get("/v1/overrides", &v); why != "" {
 		t.Fatal(why)
 	}
-	out := Command{Kind: "out", Backend: "s-0", Author: "somebody else", Reason: "slow", For: 9}
+	out := Command{Kind: "out", Backend: "s-0", Author: "somebody else", Reason: "slow", DurationSeconds: 9}
 	if _, why := r.sendCommand(0, out); why != "role" {
 		t.Fatalf("command with a read token: got %s, expected role", why)
 	}
@@ -223,7 +223,7 @@
 		}
 	}
 	r.client.http.CloseIdleConnections()
-	large := Command{Kind: "out", Backend: strings.Repeat("s", maxBodyBytes), Reason: "x", For: 9}
+	large := Command{Kind: "out", Backend: strings.Repeat("s", maxBodyBytes), Reason: "x", DurationSeconds: 9}
 	if _, why := r.sendCommand(0, large); why != "invalid" {
 		t.Errorf("command with a field of %d bytes: got %s, expected invalid", maxBodyBytes, why)
 	}
--- a/internal/operators/api/fleet.go
+++ b/internal/operators/api/fleet.go
@@ -29,9 +29,9 @@
 
 // Contract restricts a tenant's queries to zones.
 type Contract struct {
-	Zones              []string `json:"zones"`
-	IncludeAggregators bool     `json:"mixers_too,omitempty"`
-	Indexes            []string `json:"indexes,omitempty"`
+	Zones                []string `json:"zones"`
+	RestrictsAggregators bool     `json:"mixers_too,omitempty"`
+	Indexes              []string `json:"indexes,omitempty"`
 }
 
 // Quota limits the rate of a tenant's queries over all aggregators together.
@@ -64,7 +64,7 @@
 		return out, invalid("expected a tenant, and one of contract, quota and clear")
 	case c.Contract != nil:
 		out.Contract = &consensus.ContractChange{Tenant: quota.Tenant(c.Tenant),
-			Contract: &residency.Contract{Zones: c.Contract.Zones, RestrictsAggregators: c.Contract.IncludeAggregators, Indexes: c.Contract.Indexes}}
+			Contract: &residency.Contract{Zones: c.Contract.Zones, RestrictsAggregators: c.Contract.RestrictsAggregators, Indexes: c.Contract.Indexes}}
 	case c.Quota != nil:
 		out.Quota = &consensus.QuotaChange{Tenant: quota.Tenant(c.Tenant), Quota: &quota.Quota{Rate: c.Quota.QueriesPerSecond, Burst: c.Quota.Burst, MinimumShare: c.Quota.MinimumShare}}
 	case c.Clear == "contract":
--- a/internal/operators/api/handlers.go
+++ b/internal/operators/api/handlers.go
@@ -60,7 +60,7 @@
 		s.failRefused(w, err)
 		return
 	}
-	out := Explanation{Goes: e.Routed, Share: e.Share, Rules: []Rule{}}
+	out := Explanation{Routed: e.Routed, Share: e.Share, Rules: []Rule{}}
 	for _, l := range e.Rules {
 		out.Rules = append(out.Rules, Rule{l.Rule, l.Decides, uint64(l.OverrideID), l.Text})
 	}
--- a/internal/operators/api/wire.go
+++ b/internal/operators/api/wire.go
@@ -64,37 +64,37 @@
 
 // Command sets an override, or clears the override with the ID in Clear.
 type Command struct {
-	Key          string  `json:"key"`
-	Revision     *uint64 `json:"revision"`
-	Clear        uint64  `json:"clear,omitempty"`
-	Kind         string  `json:"kind,omitempty"`
-	Backend      string  `json:"searcher,omitempty"`
-	Location     string  `json:"location,omitempty"`
-	From         int     `json:"from_shard,omitempty"`
-	To           int     `json:"to_shard,omitempty"`
-	Index        string  `json:"index,omitempty"`
-	Weight       float64 `json:"weight,omitempty"`
-	Strict       bool    `json:"strict,omitempty"`
-	Author       string  `json:"author,omitempty"`
-	Reason       string  `json:"reason"`
-	For          float64 `json:"for_s,omitempty"`
-	UntilRestart bool    `json:"until_restart,omitempty"`
-	Force        bool    `json:"force,omitempty"`
+	Key             string  `json:"key"`
+	Revision        *uint64 `json:"revision"`
+	Clear           uint64  `json:"clear,omitempty"`
+	Kind            string  `json:"kind,omitempty"`
+	Backend         string  `json:"searcher,omitempty"`
+	Location        string  `json:"location,omitempty"`
+	From            int     `json:"from_shard,omitempty"`
+	To              int     `json:"to_shard,omitempty"`
+	Index           string  `json:"index,omitempty"`
+	Weight          float64 `json:"weight,omitempty"`
+	Strict          bool    `json:"strict,omitempty"`
+	Author          string  `json:"author,omitempty"`
+	Reason          string  `json:"reason"`
+	DurationSeconds float64 `json:"for_s,omitempty"`
+	UntilRestart    bool    `json:"until_restart,omitempty"`
+	Force           bool    `json:"force,omitempty"`
 }
 
 // Explanation says whether subqueries of a shard are sent to a backend, and which rules decide it.
 type Explanation struct {
-	Goes  bool    `json:"goes"`
-	Share float64 `json:"share"`
-	Rules []Rule  `json:"rules"`
+	Routed bool    `json:"goes"`
+	Share  float64 `json:"share"`
+	Rules  []Rule  `json:"rules"`
 }
 
 // Rule is one of the rules that apply to the shard and the backend.
 type Rule struct {
-	Rule     string `json:"rule"`
-	Acts     bool   `json:"acts"`
-	Override uint64 `json:"override,omitempty"`
-	Text     string `json:"text"`
+	Rule       string `json:"rule"`
+	Decides    bool   `json:"acts"`
+	OverrideID uint64 `json:"override,omitempty"`
+	Text       string `json:"text"`
 }
 
 // Failure is the body of a response to a failed request.
@@ -141,6 +141,6 @@
 	out.Spec = override.Spec{Kind: kind, Backend: c.Backend, Location: c.Location, From: policy.ShardID(c.From),
 		To: policy.ShardID(c.To), Index: c.Index, Factor: c.Weight, Strict: c.Strict, Author: c.Author, Reason: c.Reason,
 		UntilRestart: c.UntilRestart}
-	out.Duration = c.For
+	out.Duration = c.DurationSeconds
 	return out, nil
 }
--- a/internal/operators/operatorfile/keys.go
+++ b/internal/operators/operatorfile/keys.go
@@ -149,7 +149,7 @@
 			{name: "tenant", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Contracts.Tenants).Tenant })},
 			{name: "zones", kind: kindStringList, set: shortStrings(func(f *File) *[]string { return &lastElement(f.Contracts.Tenants).Zones })},
 			{name: "indexes", kind: kindStringList, set: shortStrings(func(f *File) *[]string { return &lastElement(f.Contracts.Tenants).Indexes })},
-			{name: "mixers_too", kind: kindBool, set: boolean(func(f *File) *bool { return &lastElement(f.Contracts.Tenants).IncludeAggregators })},
+			{name: "mixers_too", kind: kindBool, set: boolean(func(f *File) *bool { return &lastElement(f.Contracts.Tenants).RestrictsAggregators })},
 		}},
 	}},
 	{name: "operators", kind: kindObject, children: []keySpec{
--- a/internal/operators/operatorfile/operatorfile.go
+++ b/internal/operators/operatorfile/operatorfile.go
@@ -68,11 +68,11 @@
 
 // Contract restricts the queries of one tenant to zones.
 type Contract struct {
-	Line               int      `json:"Line"`
-	Tenant             string   `json:"Tenant"`
-	Zones              []string `json:"Zones"`
-	Indexes            []string `json:"Indexes"`
-	IncludeAggregators bool     `json:"Own"`
+	Line                 int      `json:"Line"`
+	Tenant               string   `json:"Tenant"`
+	Zones                []string `json:"Zones"`
+	Indexes              []string `json:"Indexes"`
+	RestrictsAggregators bool     `json:"Own"`
 }
 
 // Capture configures the recording of the load. Times are in seconds.
--- a/internal/operators/operatorfile/operatorfile_test.go
+++ b/internal/operators/operatorfile/operatorfile_test.go
@@ -116,7 +116,7 @@
 	f, err := Parse([]byte(withFleet(`"quotas": {"version": 3, "tenants": [{"tenant": "t", "per_s": 50, "burst": 20}]},
 		"contracts": {"version": 2, "strict": ["*"], "tenants": [{"tenant": "t", "zones": ["n", "s"], "mixers_too": true, "indexes": ["reads"]}]}`)))
 	if err != nil || !f.Fleet.On || len(f.Fleet.Aggregators) != 4 || f.Fleet.Aggregators[3].Votes || f.Fleet.Lease != 10 || f.Quotas.Tenants[0].MinimumShare != defaultMinimumShare ||
-		!f.Contracts.Tenants[0].IncludeAggregators || len(f.Contracts.Tenants[0].Zones) != 2 || f.Contracts.Strict[0] != "*" {
+		!f.Contracts.Tenants[0].RestrictsAggregators || len(f.Contracts.Tenants[0].Zones) != 2 || f.Contracts.Strict[0] != "*" {
 		t.Fatalf("valid fleet: got %+v, %v", f, err)
 	}
 	if warnings := f.Warnings(); len(warnings) != 1 || !strings.Contains(warnings[0], "admits none") {
--- a/internal/tools/fleettest/brokenbuilds_test.go
+++ b/internal/tools/fleettest/brokenbuilds_test.go
@@ -8,7 +8,7 @@
 
 // Modifications of the program that remove one rule each.
 var (
-	minimumsNotReserved = modification{"internal/controlplane/fleet/leadership.go", "	return perS, burst\n}", "	return 0, 0\n}"}
+	minimumsNotReserved = modification{"internal/controlplane/fleet/leadership.go", "	return rate, burst\n}", "	return 0, 0\n}"}
 	appliedTooEarly     = modification{"internal/controlplane/fleet/residency/residency.go", "			progress.Applied = false\n", ""}
 	oneWitnessSuffices  = modification{"internal/controlplane/fleet/outlier/outlier.go", "	minWitnesses         = 2 ", "	minWitnesses         = 1 "}
 )
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -217,10 +217,10 @@
 		if !known {
 			return
 		}
-		callNo := m.nextCall[action.Subquery]
-		m.nextCall[action.Subquery] = callNo + 1
-		sent := &call{aggregator: m, subquery: action.Subquery, no: callNo, index: index, sent: sim.now}
-		m.inFlight[callKey{action.Subquery, callNo}] = sent
+		callNumber := m.nextCall[action.Subquery]
+		m.nextCall[action.Subquery] = callNumber + 1
+		sent := &call{aggregator: m, subquery: action.Subquery, number: callNumber, index: index, sent: sim.now}
+		m.inFlight[callKey{action.Subquery, callNumber}] = sent
 		backend := sim.byID[action.Backend]
 		sim.schedule(sim.now+sim.site.Network, func() { sim.deliver(backend, sent) })
 		sim.schedule(action.StopAt, func() { sim.completeCall(sent, backend, policy.TimedOut) })
--- a/internal/tools/plan/queue.go
+++ b/internal/tools/plan/queue.go
@@ -40,7 +40,7 @@
 
 // completeCall tells an aggregator once how a call ended.
 func (sim *simulation) completeCall(ended *call, s *queue, outcome policy.Outcome) {
-	key := callKey{ended.subquery, ended.no}
+	key := callKey{ended.subquery, ended.number}
 	if ended.completed || ended.aggregator.inFlight[key] != ended {
 		return
 	}
@@ -50,5 +50,5 @@
 	if s != nil {
 		id = s.id
 	}
-	sim.notify(ended.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: ended.subquery, Call: ended.no, Backend: id, Outcome: outcome, Elapsed: sim.now - ended.sent})
+	sim.notify(ended.aggregator, policy.Event{Kind: policy.CallEnded, Subquery: ended.subquery, Call: ended.number, Backend: id, Outcome: outcome, Elapsed: sim.now - ended.sent})
 }
--- a/internal/tools/plan/simulation.go
+++ b/internal/tools/plan/simulation.go
@@ -59,7 +59,7 @@
 type call struct {
 	aggregator *aggregator
 	subquery   policy.SubqueryID
-	no         policy.CallNumber
+	number     policy.CallNumber
 	index      policy.IndexID
 	sent       float64
 	completed  bool // its aggregator waits no more
--- a/policy/callrecords.go
+++ b/policy/callrecords.go
@@ -22,7 +22,7 @@
 	}
 	b.lastUsedAt = a.now
 	b.expectAnswer(a.now)
-	c := &call{subquery: sub, no: CallNumber(sub.attempts), backend: b, sentAt: a.now, shared: b.shared}
+	c := &call{subquery: sub, number: CallNumber(sub.attempts), backend: b, sentAt: a.now, shared: b.shared}
 	sub.attempts++
 	sub.calls = append(sub.calls, c)
 	b.calls = append(b.calls, c)
@@ -35,12 +35,12 @@
 }
 
 // removeCall removes a call that has ended from the records and returns it. It returns nil for an unknown call.
-func (a *Aggregator) removeCall(id SubqueryID, no CallNumber) *call {
+func (a *Aggregator) removeCall(id SubqueryID, number CallNumber) *call {
 	sub := a.subqueries[id]
 	if sub == nil {
 		return nil
 	}
-	i := slices.IndexFunc(sub.calls, func(c *call) bool { return c.no == no })
+	i := slices.IndexFunc(sub.calls, func(c *call) bool { return c.number == number })
 	if i < 0 {
 		return nil
 	}
@@ -62,7 +62,7 @@
 func (a *Aggregator) cancel(c *call) {
 	if a.settings.Limits.Cancel && !c.canceled {
 		c.canceled = true
-		a.emit(Action{Kind: Cancel, Subquery: c.subquery.id, Call: c.no})
+		a.emit(Action{Kind: Cancel, Subquery: c.subquery.id, Call: c.number})
 	}
 }
 
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -142,11 +142,11 @@
 func TestEqualMakespansAreOrderedBySize(t *testing.T) {
 	s := newFixture(t, func(set *Settings) { set.Layout.Cells = 2 }, Entry{Backend: 1}, Entry{Backend: 2, Cell: 1})
 	aggregator := s.aggregator
-	addQuery := func(no QueryNumber, pendingCounts ...int) *query {
-		q := aggregator.addQuery(&Event{Query: QueryID(no), QueryNumber: no, Subqueries: len(pendingCounts), Remaining: 6})
+	addQuery := func(number QueryNumber, pendingCounts ...int) *query {
+		q := aggregator.addQuery(&Event{Query: QueryID(number), QueryNumber: number, Subqueries: len(pendingCounts), Remaining: 6})
 		for i, n := range pendingCounts {
 			for range n {
-				sub := aggregator.addSubquery(q, &Event{Subquery: SubqueryID(100*int(no) + len(q.subqueries)), Shard: ShardID(i)})
+				sub := aggregator.addSubquery(q, &Event{Subquery: SubqueryID(100*int(number) + len(q.subqueries)), Shard: ShardID(i)})
 				aggregator.assign(sub, aggregator.orderedBackends[i])
 			}
 		}
--- a/policy/exceptions_test.go
+++ b/policy/exceptions_test.go
@@ -20,8 +20,8 @@
 	for range 20 {
 		s.answerAll(ofKind(Send, actionsOf(s.receive(6, 1))), 0.02, 0.1)
 	}
-	for no := range s.aggregator.queries { // ends queries that are still in their second step
-		s.step(0.005, Event{Kind: ClientDisconnected, Query: s.aggregator.queries[no].id})
+	for number := range s.aggregator.queries { // ends queries that are still in their second step
+		s.step(0.005, Event{Kind: ClientDisconnected, Query: s.aggregator.queries[number].id})
 	}
 	return s
 }
--- a/policy/override_test.go
+++ b/policy/override_test.go
@@ -183,10 +183,10 @@
 		scheduled = remaining
 		for ; next < s.now; next += meanInterval * rng.ExpFloat64() {
 			s.lastID++
-			no := QueryNumber(s.lastID)
-			events = append(events, Event{Kind: QueryReceived, Query: QueryID(s.lastID), QueryNumber: no, Subqueries: 4, Remaining: 6})
+			number := QueryNumber(s.lastID)
+			events = append(events, Event{Kind: QueryReceived, Query: QueryID(s.lastID), QueryNumber: number, Subqueries: 4, Remaining: 6})
 			for j := range 4 {
-				events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*s.lastID) + SubqueryID(j), QueryNumber: no,
+				events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*s.lastID) + SubqueryID(j), QueryNumber: number,
 					Shard: ShardID(rng.IntN(8)), Weight: 0.25})
 			}
 		}
@@ -332,7 +332,7 @@
 		t.Fatalf("probed %v", probed)
 	}
 	for _, c := range slices.Clone(s.aggregator.backends[1].calls) {
-		s.step(0.001, Event{Kind: CallEnded, Subquery: c.subquery.id, Call: c.no, Backend: 1, Outcome: Canceled})
+		s.step(0.001, Event{Kind: CallEnded, Subquery: c.subquery.id, Call: c.number, Backend: 1, Outcome: Canceled})
 	}
 	s.step(0.005, setExcluded(false))
 	if s.tick(0.02); !usable(s.aggregator.backends[1]) {
@@ -386,10 +386,10 @@
 	}
 	for range 2 {
 		b.lastID++
-		queryNo := QueryNumber(b.lastID)
-		events = append(events, Event{Kind: QueryReceived, Query: QueryID(b.lastID), QueryNumber: queryNo, Subqueries: 8, Remaining: 6})
+		queryNumber := QueryNumber(b.lastID)
+		events = append(events, Event{Kind: QueryReceived, Query: QueryID(b.lastID), QueryNumber: queryNumber, Subqueries: 8, Remaining: 6})
 		for j := range 8 {
-			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*b.lastID) + SubqueryID(j), QueryNumber: queryNo, Shard: ShardID(b.rng.IntN(5000)), Weight: 0.125})
+			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*b.lastID) + SubqueryID(j), QueryNumber: queryNumber, Shard: ShardID(b.rng.IntN(5000)), Weight: 0.125})
 		}
 	}
 	b.actions = b.aggregator.Step(b.now, append(events, Event{Kind: TimerDue, Timer: sweepTimer}), b.actions[:0])
@@ -435,10 +435,10 @@
 			events = append(events, Event{Kind: OverridesChanged, Override: &Overrides{Backends: []BackendOverride{{Backend: 1, Weight: weight}}}})
 		}
 		s.lastID++
-		no := QueryNumber(s.lastID)
-		events = append(events, Event{Kind: QueryReceived, Query: QueryID(s.lastID), QueryNumber: no, Subqueries: 6, Remaining: 6})
+		number := QueryNumber(s.lastID)
+		events = append(events, Event{Kind: QueryReceived, Query: QueryID(s.lastID), QueryNumber: number, Subqueries: 6, Remaining: 6})
 		for j := range 6 {
-			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*s.lastID) + SubqueryID(j), QueryNumber: no, Weight: 1.0 / 6})
+			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(10*s.lastID) + SubqueryID(j), QueryNumber: number, Weight: 1.0 / 6})
 		}
 		b := s.aggregator.backends[1]
 		for _, a := range ofKind(Send, s.step(0.005, events...)) {
--- a/policy/queryrecords.go
+++ b/policy/queryrecords.go
@@ -10,7 +10,7 @@
 func (a *Aggregator) addQuery(e *Event) *query {
 	index := &a.indexes[e.Index]
 	a.recordTime(&a.receivedTimes)
-	q := &query{id: e.Query, no: e.QueryNumber, index: e.Index, expectedSubqueries: e.Subqueries, deadline: a.now + e.Remaining,
+	q := &query{id: e.Query, number: e.QueryNumber, index: e.Index, expectedSubqueries: e.Subqueries, deadline: a.now + e.Remaining,
 		softDeadline: a.now + index.softDeadline, requiredWeight: index.requiredWeight, state: stateLastStep, zones: e.Zones}
 	if index.secondStep > 0 {
 		q.state = stateFirstStep
@@ -147,7 +147,7 @@
 // removeQuery deletes a query that has ended.
 func (a *Aggregator) removeQuery(q *query) {
 	a.closeSubqueries(q)
-	delete(a.queries, q.no)
+	delete(a.queries, q.number)
 	delete(a.queryNumbers, q.id)
 	a.openQueries = slices.DeleteFunc(a.openQueries, func(o *query) bool { return o == q })
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -75,7 +75,7 @@
 // call is a call in flight.
 type call struct {
 	subquery   *subquery
-	no         CallNumber
+	number     CallNumber
 	backend    *backend
 	sentAt     float64
 	shared     *sharedCall
@@ -113,7 +113,7 @@
 // query is kept until it ends with an answer or a rejection, or until its client disconnects.
 type query struct {
 	id                              QueryID
-	no                              QueryNumber
+	number                          QueryNumber
 	index                           IndexID
 	state                           state
 	overQuota                       bool // its customer exceeds the quota
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -269,12 +269,12 @@
 	return e.backends[slices.IndexFunc(e.backends, func(b *simulatedBackend) bool { return b.entry.Backend == id })]
 }
 
-func (e *simulation) scheduleEnd(sub *querySubquery, callNo int, outcome Outcome, after float64) {
+func (e *simulation) scheduleEnd(sub *querySubquery, callNumber int, outcome Outcome, after float64) {
 	e.scheduled = slices.DeleteFunc(e.scheduled, func(d scheduledEvent) bool {
-		return d.event.Kind == CallEnded && d.event.Subquery == sub.event.Subquery && d.event.Call == CallNumber(callNo)
+		return d.event.Kind == CallEnded && d.event.Subquery == sub.event.Subquery && d.event.Call == CallNumber(callNumber)
 	})
-	c := sub.calls[callNo]
-	e.scheduled = append(e.scheduled, scheduledEvent{e.now + after, Event{Kind: CallEnded, Subquery: sub.event.Subquery, Call: CallNumber(callNo),
+	c := sub.calls[callNumber]
+	e.scheduled = append(e.scheduled, scheduledEvent{e.now + after, Event{Kind: CallEnded, Subquery: sub.event.Subquery, Call: CallNumber(callNumber),
 		Backend: c.backend.entry.Backend, Outcome: outcome, Elapsed: e.now + after - c.sentAt}})
 }
 
@@ -434,21 +434,21 @@
 // receive passes a query to the instance, with one subquery for each hint. It returns the subqueries and the immediate actions.
 func (s *fixture) receive(remaining float64, hints ...float64) (subqueries []SubqueryID, actions []Action) {
 	s.lastID++
-	no := QueryNumber(s.lastID)
-	events := []Event{{Kind: QueryReceived, Query: QueryID(s.lastID), QueryNumber: no, Subqueries: len(hints), Remaining: remaining}}
+	number := QueryNumber(s.lastID)
+	events := []Event{{Kind: QueryReceived, Query: QueryID(s.lastID), QueryNumber: number, Subqueries: len(hints), Remaining: remaining}}
 	for _, b := range hints {
 		id := SubqueryID(1000*s.lastID) + SubqueryID(len(subqueries))
 		subqueries = append(subqueries, id)
-		events = append(events, Event{Kind: SubqueryReceived, Subquery: id, QueryNumber: no, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: b})
+		events = append(events, Event{Kind: SubqueryReceived, Subquery: id, QueryNumber: number, Shard: ShardID(len(subqueries) - 1), Weight: 1 / float64(len(hints)), Hint: b})
 	}
 	return subqueries, s.step(0.005, events...)
 }
 
 // endCall ends the next call of a subquery with the given outcome.
 func (s *fixture) endCall(dt float64, sub SubqueryID, from BackendID, outcome Outcome, elapsed float64) []Action {
-	no := s.calls[sub]
+	number := s.calls[sub]
 	s.calls[sub]++
-	return s.step(dt, Event{Kind: CallEnded, Subquery: sub, Call: CallNumber(no), Backend: from, Outcome: outcome, Elapsed: elapsed})
+	return s.step(dt, Event{Kind: CallEnded, Subquery: sub, Call: CallNumber(number), Backend: from, Outcome: outcome, Elapsed: elapsed})
 }
 
 // answerAll answers all sent subqueries, dt seconds after each other and with the same latency.
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -111,10 +111,10 @@
 		s := newFixture(t, func(set *Settings) { set.Layout = Layout{Cells: 2, Width: 1}; set.Indexes[0].Minimum = minimum }, entries...)
 		zones := NewZones()
 		zones.Allow(0)
-		no := QueryNumber(77)
-		events := []Event{{Kind: QueryReceived, Query: 77, QueryNumber: no, Subqueries: 2, Remaining: 3, Zones: zones}}
+		number := QueryNumber(77)
+		events := []Event{{Kind: QueryReceived, Query: 77, QueryNumber: number, Subqueries: 2, Remaining: 3, Zones: zones}}
 		for i := range 2 {
-			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(700 + i), QueryNumber: no, Shard: ShardID(i), Weight: 0.5})
+			events = append(events, Event{Kind: SubqueryReceived, Subquery: SubqueryID(700 + i), QueryNumber: number, Shard: ShardID(i), Weight: 0.5})
 		}
 		actions := s.step(0.005, events...)
 		for _, a := range ofKind(Send, actions) {
