--- a/cmd/puffinlink/aggregatorcommands_test.go
+++ b/cmd/puffinlink/aggregatorcommands_test.go
@@ -134,7 +134,7 @@
 		})
 		Convey("for the demo", func() {
 			demo := parseForTest("demo").(*demoCommand)
-			So(*demo, ShouldResemble, demoCommand{Aggregators: 2, Backends: 6, PerS: 200, Service: 5 * time.Millisecond, Every: time.Second, JobsPerS: 6, LogLevel: "info"})
+			So(*demo, ShouldResemble, demoCommand{Aggregators: 2, Backends: 6, QueriesPerSecond: 200, Service: 5 * time.Millisecond, Every: time.Second, JobsPerSecond: 6, LogLevel: "info"})
 		})
 	})
 }
--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -37,7 +37,7 @@
 	}
 	defer func() { err = errors.Join(err, closeLog()) }()
 	options := cluster.Options{
-		For: c.For, Every: c.Every, Workers: c.Backends, PerS: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
+		For: c.For, Every: c.Every, Workers: c.Backends, JobsPerSecond: c.JobsPerSecond, Directory: directory, Out: stdout, Log: log,
 		Launcher: processLauncher{c.LogLevel}.clusterLauncher(),
 	}
 	if options.For == 0 {
--- a/cmd/puffinlink/demosystem_test.go
+++ b/cmd/puffinlink/demosystem_test.go
@@ -58,7 +58,7 @@
 		go func() {
 			defer close(ended)
 			summary, runErr = cluster.Run(context.Background(), cluster.Options{
-				For: 3 * time.Second, Every: 100 * time.Millisecond, Workers: 3, PerS: 5, Directory: t.TempDir(), Out: output, Log: io.Discard,
+				For: 3 * time.Second, Every: 100 * time.Millisecond, Workers: 3, JobsPerSecond: 5, Directory: t.TempDir(), Out: output, Log: io.Discard,
 				Launcher: cluster.Launcher{Coordinator: startCoordinatorInProcess, Front: processLauncher{"info"}.startFront},
 			})
 		}()
--- a/cmd/puffinlink/fleetquota.go
+++ b/cmd/puffinlink/fleetquota.go
@@ -9,11 +9,11 @@
 type fleetQuotaCommand struct {
 	operatorConnection
 	changeOptions
-	PerS       float64 `long:"per-s" value-name:"NUMBER" description:"Queries per second over all aggregators."`
-	Burst      float64 `long:"burst" value-name:"NUMBER" description:"Burst size in queries."`
-	FloorShare float64 `long:"floor-share" value-name:"NUMBER" default:"0.04" description:"Share of the quota that is split evenly among the aggregators and needs no grant."`
-	Clear      bool    `long:"clear" description:"Remove the quota."`
-	Arguments  struct {
+	QueriesPerSecond float64 `long:"per-s" value-name:"NUMBER" description:"Queries per second over all aggregators."`
+	Burst            float64 `long:"burst" value-name:"NUMBER" description:"Burst size in queries."`
+	FloorShare       float64 `long:"floor-share" value-name:"NUMBER" default:"0.04" description:"Share of the quota that is split evenly among the aggregators and needs no grant."`
+	Clear            bool    `long:"clear" description:"Remove the quota."`
+	Arguments        struct {
 		Tenant string `positional-arg-name:"tenant"`
 	} `positional-args:"yes" required:"yes"`
 }
@@ -21,7 +21,7 @@
 func (c *fleetQuotaCommand) Execute([]string) error {
 	command := c.command(c.Arguments.Tenant)
 	if command.Clear = "quota"; !c.Clear {
-		command.Clear, command.Quota = "", &api.Quota{QueriesPerSecond: c.PerS, Burst: c.Burst, MinimumShare: c.FloorShare}
+		command.Clear, command.Quota = "", &api.Quota{QueriesPerSecond: c.QueriesPerSecond, Burst: c.Burst, MinimumShare: c.FloorShare}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
--- a/cmd/puffinlink/plan.go
+++ b/cmd/puffinlink/plan.go
@@ -61,8 +61,8 @@
 		return input, usageErrorf("times is %g, expected more than none", p.Times)
 	}
 	input.load = load.Scaled(p.Times)
-	if seen := peakQueriesPerSecond(captured); input.load.PerS > seen*1.001 {
-		input.notes = append(input.notes, fmt.Sprintf("%.0f lookups a second are beyond the %.0f that the capture saw: how clients come back and what is popular then is not known, take figures as good to %s", input.load.PerS, seen, "a quarter"))
+	if seen := peakQueriesPerSecond(captured); input.load.QueriesPerSecond > seen*1.001 {
+		input.notes = append(input.notes, fmt.Sprintf("%.0f lookups a second are beyond the %.0f that the capture saw: how clients come back and what is popular then is not known, take figures as good to %s", input.load.QueriesPerSecond, seen, "a quarter"))
 	}
 	return input, nil
 }
--- a/cmd/puffinlink/planbuy.go
+++ b/cmd/puffinlink/planbuy.go
@@ -23,13 +23,13 @@
 	if err != nil {
 		return err
 	}
-	breakingLoad := input.load.Scaled(breaks.PerS / input.load.PerS)
+	breakingLoad := input.load.Scaled(breaks.QueriesPerSecond / input.load.QueriesPerSecond)
 	outcome := plan.Emulate(&input.fleet, &breakingLoad, c.Seed, 0)
 	busyCores, cores := 0.0, 0.0
 	for i, backend := range input.fleet.Backends {
 		busyCores, cores = busyCores+outcome.Use[i]*float64(backend.Cores), cores+float64(backend.Cores)
 	}
-	demand := busyCores / breaks.PerS * input.load.PerS
+	demand := busyCores / breaks.QueriesPerSecond * input.load.QueriesPerSecond
 	offers := c.offers(&input.fleet, busyCores/cores)
 	purchase, err := plan.CheapestPurchase(offers, demand, c.Spare)
 	if err != nil {
@@ -39,7 +39,7 @@
 		return printJSON(map[string]any{"offers": offers, "buy": purchase, "demand_cores": demand, "notes": input.notes})
 	}
 	printNotes(input.notes)
-	fmt.Fprintf(stdout, "%.1f cores of work a second at %.0f lookups a second; the goals break at a use of %.0f%%\n", demand, input.load.PerS, 100*busyCores/cores)
+	fmt.Fprintf(stdout, "%.1f cores of work a second at %.0f lookups a second; the goals break at a use of %.0f%%\n", demand, input.load.QueriesPerSecond, 100*busyCores/cores)
 	rows := [][]string{}
 	for i, offer := range offers {
 		rows = append(rows, []string{offer.Location, strconv.Itoa(purchase.Counts[i]), fmt.Sprintf("%.4g", offer.Price)})
--- a/cmd/puffinlink/plancompare.go
+++ b/cmd/puffinlink/plancompare.go
@@ -38,7 +38,7 @@
 	}
 	outcome := plan.Emulate(&input.fleet, &input.load, p.Seed, 0)
 	result = planComparison{
-		Fleet: p.Arguments.Fleet, QueriesPerSecond: input.load.PerS, InTime: outcome.ValueShare, Nacked: outcome.Nacked, P50: outcome.P50, P99: outcome.P99,
+		Fleet: p.Arguments.Fleet, QueriesPerSecond: input.load.QueriesPerSecond, InTime: outcome.ValueShare, Nacked: outcome.Nacked, P50: outcome.P50, P99: outcome.P99,
 		Use: outcome.Use[outcome.Hottest], InTimeWithoutWorst: 1,
 	}
 	for _, backend := range input.fleet.Backends {
@@ -54,7 +54,7 @@
 		}
 	}
 	breaks, err := plan.FindBreakingLoad(&input.fleet, &input.load, p.Seed, nil)
-	if result.BreakingLoad = breaks.PerS; err != nil {
+	if result.BreakingLoad = breaks.QueriesPerSecond; err != nil {
 		result.Note = err.Error()
 	}
 	return result, nil
--- a/cmd/puffinlink/planreport.go
+++ b/cmd/puffinlink/planreport.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	report := planReport{QueriesPerSecond: input.load.PerS, Notes: input.notes}
+	report := planReport{QueriesPerSecond: input.load.QueriesPerSecond, Notes: input.notes}
 	if err := c.addWhatIfs(ctx, &report, &input); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	}
 	breaks := &report.BreakingLoad
 	fmt.Fprintf(stdout, "goals break at %.0f to %.0f lookups a second, %.2f times this load, first that of %s; nearest its limit there: %s of %s (margin %.2f)\n",
-		breaks.PerS, breaks.Fails, breaks.PerS/report.QueriesPerSecond, breaks.Index, breaks.First.What, breaks.First.Where, breaks.First.Margin)
+		breaks.QueriesPerSecond, breaks.Fails, breaks.QueriesPerSecond/report.QueriesPerSecond, breaks.Index, breaks.First.What, breaks.First.Where, breaks.First.Margin)
 }
 
 func printRecovery(report *planReport) {
--- a/internal/controlplane/coordinator/inventory.go
+++ b/internal/controlplane/coordinator/inventory.go
@@ -9,7 +9,7 @@
 // pollInventory polls the platform's list of workers while this node leads a group.
 func (c *Coordinator) pollInventory(ctx context.Context) {
 	reader := inventory.Reader{
-		Address: c.settings.CloudAPI.Address, RatePerSecond: c.settings.CloudAPI.RatePerS, HTTP: c.platformHTTP, Log: c.log,
+		Address: c.settings.CloudAPI.Address, RatePerSecond: c.settings.CloudAPI.RatePerSecond, HTTP: c.platformHTTP, Log: c.log,
 		OnPage: c.jobManager.AddInventoryPage,
 	}
 	for ctx.Err() == nil {
--- a/internal/dataplane/aggregator/actions.go
+++ b/internal/dataplane/aggregator/actions.go
@@ -56,7 +56,7 @@
 	case policy.NotifyPeer:
 		a.counters.Add("messages", "no_way_to_mixers", 1)
 	case policy.Log:
-		a.log.Info("module", zap.String("note", action.Text))
+		a.logger.Info("module", zap.String("note", action.Text))
 	}
 }
 
@@ -65,7 +65,7 @@
 func (a *Aggregator) send(action *policy.Action, now time.Time) {
 	ref, open := a.subqueries[action.Subquery]
 	if !open {
-		a.log.Warn("send of an unknown subquery", zap.Uint64("part", uint64(action.Subquery)))
+		a.logger.Warn("send of an unknown subquery", zap.Uint64("part", uint64(action.Subquery)))
 		return
 	}
 	query, subquery := ref.query, &ref.query.Subqueries[ref.position]
--- a/internal/dataplane/aggregator/admission.go
+++ b/internal/dataplane/aggregator/admission.go
@@ -117,7 +117,7 @@
 	a.counters.Add("parts", "no_holder_by_contract", int64(len(shards)))
 	if now.Sub(a.admissionState.loggedAt) >= time.Second { // at most one line per second
 		a.admissionState.loggedAt = now
-		a.log.Warn("shards without a replica in the zones of the contract",
+		a.logger.Warn("shards without a replica in the zones of the contract",
 			zap.String("lookup", query.ID),
 			zap.Int("customer", int(query.Customer)),
 			zap.Ints("shards", shards),
--- a/internal/dataplane/aggregator/aggregator.go
+++ b/internal/dataplane/aggregator/aggregator.go
@@ -27,7 +27,7 @@
 	Inbox *eventqueue.Queue[Event]
 
 	settings  settings.Settings
-	log       *zap.Logger
+	logger    *zap.Logger
 	counters  *counters.Set
 	backends  Backends
 	discovery Discovery
@@ -56,14 +56,14 @@
 }
 
 // New returns an aggregator. Run starts it.
-func New(conf settings.Settings, log *zap.Logger, counterSet *counters.Set) *Aggregator {
+func New(aggregatorSettings settings.Settings, logger *zap.Logger, counterSet *counters.Set) *Aggregator {
 	now := time.Now()
-	a := &Aggregator{Inbox: eventqueue.New[Event](), settings: conf, log: log, counters: counterSet, start: now,
+	a := &Aggregator{Inbox: eventqueue.New[Event](), settings: aggregatorSettings, logger: logger, counters: counterSet, start: now,
 		startUnix: float64(now.UnixNano()) / 1e9, dueTimes: map[policy.TimerID]time.Time{},
 		queries: map[policy.QueryID]*Query{}, byClientID: map[string]*Query{}, subqueries: map[policy.SubqueryID]subqueryRef{},
 		inFlight: map[callKey]inFlightCall{}, batches: map[policy.BackendID][]Call{},
 		stopping: make(chan struct{}), stopped: make(chan struct{})}
-	a.policy = policy.New(conf.Settings, a.startUnix)
+	a.policy = policy.New(aggregatorSettings.Settings, a.startUnix)
 	return a
 }
 
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -98,7 +98,7 @@
 func (a *Aggregator) finishQuery(id policy.QueryID, reason string, reply Reply, now time.Time) {
 	q := a.queries[id]
 	if q == nil {
-		a.log.Warn("answer for an unknown query", zap.Uint64("lookup", uint64(id)), zap.String("end", reason))
+		a.logger.Warn("answer for an unknown query", zap.Uint64("lookup", uint64(id)), zap.String("end", reason))
 		return
 	}
 	a.removeQuery(q)
--- a/internal/dataplane/asynclog/logger_test.go
+++ b/internal/dataplane/asynclog/logger_test.go
@@ -31,13 +31,13 @@
 func TestLogLines(t *testing.T) {
 	Convey("The log of an aggregator", t, func() {
 		var out bytes.Buffer
-		log := New(zapcore.AddSync(&out)).With(zap.String("mixer", "n1"))
+		logger := New(zapcore.AddSync(&out)).With(zap.String("mixer", "n1"))
 		before := time.Now().UnixMilli()
 
 		Convey("has one JSON object per line, also for text with line breaks and invalid UTF-8", func() {
-			log.Info("connection ended", zap.String("text", "two\nlines \"quoted\" \xff"), zap.Float64("lived_s", 0.25))
-			log.Warn("http")
-			log.Debug("module")
+			logger.Info("connection ended", zap.String("text", "two\nlines \"quoted\" \xff"), zap.Float64("lived_s", 0.25))
+			logger.Warn("http")
+			logger.Debug("module")
 			texts := strings.SplitAfter(out.String(), "\n")
 			So(texts, ShouldHaveLength, 4)
 			So(texts[3], ShouldBeEmpty)
@@ -64,7 +64,7 @@
 			})
 		})
 		Convey("writes times as whole milliseconds", func() {
-			log.Info("started")
+			logger.Info("started")
 			So(out.String(), ShouldContainSubstring, `"time":1`)
 			So(out.String(), ShouldNotContainSubstring, ".")
 		})
@@ -75,10 +75,10 @@
 func BenchmarkLogLine(b *testing.B) {
 	out := NewWriter(io.Discard, 1024, func() {})
 	defer out.Close()
-	log := New(out).With(zap.String("mixer", "n1"))
+	logger := New(out).With(zap.String("mixer", "n1"))
 	b.ReportAllocs()
 	for b.Loop() {
-		log.Info("connection ended",
+		logger.Info("connection ended",
 			zap.String("peer", "client"),
 			zap.String("reason", "answered"),
 			zap.String("address", "127.0.0.1:40000"),
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -23,7 +23,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-const patience = queuetest.WaitTimeout
+const waitTimeout = queuetest.WaitTimeout
 
 // fixture is a hub with one backend, whose side of the connections the test plays.
 type fixture struct {
@@ -35,12 +35,12 @@
 }
 
 func newFixture(t *testing.T, adjust func(*settings.Net)) *fixture {
-	set := settings.Net{CallsPerConnection: 100, IdleTimeoutS: 60, ConnectTimeoutS: 2, LoadReports: true}
+	netSettings := settings.Net{CallsPerConnection: 100, IdleTimeoutS: 60, ConnectTimeoutS: 2, LoadReports: true}
 	if adjust != nil {
-		adjust(&set)
+		adjust(&netSettings)
 	}
 	r := &fixture{T: t, events: queuetest.New[aggregator.Event]()}
-	r.hub = New(set, 100, r.events.Queue, zap.NewNop(), counters.New())
+	r.hub = New(netSettings, 100, r.events.Queue, zap.NewNop(), counters.New())
 	t.Cleanup(r.hub.Stop)
 	r.listener = r.listen()
 	r.updateEntry(r.listener.Addr().String(), policy.Ready, 0)
@@ -76,12 +76,12 @@
 
 // accept accepts the next connection to a backend's listener.
 func (r *fixture) accept(l net.Listener) *peerConnection {
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 	c, err := l.Accept()
 	if err != nil {
 		r.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	r.Cleanup(func() { c.Close() })
 	return &peerConnection{c, bufio.NewReader(c), r}
 }
@@ -412,7 +412,7 @@
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the connection is still open: %v", err)
 	}
-	for deadline := time.Now().Add(patience); len(r.hub.actors) > 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); len(r.hub.actors) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the actor is still running")
 		}
--- a/internal/dataplane/backends/connections.go
+++ b/internal/dataplane/backends/connections.go
@@ -221,7 +221,7 @@
 // logEnd logs and counts the end of a connection or a failed dial.
 func (a *actor) logEnd(cause reason, text, address string, lifetime time.Duration) {
 	a.hub.counters.Add("lines", string(cause), 1)
-	entry := a.hub.log.Check(zap.InfoLevel, "connection ended")
+	entry := a.hub.logger.Check(zap.InfoLevel, "connection ended")
 	if entry == nil {
 		return
 	}
--- a/internal/dataplane/backends/hub.go
+++ b/internal/dataplane/backends/hub.go
@@ -34,7 +34,7 @@
 type Hub struct {
 	settings        settings.Net
 	events          *eventqueue.Queue[aggregator.Event]
-	log             *zap.Logger
+	logger          *zap.Logger
 	counters        *counters.Set
 	actors          map[policy.BackendID]*actor
 	removed         map[policy.BackendID]*actor // the actors of backends that the list no longer contains
@@ -47,8 +47,8 @@
 }
 
 // New returns a hub with at most maxConnections connections, which puts its events into events.
-func New(netSettings settings.Net, maxConnections int, events *eventqueue.Queue[aggregator.Event], log *zap.Logger, counterSet *counters.Set) *Hub {
-	h := &Hub{settings: netSettings, events: events, log: log, counters: counterSet, actors: map[policy.BackendID]*actor{},
+func New(netSettings settings.Net, maxConnections int, events *eventqueue.Queue[aggregator.Event], logger *zap.Logger, counterSet *counters.Set) *Hub {
+	h := &Hub{settings: netSettings, events: events, logger: logger, counters: counterSet, actors: map[policy.BackendID]*actor{},
 		removed: map[policy.BackendID]*actor{}, descriptorSlots: make(chan struct{}, maxConnections), writeTimeout: writeTimeout}
 	h.dialContext, h.cancelDials = context.WithCancel(context.Background())
 	h.dialer = func(ctx context.Context, timeout time.Duration, address string) (net.Conn, error) {
--- a/internal/dataplane/backends/races_test.go
+++ b/internal/dataplane/backends/races_test.go
@@ -22,7 +22,7 @@
 // sent later wait behind that write until the test reads from the connection.
 func (r *fixture) blockWrites() *peerConnection {
 	r.Helper()
-	r.hub.writeTimeout = patience // the write must not time out before the test reads, however busy the machine is
+	r.hub.writeTimeout = waitTimeout // the write must not time out before the test reads, however busy the machine is
 	r.send("large", strings.Repeat("q", 16<<20), time.Minute, 1)
 	p := r.accept(r.listener)
 	if _, err := p.in.Peek(5); err != nil {
@@ -76,7 +76,7 @@
 // duplicate, which a deployment may forbid.
 func TestCanceledCallEndsOnceTheCancelFrameIsWritten(t *testing.T) {
 	r := newFixture(t, nil)
-	r.hub.writeTimeout = patience
+	r.hub.writeTimeout = waitTimeout
 	calls := r.send("aa", "q", time.Minute, 1)
 	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
@@ -170,7 +170,7 @@
 	r := newFixture(t, func(n *settings.Net) { n.ConnectTimeoutS = 3600 })
 	r.updateEntry(r.unresponsive(), policy.Ready, 0)
 	r.send("aa", "q", time.Hour, 1)
-	for deadline := time.Now().Add(patience); r.hub.counters.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); r.hub.counters.Get("lines", "dialled") == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no dial was started")
 		}
@@ -179,7 +179,7 @@
 	go func() { r.hub.Stop(); close(stopped) }()
 	select {
 	case <-stopped:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("Stop still waits for a dial")
 	}
 }
@@ -211,7 +211,7 @@
 		t.Fatal(err)
 	}
 	release, messages = make(chan struct{}), make(chan message, 100)
-	conn = &connection{socket: blockedSocket{socket, release}, writeTimeout: patience, out: eventqueue.New[outgoing](), canceledUntil: map[string]time.Time{}}
+	conn = &connection{socket: blockedSocket{socket, release}, writeTimeout: waitTimeout, out: eventqueue.New[outgoing](), canceledUntil: map[string]time.Time{}}
 	go func() { messages <- conn.run(func(n message) { messages <- n }) }()
 	return conn, p.(*net.TCPConn), release, messages
 }
--- a/internal/dataplane/clients/connections.go
+++ b/internal/dataplane/clients/connections.go
@@ -55,7 +55,7 @@
 	listener     *net.TCPListener
 	limit        int
 	maxReadAhead int // bytes that one connection may read ahead
-	log          *zap.Logger
+	logger       *zap.Logger
 	counters     *counters.Set
 
 	draining atomic.Bool // each answer closes its connection
@@ -65,9 +65,9 @@
 	activeQueries int // connections that have a query in progress
 }
 
-func newConnectionTable(limit, memory int, log *zap.Logger, count *counters.Set) *connectionTable {
+func newConnectionTable(limit, memory int, logger *zap.Logger, counterSet *counters.Set) *connectionTable {
 	readAhead := int(readAheadShare * float64(memory) / float64(limit))
-	return &connectionTable{limit: limit, maxReadAhead: min(maxReadAhead, max(minReadAhead, readAhead)), log: log, counters: count, open: map[*connection]bool{}}
+	return &connectionTable{limit: limit, maxReadAhead: min(maxReadAhead, max(minReadAhead, readAhead)), logger: logger, counters: counterSet, open: map[*connection]bool{}}
 }
 
 func (s *connectionTable) Addr() net.Addr { return s.listener.Addr() }
@@ -214,7 +214,7 @@
 	s.mu.Unlock()
 	endReason := string(*conn.endReason.Load())
 	s.counters.Add("client_lines", endReason, 1)
-	entry := s.log.Check(zap.InfoLevel, "connection ended")
+	entry := s.logger.Check(zap.InfoLevel, "connection ended")
 	if entry == nil {
 		return
 	}
--- a/internal/dataplane/clients/protocol.go
+++ b/internal/dataplane/clients/protocol.go
@@ -22,8 +22,8 @@
 	shards    int
 }
 
-func newNameTable(set settings.Net) nameTable {
-	return nameTable{settings.IDsByName[policy.IndexID](set.Indexes), settings.IDsByName[policy.CustomerID](set.Customers), set.Shards}
+func newNameTable(netSettings settings.Net) nameTable {
+	return nameTable{settings.IDsByName[policy.IndexID](netSettings.Indexes), settings.IDsByName[policy.CustomerID](netSettings.Customers), netSettings.Shards}
 }
 
 // index returns the index that the first segment of a path names. It reports false if there is no such index.
--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -72,7 +72,7 @@
 	http           *http.Server
 	connections    *connectionTable
 	events         *eventqueue.Queue[aggregator.Event]
-	log            *zap.Logger
+	logger         *zap.Logger
 	counters       *counters.Set
 	names          nameTable
 	retryAfter     bool
@@ -85,11 +85,11 @@
 
 // New creates a server with at most maxConnections connections, which may use a total of memory bytes. The server puts the events of
 // its queries into events.
-func New(set settings.Settings, maxConnections, memory int, events *eventqueue.Queue[aggregator.Event], log *zap.Logger, count *counters.Set) *Server {
-	s := &Server{events: events, log: log, counters: count, names: newNameTable(set.Net), retryAfter: set.Limits.RetryAfter, answerTimeout: answerTimeout,
-		connections: newConnectionTable(maxConnections, memory, log, count), largeBodies: make(chan struct{}, max(1, int(largeBodyMemoryShare*float64(memory)/largeBodyMemory))), stopped: make(chan struct{}, 1)}
+func New(aggregatorSettings settings.Settings, maxConnections, memory int, events *eventqueue.Queue[aggregator.Event], logger *zap.Logger, counterSet *counters.Set) *Server {
+	s := &Server{events: events, logger: logger, counters: counterSet, names: newNameTable(aggregatorSettings.Net), retryAfter: aggregatorSettings.Limits.RetryAfter, answerTimeout: answerTimeout,
+		connections: newConnectionTable(maxConnections, memory, logger, counterSet), largeBodies: make(chan struct{}, max(1, int(largeBodyMemoryShare*float64(memory)/largeBodyMemory))), stopped: make(chan struct{}, 1)}
 	longest := 0.0
-	for _, x := range set.Indexes {
+	for _, x := range aggregatorSettings.Indexes {
 		longest = max(longest, x.Hard)
 	}
 	s.servePeriod = killGracePeriod + min(maxQueryTime, time.Duration(longest*float64(time.Second))) - closePeriod
@@ -98,15 +98,15 @@
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, c)
 		},
-		ConnState: s.connections.stateChanged, ErrorLog: stdlog.New(httpErrorLog{log}, "", 0)}
+		ConnState: s.connections.stateChanged, ErrorLog: stdlog.New(httpErrorLog{logger}, "", 0)}
 	return s
 }
 
 // httpErrorLog logs the errors that net/http's server reports, mainly panics of the handler.
-type httpErrorLog struct{ log *zap.Logger }
+type httpErrorLog struct{ logger *zap.Logger }
 
 func (l httpErrorLog) Write(text []byte) (int, error) {
-	l.log.Warn("http", zap.String("text", string(text)))
+	l.logger.Warn("http", zap.String("text", string(text)))
 	return len(text), nil
 }
 
--- a/internal/dataplane/clients/server_test.go
+++ b/internal/dataplane/clients/server_test.go
@@ -34,10 +34,10 @@
 
 // newFixture starts a server on a local port. change may modify the server before it starts.
 func newFixture(t *testing.T, maxConnections int, change func(*Server)) *fixture {
-	set := settings.Settings{Net: settings.Net{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Shards: 8}}
-	set.Limits.RetryAfter = true
+	aggregatorSettings := settings.Settings{Net: settings.Net{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Shards: 8}}
+	aggregatorSettings.Limits.RetryAfter = true
 	r := &fixture{T: t, events: queuetest.New[aggregator.Event]()}
-	r.Server = New(set, maxConnections, 64<<20, r.events.Queue, zap.NewNop(), counters.New())
+	r.Server = New(aggregatorSettings, maxConnections, 64<<20, r.events.Queue, zap.NewNop(), counters.New())
 	if change != nil {
 		change(r.Server)
 	}
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -72,7 +72,7 @@
 type Client struct {
 	inbox          *eventqueue.Queue[message]
 	listener       Listener
-	log            *zap.Logger
+	logger         *zap.Logger
 	counters       *counters.Set
 	url            string
 	watchTimeout   time.Duration // how long a watch may be without a line before it is replaced
@@ -94,12 +94,12 @@
 }
 
 // New returns a client of the registry at an address, and passes known, the initial list in JSON, to the listener.
-func New(address string, known []byte, aggregatorSettings settings.Settings, listener Listener, log *zap.Logger,
+func New(address string, known []byte, aggregatorSettings settings.Settings, listener Listener, logger *zap.Logger,
 	counterSet *counters.Set) (*Client, error) {
 	if err := checkAddress(address); err != nil {
 		return nil, err
 	}
-	r := &Client{inbox: eventqueue.New[message](), listener: listener, log: log, counters: counterSet,
+	r := &Client{inbox: eventqueue.New[message](), listener: listener, logger: logger, counters: counterSet,
 		url: listURL(address), watchTimeout: time.Duration(missedHeartbeats * float64(heartbeatInterval)), listOnRequest: aggregatorSettings.ListOnRequest, subscribed: !aggregatorSettings.ListOnRequest,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: heartbeatInterval}).DialContext}},
@@ -209,7 +209,7 @@
 			err = r.applyList(msg.line, false)
 		}
 		if err != nil {
-			r.log.Info("connection ended", zap.String("peer", "register"), zap.String("reason", "whole_list_failed"), zap.String("text", err.Error()))
+			r.logger.Info("connection ended", zap.String("peer", "register"), zap.String("reason", "whole_list_failed"), zap.String("text", err.Error()))
 			r.listener.Put(aggregator.Event{Event: policy.Event{Kind: policy.ListChanged, List: policy.ListFailed}})
 		}
 	}
--- a/internal/dataplane/discovery/discovery_test.go
+++ b/internal/dataplane/discovery/discovery_test.go
@@ -21,7 +21,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-const patience = queuetest.WaitTimeout
+const waitTimeout = queuetest.WaitTimeout
 
 // fixture is a client and a registry that the test plays. Each request of the client arrives in requests.
 type fixture struct {
@@ -67,11 +67,11 @@
 			}
 		}
 	}))
-	set := settings.Settings{Net: settings.Net{Locations: []string{"a", "b"}}}
-	set.ListOnRequest = listOnRequest
+	aggregatorSettings := settings.Settings{Net: settings.Net{Locations: []string{"a", "b"}}}
+	aggregatorSettings.ListOnRequest = listOnRequest
 	var err error
 	r.address = strings.TrimPrefix(server.URL, "http://")
-	r.Client, err = New(r.address, []byte(listLine(41, true, backend("s1", "SERVING"))), set,
+	r.Client, err = New(r.address, []byte(listLine(41, true, backend("s1", "SERVING"))), aggregatorSettings,
 		r.events.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 			r.Fatalf("got request %q, expected %q", request.url, url)
 		}
 		return request
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		r.Fatal("got no request")
 	}
 	return listRequest{}
@@ -173,7 +173,7 @@
 	}
 	select {
 	case <-old.closed:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the old watch is still open")
 	}
 	w.write(listLine(48, false, backend("s2", "DRAINING")))
@@ -192,7 +192,7 @@
 	}
 	select {
 	case <-w.closed:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the failed watch is still open")
 	}
 }
--- a/internal/dataplane/discovery/races_test.go
+++ b/internal/dataplane/discovery/races_test.go
@@ -38,9 +38,9 @@
 		t.Fatal(err)
 	}
 	r := &rawFixture{T: t, events: queuetest.New[aggregator.Event](), listener: l}
-	set := settings.Settings{}
-	set.ListOnRequest = listOnRequest
-	r.Client, err = New(l.Addr().String(), []byte(listLine(41, true, backend("s1", "SERVING"))), set, r.events.Queue, zap.NewNop(), counters.New())
+	aggregatorSettings := settings.Settings{}
+	aggregatorSettings.ListOnRequest = listOnRequest
+	r.Client, err = New(l.Addr().String(), []byte(listLine(41, true, backend("s1", "SERVING"))), aggregatorSettings, r.events.Queue, zap.NewNop(), counters.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 // accept accepts the next request, which has to be for this URL.
 func (r *rawFixture) accept(url string) *net.TCPConn {
 	r.Helper()
-	r.listener.SetDeadline(time.Now().Add(patience))
+	r.listener.SetDeadline(time.Now().Add(waitTimeout))
 	c, err := r.listener.AcceptTCP()
 	if err != nil {
 		r.Fatal(err)
@@ -230,7 +230,7 @@
 	r.listener.Close()
 	c.Write([]byte(chunkedHeader + chunk("\n")))
 	reset(c)
-	for deadline := time.Now().Add(patience); r.counters.Get("watches", "watch_ended") < 3; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); r.counters.Get("watches", "watch_ended") < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the watch is not retried")
 		}
--- a/internal/dataplane/discovery/watch.go
+++ b/internal/dataplane/discovery/watch.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		fields = append(fields, zap.String("text", err.Error()))
 	}
-	r.log.Info("connection ended", fields...)
+	r.logger.Info("connection ended", fields...)
 	r.cancelWatch()
 }
 
--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -25,7 +25,7 @@
 // TestMain fails if a goroutine of an aggregator outlives the tests. Goroutines of fake backends are ignored, as they finish work
 // that they have started.
 func TestMain(m *testing.M) {
-	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Backend).work"))
+	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Backend).execute"))
 }
 
 // scriptedBackend is a backend that handles each call as the test decides.
--- a/internal/dataplane/node/node.go
+++ b/internal/dataplane/node/node.go
@@ -64,49 +64,49 @@
 
 // Read reads the configuration file that LB_CONFIG names, and validates it. The environment variables LB_NAME, LB_LISTEN and
 // LB_DISCOVERY override its fields.
-func Read(env func(string) string) (c Config, set settings.Settings, err error) {
+func Read(env func(string) string) (c Config, aggregatorSettings settings.Settings, err error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
-		return c, set, errNoConfig
+		return c, aggregatorSettings, errNoConfig
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return c, set, err
+		return c, aggregatorSettings, err
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
-		return c, set, fmt.Errorf("config: %w", err)
+		return c, aggregatorSettings, fmt.Errorf("config: %w", err)
 	}
 	for name, field := range map[string]*string{"LB_NAME": &c.Name, "LB_LISTEN": &c.Listen, "LB_DISCOVERY": &c.Discovery} {
 		if v := env(name); v != "" {
 			*field = v
 		}
 	}
-	set, err = c.Check()
-	return c, set, err
+	aggregatorSettings, err = c.Check()
+	return c, aggregatorSettings, err
 }
 
 // Check validates the configuration and returns its settings.
-func (c *Config) Check() (set settings.Settings, err error) {
+func (c *Config) Check() (aggregatorSettings settings.Settings, err error) {
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	switch {
 	case err != nil:
-		return set, invalid("config: seed %q is not hex", c.Seed)
+		return aggregatorSettings, invalid("config: seed %q is not hex", c.Seed)
 	case c.Listen == "" || c.Discovery == "":
-		return set, invalid("config: listen and discovery must be stated")
+		return aggregatorSettings, invalid("config: listen and discovery must be stated")
 	case len(c.Known) == 0:
-		return set, invalid("config: known must be stated")
+		return aggregatorSettings, invalid("config: known must be stated")
 	case c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0:
-		return set, invalid("config: limits must be 0 or more")
+		return aggregatorSettings, invalid("config: limits must be 0 or more")
 	}
-	if set, err = settings.Read(seed, c.Settings); err != nil {
-		return set, fmt.Errorf("config: %w", err)
+	if aggregatorSettings, err = settings.Read(seed, c.Settings); err != nil {
+		return aggregatorSettings, fmt.Errorf("config: %w", err)
 	}
-	for i, x := range set.Indexes {
+	for i, x := range aggregatorSettings.Indexes {
 		if x.SecondStep > 0 {
-			return set, invalid("config: index %q has a second step, which this protocol has no form for", set.Net.Indexes[i])
+			return aggregatorSettings, invalid("config: index %q has a second step, which this protocol has no form for", aggregatorSettings.Net.Indexes[i])
 		}
 	}
-	return set, nil
+	return aggregatorSettings, nil
 }
 
 // connectionLimits returns the limits of connections of clients and to backends, and the memory limit in bytes. A limit that is not
@@ -140,21 +140,21 @@
 }
 
 // StartText starts an aggregator from the text of a configuration file. See Start for the context.
-func StartText(ctx context.Context, text []byte, file operatorfile.File, log *zap.Logger, count *counters.Set) (*Node, error) {
+func StartText(ctx context.Context, text []byte, file operatorfile.File, logger *zap.Logger, counterSet *counters.Set) (*Node, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	set, err := c.Check()
+	aggregatorSettings, err := c.Check()
 	if err != nil {
 		return nil, err
 	}
-	return Start(ctx, c, set, file, log, count)
+	return Start(ctx, c, aggregatorSettings, file, logger, counterSet)
 }
 
 // Node is a running aggregator.
 type Node struct {
-	log        *zap.Logger
+	logger     *zap.Logger
 	counters   *counters.Set
 	aggregator *aggregator.Aggregator
 	discovery  *discovery.Client
@@ -172,26 +172,26 @@
 // Start starts an aggregator with a configuration and the features of the operator's file. It serves from the backends that the
 // configuration lists until the registry reports others. Canceling the context stops the wait for the listen address;
 // it has no effect once Start has returned.
-func Start(ctx context.Context, c Config, set settings.Settings, file operatorfile.File, log *zap.Logger, count *counters.Set) (n *Node, err error) {
+func Start(ctx context.Context, c Config, aggregatorSettings settings.Settings, file operatorfile.File, logger *zap.Logger, counterSet *counters.Set) (n *Node, err error) {
 	clientConnections, backendConnections, memory := c.connectionLimits()
-	n = &Node{log: log, counters: count, drained: make(chan struct{})}
-	n.aggregator = aggregator.New(set, log, count)
+	n = &Node{logger: logger, counters: counterSet, drained: make(chan struct{})}
+	n.aggregator = aggregator.New(aggregatorSettings, logger, counterSet)
 	if file.Capture.Directory != "" {
-		if err := n.startCapture(c.Name, set, file.Capture); err != nil {
+		if err := n.startCapture(c.Name, aggregatorSettings, file.Capture); err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
 	}
 	if file.Fleet.On {
-		if err := n.joinFleet(c, set, file); err != nil {
+		if err := n.joinFleet(c, aggregatorSettings, file); err != nil {
 			return nil, err
 		}
 	}
 	events := discovery.Listener(n.aggregator.Inbox)
 	if file.Overrides.On || file.Operators.Listen != "" {
-		n.openController(set, file)
+		n.openController(aggregatorSettings, file)
 		events = n.controller
 	}
-	if n.discovery, err = discovery.New(c.Discovery, c.Known, set, events, log, count); err != nil {
+	if n.discovery, err = discovery.New(c.Discovery, c.Known, aggregatorSettings, events, logger, counterSet); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	if n.controller != nil {
@@ -209,8 +209,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n.hub = backends.New(set.Net, backendConnections, n.aggregator.Inbox, log, count)
-	n.server = clients.New(set, clientConnections, memory, n.aggregator.Inbox, log, count)
+	n.hub = backends.New(aggregatorSettings.Net, backendConnections, n.aggregator.Inbox, logger, counterSet)
+	n.server = clients.New(aggregatorSettings, clientConnections, memory, n.aggregator.Inbox, logger, counterSet)
 	n.drain = sync.OnceFunc(func() {
 		if n.fleet != nil {
 			go n.fleet.Release() // lets the next process of this node start
@@ -229,7 +229,7 @@
 	if n.operators != nil {
 		go n.operators.Serve(operatorsListener)
 	}
-	log.Info("started", zap.String("listen", c.Listen))
+	logger.Info("started", zap.String("listen", c.Listen))
 	return n, nil
 }
 
@@ -239,7 +239,7 @@
 		return nil, nil
 	}
 	var err error
-	if n.operators, err = api.New(name, file, n.controller, n.fleet, n.log, n.counters); err != nil {
+	if n.operators, err = api.New(name, file, n.controller, n.fleet, n.logger, n.counters); err != nil {
 		return nil, err
 	}
 	return api.Listen(file.Listen)
@@ -247,36 +247,36 @@
 
 // openController creates the controller and restores the stored overrides. If the store can't be opened, the aggregator serves
 // queries but rejects commands: overrides would be lost at the end of the process, although operators expect them to persist.
-func (n *Node) openController(set settings.Settings, file operatorfile.File) {
+func (n *Node) openController(aggregatorSettings settings.Settings, file operatorfile.File) {
 	limits := file.Overrides.Limits
-	limits.Indexes, limits.Shards, limits.Cells, limits.Width = set.Net.Indexes, set.Net.Shards, set.Layout.Cells, set.Layout.Width
+	limits.Indexes, limits.Shards, limits.Cells, limits.Width = aggregatorSettings.Net.Indexes, aggregatorSettings.Net.Shards, aggregatorSettings.Layout.Cells, aggregatorSettings.Layout.Width
 	var contents aggregatorstore.OverrideContents
 	store, directory := controller.Store(nil), ""
 	if dir := file.Overrides.Directory; dir != "" {
 		var err error
-		if n.store, contents, err = aggregatorstore.OpenOverrides(dir, n.log); err != nil {
-			n.log.Error("override store unavailable; commands are rejected", zap.String("text", err.Error()))
+		if n.store, contents, err = aggregatorstore.OpenOverrides(dir, n.logger); err != nil {
+			n.logger.Error("override store unavailable; commands are rejected", zap.String("text", err.Error()))
 		}
 		store, directory = n.store, dir
 	}
-	n.controller = controller.New(limits, n.aggregator.Inbox, store, directory, n.log, n.counters)
+	n.controller = controller.New(limits, n.aggregator.Inbox, store, directory, n.logger, n.counters)
 	n.controller.Restore(contents.Revision, contents.Active, contents.Recent)
 }
 
 // joinFleet makes the aggregator a member of a fleet, which then decides on the admission of its queries.
-func (n *Node) joinFleet(c Config, set settings.Settings, file operatorfile.File) error {
+func (n *Node) joinFleet(c Config, aggregatorSettings settings.Settings, file operatorfile.File) error {
 	key, err := operatorfile.ReadKey(file.Fleet.KeyFile)
 	if err != nil {
 		return fmt.Errorf("fleet.key_file: %w", err)
 	}
 	fleetSettings := fleet.Settings{Self: membership.Name(c.Name), Membership: file.Fleet.Roster(), Key: [operatorfile.KeyBytes]byte(key), Directory: file.Fleet.Directory,
-		Lease: file.Fleet.Lease, Layout: set.Layout, Seed: set.Seed, HasQuotas: file.Quotas.On, Strict: file.Contracts.Strict,
-		Names: residency.KnownNames{Zones: set.Net.Locations, Indexes: set.Net.Indexes, Tenants: set.Net.Customers},
+		Lease: file.Fleet.Lease, Layout: aggregatorSettings.Layout, Seed: aggregatorSettings.Seed, HasQuotas: file.Quotas.On, Strict: file.Contracts.Strict,
+		Names: residency.KnownNames{Zones: aggregatorSettings.Net.Locations, Indexes: aggregatorSettings.Net.Indexes, Tenants: aggregatorSettings.Net.Customers},
 		Lines: map[string]int{fleet.LineFleet: file.Fleet.Line, fleet.LineStrict: file.Contracts.Line}}
-	if location := int(set.Location); location < len(set.Net.Locations) {
-		fleetSettings.Location = set.Net.Locations[location]
+	if location := int(aggregatorSettings.Location); location < len(aggregatorSettings.Net.Locations) {
+		fleetSettings.Location = aggregatorSettings.Net.Locations[location]
 	}
-	for _, index := range set.Indexes {
+	for _, index := range aggregatorSettings.Indexes {
 		fleetSettings.MaxDeadline = max(fleetSettings.MaxDeadline, index.Hard)
 	}
 	fleetSettings.FileTables.ContractsVersion, fleetSettings.FileTables.QuotasVersion = file.Contracts.Version, file.Quotas.Version
@@ -296,7 +296,7 @@
 		fleetSettings.FileTables.Quotas[tenant] = t.Quota()
 		fleetSettings.Lines[fleet.QuotaLine(tenant)] = t.Line
 	}
-	if n.fleet, err = fleet.New(fleetSettings, n.aggregator.Inbox, n.log, n.counters); err != nil {
+	if n.fleet, err = fleet.New(fleetSettings, n.aggregator.Inbox, n.logger, n.counters); err != nil {
 		return err
 	}
 	n.aggregator.SetAdmission(n.fleet)
@@ -304,14 +304,14 @@
 }
 
 // startCapture makes the aggregator record its load in capture files.
-func (n *Node) startCapture(name string, set settings.Settings, file operatorfile.Capture) (err error) {
+func (n *Node) startCapture(name string, aggregatorSettings settings.Settings, file operatorfile.Capture) (err error) {
 	n.captures, err = capture.NewWriter(capture.StoreConfig{Directory: file.Directory, MaxBytes: file.MaxBytes,
-		MaxAge: time.Duration(file.MaxAge * float64(time.Second))}, n.log, n.counters)
+		MaxAge: time.Duration(file.MaxAge * float64(time.Second))}, n.logger, n.counters)
 	if err != nil {
 		return err
 	}
-	names := capture.Names{Indexes: set.Net.Indexes, Customers: set.Net.Customers, Shards: set.Net.Shards}
-	for _, x := range set.Indexes {
+	names := capture.Names{Indexes: aggregatorSettings.Net.Indexes, Customers: aggregatorSettings.Net.Customers, Shards: aggregatorSettings.Net.Shards}
+	for _, x := range aggregatorSettings.Indexes {
 		names.SoftDeadlines = append(names.SoftDeadlines, x.Soft)
 	}
 	n.aggregator.Capture(capture.New(name, names, file.Interval), n.captures.Put)
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -32,20 +32,20 @@
 // cluster is a site on the loopback interface: a registry, backends, one aggregator with overrides, and a load generator.
 type cluster struct {
 	*testing.T
-	site     fakes.Site
-	registry *fakes.Registry
-	backends []*fakes.Backend
-	file     operatorfile.File
-	listen   string
-	node     *Node
-	client   *api.Client
-	load     *fakes.Load
-	tally    fakes.QueryStats
+	site       fakes.Site
+	registry   *fakes.Registry
+	backends   []*fakes.Backend
+	file       operatorfile.File
+	listen     string
+	node       *Node
+	client     *api.Client
+	load       *fakes.Load
+	queryStats fakes.QueryStats
 }
 
-// newCluster starts a cluster whose backends take the given service time for a subquery. queriesPerS is the rate of the load; at 0
+// newCluster starts a cluster whose backends take the given service time for a subquery. queriesPerSecond is the rate of the load; at 0
 // the load is not started.
-func newCluster(t *testing.T, queriesPerS float64, service time.Duration) *cluster {
+func newCluster(t *testing.T, queriesPerSecond float64, service time.Duration) *cluster {
 	w := &cluster{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, CellsPerShard: 2, Shards: 16, Aggregators: 1,
 		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", SoftDeadlineSeconds: 2, HardDeadlineSeconds: 8, Value: 1}, {Name: "orders", Effect: "once", SoftDeadlineSeconds: 2, HardDeadlineSeconds: 8, Value: 3}}}}
 	var err error
@@ -79,9 +79,9 @@
 	if w.client, err = api.NewClient(w.file.Operators.Listen, ""); err != nil {
 		t.Fatal(err)
 	}
-	w.load = &fakes.Load{Aggregators: []string{w.listen}, Site: w.site, QueriesPerSecond: queriesPerS, Mixes: []fakes.Mix{
+	w.load = &fakes.Load{Aggregators: []string{w.listen}, Site: w.site, QueriesPerSecond: queriesPerSecond, Mixes: []fakes.Mix{
 		{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 8 * time.Second}, {Index: "orders", Share: 0.1, Subqueries: 2, Deadline: 8 * time.Second}}}
-	if queriesPerS > 0 {
+	if queriesPerSecond > 0 {
 		w.load.Run(w.Context())
 	}
 	return w
@@ -97,10 +97,10 @@
 	w.node = n
 }
 
-// collectLoad returns the results of the load since the previous call, and adds them to the tally.
+// collectLoad returns the results of the load since the previous call, and adds them to queryStats.
 func (w *cluster) collectLoad() fakes.QueryStats {
 	t := w.load.TakeStats()
-	w.tally.Add(t)
+	w.queryStats.Add(t)
 	return t
 }
 
@@ -168,8 +168,8 @@
 	w.Helper()
 	w.load.Stop()
 	w.collectLoad()
-	checkEachQueryAnswered(w.T, w.tally)
-	w.Logf("load: %+v; %d once-only subqueries executed", w.tally, checkOnceOnlySubqueries(w.T, w.backends))
+	checkEachQueryAnswered(w.T, w.queryStats)
+	w.Logf("load: %+v; %d once-only subqueries executed", w.queryStats, checkOnceOnlySubqueries(w.T, w.backends))
 }
 
 // checkEachQueryAnswered checks that each query had exactly one final answer, and that some queries were satisfied.
@@ -321,20 +321,20 @@
 	s.Kill()
 	w.registry.SetState(s.Name, "DELETED")
 	w.collectLoad()
-	w.waitUntil("rejected queries", func() bool { w.collectLoad(); return w.tally.Nacked > 20 })
+	w.waitUntil("rejected queries", func() bool { w.collectLoad(); return w.queryStats.Nacked > 20 })
 	w.load.Stop()
-	if w.collectLoad(); w.tally.Aborted+w.tally.Lost > 0 {
-		t.Fatalf("got %+v, want no aborted or lost queries", w.tally)
+	if w.collectLoad(); w.queryStats.Aborted+w.queryStats.Lost > 0 {
+		t.Fatalf("got %+v, want no aborted or lost queries", w.queryStats)
 	}
 }
 
 // A weight of 0.25 gives a backend a quarter of its usual share of calls.
 func TestWeightScalesTheShareOfCalls(t *testing.T) {
-	queriesPerS, callCount := 150.0, int64(2000)
+	queriesPerSecond, callCount := 150.0, int64(2000)
 	if measure {
-		queriesPerS, callCount = 300, 20000
+		queriesPerSecond, callCount = 300, 20000
 	}
-	w := newCluster(t, queriesPerS, 10*time.Millisecond)
+	w := newCluster(t, queriesPerSecond, 10*time.Millisecond)
 	s := w.backends[3]
 	share := func() float64 {
 		all, own := w.calls(), s.Calls()
--- a/internal/dataplane/node/upgrade_test.go
+++ b/internal/dataplane/node/upgrade_test.go
@@ -19,12 +19,14 @@
 	site           fakes.Site
 	nodes          []*Node
 	load           *fakes.Load
-	tally          fakes.QueryStats
+	queryStats     fakes.QueryStats
 	satisfiedAlone float64 // share of satisfied queries without load on the other layout
 }
 
-// satisfied returns the share of satisfied queries since the tally was last cleared.
-func (s *layout) satisfied() float64 { return float64(s.tally.Satisfied) / float64(s.tally.Sent) }
+// satisfied returns the share of satisfied queries since queryStats was last reset.
+func (s *layout) satisfied() float64 {
+	return float64(s.queryStats.Satisfied) / float64(s.queryStats.Sent)
+}
 
 // During a migration, aggregators of the old and of the new layout use the same backends. In the old layout shards are on two neighboring
 // cells, each subquery has its own call, and answers are complete. In the new layout shards are in sets, subqueries share calls,
@@ -85,14 +87,14 @@
 	}
 	collectLoad := func() {
 		for _, l := range layouts {
-			l.tally.Add(l.load.TakeStats())
+			l.queryStats.Add(l.load.TakeStats())
 		}
 	}
 	stop := func(name string, l *layout) {
 		l.load.Stop()
-		l.tally.Add(l.load.TakeStats())
-		checkEachQueryAnswered(t, l.tally)
-		t.Logf("%s: %+v", name, l.tally)
+		l.queryStats.Add(l.load.TakeStats())
+		checkEachQueryAnswered(t, l.queryStats)
+		t.Logf("%s: %+v", name, l.queryStats)
 	}
 	for name, l := range layouts {
 		l.load.Run(t.Context())
@@ -102,7 +104,7 @@
 			}
 		}
 		stop(name, l)
-		l.satisfiedAlone, l.tally = l.satisfied(), fakes.QueryStats{}
+		l.satisfiedAlone, l.queryStats = l.satisfied(), fakes.QueryStats{}
 	}
 	for _, l := range layouts {
 		l.load.Run(t.Context())
@@ -111,10 +113,10 @@
 	waitForSatisfied := func(each int64) {
 		t.Helper()
 		collectLoad()
-		oldTarget, newTarget := layouts["old"].tally.Satisfied+each, layouts["new"].tally.Satisfied+each
-		for deadline := time.Now().Add(waitTimeout); layouts["old"].tally.Satisfied < oldTarget || layouts["new"].tally.Satisfied < newTarget; time.Sleep(10 * time.Millisecond) {
+		oldTarget, newTarget := layouts["old"].queryStats.Satisfied+each, layouts["new"].queryStats.Satisfied+each
+		for deadline := time.Now().Add(waitTimeout); layouts["old"].queryStats.Satisfied < oldTarget || layouts["new"].queryStats.Satisfied < newTarget; time.Sleep(10 * time.Millisecond) {
 			if collectLoad(); time.Now().After(deadline) {
-				t.Fatalf("timed out waiting for satisfied queries of both layouts: old %+v, new %+v", layouts["old"].tally, layouts["new"].tally)
+				t.Fatalf("timed out waiting for satisfied queries of both layouts: old %+v, new %+v", layouts["old"].queryStats, layouts["new"].queryStats)
 			}
 		}
 	}
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -48,9 +48,9 @@
 		Name          string  `json:"name"`
 	} `json:"requestClasses"`
 	Customers []struct {
-		Name      string  `json:"name"`
-		Share     float64 `json:"portion"`
-		QuotaPerS float64 `json:"quotaPerS"`
+		Name           string  `json:"name"`
+		Share          float64 `json:"portion"`
+		QuotaPerSecond float64 `json:"quotaPerS"`
 	} `json:"tenants"`
 	Layout struct {
 		Cells             int       `json:"places"`
@@ -147,7 +147,7 @@
 		result.Net.Indexes = append(result.Net.Indexes, indexSettings.Name)
 	}
 	for _, customer := range raw.Customers {
-		result.Customers = append(result.Customers, policy.CustomerSettings{Share: customer.Share, QuotaPerS: customer.QuotaPerS})
+		result.Customers = append(result.Customers, policy.CustomerSettings{Share: customer.Share, QuotaPerSecond: customer.QuotaPerSecond})
 		result.Net.Customers = append(result.Net.Customers, customer.Name)
 	}
 	return result, validate(&raw)
--- a/internal/dataplane/settings/settings_test.go
+++ b/internal/dataplane/settings/settings_test.go
@@ -22,7 +22,7 @@
 		t.Fatalf("got %+v", s.Net)
 	}
 	if index := s.Indexes[0]; s.Seed != 7 || !s.ListOnRequest || s.Layout.SubqueriesPerCall != 2 || s.Limits.MaxPending != 9 ||
-		index.Effect != policy.Deduplicated || index.Required != 0.9 || index.DedupS != 5 || s.Customers[0].QuotaPerS != 2 {
+		index.Effect != policy.Deduplicated || index.Required != 0.9 || index.DedupS != 5 || s.Customers[0].QuotaPerSecond != 2 {
 		t.Fatalf("got %+v", s.Settings)
 	}
 	for _, invalidText := range []string{`{"limits":{"multiplex":-1}}`, `{"limits":{"idleCloseS":-1}}`, `{"specifics":{"slices":-1}}`,
--- a/internal/dataplane/settings/validate.go
+++ b/internal/dataplane/settings/validate.go
@@ -83,7 +83,7 @@
 			number{name + "worth", c.Value}, number{name + "repeatWindowS", c.DedupWindowS})
 	}
 	for i, c := range raw.Customers {
-		list = append(list, number{fmt.Sprintf("tenants[%d].quotaPerS", i), c.QuotaPerS})
+		list = append(list, number{fmt.Sprintf("tenants[%d].quotaPerS", i), c.QuotaPerSecond})
 	}
 	for i, n := range layout.SecondSteps {
 		list = append(list, number{fmt.Sprintf("specifics.secondStep[%d]", i), float64(n)})
--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -249,13 +249,13 @@
 			s.OnCall(string(after[:n]), shard)
 		}
 		s.recordArrival(subqueryName(string(fields[0]), string(after[:n])))
-		go s.work(conn, string(fields[0]), string(after[:n]), canceled)
+		go s.execute(conn, string(fields[0]), string(after[:n]), canceled)
 		remaining = after[n:]
 	}
 	return true
 }
 
-func (s *Backend) work(conn *connection, id, query string, canceled *sync.Map) {
+func (s *Backend) execute(conn *connection, id, query string, canceled *sync.Map) {
 	defer s.inFlight.Add(-1)
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
--- a/internal/fakes/cluster/cluster_test.go
+++ b/internal/fakes/cluster/cluster_test.go
@@ -242,7 +242,7 @@
 func TestPlatformListsWorkersWithLagAndRateLimit(t *testing.T) {
 	convey.Convey("Given a platform with a lag and a low rate limit", t, func() {
 		clock, c := newVirtualCluster(Settings{})
-		platform := c.AddPlatform(PlatformConfig{PageSize: 1, RatePerS: 2, Lag: 800 * time.Millisecond})
+		platform := c.AddPlatform(PlatformConfig{PageSize: 1, RatePerSecond: 2, Lag: 800 * time.Millisecond})
 		c.AddWorker(WorkerConfig{ID: "i-1", Zone: "a"})
 		worker := c.AddWorker(WorkerConfig{ID: "i-2", Zone: "b"})
 		calls := newClient(t)
--- a/internal/fakes/cluster/platform.go
+++ b/internal/fakes/cluster/platform.go
@@ -12,9 +12,9 @@
 
 // PlatformConfig is the configuration of a platform.
 type PlatformConfig struct {
-	PageSize int           // 0 means 50
-	RatePerS float64       // calls beyond this rate get status 429; 0 means no limit
-	Lag      time.Duration // delay until a change shows in the list
+	PageSize      int           // 0 means 50
+	RatePerSecond float64       // calls beyond this rate get status 429; 0 means no limit
+	Lag           time.Duration // delay until a change shows in the list
 }
 
 // Platform is a fake of the platform's API that lists a cluster's workers.
@@ -70,7 +70,7 @@
 	if config.PageSize == 0 {
 		config.PageSize = defaultPageSize
 	}
-	p := &Platform{cluster: c, config: config, refilledAt: c.clock.Now(), availableCalls: config.RatePerS * burstSeconds}
+	p := &Platform{cluster: c, config: config, refilledAt: c.clock.Now(), availableCalls: config.RatePerSecond * burstSeconds}
 	p.server = listen(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,12 +180,12 @@
 
 // allow reports whether the rate limit permits a call, and counts the call if so.
 func (p *Platform) allow() bool {
-	if p.config.RatePerS == 0 {
+	if p.config.RatePerSecond == 0 {
 		return true
 	}
 	now := p.cluster.clock.Now()
-	earned := now.Sub(p.refilledAt).Seconds() * p.config.RatePerS
-	p.availableCalls = min(p.availableCalls+earned, p.config.RatePerS*burstSeconds)
+	earned := now.Sub(p.refilledAt).Seconds() * p.config.RatePerSecond
+	p.availableCalls = min(p.availableCalls+earned, p.config.RatePerSecond*burstSeconds)
 	p.refilledAt = now
 	if p.availableCalls < 1 {
 		return false
--- a/internal/jobs/inventory/reader_test.go
+++ b/internal/jobs/inventory/reader_test.go
@@ -37,7 +37,7 @@
 		client.CloseIdleConnections()
 		c.Close()
 	})
-	return c, platform, &Reader{Address: platform.Address(), RatePerSecond: config.RatePerS, HTTP: client}
+	return c, platform, &Reader{Address: platform.Address(), RatePerSecond: config.RatePerSecond, HTTP: client}
 }
 
 func TestReadAllReturnsCompleteListOrError(t *testing.T) {
--- a/internal/jobs/manager/fleet_bench_test.go
+++ b/internal/jobs/manager/fleet_bench_test.go
@@ -122,24 +122,24 @@
 // BenchmarkFleet measures the share of a processor core that a leader uses for a service with many workers. Run it with
 // -benchtime=1x.
 func BenchmarkFleet(b *testing.B) {
-	for _, load := range []struct{ workers, tasksPerS int }{{250, 0}, {2100, 0}, {250, 160}, {2100, 160}, {2100, 640}, {2100, 960}} {
-		b.Run(fmt.Sprintf("%d workers, %d tasks a second", load.workers, load.tasksPerS), func(b *testing.B) {
+	for _, load := range []struct{ workers, tasksPerSecond int }{{250, 0}, {2100, 0}, {250, 160}, {2100, 160}, {2100, 640}, {2100, 960}} {
+		b.Run(fmt.Sprintf("%d workers, %d tasks a second", load.workers, load.tasksPerSecond), func(b *testing.B) {
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 			m := startLeader(b, startFleet(b, load.workers))
 			for b.Loop() {
-				measureFleet(b, m, load.tasksPerS)
+				measureFleet(b, m, load.tasksPerSecond)
 			}
 		})
 	}
 }
 
-func measureFleet(b *testing.B, m *Manager, tasksPerS int) {
+func measureFleet(b *testing.B, m *Manager, tasksPerSecond int) {
 	b.Helper()
 	jobNumber := 0
 	load := func(span time.Duration) {
 		begin := time.Now()
 		for submitted := 0.0; time.Since(begin) < span; time.Sleep(submitInterval) {
-			for ; submitted < time.Since(begin).Seconds()*float64(tasksPerS); submitted += fleetTasksPerJob {
+			for ; submitted < time.Since(begin).Seconds()*float64(tasksPerSecond); submitted += fleetTasksPerJob {
 				jobNumber++
 				submitFleetJob(m, jobNumber)
 			}
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -103,10 +103,10 @@
 
 // CloudAPI configures the access to the platform's list of workers.
 type CloudAPI struct {
-	Address  string        `property:"cloudApi.address" validate:"omitempty,hostname_port"`
-	RatePerS float64       `property:"cloudApi.ratePerS" default:"10" validate:"gt=0"` // calls per second of all nodes together
-	Duties   []string      `property:"cloudApi.duties"`
-	MaxLag   time.Duration `property:"cloudApi.maxLagMs" unit:"ms" default:"1000" validate:"gte=0"`
+	Address       string        `property:"cloudApi.address" validate:"omitempty,hostname_port"`
+	RatePerSecond float64       `property:"cloudApi.ratePerS" default:"10" validate:"gt=0"` // calls per second of all nodes together
+	Duties        []string      `property:"cloudApi.duties"`
+	MaxLag        time.Duration `property:"cloudApi.maxLagMs" unit:"ms" default:"1000" validate:"gte=0"`
 }
 
 // ServesTo reports whether the role serves a kind of external caller.
--- a/internal/systemtest/workers_test.go
+++ b/internal/systemtest/workers_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 	}
-	platform := s.cluster.AddPlatform(cluster.PlatformConfig{Lag: 200 * time.Millisecond, RatePerS: 30})
+	platform := s.cluster.AddPlatform(cluster.PlatformConfig{Lag: 200 * time.Millisecond, RatePerSecond: 30})
 	s.platform = &relay{
 		network: s.network, to: "platform", address: s.subnet + ".200:0", target: platform.Address(), caller: s.callerName,
 		onReply: s.recorder.recordInventory, rewrite: s.rewriteList,
--- a/internal/tools/demo/cluster/cluster.go
+++ b/internal/tools/demo/cluster/cluster.go
@@ -26,14 +26,14 @@
 
 // Options say what the demo does.
 type Options struct {
-	For       time.Duration // of the load
-	Every     time.Duration // between two lines of progress
-	Workers   int           // of each service
-	PerS      float64       // jobs handed in a second
-	Directory string        // for settings files and the coordinators' disks; it must be empty
-	Launcher  Launcher
-	Out       io.Writer // for the lines of progress
-	Log       io.Writer // for the logs of the processes
+	For           time.Duration // of the load
+	Every         time.Duration // between two lines of progress
+	Workers       int           // of each service
+	JobsPerSecond float64       // jobs handed in a second
+	Directory     string        // for settings files and the coordinators' disks; it must be empty
+	Launcher      Launcher
+	Out           io.Writer // for the lines of progress
+	Log           io.Writer // for the logs of the processes
 }
 
 // Process is a process of the system, or what acts as one.
@@ -57,8 +57,8 @@
 		return invalid("times must be above 0; give --for and --every as in 20s")
 	case o.Workers < 2 || o.Workers > 64:
 		return invalid("%d searchers: give 2 to 64, as one is killed on the way", o.Workers)
-	case o.PerS <= 0 || o.PerS > 200:
-		return invalid("%g jobs a second: give more than 0 and at most 200", o.PerS)
+	case o.JobsPerSecond <= 0 || o.JobsPerSecond > 200:
+		return invalid("%g jobs a second: give more than 0 and at most 200", o.JobsPerSecond)
 	}
 	return nil
 }
@@ -104,7 +104,7 @@
 	var watching, playing sync.WaitGroup
 	watching.Go(func() { d.showProgress(running) })
 	playing.Go(func() { d.injectFaults(ctx) })
-	d.load.run(loading, ctx, options.PerS)
+	d.load.run(loading, ctx, options.JobsPerSecond)
 	playing.Wait()
 	settled := d.load.wait(ctx, completionTimeout)
 	stop()
--- a/internal/tools/demo/cluster/summary_test.go
+++ b/internal/tools/demo/cluster/summary_test.go
@@ -88,10 +88,10 @@
 
 func TestOptions(t *testing.T) {
 	Convey("Options that cannot be meant are refused with a remedy", t, func() {
-		good := Options{For: time.Second, Every: time.Second, Workers: 3, PerS: 1}
+		good := Options{For: time.Second, Every: time.Second, Workers: 3, JobsPerSecond: 1}
 		So(good.Validate(), ShouldBeNil)
 		for _, spoil := range []func(o *Options){
-			func(o *Options) { o.For = 0 }, func(o *Options) { o.Every = -1 }, func(o *Options) { o.Workers = 1 }, func(o *Options) { o.PerS = 1e6 },
+			func(o *Options) { o.For = 0 }, func(o *Options) { o.Every = -1 }, func(o *Options) { o.Workers = 1 }, func(o *Options) { o.JobsPerSecond = 1e6 },
 		} {
 			bad := good
 			spoil(&bad)
--- a/internal/tools/demo/demo.go
+++ b/internal/tools/demo/demo.go
@@ -23,17 +23,17 @@
 
 // Options are what a demo is made of.
 type Options struct {
-	For         time.Duration // 0 for until it is ended
-	Aggregators int
-	Backends    int
-	PerS        float64       // queries
-	Service     time.Duration // mean time of a part
-	Directory   string        // where overrides are kept; "" for memory
-	JSON        bool          // the summary as JSON, and no table
-	Live        bool          // the table is drawn over itself
-	Every       time.Duration // between two tables
-	Out         io.Writer
-	Log         io.Writer // the aggregators' log; nil for none
+	For              time.Duration // 0 for until it is ended
+	Aggregators      int
+	Backends         int
+	QueriesPerSecond float64       // queries
+	Service          time.Duration // mean time of a part
+	Directory        string        // where overrides are kept; "" for memory
+	JSON             bool          // the summary as JSON, and no table
+	Live             bool          // the table is drawn over itself
+	Every            time.Duration // between two tables
+	Out              io.Writer
+	Log              io.Writer // the aggregators' log; nil for none
 }
 
 // Summary is what came of a demo.
@@ -72,9 +72,9 @@
 
 // Run runs a demo until its time is over or ctx ends. Its error says what could not be started, or that a query was lost.
 func Run(ctx context.Context, o Options) (sum Summary, err error) {
-	if o.Aggregators < 1 || o.Backends < 2 || o.Backends > 512 || !(o.PerS > 0) || o.Service <= 0 {
+	if o.Aggregators < 1 || o.Backends < 2 || o.Backends > 512 || !(o.QueriesPerSecond > 0) || o.Service <= 0 {
 		return sum, invalid("got %d mixers, %d searchers, %g lookups a second and a service time of %s; expected at least 1, 2 to 512, and more than none",
-			o.Aggregators, o.Backends, o.PerS, o.Service)
+			o.Aggregators, o.Backends, o.QueriesPerSecond, o.Service)
 	}
 	d := &demo{Options: o, site: site(o), last: map[string]int64{}}
 	defer d.close()
@@ -129,7 +129,7 @@
 	if d.Log != nil {
 		log = asynclog.New(zapcore.Lock(zapcore.AddSync(d.Log)))
 	}
-	d.load = &fakes.Load{Site: d.site, QueriesPerSecond: d.PerS, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 2 * time.Second},
+	d.load = &fakes.Load{Site: d.site, QueriesPerSecond: d.QueriesPerSecond, Mixes: []fakes.Mix{{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 2 * time.Second},
 		{Index: "orders", Share: 0.1, Subqueries: 2, Deadline: 2 * time.Second}}}
 	for i := range d.Aggregators {
 		n, address, err := d.aggregator(ctx, i, log)
@@ -165,7 +165,7 @@
 		return
 	}
 	fmt.Fprintf(d.Out, "%d mixers, %d searchers that hold %d shards, each at %d of them; %g lookups a second.\nFrom a second terminal:\n",
-		d.Aggregators, d.Backends, d.site.Shards, d.site.CellsPerShard, d.PerS)
+		d.Aggregators, d.Backends, d.site.Shards, d.site.CellsPerShard, d.QueriesPerSecond)
 	for _, s := range d.sockets {
 		fmt.Fprintf(d.Out, "  bin/puffinlink override set weight s-1 --weight 0.25 --for 1m --reason 'a try' --at %s\n", s)
 	}
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -48,8 +48,8 @@
 		queries = measuredQueries
 	}
 	sim := newSimulation(site, workload, seed)
-	sim.warm = max(warmUpQueries/workload.PerS, min(maxWarmUp, max(minWarmUp, warmUpCalls*float64(len(site.Backends))/(workload.PerS*workload.subqueries()))))
-	sim.end = sim.warm + min(maxDuration, max(minDuration, float64(queries)/workload.PerS))
+	sim.warm = max(warmUpQueries/workload.QueriesPerSecond, min(maxWarmUp, max(minWarmUp, warmUpCalls*float64(len(site.Backends))/(workload.QueriesPerSecond*workload.subqueries()))))
+	sim.end = sim.warm + min(maxDuration, max(minDuration, float64(queries)/workload.QueriesPerSecond))
 	sim.arrive()
 	longest := 0.0
 	for _, x := range site.Indexes {
@@ -135,7 +135,7 @@
 		sim.outcome.Queries[sim.workload.Mix[share].Index]++
 	}
 	sim.sendQuery(q)
-	sim.schedule(sim.now+sim.gap()/sim.workload.PerS, sim.arrive)
+	sim.schedule(sim.now+sim.gap()/sim.workload.QueriesPerSecond, sim.arrive)
 }
 
 // gap is the time between two queries against its mean.
@@ -318,6 +318,6 @@
 	for _, m := range sim.aggregators {
 		outcome.MaxPending, outcome.MaxInFlight = max(outcome.MaxPending, m.maxPending), max(outcome.MaxInFlight, m.maxInFlight)
 	}
-	outcome.Calls = subqueries / max(1, sim.workload.subqueries()*sim.workload.PerS*sim.end)
+	outcome.Calls = subqueries / max(1, sim.workload.subqueries()*sim.workload.QueriesPerSecond*sim.end)
 	return *outcome
 }
--- a/internal/tools/plan/plan.go
+++ b/internal/tools/plan/plan.go
@@ -69,11 +69,11 @@
 
 // BreakingLoad is where the goals break as a load grows.
 type BreakingLoad struct {
-	PerS     float64 `json:"PerS"`     // the most that keeps them, queries a second
-	Fails    float64 `json:"Fails"`    // the least that was seen to break them
-	Index    string  `json:"Index"`    // whose goal breaks first
-	First    Limit   `json:"First"`    // what was nearest its limit there
-	Searched int     `json:"Searched"` // emulations
+	QueriesPerSecond float64 `json:"PerS"`     // the most that keeps them, queries a second
+	Fails            float64 `json:"Fails"`    // the least that was seen to break them
+	Index            string  `json:"Index"`    // whose goal breaks first
+	First            Limit   `json:"First"`    // what was nearest its limit there
+	Searched         int     `json:"Searched"` // emulations
 }
 
 const (
@@ -93,13 +93,13 @@
 	}
 	var breaking BreakingLoad
 	low, high := 0.0, 0.0
-	rate := workload.PerS
+	rate := workload.QueriesPerSecond
 	for breaking.Searched < maxEmulations && (low == 0 || high == 0 || high/low > 1+bracketTolerance) {
 		breaking.Searched++
 		if progress != nil {
 			progress(breaking.Searched, maxEmulations)
 		}
-		scaled := workload.Scaled(rate / workload.PerS)
+		scaled := workload.Scaled(rate / workload.QueriesPerSecond)
 		outcome := Emulate(site, &scaled, seed, 0)
 		ok, index := outcome.MeetsGoals(site)
 		if ok && outcome.Use[outcome.Hottest] > maxUtilization {
@@ -122,7 +122,7 @@
 			rate = math.Sqrt(low * high)
 		}
 	}
-	breaking.PerS, breaking.Fails = low, high
+	breaking.QueriesPerSecond, breaking.Fails = low, high
 	if low == 0 {
 		return breaking, wrong("the goals of %s are not kept at any load that was tried, down to %.3g lookups a second: they ask for more than the fleet's work and network allow", breaking.Index, high)
 	}
@@ -166,17 +166,17 @@
 	for share := 1.0; share > 0.1; share -= 0.1 {
 		scaled := workload.Scaled(share)
 		sim := newSimulation(site, &scaled, seed)
-		usual := scaled.PerS
+		usual := scaled.QueriesPerSecond
 		sim.warm = maxWarmUp + burstDuration*2
 		sim.end = sim.warm + max(3*minDuration, measuredQueries/usual)
-		sim.schedule(maxWarmUp, func() { scaled.PerS = burst * workload.PerS })
-		sim.schedule(maxWarmUp+burstDuration, func() { scaled.PerS = usual })
+		sim.schedule(maxWarmUp, func() { scaled.QueriesPerSecond = burst * workload.QueriesPerSecond })
+		sim.schedule(maxWarmUp+burstDuration, func() { scaled.QueriesPerSecond = usual })
 		sim.arrive()
 		for len(sim.pending) > 0 && sim.pending[0].at < sim.end+10 {
 			sim.runNextEvent()
 		}
 		if o := sim.summarize(); first(o.MeetsGoals(site)) {
-			return share == 1, share * workload.PerS
+			return share == 1, share * workload.QueriesPerSecond
 		}
 	}
 	return false, 0
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -23,7 +23,7 @@
 }
 
 func testWorkload(perS float64, subqueries int) Workload {
-	return Workload{PerS: perS, Mix: []Share{{0, 1, subqueries}}}
+	return Workload{QueriesPerSecond: perS, Mix: []Share{{0, 1, subqueries}}}
 }
 
 func TestCheckReportsMistakes(t *testing.T) {
@@ -111,15 +111,15 @@
 		t.Fatal(err)
 	}
 	bears := 4 * 2 / 0.01 / 2.0 // 400 queries a second
-	if b.PerS < 0.5*bears || b.PerS > 1.05*bears || b.Fails/b.PerS > 1+bracketTolerance+0.01 || b.Index == "" || b.First.What != "cores" {
+	if b.QueriesPerSecond < 0.5*bears || b.QueriesPerSecond > 1.05*bears || b.Fails/b.QueriesPerSecond > 1+bracketTolerance+0.01 || b.Index == "" || b.First.What != "cores" {
 		t.Fatalf("breaks at %+v, cores bear %g", b, bears)
 	}
 	if raceflag.On { // the race detector has nothing to find where there is no goroutine
 		return
 	}
 	larger := testSite(4, 4)
-	if more, err := FindBreakingLoad(&larger, &a, 1, nil); err != nil || more.PerS < 1.6*b.PerS {
-		t.Fatalf("twice the cores break at %g against %g, %v", more.PerS, b.PerS, err)
+	if more, err := FindBreakingLoad(&larger, &a, 1, nil); err != nil || more.QueriesPerSecond < 1.6*b.QueriesPerSecond {
+		t.Fatalf("twice the cores break at %g against %g, %v", more.QueriesPerSecond, b.QueriesPerSecond, err)
 	}
 	site.Indexes[0].Goal = 0
 	if _, err := FindBreakingLoad(&site, &a, 1, nil); err == nil {
@@ -279,7 +279,7 @@
 func TestRecovery(t *testing.T) {
 	site, a := testSite(4, 2), testWorkload(100, 2) // its cores bear 400
 	site.Retries, site.Backoff = 2, 0.05
-	if recovers, leave := Recovers(&site, &a, 3, 1); !recovers || leave != a.PerS {
+	if recovers, leave := Recovers(&site, &a, 3, 1); !recovers || leave != a.QueriesPerSecond {
 		t.Errorf("a quarter of what the cores bear: %t, leave at %g", recovers, leave)
 	}
 	if raceflag.On {
--- a/internal/tools/plan/site.go
+++ b/internal/tools/plan/site.go
@@ -172,10 +172,10 @@
 
 // Workload is a steady load.
 type Workload struct {
-	PerS    float64 // queries
-	Mix     []Share
-	Popular []float64 // share of parts by shard; nil for all alike
-	Bursts  float64   // squared coefficient of variation of the time between two queries, 1 for chance alone
+	QueriesPerSecond float64 // queries
+	Mix              []Share
+	Popular          []float64 // share of parts by shard; nil for all alike
+	Bursts           float64   // squared coefficient of variation of the time between two queries, 1 for chance alone
 }
 
 // Share is one kind of query in it.
@@ -187,8 +187,8 @@
 
 // Check tells what of a load does not fit a fleet.
 func (a *Workload) Check(site *Site) error {
-	if !(a.PerS > 0) || len(a.Mix) == 0 {
-		return wrong("%g lookups a second of %d kinds: expected more than none", a.PerS, len(a.Mix))
+	if !(a.QueriesPerSecond > 0) || len(a.Mix) == 0 {
+		return wrong("%g lookups a second of %d kinds: expected more than none", a.QueriesPerSecond, len(a.Mix))
 	}
 	for _, m := range a.Mix {
 		if m.Index < 0 || m.Index >= len(site.Indexes) || !(m.Fraction > 0) || m.Subqueries < 1 || m.Subqueries > site.Shards {
@@ -211,6 +211,6 @@
 
 // Scaled is the load at another rate.
 func (a Workload) Scaled(times float64) Workload {
-	a.PerS *= times
+	a.QueriesPerSecond *= times
 	return a
 }
--- a/internal/tools/planfile/planfile.go
+++ b/internal/tools/planfile/planfile.go
@@ -199,7 +199,7 @@
 	if queries <= 0 {
 		return workload, notes, wrong("the capture holds no lookups")
 	}
-	workload.PerS = queries / interval.Span
+	workload.QueriesPerSecond = queries / interval.Span
 	for index := range site.Indexes {
 		if totals := byIndex[index]; totals[0] > 0 {
 			workload.Mix = append(workload.Mix, plan.Share{Index: index, Fraction: totals[0] / queries, Subqueries: max(1, int(totals[1]/totals[0]+0.5))})
--- a/internal/tools/planfile/planfile_test.go
+++ b/internal/tools/planfile/planfile_test.go
@@ -46,10 +46,10 @@
 		t.Fatal(err)
 	}
 	a, notes, err := Workload(&f, c, &sum, false)
-	if err != nil || len(notes) > 0 || a.PerS < 59 || a.PerS > 61 || a.Mix[0].Subqueries != 3 || a.Popular[0] <= a.Popular[7] {
+	if err != nil || len(notes) > 0 || a.QueriesPerSecond < 59 || a.QueriesPerSecond > 61 || a.Mix[0].Subqueries != 3 || a.Popular[0] <= a.Popular[7] {
 		t.Fatalf("got %+v, %v, %v", a, notes, err)
 	}
-	if a, _, err = Workload(&f, c, &sum, true); err != nil || a.PerS < 26 || a.PerS > 27.5 {
+	if a, _, err = Workload(&f, c, &sum, true); err != nil || a.QueriesPerSecond < 26 || a.QueriesPerSecond > 27.5 {
 		t.Fatalf("in the mean %+v, %v", a, err)
 	}
 	holed := capture.Capture{Intervals: append(c.Intervals[:1:1], c.Intervals[3:]...)}
--- a/internal/tools/validate/validate.go
+++ b/internal/tools/validate/validate.go
@@ -65,58 +65,58 @@
 		list = append(list, scenario)
 	}
 	// Six backends of four cores and 10 ms a part bear 2,400 parts a second: some 630 queries of 3.8 parts.
-	add("low load", func(s *Scenario) { s.Workload.PerS = 60 })
-	add("half load", func(s *Scenario) { s.Workload.PerS = 310 })
-	add("high load", func(s *Scenario) { s.Workload.PerS = 500 })
-	add("many parts", func(s *Scenario) { s.Workload.PerS = 150; s.Workload.Mix[0].Subqueries = 10 })
+	add("low load", func(s *Scenario) { s.Workload.QueriesPerSecond = 60 })
+	add("half load", func(s *Scenario) { s.Workload.QueriesPerSecond = 310 })
+	add("high load", func(s *Scenario) { s.Workload.QueriesPerSecond = 500 })
+	add("many parts", func(s *Scenario) { s.Workload.QueriesPerSecond = 150; s.Workload.Mix[0].Subqueries = 10 })
 	add("popular shards", func(s *Scenario) {
-		s.Workload.PerS = 250
+		s.Workload.QueriesPerSecond = 250
 		s.Workload.Popular = make([]float64, 12)
 		for i := range s.Workload.Popular {
 			s.Workload.Popular[i] = 1 / float64(i+1)
 		}
 	})
-	add("all twice as slow", func(s *Scenario) { s.Site = s.Site.Slower(2); s.Workload.PerS = 200 })
+	add("all twice as slow", func(s *Scenario) { s.Site = s.Site.Slower(2); s.Workload.QueriesPerSecond = 200 })
 	add("once-only alone", func(s *Scenario) {
 		s.Workload.Mix = s.Workload.Mix[1:]
 		s.Workload.Mix[0].Fraction = 1
-		s.Workload.PerS = 400
+		s.Workload.QueriesPerSecond = 400
 	})
 	add("a location lost", func(s *Scenario) {
 		s.Site, _ = s.Site.Without("south")
-		s.Workload.PerS = 150
+		s.Workload.QueriesPerSecond = 150
 	})
 	add("high load, popular shards", func(s *Scenario) {
-		s.Workload.PerS = 330
+		s.Workload.QueriesPerSecond = 330
 		s.Workload.Popular = make([]float64, 12)
 		for i := range s.Workload.Popular {
 			s.Workload.Popular[i] = 1 / math.Sqrt(float64(i+1))
 		}
 	})
 	add("one part", func(s *Scenario) {
-		s.Workload.PerS = 1200
+		s.Workload.QueriesPerSecond = 1200
 		s.Workload.Mix = s.Workload.Mix[:1]
 		s.Workload.Mix[0] = plan.Share{Index: 0, Fraction: 1, Subqueries: 1}
 	})
 	add("every shard", func(s *Scenario) {
-		s.Workload.PerS = 110
+		s.Workload.QueriesPerSecond = 110
 		s.Workload.Mix = s.Workload.Mix[:1]
 		s.Workload.Mix[0] = plan.Share{Index: 0, Fraction: 1, Subqueries: 12}
 	})
-	add("four mixers", func(s *Scenario) { s.Workload.PerS = 400; s.Site.Aggregators = 4 })
+	add("four mixers", func(s *Scenario) { s.Workload.QueriesPerSecond = 400; s.Site.Aggregators = 4 })
 	add("a location lost under load", func(s *Scenario) {
 		s.Site, _ = s.Site.Without("south")
-		s.Workload.PerS = 260
+		s.Workload.QueriesPerSecond = 260
 	})
 	add("a location lost with both copies", func(s *Scenario) {
 		for i := range s.Site.Backends { // cells 0 to 2 stand in north: shards 0 and 1 have both copies there
 			s.Site.Backends[i].Location = s.Site.Locations[i/3]
 		}
 		s.Site, _ = s.Site.Without("north")
-		s.Workload.PerS = 60
+		s.Workload.QueriesPerSecond = 60
 	})
-	add("too much", func(s *Scenario) { s.Workload.PerS = 850 })
-	add("too much, clients come back", func(s *Scenario) { s.Workload.PerS = 750; s.Site.Retries, s.Site.Backoff = 2, 0.1 })
+	add("too much", func(s *Scenario) { s.Workload.QueriesPerSecond = 850 })
+	add("too much, clients come back", func(s *Scenario) { s.Workload.QueriesPerSecond = 750; s.Site.Retries, s.Site.Backoff = 2, 0.1 })
 	return append(list, drawnScenarios(blind, seed, seconds)...)
 }
 
@@ -128,7 +128,7 @@
 	for i := range 6 {
 		site.Backends = append(site.Backends, plan.Backend{Name: fmt.Sprint("s-", i+1), Location: site.Locations[i%2], Cell: i, Cores: 4, Speed: 1, Price: 1})
 	}
-	return Scenario{Name: name, Site: site, Workload: plan.Workload{PerS: 100, Mix: []plan.Share{{Index: 0, Fraction: 0.9, Subqueries: 4}, {Index: 1, Fraction: 0.1, Subqueries: 2}}}, Seconds: seconds}
+	return Scenario{Name: name, Site: site, Workload: plan.Workload{QueriesPerSecond: 100, Mix: []plan.Share{{Index: 0, Fraction: 0.9, Subqueries: 4}, {Index: 1, Fraction: 0.1, Subqueries: 2}}}, Seconds: seconds}
 }
 
 // drawnScenarios are so many that a seed draws.
@@ -153,7 +153,7 @@
 		}
 		s.Workload.Mix[0].Subqueries = parts
 		subqueriesPerQuery := 0.9*float64(parts) + 0.1*2
-		s.Workload.PerS = (0.1 + 0.7*unit()) * float64(6*cores) / work / subqueriesPerQuery
+		s.Workload.QueriesPerSecond = (0.1 + 0.7*unit()) * float64(6*cores) / work / subqueriesPerQuery
 		list = append(list, s)
 	}
 	return list
@@ -241,7 +241,7 @@
 		defer backend.Kill()
 		register.Set(backend.Entry("SERVING", true))
 	}
-	load := &fakes.Load{Site: site, QueriesPerSecond: scenario.Workload.PerS, ShardWeights: scenario.Workload.Popular, Retries: scenario.Site.Retries, MinBackoff: time.Duration(scenario.Site.Backoff * float64(time.Second))}
+	load := &fakes.Load{Site: site, QueriesPerSecond: scenario.Workload.QueriesPerSecond, ShardWeights: scenario.Workload.Popular, Retries: scenario.Site.Retries, MinBackoff: time.Duration(scenario.Site.Backoff * float64(time.Second))}
 	for _, mix := range scenario.Workload.Mix {
 		index := scenario.Site.Indexes[mix.Index]
 		load.Mixes = append(load.Mixes, fakes.Mix{Index: index.Name, Share: mix.Fraction, Subqueries: mix.Subqueries, Deadline: time.Duration(index.Hard * float64(time.Second)),
--- a/internal/tools/validate/validate_test.go
+++ b/internal/tools/validate/validate_test.go
@@ -59,11 +59,11 @@
 		if err := s.Workload.Check(&s.Site); err != nil {
 			t.Errorf("%s: %v", s.Name, err)
 		}
-		if s.Workload.PerS != two[i].Workload.PerS || s.Blind != strings.HasPrefix(s.Name, "drawn") {
+		if s.Workload.QueriesPerSecond != two[i].Workload.QueriesPerSecond || s.Blind != strings.HasPrefix(s.Name, "drawn") {
 			t.Errorf("%s is not what its seed says", s.Name)
 		}
 	}
-	if other := Scenarios(8, 6, 1); other[20].Workload.PerS == one[20].Workload.PerS {
+	if other := Scenarios(8, 6, 1); other[20].Workload.QueriesPerSecond == one[20].Workload.QueriesPerSecond {
 		t.Error("another seed draws the same")
 	}
 }
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -103,7 +103,7 @@
 	if int(id) >= len(a.customers) {
 		return false
 	}
-	bucket, rate := &a.customers[id], a.settings.Customers[id].QuotaPerS/float64(a.settings.Aggregators)
+	bucket, rate := &a.customers[id], a.settings.Customers[id].QuotaPerSecond/float64(a.settings.Aggregators)
 	bucket.tokens, bucket.at = min(max(1, rate*seconds), bucket.tokens+(a.now-bucket.at)*rate), a.now
 	if bucket.tokens < 1 {
 		return true
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -40,7 +40,7 @@
 
 // CustomerSettings describe one customer's share of the service.
 type CustomerSettings struct {
-	Share, QuotaPerS float64
+	Share, QuotaPerSecond float64
 }
 
 // Layout describes which backends hold a shard: those of the cells shard, shard+1, ... shard+Width-1, modulo Cells.
