--- a/cmd/puffinlink/captureshow.go
+++ b/cmd/puffinlink/captureshow.go
@@ -37,7 +37,7 @@
 	format := func(v int64) string { return strconv.FormatInt(v, 10) }
 	for _, load := range summary.Loads {
 		rows = append(rows, []string{load.Index, load.Customer, format(load.Queries), fmt.Sprintf("%.1f", float64(load.Queries)/summary.Span), fmt.Sprintf("%.1f", float64(load.Parts)/max(1, float64(load.Queries))),
-			format(load.Resent), format(load.Ends.Satisfied), format(load.Ends.Late), format(load.Ends.Nacked), format(load.Ends.Aborted), format(load.Ends.Disconnected), format(load.Ends.Full)})
+			format(load.Resent), format(load.Ends.Satisfied), format(load.Ends.Late), format(load.Ends.Rejected), format(load.Ends.Aborted), format(load.Ends.Disconnected), format(load.Ends.Full)})
 	}
 	writeTableWithHeader(stdout, "INDEX CUSTOMER LOOKUPS A-SECOND PARTS RESENT SATISFIED LATE NACKED ABORTED GONE FULL", rows)
 	rows = rows[:0]
--- a/internal/dataplane/aggregator/queries.go
+++ b/internal/dataplane/aggregator/queries.go
@@ -78,7 +78,7 @@
 }
 
 // captureEnds maps the ends of queries that the policy has ended to those of the capture.
-var captureEnds = [...]capture.End{Satisfied: capture.Answered, Rejected: capture.Nacked, Aborted: capture.Aborted}
+var captureEnds = [...]capture.End{Satisfied: capture.Answered, Rejected: capture.Rejected, Aborted: capture.Aborted}
 
 // isOpen reports whether a query is pending: it was passed to the policy and has neither a final reply nor a disconnected
 // client.
--- a/internal/dataplane/discovery/discovery.go
+++ b/internal/dataplane/discovery/discovery.go
@@ -217,6 +217,6 @@
 
 // olderThan reports whether the complete list in the message is older than a version.
 func (msg *message) olderThan(version int64) bool {
-	var p page
+	var p listMessage
 	return msg.err == nil && json.Unmarshal(msg.line, &p) == nil && p.Version != nil && *p.Version < version
 }
--- a/internal/dataplane/discovery/list.go
+++ b/internal/dataplane/discovery/list.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// page is the registry's JSON of a list, which is complete or a patch.
-type page struct {
+// listMessage is the registry's JSON of a list, which is complete or a patch.
+type listMessage struct {
 	Version   *int64  `json:"generation"`
 	Complete  bool    `json:"reset"`
 	Instances []entry `json:"instances"`
@@ -60,7 +60,7 @@
 // applyList parses a list and passes it to the listener, completely or not at all, because a partial list would be worse than
 // the previous one.
 func (r *Client) applyList(line []byte, initial bool) error {
-	var list page
+	var list listMessage
 	if err := json.Unmarshal(line, &list); err != nil {
 		return err
 	}
--- a/internal/dataplane/discovery/wire_test.go
+++ b/internal/dataplane/discovery/wire_test.go
@@ -10,6 +10,6 @@
 func TestEncodedFormsMatchGoldenFiles(t *testing.T) {
 	goldentest.Check(t, goldentest.JSON,
 		goldentest.Form{Name: "entry", Value: new(entry)},
-		goldentest.Form{Name: "page", Value: new(page)},
+		goldentest.Form{Name: "page", Value: new(listMessage)},
 	)
 }
--- a/internal/dataplane/node/faults_test.go
+++ b/internal/dataplane/node/faults_test.go
@@ -22,8 +22,8 @@
 	"puffinlink.example/puffinlink/internal/operators/operatorfile"
 )
 
-// TestMain fails if a goroutine of an aggregator outlives the tests. Goroutines of fake backends are ignored, as they finish work
-// that they have started.
+// TestMain fails if a goroutine of an aggregator outlives the tests. Goroutines of fake backends are ignored, as they finish the
+// subqueries that they execute.
 func TestMain(m *testing.M) {
 	leaktest.Main(m, goleak.IgnoreAnyFunction("puffinlink.example/puffinlink/internal/fakes.(*Backend).execute"))
 }
--- a/internal/fakes/backend.go
+++ b/internal/fakes/backend.go
@@ -255,6 +255,7 @@
 	return true
 }
 
+// execute executes a subquery, unless it was canceled before, and answers it, unless the backend is unresponsive.
 func (s *Backend) execute(conn *connection, id, query string, canceled *sync.Map) {
 	defer s.inFlight.Add(-1)
 	s.slots <- struct{}{}
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -149,7 +149,7 @@
 // Outcomes of a query.
 const (
 	Answered End = iota
-	Nacked
+	Rejected
 	Aborted
 	Disconnected
 	Full // rejected, because the aggregator held its maximum number of queries
@@ -166,8 +166,8 @@
 			e.Late++
 		}
 		rec.latency[k].Add(elapsed, 1)
-	case Nacked:
-		e.Nacked++
+	case Rejected:
+		e.Rejected++
 	case Aborted:
 		e.Aborted++
 	case Disconnected:
--- a/internal/operators/capture/capture_test.go
+++ b/internal/operators/capture/capture_test.go
@@ -63,7 +63,7 @@
 		for _, l := range i.Loads {
 			queries, parts = queries+l.Queries, parts+l.Parts
 			e := l.Ends
-			ends += e.Satisfied + e.Late + e.Nacked + e.Aborted + e.Disconnected
+			ends += e.Satisfied + e.Late + e.Rejected + e.Aborted + e.Disconnected
 		}
 		for _, s := range i.Backends {
 			calls += s.Calls
--- a/internal/operators/capture/load.go
+++ b/internal/operators/capture/load.go
@@ -9,7 +9,7 @@
 type Ends struct {
 	Satisfied    int64 `json:"Satisfied"` // within the soft deadline
 	Late         int64 `json:"Late"`      // answered after it
-	Nacked       int64 `json:"Nacked"`
+	Rejected     int64 `json:"Nacked"`
 	Aborted      int64 `json:"Aborted"`
 	Disconnected int64 `json:"Gone"` // the client closed the connection
 	Full         int64 `json:"Full"` // rejected, because the aggregator held its maximum number of queries
@@ -18,7 +18,7 @@
 func (e *Ends) add(o Ends) {
 	e.Satisfied += o.Satisfied
 	e.Late += o.Late
-	e.Nacked += o.Nacked
+	e.Rejected += o.Rejected
 	e.Aborted += o.Aborted
 	e.Disconnected += o.Disconnected
 	e.Full += o.Full
--- a/internal/operators/capture/stored_test.go
+++ b/internal/operators/capture/stored_test.go
@@ -29,7 +29,7 @@
 			At: 1000.5, Span: 2.5, Aggregators: []string{"n1", "n2"},
 			Loads: []Load{
 				{Index: "orders", Customer: "acme", Queries: 11, Resent: 2, Parts: 33, Hint: 0.75,
-					Ends: Ends{Satisfied: 1, Late: 2, Nacked: 3, Aborted: 4, Disconnected: 5, Full: 6}},
+					Ends: Ends{Satisfied: 1, Late: 2, Rejected: 3, Aborted: 4, Disconnected: 5, Full: 6}},
 				{Index: "reads", Queries: 1},
 			},
 			Indexes: []IndexLoad{{Index: "orders", Parts: map[int]int64{1: 4, 3: 7}, Latency: newTestHistogram(map[float64]int64{0.01: 3, 0.5: 1})}},
--- a/internal/operators/operatorfile/keys.go
+++ b/internal/operators/operatorfile/keys.go
@@ -21,9 +21,9 @@
 }
 
 // shortString returns a setter for a string of 1 to 64 bytes.
-func shortString(to func(*File) *string) func(*File, hujson.Literal) error {
+func shortString(field func(*File) *string) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
-		if *to(f) = l.String(); l.String() == "" || len(l.String()) > 64 {
+		if *field(f) = l.String(); l.String() == "" || len(l.String()) > 64 {
 			return invalid("has %d bytes, expected 1 to 64", len(l.String()))
 		}
 		return nil
@@ -31,9 +31,9 @@
 }
 
 // shortStrings returns a setter that appends a string of 1 to 64 bytes to a list. It rejects duplicates.
-func shortStrings(to func(*File) *[]string) func(*File, hujson.Literal) error {
+func shortStrings(field func(*File) *[]string) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
-		list := to(f)
+		list := field(f)
 		if l.String() == "" || len(l.String()) > 64 {
 			return invalid("has a string of %d bytes, expected 1 to 64", len(l.String()))
 		}
@@ -46,54 +46,54 @@
 }
 
 // boolean returns a setter for true or false.
-func boolean(to func(*File) *bool) func(*File, hujson.Literal) error {
-	return func(f *File, l hujson.Literal) error { *to(f) = l.Bool(); return nil }
+func boolean(field func(*File) *bool) func(*File, hujson.Literal) error {
+	return func(f *File, l hujson.Literal) error { *field(f) = l.Bool(); return nil }
 }
 
 // lastElement returns a pointer to the last element of a list.
 func lastElement[T any](list []T) *T { return &list[len(list)-1] }
 
 // numberInRange returns a setter for a number from low to high.
-func numberInRange(to func(*File) *float64, low, high float64) func(*File, hujson.Literal) error {
+func numberInRange(field func(*File) *float64, low, high float64) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		v := l.Float()
 		if !(v >= low && v <= high) {
 			return invalid("is %g, expected %g to %g", v, low, high)
 		}
-		*to(f) = v
+		*field(f) = v
 		return nil
 	}
 }
 
 // convertedNumber returns a setter for a number from low to high that is stored in another unit.
-func convertedNumber(to func(*File, float64), low, high float64) func(*File, hujson.Literal) error {
+func convertedNumber(store func(*File, float64), low, high float64) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		var v float64
 		err := numberInRange(func(*File) *float64 { return &v }, low, high)(f, l)
-		to(f, v)
+		store(f, v)
 		return err
 	}
 }
 
-// wholeNumber returns a setter for a whole number from 1 to high.
-func wholeNumber(to func(*File) *int, high int) func(*File, hujson.Literal) error {
+// positiveInteger returns a setter for a whole number from 1 to high.
+func positiveInteger(field func(*File) *int, high int) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		v := l.Float()
 		if v != float64(int(v)) || int(v) < 1 || int(v) > high {
 			return invalid("is %s, expected a whole number from 1 to %d", l, high)
 		}
-		*to(f) = int(v)
+		*field(f) = int(v)
 		return nil
 	}
 }
 
 // absolutePath returns a setter for an absolute path.
-func absolutePath(to func(*File) *string) func(*File, hujson.Literal) error {
+func absolutePath(field func(*File) *string) func(*File, hujson.Literal) error {
 	return func(f *File, l hujson.Literal) error {
 		if !strings.HasPrefix(l.String(), "/") {
 			return invalid("is %q, expected a path from the root", l.String())
 		}
-		*to(f) = l.String()
+		*field(f) = l.String()
 		return nil
 	}
 }
@@ -106,8 +106,8 @@
 	{name: "overrides", kind: kindObject, onBegin: func(f *File, _ int) { f.Overrides.On = true }, children: []keySpec{
 		{name: "directory", kind: kindString, set: absolutePath(func(f *File) *string { return &f.Overrides.Directory })},
 		{name: "most_hours", kind: kindNumber, set: convertedNumber(func(f *File, v float64) { f.Overrides.Limits.MaxDuration = 3600 * v }, 0.01, maxOverrideHours)},
-		{name: "most", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Overrides.Limits.MaxOverrides }, maxOverrideCount)},
-		{name: "most_pinned_shards", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Overrides.Limits.MaxPins }, 10*maxOverrideCount)},
+		{name: "most", kind: kindNumber, set: positiveInteger(func(f *File) *int { return &f.Overrides.Limits.MaxOverrides }, maxOverrideCount)},
+		{name: "most_pinned_shards", kind: kindNumber, set: positiveInteger(func(f *File) *int { return &f.Overrides.Limits.MaxPins }, 10*maxOverrideCount)},
 		{name: "shard_share", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Overrides.Limits.MaxShardLoss }, 0, 1)},
 		{name: "location_share", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Overrides.Limits.MaxLocationLoss }, 0, 1)},
 		{name: "ramp_s", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Overrides.Limits.SlowStart }, 1, maxRampSeconds)},
@@ -123,7 +123,7 @@
 		{name: "key_file", kind: kindString, set: absolutePath(func(f *File) *string { return &f.Fleet.KeyFile })},
 		{name: "directory", kind: kindString, set: absolutePath(func(f *File) *string { return &f.Fleet.Directory })},
 		{name: "lease_s", kind: kindNumber, set: numberInRange(func(f *File) *float64 { return &f.Fleet.Lease }, minLeaseSeconds, maxLeaseSeconds)},
-		{name: "version", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Fleet.Version }, 1<<30)},
+		{name: "version", kind: kindNumber, set: positiveInteger(func(f *File) *int { return &f.Fleet.Version }, 1<<30)},
 		{name: "mixers", kind: kindObjectList, onBegin: func(f *File, _ int) { f.Fleet.Aggregators = append(f.Fleet.Aggregators, Aggregator{}) }, children: []keySpec{
 			{name: "name", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Fleet.Aggregators).Name })},
 			{name: "address", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Fleet.Aggregators).Address })},
@@ -132,7 +132,7 @@
 		}},
 	}},
 	{name: "quotas", kind: kindObject, onBegin: func(f *File, line int) { f.Quotas.On, f.Quotas.Line = true, line }, children: []keySpec{
-		{name: "version", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Quotas.Version }, 1<<30)},
+		{name: "version", kind: kindNumber, set: positiveInteger(func(f *File) *int { return &f.Quotas.Version }, 1<<30)},
 		{name: "tenants", kind: kindObjectList, onBegin: func(f *File, line int) {
 			f.Quotas.Tenants = append(f.Quotas.Tenants, Quota{Line: line, MinimumShare: defaultMinimumShare})
 		}, children: []keySpec{
@@ -143,7 +143,7 @@
 		}},
 	}},
 	{name: "contracts", kind: kindObject, onBegin: func(f *File, line int) { f.Contracts.On, f.Contracts.Line = true, line }, children: []keySpec{
-		{name: "version", kind: kindNumber, set: wholeNumber(func(f *File) *int { return &f.Contracts.Version }, 1<<30)},
+		{name: "version", kind: kindNumber, set: positiveInteger(func(f *File) *int { return &f.Contracts.Version }, 1<<30)},
 		{name: "strict", kind: kindStringList, set: shortStrings(func(f *File) *[]string { return &f.Contracts.Strict })},
 		{name: "tenants", kind: kindObjectList, onBegin: func(f *File, line int) { f.Contracts.Tenants = append(f.Contracts.Tenants, Contract{Line: line}) }, children: []keySpec{
 			{name: "tenant", kind: kindString, set: shortString(func(f *File) *string { return &lastElement(f.Contracts.Tenants).Tenant })},
--- a/internal/operators/operatorfile/parse.go
+++ b/internal/operators/operatorfile/parse.go
@@ -11,13 +11,13 @@
 )
 
 // Parse parses and validates the text of a file. Its error has a line "LINE: MISTAKE" for each mistake.
-func Parse(in []byte) (File, error) {
+func Parse(text []byte) (File, error) {
 	f := Defaults()
-	root, err := hujson.Parse(in)
+	root, err := hujson.Parse(text)
 	if err != nil {
 		return f, ValidationError(strings.TrimPrefix(err.Error(), "hujson: "))
 	}
-	r := parser{text: in, file: &f}
+	r := parser{text: text, file: &f}
 	r.parseObject("", root, fileKeys)
 	if len(r.mistakes) == 0 {
 		r.checkFile(root)
@@ -52,23 +52,23 @@
 
 // checkFile checks the rules that relate several keys.
 func (r *parser) checkFile(root hujson.Value) {
-	o := &r.file.Operators
+	operators := &r.file.Operators
 	offset := root.StartOffset
 	if v := root.Find("/operators"); v != nil {
 		offset = v.StartOffset
 	}
-	if !strings.HasPrefix(o.Listen, "unix:") && o.Listen != "" && len(o.Tokens) == 0 {
+	if !strings.HasPrefix(operators.Listen, "unix:") && operators.Listen != "" && len(operators.Tokens) == 0 {
 		r.report(offset, "operators.listen is an address that every user of the machine reaches: expected tokens beside it")
 	}
-	if len(o.Tokens) > 0 && o.KeyFile == "" {
+	if len(operators.Tokens) > 0 && operators.KeyFile == "" {
 		r.report(offset, "operators.tokens: expected operators.key_file beside them, for their hashes")
 	}
-	if o.Listen == "" && (len(o.Tokens) > 0 || o.KeyFile != "") {
+	if operators.Listen == "" && (len(operators.Tokens) > 0 || operators.KeyFile != "") {
 		r.report(offset, "operators: expected listen, without which nothing else there counts")
 	}
 	r.checkFleet()
 	seen := map[string]bool{}
-	for _, t := range o.Tokens {
+	for _, t := range operators.Tokens {
 		if seen[t.Name] {
 			r.report(offset, "operators.tokens: two are named %q", t.Name)
 		}
@@ -108,60 +108,60 @@
 }
 
 // parseObject parses the members of an object. The parent is the full name of the object, "" for the file.
-func (r *parser) parseObject(parent string, v hujson.Value, known []keySpec) {
-	o, isObject := v.Value.(*hujson.Object)
+func (r *parser) parseObject(parent string, value hujson.Value, known []keySpec) {
+	object, isObject := value.Value.(*hujson.Object)
 	if !isObject {
-		r.report(v.StartOffset, "%s is %.40s, expected an object", cmp.Or(parent, "the file"), v.Pack())
+		r.report(value.StartOffset, "%s is %.40s, expected an object", cmp.Or(parent, "the file"), value.Pack())
 		return
 	}
 	seen := map[string]bool{}
-	for _, m := range o.Members {
-		name := literal(m.Name).String()
+	for _, member := range object.Members {
+		name := literal(member.Name).String()
 		fullName := strings.TrimPrefix(parent+"."+name, ".")
 		i := slices.IndexFunc(known, func(k keySpec) bool { return k.name == name })
 		switch {
 		case i < 0:
-			r.report(m.Name.StartOffset, "%s is not known, the nearest key is %s", fullName, nearest(name, known))
+			r.report(member.Name.StartOffset, "%s is not known, the nearest key is %s", fullName, nearest(name, known))
 		case seen[name]:
-			r.report(m.Name.StartOffset, "%s is stated twice", fullName)
-		case !hasKind(m.Value, known[i].kind):
-			r.report(m.Value.StartOffset, "%s is %.40s, expected %s", fullName, compactText(m.Value), known[i].kind)
+			r.report(member.Name.StartOffset, "%s is stated twice", fullName)
+		case !hasKind(member.Value, known[i].kind):
+			r.report(member.Value.StartOffset, "%s is %.40s, expected %s", fullName, compactText(member.Value), known[i].kind)
 		default:
-			r.parseValue(fullName, m.Value, &known[i])
+			r.parseValue(fullName, member.Value, &known[i])
 		}
 		seen[name] = true
 	}
 }
 
 // compactText returns the text of a value without the white space and comments around it.
-func compactText(v hujson.Value) string {
-	v = v.Clone()
-	v.BeforeExtra, v.AfterExtra = nil, nil
-	return string(v.Pack())
+func compactText(value hujson.Value) string {
+	value = value.Clone()
+	value.BeforeExtra, value.AfterExtra = nil, nil
+	return string(value.Pack())
 }
 
 // parseValue parses the value of a key. The caller has checked its kind.
-func (r *parser) parseValue(fullName string, v hujson.Value, k *keySpec) {
-	switch k.kind {
+func (r *parser) parseValue(fullName string, value hujson.Value, spec *keySpec) {
+	switch spec.kind {
 	case kindObject:
-		if k.onBegin != nil {
-			k.onBegin(r.file, r.line(v.StartOffset))
+		if spec.onBegin != nil {
+			spec.onBegin(r.file, r.line(value.StartOffset))
 		}
-		r.parseObject(fullName, v, k.children)
+		r.parseObject(fullName, value, spec.children)
 	case kindObjectList:
-		for i, e := range elements(v) {
-			k.onBegin(r.file, r.line(e.StartOffset))
-			r.parseObject(fmt.Sprintf("%s[%d]", fullName, i), e, k.children)
+		for i, e := range elements(value) {
+			spec.onBegin(r.file, r.line(e.StartOffset))
+			r.parseObject(fmt.Sprintf("%s[%d]", fullName, i), e, spec.children)
 		}
 	case kindStringList:
-		for _, e := range elements(v) {
-			if err := k.set(r.file, literal(e)); err != nil {
+		for _, e := range elements(value) {
+			if err := spec.set(r.file, literal(e)); err != nil {
 				r.report(e.StartOffset, "%s %v", fullName, err)
 			}
 		}
 	default:
-		if err := k.set(r.file, literal(v)); err != nil {
-			r.report(v.StartOffset, "%s %v", fullName, err)
+		if err := spec.set(r.file, literal(value)); err != nil {
+			r.report(value.StartOffset, "%s %v", fullName, err)
 		}
 	}
 }
