--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -222,7 +222,7 @@
 		name string
 		do   func()
 	}{
-		{"full list", w.registry.SendFullList},
+		{"complete list", w.registry.SendCompleteList},
 		{"patch", func() { w.registry.Set(w.backends[0].Entry("SERVING", true)) }},
 		{"registry outage", func() { w.registry.SetDown(true) }},
 		{"end of the registry outage", func() { w.registry.SetDown(false) }},
@@ -272,8 +272,8 @@
 		}
 	}
 	checkPinned("the command")
-	w.registry.SendFullList()
-	checkPinned("full list")
+	w.registry.SendCompleteList()
+	checkPinned("complete list")
 	w.registry.SetDown(true)
 	checkPinned("registry outage")
 	w.registry.SetDown(false)
@@ -351,7 +351,7 @@
 	if got > 0.6 || measure && math.Abs(got-0.25) > 0.15*0.25 {
 		t.Errorf("a weight of 0.25 gives %.3f of the usual calls", got)
 	}
-	w.registry.SendFullList()
+	w.registry.SendCompleteList()
 	w.registry.SetDown(true)
 	w.registry.SetDown(false)
 	w.registry.SetState(s.Name, "DRAINING")
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -82,8 +82,8 @@
 // Close closes the registry and all its watches.
 func (r *Registry) Close() { r.server.Close() }
 
-// FullList returns the complete list in the format of an aggregator's config file.
-func (r *Registry) FullList() []byte {
+// CompleteList returns the complete list in the format of an aggregator's config file.
+func (r *Registry) CompleteList() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.encode(true, r.entries)
@@ -125,8 +125,8 @@
 	r.Set(e)
 }
 
-// SendFullList sends the complete list to all watches.
-func (r *Registry) SendFullList() {
+// SendCompleteList sends the complete list to all watches.
+func (r *Registry) SendCompleteList() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -257,5 +257,5 @@
 // Config returns the config file of an aggregator of the site.
 func (s Site) Config(name, listen string, r *Registry, ordinal int) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{},"known":%s,"settings":%s}`,
-		name, listen, r.Address(), 0x9e3779b97f4a7c15*uint64(ordinal+1), r.FullList(), s.Settings(ordinal))
+		name, listen, r.Address(), 0x9e3779b97f4a7c15*uint64(ordinal+1), r.CompleteList(), s.Settings(ordinal))
 }
--- a/internal/tools/demo/cluster/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -93,8 +93,8 @@
 }
 
 // run hands jobs in until loading ends. Their clients go on until their jobs have ended, or until life ends.
-func (l *load) run(loading, life context.Context, perS float64) {
-	interval := time.Duration(float64(time.Second) / perS)
+func (l *load) run(loading, life context.Context, jobsPerSecond float64) {
+	interval := time.Duration(float64(time.Second) / jobsPerSecond)
 	for wait(loading, interval) {
 		service := pick(services)
 		specification := pick(jobKinds[service])
--- a/internal/tools/fleettest/checker_test.go
+++ b/internal/tools/fleettest/checker_test.go
@@ -102,7 +102,7 @@
 // QuotaExcess returns by how many queries a tenant went over its quota in any window, and which. What was admitted counts in a
 // window only where sending and answer both lie in it, so that nothing is counted that may have been admitted outside. A
 // query that is refused after it was admitted, or lost, is not seen, which only lessens the count.
-func (c *Checker) QuotaExcess(tenant string, perS, burst float64) (over float64, window string) {
+func (c *Checker) QuotaExcess(tenant string, rate, burst float64) (over float64, window string) {
 	list := c.admitted(tenant, "")
 	if len(list) == 0 {
 		return 0, ""
@@ -129,7 +129,7 @@
 				continue
 			}
 			n++
-			if excess := n - perS*l.ended.Sub(from).Seconds() - burst; excess > over {
+			if excess := n - rate*l.ended.Sub(from).Seconds() - burst; excess > over {
 				over, window = excess, fmt.Sprintf("%g queries in %s, %s after the first", n, l.ended.Sub(from).Round(time.Millisecond), from.Sub(first).Round(time.Millisecond))
 			}
 		}
--- a/internal/tools/fleettest/client_test.go
+++ b/internal/tools/fleettest/client_test.go
@@ -118,14 +118,14 @@
 }
 
 // Load sends queries at a mean rate until it is stopped, without waiting for answers.
-func (c *Cluster) Load(perS float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
+func (c *Cluster) Load(queriesPerSecond float64, tenant, index string, pick func(n int) *Aggregator) (stop func()) {
 	stopped := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
 		began := time.Now()
 		for n := 0; ; n++ {
 			select {
-			case <-time.After(time.Until(began.Add(time.Duration(float64(n) / perS * float64(time.Second))))):
+			case <-time.After(time.Until(began.Add(time.Duration(float64(n) / queriesPerSecond * float64(time.Second))))):
 			case <-stopped:
 				return
 			}
--- a/internal/tools/fleettest/cluster_test.go
+++ b/internal/tools/fleettest/cluster_test.go
@@ -319,9 +319,9 @@
 }
 
 // CheckQuota checks that a tenant's queries stayed within its quota in every window.
-func (c *Cluster) CheckQuota(tenant string, perS, burst float64) {
+func (c *Cluster) CheckQuota(tenant string, rate, burst float64) {
 	c.Helper()
-	if over, window := c.Checker.QuotaExcess(tenant, perS, burst); over > 0 {
+	if over, window := c.Checker.QuotaExcess(tenant, rate, burst); over > 0 {
 		c.Errorf("%s: %.1f over the quota: %s", tenant, over, window)
 	}
 }
--- a/internal/tools/fleettest/failpoints_test.go
+++ b/internal/tools/fleettest/failpoints_test.go
@@ -54,7 +54,7 @@
 		stop()
 	}
 	killed := c.StopSupervising()
-	c.CheckQuota("acme", perS, burst)
+	c.CheckQuota("acme", quotaRate, quotaBurst)
 	c.CheckInvariants(killed...)
 }
 
--- a/internal/tools/fleettest/measure_test.go
+++ b/internal/tools/fleettest/measure_test.go
@@ -124,8 +124,8 @@
 			}
 			return true
 		})
-		t.Logf("%d aggregators: %.0f bytes a second each, %.0f at the granter; %.1f of %.0f a second admitted; a crash known everywhere after %.1f s", n, sum/float64(n), most, rate, perS, time.Since(killed).Seconds())
-		c.CheckQuota("acme", perS, burst)
+		t.Logf("%d aggregators: %.0f bytes a second each, %.0f at the granter; %.1f of %.0f a second admitted; a crash known everywhere after %.1f s", n, sum/float64(n), most, rate, quotaRate, time.Since(killed).Seconds())
+		c.CheckQuota("acme", quotaRate, quotaBurst)
 		victim.Start()
 	}
 }
@@ -142,13 +142,13 @@
 			time.Sleep(time.Duration(skip) * time.Second)
 			from := time.Now()
 			time.Sleep(time.Duration(seconds) * time.Second)
-			t.Logf("%d aggregators, %s: %.3f of the quota", n, what, c.Checker.Rate("acme", "", from, time.Now())/perS)
+			t.Logf("%d aggregators, %s: %.3f of the quota", n, what, c.Checker.Rate("acme", "", from, time.Now())/quotaRate)
 			stop()
 		}
 		play("spread", 3, 10, c.RoundRobin)
 		play("at one", 3, 10, func(int) *Aggregator { return c.Aggregators[0] })
 		play("moved to another a second ago", 1, 10, func(int) *Aggregator { return c.Aggregators[1] })
-		c.CheckQuota("acme", perS, burst)
+		c.CheckQuota("acme", quotaRate, quotaBurst)
 	}
 }
 
--- a/internal/tools/fleettest/scenarios_test.go
+++ b/internal/tools/fleettest/scenarios_test.go
@@ -11,12 +11,12 @@
 
 // The quota of most scenarios, and the floor of one of three aggregators.
 const (
-	perS, burst   = 60.0, 90.0
-	floorPerS     = 0.1 * perS / 3
-	quotas        = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90, "floor_share": 0.1}]}`
-	contracts     = `{"version": 1, "strict": ["cato"], "tenants": [{"tenant": "cato", "zones": ["a", "b"]}]}`
-	lease         = 8 * time.Second
-	leaseAndSlack = lease + 2*time.Second // a busy machine's
+	quotaRate, quotaBurst = 60.0, 90.0
+	minimumRate           = 0.1 * quotaRate / 3
+	quotas                = `{"version": 1, "tenants": [{"tenant": "acme", "per_s": 60, "burst": 90, "floor_share": 0.1}]}`
+	contracts             = `{"version": 1, "strict": ["cato"], "tenants": [{"tenant": "cato", "zones": ["a", "b"]}]}`
+	lease                 = 8 * time.Second
+	leaseAndSlack         = lease + 2*time.Second // a busy machine's
 )
 
 func TestMain(m *testing.M) { os.Exit(Main(m)) }
@@ -43,7 +43,7 @@
 	c.Await(what, func() bool {
 		from := time.Now()
 		time.Sleep(2 * time.Second)
-		return c.Checker.Rate("acme", "", from, time.Now()) > 0.85*perS
+		return c.Checker.Rate("acme", "", from, time.Now()) > 0.85*quotaRate
 	})
 }
 
@@ -81,12 +81,12 @@
 			time.Sleep(5 * time.Second)
 			to := time.Now()
 			all, own := c.Checker.Rate("acme", "", from, to), c.Checker.Rate("acme", alone.Name, from, to)
-			t.Logf("receives nothing after %.1f s; alone %.2f a second of a floor of %.2f, the others %.1f of %.1f", isolated.Seconds(), own, floorPerS, all-own, perS-floorPerS)
-			if own < 0.5*floorPerS || own > 1.5*floorPerS+1 {
-				t.Errorf("alone it admits %.2f a second, expected its floor of %.2f", own, floorPerS)
+			t.Logf("receives nothing after %.1f s; alone %.2f a second of a floor of %.2f, the others %.1f of %.1f", isolated.Seconds(), own, minimumRate, all-own, quotaRate-minimumRate)
+			if own < 0.5*minimumRate || own > 1.5*minimumRate+1 {
+				t.Errorf("alone it admits %.2f a second, expected its floor of %.2f", own, minimumRate)
 			}
-			if all-own < 0.85*(perS-floorPerS) {
-				t.Errorf("the majority admits %.1f a second a lease after the partition, expected nearly %.1f", all-own, perS-floorPerS)
+			if all-own < 0.85*(quotaRate-minimumRate) {
+				t.Errorf("the majority admits %.1f a second a lease after the partition, expected nearly %.1f", all-own, quotaRate-minimumRate)
 			}
 			if n := c.Checker.StatusCounts("cato", alone.Name, from); n[200] > 0 || n[429] == 0 {
 				t.Errorf("a strict tenant where contracts are not sure: %v", n)
@@ -98,7 +98,7 @@
 			c.Await("the strict tenant is served again", func() bool { return c.isServed(alone, "cato") })
 			t.Logf("all is used and served again %.1f s after the partition has healed, 2 s of them measured", time.Since(healed).Seconds())
 			stop()
-			c.CheckQuota("acme", perS, burst)
+			c.CheckQuota("acme", quotaRate, quotaBurst)
 			c.CheckInvariants()
 		})
 	}
@@ -126,7 +126,7 @@
 	time.Sleep(leaseAndSlack)
 	second.Signal(syscall.SIGCONT)
 	time.Sleep(2 * time.Second)
-	c.CheckQuota("acme", perS, burst)
+	c.CheckQuota("acme", quotaRate, quotaBurst)
 	for _, m := range c.Aggregators {
 		m.Kill()
 	}
@@ -144,11 +144,11 @@
 	})
 	from := time.Now()
 	time.Sleep(4 * time.Second)
-	if used := c.Checker.Rate("acme", "", from, time.Now()); used < 0.8*perS {
-		t.Errorf("%.1f a second admitted after all came back, expected nearly %.0f", used, perS)
+	if used := c.Checker.Rate("acme", "", from, time.Now()); used < 0.8*quotaRate {
+		t.Errorf("%.1f a second admitted after all came back, expected nearly %.0f", used, quotaRate)
 	}
 	stop()
-	c.CheckQuota("acme", perS, burst)
+	c.CheckQuota("acme", quotaRate, quotaBurst)
 	c.CheckInvariants(c.Aggregators...)
 }
 
@@ -245,7 +245,7 @@
 	t.Parallel()
 	c := Start(t, Options{Aggregators: 3, Quotas: quotas})
 	c.awaitGranter()
-	stop := c.Load(2*perS, "acme", "reads", c.RoundRobin)
+	stop := c.Load(2*quotaRate, "acme", "reads", c.RoundRobin)
 	calm := c.Load(40, OrdersTenant, "orders", c.RoundRobin)
 	measuredFrom := time.Now()
 	c.awaitFullUse("the whole quota is used")
@@ -269,11 +269,11 @@
 	p99 := func(a, b time.Time) time.Duration {
 		return c.Checker.P99(OrdersTenant, a, b).Round(100 * time.Microsecond)
 	}
-	t.Logf("with a fifth lost %.1f of %.0f a second are used; p99 of others %s without, %s with loss, %s with 2 s of delay", used, perS, p99(measuredFrom, quiet), p99(from, lossy), p99(lossy, to))
-	if used < 0.6*perS {
-		t.Errorf("with a fifth of the messages lost %.1f a second are used of %.0f", used, perS)
+	t.Logf("with a fifth lost %.1f of %.0f a second are used; p99 of others %s without, %s with loss, %s with 2 s of delay", used, quotaRate, p99(measuredFrom, quiet), p99(from, lossy), p99(lossy, to))
+	if used < 0.6*quotaRate {
+		t.Errorf("with a fifth of the messages lost %.1f a second are used of %.0f", used, quotaRate)
 	}
-	c.CheckQuota("acme", perS, burst)
+	c.CheckQuota("acme", quotaRate, quotaBurst)
 	c.CheckInvariants()
 }
 
@@ -303,7 +303,7 @@
 		return acme && cato
 	})
 	<-m.ended
-	c.CheckQuota("acme", perS, burst)
+	c.CheckQuota("acme", quotaRate, quotaBurst)
 	c.CheckInvariants()
 }
 
--- a/internal/tools/plan/plan_test.go
+++ b/internal/tools/plan/plan_test.go
@@ -22,8 +22,8 @@
 	return site
 }
 
-func testWorkload(perS float64, subqueries int) Workload {
-	return Workload{QueriesPerSecond: perS, Mix: []Share{{0, 1, subqueries}}}
+func testWorkload(queriesPerSecond float64, subqueries int) Workload {
+	return Workload{QueriesPerSecond: queriesPerSecond, Mix: []Share{{0, 1, subqueries}}}
 }
 
 func TestCheckReportsMistakes(t *testing.T) {
