--- a/cmd/puffinlink/overridewhy.go
+++ b/cmd/puffinlink/overridewhy.go
@@ -18,21 +18,21 @@
 }
 
 func (c *overrideWhyCommand) Execute([]string) error {
-	var why api.Explanation
+	var explanation api.Explanation
 	query := url.Values{"shard": {strconv.Itoa(c.Arguments.Shard)}, "index": {c.Arguments.Index}, "searcher": {c.Arguments.Searcher}}
-	if err := c.get("/v1/why?"+query.Encode(), &why); err != nil {
+	if err := c.get("/v1/why?"+query.Encode(), &explanation); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(why)
+		return printJSON(explanation)
 	}
 	verdict := "does not go"
-	if why.Routed {
-		verdict = fmt.Sprintf("goes, at %.0f%% of its usual part calls,", 100*why.Share)
+	if explanation.Routed {
+		verdict = fmt.Sprintf("goes, at %.0f%% of its usual part calls,", 100*explanation.Share)
 	}
 	fmt.Fprintf(stdout, "shard %d of %s %s to %s\n", c.Arguments.Shard, c.Arguments.Index, verdict, c.Arguments.Searcher)
 	rows := [][]string{}
-	for _, rule := range why.Rules {
+	for _, rule := range explanation.Rules {
 		by, acts := "-", "suspended"
 		if rule.OverrideID != 0 {
 			by = strconv.FormatUint(rule.OverrideID, 10)
--- a/internal/dataplane/aggregator/capture_test.go
+++ b/internal/dataplane/aggregator/capture_test.go
@@ -22,9 +22,9 @@
 	for _, c := range r.sent {
 		r.process(c.ended(policy.Answered, "v"))
 	}
-	gone := r.queryEvent("cc", 0, 1)
-	r.process(gone)
-	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: gone.ClientQuery})
+	disconnected := r.queryEvent("cc", 0, 1)
+	r.process(disconnected)
+	r.process(Event{Event: policy.Event{Kind: policy.ClientDisconnected}, ClientQuery: disconnected.ClientQuery})
 	for range 30 {
 		r.process(Event{Event: policy.Event{Kind: policy.TimerDue, Timer: 99}})
 	}
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -456,24 +456,24 @@
 
 func TestTimeoutAndCancelAreSentAndLateAnswersDropped(t *testing.T) {
 	r := newFixture(t, nil)
-	slow, kept := r.send("aa", "q", 60*time.Millisecond, 1), r.send("bb", "q", time.Minute, 1)
+	slow, canceled := r.send("aa", "q", 60*time.Millisecond, 1), r.send("bb", "q", time.Minute, 1)
 	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
 	p.expect('C', "aa.0")
 	r.expectEnd(slow[0].Subquery, policy.TimedOut)
-	r.hub.Cancel(1, kept[0].Subquery, kept[0].Number)
-	r.expectEnd(kept[0].Subquery, policy.Canceled)
+	r.hub.Cancel(1, canceled[0].Subquery, canceled[0].Number)
+	r.expectEnd(canceled[0].Subquery, policy.Canceled)
 	p.expect('C', "bb.0")
 	// The retry uses another connection, where no answer to the first attempt can be taken for its own.
-	kept[0].Number++
-	r.hub.Send(1, kept)
+	canceled[0].Number++
+	r.hub.Send(1, canceled)
 	other := r.accept(r.listener)
 	other.expect('S', "bb.0")
 	p.writeFrame('R', "bb.0 full 0 -\n")
 	p.writeFrame('R', "aa.0 done 0 -\nlate")
 	other.writeFrame('R', "bb.0 done 0 -\nown")
-	if e := r.expectEnd(kept[0].Subquery, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
+	if e := r.expectEnd(canceled[0].Subquery, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
 		t.Fatalf("got %+v", e)
 	}
 }
--- a/internal/dataplane/clients/connection.go
+++ b/internal/dataplane/clients/connection.go
@@ -132,7 +132,7 @@
 }
 
 // setEndReason records the reason why the connection ends. Only the first call has an effect.
-func (conn *connection) setEndReason(why reason) { conn.endReason.CompareAndSwap(nil, &why) }
+func (conn *connection) setEndReason(cause reason) { conn.endReason.CompareAndSwap(nil, &cause) }
 
 // CloseWrite closes the server's side. net/http calls it to close a connection without losing the last answer.
 func (conn *connection) CloseWrite() error {
--- a/internal/dataplane/clients/connections.go
+++ b/internal/dataplane/clients/connections.go
@@ -241,12 +241,12 @@
 }
 
 // closeIdle closes the connections that are between two requests or have stalled.
-func (s *connectionTable) closeIdle(why reason) {
+func (s *connectionTable) closeIdle(cause reason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.open {
 		if !conn.serverClosed && conn.closable() {
-			conn.closeAfterAnswer(why)
+			conn.closeAfterAnswer(cause)
 		}
 	}
 }
--- a/internal/dataplane/clients/readahead.go
+++ b/internal/dataplane/clients/readahead.go
@@ -168,11 +168,11 @@
 
 // closeAfterAnswer closes a connection after its current answer, or at once if no request has begun. It does so by an expired read
 // deadline, so that the reader decides and no request is read and then dropped.
-func (conn *connection) closeAfterAnswer(why reason) {
+func (conn *connection) closeAfterAnswer(cause reason) {
 	conn.readMu.Lock()
 	defer conn.readMu.Unlock()
 	if conn.closeAfterAnswerReason == "" && !conn.closing {
-		conn.closeAfterAnswerReason = why
+		conn.closeAfterAnswerReason = cause
 		_ = conn.applyReadDeadline() // fails only on a closed connection, which the next read reports
 	}
 }
--- a/internal/dataplane/clients/server.go
+++ b/internal/dataplane/clients/server.go
@@ -275,12 +275,12 @@
 		if reply.RetryAfter > 0 && s.retryAfter {
 			w.Header().Set("Retry-After", formatRetryAfter(reply.RetryAfter))
 		}
-		var why []byte
+		var text []byte
 		if reply.Text != "" {
 			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-			why = []byte(reply.Text + ".\n")
+			text = []byte(reply.Text + ".\n")
 		}
-		s.write(w, r, http.StatusTooManyRequests, why)
+		s.write(w, r, http.StatusTooManyRequests, text)
 	case aggregator.QueueFull:
 		s.write(w, r, http.StatusServiceUnavailable, nil)
 	case aggregator.Duplicate:
--- a/internal/dataplane/clients/server_test.go
+++ b/internal/dataplane/clients/server_test.go
@@ -62,11 +62,11 @@
 }
 
 // waitForEnd waits until a connection has ended for the given reason.
-func (r *fixture) waitForEnd(why reason) {
+func (r *fixture) waitForEnd(cause reason) {
 	r.Helper()
-	for deadline := time.Now().Add(waitTimeout); r.counters.Get("client_lines", string(why)) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); r.counters.Get("client_lines", string(cause)) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.Fatalf("no connection ended for reason %s", why)
+			r.Fatalf("no connection ended for reason %s", cause)
 		}
 	}
 }
--- a/internal/operators/api/api_test.go
+++ b/internal/operators/api/api_test.go
@@ -106,29 +106,29 @@
 	defer cancel()
 	go r.client.Watch(ctx, 0, func(c Change) error { changes <- c; return nil })
 	c := Command{Key: "k", Kind: "pin", Backend: "s-0", From: 1, To: 2, Author: "ann", Reason: "slow", DurationSeconds: 60}
-	made, why := r.sendCommand(0, c)
-	if why != "" || made.Revision != 1 || made.Override.Kind != "pin" || *made.Override.From != 1 {
-		t.Fatalf("set: got %+v, %s", made, why)
+	made, code := r.sendCommand(0, c)
+	if code != "" || made.Revision != 1 || made.Override.Kind != "pin" || *made.Override.From != 1 {
+		t.Fatalf("set: got %+v, %s", made, code)
 	}
-	if again, why := r.sendCommand(0, c); why != "" || !again.Repeated || again.Revision != 1 {
-		t.Fatalf("sent twice: %+v, %s", again, why)
+	if again, code := r.sendCommand(0, c); code != "" || !again.Repeated || again.Revision != 1 {
+		t.Fatalf("sent twice: %+v, %s", again, code)
 	}
 	for want, c := range map[string]Command{"conflict": {Kind: "out", Backend: "s-1", Author: "ann", Reason: "x", DurationSeconds: 5},
 		"invalid": {Kind: "none"}} {
-		if _, why := r.sendCommand(0, c); why != want {
-			t.Errorf("got %s, expected %s", why, want)
+		if _, code := r.sendCommand(0, c); code != want {
+			t.Errorf("got %s, expected %s", code, want)
 		}
 	}
-	if _, why := r.sendCommand(1, Command{Kind: "out", Location: "north", Author: "ann", Reason: "x", DurationSeconds: 5}); why != "last_holder" {
-		t.Errorf("override of the last backends: got %s, expected last_holder", why)
+	if _, code := r.sendCommand(1, Command{Kind: "out", Location: "north", Author: "ann", Reason: "x", DurationSeconds: 5}); code != "last_holder" {
+		t.Errorf("override of the last backends: got %s, expected last_holder", code)
 	}
 	var v View
-	if why := r.get("/v1/overrides", &v); why != "" || len(v.Overrides) != 1 || v.Overrides[0].State != "acts" || v.Storage != "memory" || v.Overrides[0].EndsIn > 60 {
-		t.Fatalf("got %+v, %s", v, why)
+	if code := r.get("/v1/overrides", &v); code != "" || len(v.Overrides) != 1 || v.Overrides[0].State != "acts" || v.Storage != "memory" || v.Overrides[0].EndsIn > 60 {
+		t.Fatalf("got %+v, %s", v, code)
 	}
 	var w Explanation
-	if why := r.get("/v1/why?shard=1&index=reads&searcher=s-1", &w); why != "" || w.Routed || w.Rules[0].Rule != "pin" || w.Rules[0].OverrideID != 1 {
-		t.Fatalf("got %+v, %s", w, why)
+	if code := r.get("/v1/why?shard=1&index=reads&searcher=s-1", &w); code != "" || w.Routed || w.Rules[0].Rule != "pin" || w.Rules[0].OverrideID != 1 {
+		t.Fatalf("got %+v, %s", w, code)
 	}
 	for path, want := range map[string]string{"/v1/why?shard=x": "invalid", "/v1/why?shard=1&index=reads&searcher=zz": "unknown",
 		"/v1/history?most=0": "invalid", "/v1/changes?from=-1": "invalid", "/v1/nothing": "status"} {
@@ -136,12 +136,12 @@
 			t.Errorf("%s: got %s, expected %s", path, got, want)
 		}
 	}
-	if _, why := r.sendCommand(1, Command{Clear: 1, Author: "bob", Reason: "done"}); why != "" {
-		t.Fatal(why)
+	if _, code := r.sendCommand(1, Command{Clear: 1, Author: "bob", Reason: "done"}); code != "" {
+		t.Fatal(code)
 	}
 	var list []Change
-	if why := r.get("/v1/history", &list); why != "" || len(list) != 2 || list[1].Action != "cleared" || list[1].Author != "bob" {
-		t.Fatalf("got %+v, %s", list, why)
+	if code := r.get("/v1/history", &list); code != "" || len(list) != 2 || list[1].Action != "cleared" || list[1].Author != "bob" {
+		t.Fatalf("got %+v, %s", list, code)
 	}
 	for want := range uint64(2) {
 		select {
@@ -176,22 +176,22 @@
 	os.Chmod(keyFile, 0o600)
 	r := newFixture(t, set, tokens["reader"])
 	var v View
-	if why := r.get("/v1/overrides", &v); why != "" {
-		t.Fatal(why)
+	if code := r.get("/v1/overrides", &v); code != "" {
+		t.Fatal(code)
 	}
 	out := Command{Kind: "out", Backend: "s-0", Author: "somebody else", Reason: "slow", DurationSeconds: 9}
-	if _, why := r.sendCommand(0, out); why != "role" {
-		t.Fatalf("command with a read token: got %s, expected role", why)
+	if _, code := r.sendCommand(0, out); code != "role" {
+		t.Fatalf("command with a read token: got %s, expected role", code)
 	}
 	for _, token := range []string{"", "x", tokens["writer"] + "0", strings.ToUpper(tokens["writer"])} {
 		r.client.token = token
-		if why := r.get("/v1/overrides", &v); why != "token" {
-			t.Errorf("token %q: got %s, expected token", token, why)
+		if code := r.get("/v1/overrides", &v); code != "token" {
+			t.Errorf("token %q: got %s, expected token", token, code)
 		}
 	}
 	r.client.token = tokens["writer"]
-	if made, why := r.sendCommand(0, out); why != "" || made.Author != "writer" {
-		t.Fatalf("command with a write token: got %+v, %s", made, why)
+	if made, code := r.sendCommand(0, out); code != "" || made.Author != "writer" {
+		t.Fatalf("command with a write token: got %+v, %s", made, code)
 	}
 }
 
@@ -213,8 +213,8 @@
 		stalled = append(stalled, c)
 	}
 	var v View
-	if why := r.get("/v1/overrides", &v); why != "" {
-		t.Fatal(why)
+	if code := r.get("/v1/overrides", &v); code != "" {
+		t.Fatal(code)
 	}
 	for _, c := range stalled { // the server closes each of them
 		c.SetReadDeadline(time.Now().Add(time.Minute))
@@ -224,8 +224,8 @@
 	}
 	r.client.http.CloseIdleConnections()
 	large := Command{Kind: "out", Backend: strings.Repeat("s", maxBodyBytes), Reason: "x", DurationSeconds: 9}
-	if _, why := r.sendCommand(0, large); why != "invalid" {
-		t.Errorf("command with a field of %d bytes: got %s, expected invalid", maxBodyBytes, why)
+	if _, code := r.sendCommand(0, large); code != "invalid" {
+		t.Errorf("command with a field of %d bytes: got %s, expected invalid", maxBodyBytes, code)
 	}
 	r.limiter = rate.NewLimiter(0, 3)
 	got := map[string]int{}
--- a/internal/operators/capture/block.go
+++ b/internal/operators/capture/block.go
@@ -85,7 +85,7 @@
 	offset := int64(len(fileHeader))
 	var compressed []byte
 	for blocks := 0; ; blocks++ {
-		truncated := func(why string) error { return &TruncatedError{blocks, offset, why} }
+		truncated := func(cause string) error { return &TruncatedError{blocks, offset, cause} }
 		var header [blockHeaderSize]byte
 		n, err := io.ReadFull(buffered, header[:])
 		switch {
