--- a/internal/operators/capture/block.go
+++ b/internal/operators/capture/block.go
@@ -85,7 +85,7 @@
 	offset := int64(len(fileHeader))
 	var compressed []byte
 	for blocks := 0; ; blocks++ {
-		truncated := func(cause string) error { return &TruncatedError{blocks, offset, cause} }
+		truncated := func(reason string) error { return &TruncatedError{blocks, offset, reason} }
 		var header [blockHeaderSize]byte
 		n, err := io.ReadFull(buffered, header[:])
 		switch {
--- a/internal/tools/benchadapter/benchadapter.go
+++ b/internal/tools/benchadapter/benchadapter.go
@@ -28,7 +28,7 @@
 
 // instance is one instance of the module with the events of the batch in hand.
 type instance struct {
-	no         int64
+	number     int64
 	aggregator *policy.Aggregator
 	events     []policy.Event
 	hasEvents  bool
@@ -137,7 +137,7 @@
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			fmt.Fprintf(s.out, "BY %d\nPANIC %s\n", h.no, strings.ReplaceAll(fmt.Sprint(r), "\n", " "))
+			fmt.Fprintf(s.out, "BY %d\nPANIC %s\n", h.number, strings.ReplaceAll(fmt.Sprint(r), "\n", " "))
 		}
 	}()
 	s.actions = h.aggregator.Step(now, h.events, s.actions[:0])
@@ -145,7 +145,7 @@
 	if len(s.actions) == 0 {
 		return
 	}
-	b := append(append(s.buf[:0], "BY "...), strconv.FormatInt(h.no, 10)...)
+	b := append(append(s.buf[:0], "BY "...), strconv.FormatInt(h.number, 10)...)
 	b = append(b, '\n')
 	for i := range s.actions {
 		b = appendAction(b, &s.actions[i])
@@ -171,7 +171,7 @@
 		return malformed("expected ON before %s", name)
 	}
 	if target.aggregator == nil && name != "SPAWN" {
-		return malformed("expected SPAWN for instance %d before %s", target.no, name)
+		return malformed("expected SPAWN for instance %d before %s", target.number, name)
 	}
 	if !target.hasEvents {
 		target.hasEvents = true
@@ -199,7 +199,7 @@
 func (s *server) selectInstance(number int64) {
 	target := s.instances[number]
 	if target == nil {
-		target = &instance{no: number}
+		target = &instance{number: number}
 		s.instances[number] = target
 	}
 	s.current = target
--- a/internal/tools/plan/simulation.go
+++ b/internal/tools/plan/simulation.go
@@ -110,7 +110,7 @@
 
 type callKey struct {
 	subquery policy.SubqueryID
-	no       policy.CallNumber
+	number   policy.CallNumber
 }
 
 // simulation is a fleet under a load.
