--- a/cmd/puffinlink/demosystem.go
+++ b/cmd/puffinlink/demosystem.go
@@ -37,7 +37,7 @@
 	}
 	defer func() { err = errors.Join(err, closeLog()) }()
 	options := cluster.Options{
-		LoadDuration: c.For, ProgressInterval: c.Every, WorkersPerService: c.Backends, JobsPerSecond: c.JobsPerS, Directory: directory, Out: stdout, Log: log,
+		LoadDuration: c.For, ProgressInterval: c.Every, WorkersPerService: c.Backends, JobsPerSecond: c.JobsPerSecond, Directory: directory, Out: stdout, Log: log,
 		Launcher: processLauncher{c.LogLevel}.clusterLauncher(),
 	}
 	if options.LoadDuration == 0 {
--- a/internal/dataplane/backends/backends_test.go
+++ b/internal/dataplane/backends/backends_test.go
@@ -23,7 +23,7 @@
 	"puffinlink.example/puffinlink/policy"
 )
 
-const patience = queuetest.WaitTimeout
+const waitTimeout = queuetest.WaitTimeout
 
 // fixture is a hub with one backend, whose side of the connections the test plays.
 type fixture struct {
@@ -35,12 +35,12 @@
 }
 
 func newFixture(t *testing.T, adjust func(*settings.Net)) *fixture {
-	set := settings.Net{CallsPerConnection: 100, IdleTimeoutS: 60, ConnectTimeoutS: 2, LoadReports: true}
+	netSettings := settings.Net{CallsPerConnection: 100, IdleTimeoutS: 60, ConnectTimeoutS: 2, LoadReports: true}
 	if adjust != nil {
-		adjust(&set)
+		adjust(&netSettings)
 	}
 	r := &fixture{T: t, events: queuetest.New[aggregator.Event]()}
-	r.hub = New(set, 100, r.events.Queue, zap.NewNop(), counters.New())
+	r.hub = New(netSettings, 100, r.events.Queue, zap.NewNop(), counters.New())
 	t.Cleanup(r.hub.Stop)
 	r.listener = r.listen()
 	r.updateEntry(r.listener.Addr().String(), policy.Ready, 0)
@@ -76,12 +76,12 @@
 
 // accept accepts the next connection to a backend's listener.
 func (r *fixture) accept(l net.Listener) *peerConnection {
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 	c, err := l.Accept()
 	if err != nil {
 		r.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	r.Cleanup(func() { c.Close() })
 	return &peerConnection{c, bufio.NewReader(c), r}
 }
@@ -140,7 +140,7 @@
 	p.writeFrame('R', "aa.0 done 17 queue=3,util=x,\xff new=1=,inflight=-1,latency_ms=20\nva\nlue")
 	r.expectEnd(b[0].Subquery, policy.Rejected)
 	e := r.expectEnd(a[0].Subquery, policy.Answered)
-	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasQueued|policy.HasService || e.Load.Queued != 3 || e.Load.ServiceS != 0.02 {
+	if string(e.Value) != "va\nlue" || e.Load.Has != policy.HasQueued|policy.HasServiceTime || e.Load.Queued != 3 || e.Load.ServiceTimeSeconds != 0.02 {
 		t.Fatalf("got %q, %+v", e.Value, e.Load)
 	}
 }
@@ -412,7 +412,7 @@
 	if _, _, err := readFrame(p.in); !errors.Is(err, io.EOF) {
 		t.Fatalf("the connection is still open: %v", err)
 	}
-	for deadline := time.Now().Add(patience); len(r.hub.actors) > 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); len(r.hub.actors) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the actor is still running")
 		}
@@ -456,24 +456,24 @@
 
 func TestTimeoutAndCancelAreSentAndLateAnswersDropped(t *testing.T) {
 	r := newFixture(t, nil)
-	slow, kept := r.send("aa", "q", 60*time.Millisecond, 1), r.send("bb", "q", time.Minute, 1)
+	slow, canceled := r.send("aa", "q", 60*time.Millisecond, 1), r.send("bb", "q", time.Minute, 1)
 	p := r.accept(r.listener)
 	p.expect('S', "aa.0")
 	p.expect('S', "bb.0")
 	p.expect('C', "aa.0")
 	r.expectEnd(slow[0].Subquery, policy.TimedOut)
-	r.hub.Cancel(1, kept[0].Subquery, kept[0].Number)
-	r.expectEnd(kept[0].Subquery, policy.Canceled)
+	r.hub.Cancel(1, canceled[0].Subquery, canceled[0].Number)
+	r.expectEnd(canceled[0].Subquery, policy.Canceled)
 	p.expect('C', "bb.0")
 	// The retry uses another connection, where no answer to the first attempt can be taken for its own.
-	kept[0].Number++
-	r.hub.Send(1, kept)
+	canceled[0].Number++
+	r.hub.Send(1, canceled)
 	other := r.accept(r.listener)
 	other.expect('S', "bb.0")
 	p.writeFrame('R', "bb.0 full 0 -\n")
 	p.writeFrame('R', "aa.0 done 0 -\nlate")
 	other.writeFrame('R', "bb.0 done 0 -\nown")
-	if e := r.expectEnd(kept[0].Subquery, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
+	if e := r.expectEnd(canceled[0].Subquery, policy.Answered); e.Call != 1 || string(e.Value) != "own" {
 		t.Fatalf("got %+v", e)
 	}
 }
--- a/internal/dataplane/clients/server_test.go
+++ b/internal/dataplane/clients/server_test.go
@@ -34,10 +34,10 @@
 
 // newFixture starts a server on a local port. change may modify the server before it starts.
 func newFixture(t *testing.T, maxConnections int, change func(*Server)) *fixture {
-	set := settings.Settings{Net: settings.Net{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Shards: 8}}
-	set.Limits.RetryAfter = true
+	aggregatorSettings := settings.Settings{Net: settings.Net{Indexes: []string{"reads", "orders"}, Customers: []string{"acme"}, Shards: 8}}
+	aggregatorSettings.Limits.RetryAfter = true
 	r := &fixture{T: t, events: queuetest.New[aggregator.Event]()}
-	r.Server = New(set, maxConnections, 64<<20, r.events.Queue, zap.NewNop(), counters.New())
+	r.Server = New(aggregatorSettings, maxConnections, 64<<20, r.events.Queue, zap.NewNop(), counters.New())
 	if change != nil {
 		change(r.Server)
 	}
@@ -62,11 +62,11 @@
 }
 
 // waitForEnd waits until a connection has ended for the given reason.
-func (r *fixture) waitForEnd(why reason) {
+func (r *fixture) waitForEnd(cause reason) {
 	r.Helper()
-	for deadline := time.Now().Add(waitTimeout); r.counters.Get("client_lines", string(why)) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); r.counters.Get("client_lines", string(cause)) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.Fatalf("no connection ended for reason %s", why)
+			r.Fatalf("no connection ended for reason %s", cause)
 		}
 	}
 }
@@ -155,8 +155,8 @@
 		body  string
 	}{
 		{aggregator.Reply{End: aggregator.Satisfied, Complete: true}, 200, "", `{"whole":true,"results":[{"partition":5,"value":"a\"\\\u0009é"}]}`},
-		{aggregator.Reply{End: aggregator.Nacked, RetryAfter: 0.0501}, 429, "0.051", ""},
-		{aggregator.Reply{End: aggregator.Nacked}, 429, "", ""},
+		{aggregator.Reply{End: aggregator.Rejected, RetryAfter: 0.0501}, 429, "0.051", ""},
+		{aggregator.Reply{End: aggregator.Rejected}, 429, "", ""},
 		{aggregator.Reply{End: aggregator.QueueFull}, 503, "", ""},
 		{aggregator.Reply{End: aggregator.Aborted}, 500, "", ""},
 		{aggregator.Reply{End: aggregator.Duplicate}, 409, "", "a lookup of this id is already held.\n"},
@@ -313,7 +313,7 @@
 	c.sendQuery()
 	q := r.expectEvent(policy.QueryReceived)
 	time.Sleep(100 * time.Millisecond)
-	q.Done <- aggregator.Reply{End: aggregator.Nacked}
+	q.Done <- aggregator.Reply{End: aggregator.Rejected}
 	c.expect(429)
 }
 
@@ -469,7 +469,7 @@
 			case <-r.events.Queue.Ready():
 				for _, e := range r.events.Queue.Take(nil) {
 					if e.Kind == policy.QueryReceived {
-						e.ClientQuery.Done <- aggregator.Reply{End: aggregator.Nacked}
+						e.ClientQuery.Done <- aggregator.Reply{End: aggregator.Rejected}
 					}
 				}
 			case <-done:
@@ -507,7 +507,7 @@
 		if q.Timeout > 0.95 {
 			t.Fatalf("the query may wait %g s, longer than the aggregator runs", q.Timeout)
 		}
-		q.Done <- aggregator.Reply{End: aggregator.Nacked}
+		q.Done <- aggregator.Reply{End: aggregator.Rejected}
 		if head, _ := c.expect(429); head.Get("Connection") == "close" {
 			t.Fatal("the answer closes the connection during servePeriod")
 		}
--- a/internal/dataplane/node/node_test.go
+++ b/internal/dataplane/node/node_test.go
@@ -32,20 +32,20 @@
 // cluster is a site on the loopback interface: a registry, backends, one aggregator with overrides, and a load generator.
 type cluster struct {
 	*testing.T
-	site     fakes.Site
-	registry *fakes.Registry
-	backends []*fakes.Backend
-	file     operatorfile.File
-	listen   string
-	node     *Node
-	client   *api.Client
-	load     *fakes.Load
-	tally    fakes.QueryStats
+	site       fakes.Site
+	registry   *fakes.Registry
+	backends   []*fakes.Backend
+	file       operatorfile.File
+	listen     string
+	node       *Node
+	client     *api.Client
+	load       *fakes.Load
+	queryStats fakes.QueryStats
 }
 
-// newCluster starts a cluster whose backends take the given service time for a subquery. queriesPerS is the rate of the load; at 0
+// newCluster starts a cluster whose backends take the given service time for a subquery. queriesPerSecond is the rate of the load; at 0
 // the load is not started.
-func newCluster(t *testing.T, queriesPerS float64, service time.Duration) *cluster {
+func newCluster(t *testing.T, queriesPerSecond float64, service time.Duration) *cluster {
 	w := &cluster{T: t, site: fakes.Site{Zones: []string{"a", "b"}, Cells: 8, CellsPerShard: 2, Shards: 16, Aggregators: 1,
 		Indexes: []fakes.Index{{Name: "reads", Effect: "repeatable", SoftDeadlineSeconds: 2, HardDeadlineSeconds: 8, Value: 1}, {Name: "orders", Effect: "once", SoftDeadlineSeconds: 2, HardDeadlineSeconds: 8, Value: 3}}}}
 	var err error
@@ -79,9 +79,9 @@
 	if w.client, err = api.NewClient(w.file.Operators.Listen, ""); err != nil {
 		t.Fatal(err)
 	}
-	w.load = &fakes.Load{Aggregators: []string{w.listen}, Site: w.site, QueriesPerSecond: queriesPerS, Mixes: []fakes.Mix{
+	w.load = &fakes.Load{Aggregators: []string{w.listen}, Site: w.site, QueriesPerSecond: queriesPerSecond, Mixes: []fakes.Mix{
 		{Index: "reads", Share: 0.9, Subqueries: 4, Deadline: 8 * time.Second}, {Index: "orders", Share: 0.1, Subqueries: 2, Deadline: 8 * time.Second}}}
-	if queriesPerS > 0 {
+	if queriesPerSecond > 0 {
 		w.load.Run(w.Context())
 	}
 	return w
@@ -97,10 +97,10 @@
 	w.node = n
 }
 
-// collectLoad returns the results of the load since the previous call, and adds them to the tally.
+// collectLoad returns the results of the load since the previous call, and adds them to queryStats.
 func (w *cluster) collectLoad() fakes.QueryStats {
 	t := w.load.TakeStats()
-	w.tally.Add(t)
+	w.queryStats.Add(t)
 	return t
 }
 
@@ -150,8 +150,8 @@
 	w.Helper()
 	v := w.overrides()
 	c.Revision, c.Author, c.Reason = &v.Revision, "ann", "slow"
-	if c.For == 0 && c.Clear == 0 {
-		c.For = 3600
+	if c.DurationSeconds == 0 && c.Clear == 0 {
+		c.DurationSeconds = 3600
 	}
 	change, err := w.client.Send(context.Background(), c)
 	if err != nil {
@@ -168,8 +168,8 @@
 	w.Helper()
 	w.load.Stop()
 	w.collectLoad()
-	checkEachQueryAnswered(w.T, w.tally)
-	w.Logf("load: %+v; %d once-only subqueries executed", w.tally, checkOnceOnlySubqueries(w.T, w.backends))
+	checkEachQueryAnswered(w.T, w.queryStats)
+	w.Logf("load: %+v; %d once-only subqueries executed", w.queryStats, checkOnceOnlySubqueries(w.T, w.backends))
 }
 
 // checkEachQueryAnswered checks that each query had exactly one final answer, and that some queries were satisfied.
@@ -222,7 +222,7 @@
 		name string
 		do   func()
 	}{
-		{"full list", w.registry.SendFullList},
+		{"complete list", w.registry.SendCompleteList},
 		{"patch", func() { w.registry.Set(w.backends[0].Entry("SERVING", true)) }},
 		{"registry outage", func() { w.registry.SetDown(true) }},
 		{"end of the registry outage", func() { w.registry.SetDown(false) }},
@@ -272,8 +272,8 @@
 		}
 	}
 	checkPinned("the command")
-	w.registry.SendFullList()
-	checkPinned("full list")
+	w.registry.SendCompleteList()
+	checkPinned("complete list")
 	w.registry.SetDown(true)
 	checkPinned("registry outage")
 	w.registry.SetDown(false)
@@ -321,20 +321,20 @@
 	s.Kill()
 	w.registry.SetState(s.Name, "DELETED")
 	w.collectLoad()
-	w.waitUntil("rejected queries", func() bool { w.collectLoad(); return w.tally.Nacked > 20 })
+	w.waitUntil("rejected queries", func() bool { w.collectLoad(); return w.queryStats.Nacked > 20 })
 	w.load.Stop()
-	if w.collectLoad(); w.tally.Aborted+w.tally.Lost > 0 {
-		t.Fatalf("got %+v, want no aborted or lost queries", w.tally)
+	if w.collectLoad(); w.queryStats.Aborted+w.queryStats.Lost > 0 {
+		t.Fatalf("got %+v, want no aborted or lost queries", w.queryStats)
 	}
 }
 
 // A weight of 0.25 gives a backend a quarter of its usual share of calls.
 func TestWeightScalesTheShareOfCalls(t *testing.T) {
-	queriesPerS, callCount := 150.0, int64(2000)
+	queriesPerSecond, callCount := 150.0, int64(2000)
 	if measure {
-		queriesPerS, callCount = 300, 20000
+		queriesPerSecond, callCount = 300, 20000
 	}
-	w := newCluster(t, queriesPerS, 10*time.Millisecond)
+	w := newCluster(t, queriesPerSecond, 10*time.Millisecond)
 	s := w.backends[3]
 	share := func() float64 {
 		all, own := w.calls(), s.Calls()
@@ -351,7 +351,7 @@
 	if got > 0.6 || measure && math.Abs(got-0.25) > 0.15*0.25 {
 		t.Errorf("a weight of 0.25 gives %.3f of the usual calls", got)
 	}
-	w.registry.SendFullList()
+	w.registry.SendCompleteList()
 	w.registry.SetDown(true)
 	w.registry.SetDown(false)
 	w.registry.SetState(s.Name, "DRAINING")
@@ -384,7 +384,7 @@
 	w := newCluster(t, 300, 4*time.Millisecond)
 	s := w.backends[3]
 	time.Sleep(3 * time.Second)
-	w.command(api.Command{Kind: "out", Backend: s.Name, For: 10})
+	w.command(api.Command{Kind: "out", Backend: s.Name, DurationSeconds: 10})
 	time.Sleep(4900 * time.Millisecond)
 	w.collectLoad()
 	time.Sleep(5 * time.Second)
@@ -464,7 +464,7 @@
 	w.file.Overrides.Directory = blocked
 	w.start()
 	v := w.overrides()
-	_, err := w.client.Send(context.Background(), api.Command{Revision: &v.Revision, Kind: "out", Backend: "s-1", Author: "ann", Reason: "slow", For: 9})
+	_, err := w.client.Send(context.Background(), api.Command{Revision: &v.Revision, Kind: "out", Backend: "s-1", Author: "ann", Reason: "slow", DurationSeconds: 9})
 	if e := (*api.Error)(nil); !errors.As(err, &e) || e.Code != "not_kept" || len(v.Overrides) > 0 {
 		t.Fatalf("got error %v with %+v, want code not_kept and no overrides", err, v)
 	}
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -48,9 +48,9 @@
 		Name          string  `json:"name"`
 	} `json:"requestClasses"`
 	Customers []struct {
-		Name      string  `json:"name"`
-		Share     float64 `json:"portion"`
-		QuotaPerS float64 `json:"quotaPerS"`
+		Name           string  `json:"name"`
+		Share          float64 `json:"portion"`
+		QuotaPerSecond float64 `json:"quotaPerS"`
 	} `json:"tenants"`
 	Layout struct {
 		Cells             int       `json:"places"`
@@ -117,7 +117,7 @@
 	result := Settings{Net: Net{Locations: raw.Locations, MachineKinds: raw.MachineKinds, Shards: layout.Shards, CallsPerConnection: limits.CallsPerConnection,
 		IdleTimeoutS: limits.IdleTimeoutS, ConnectTimeoutS: limits.ConnectTimeoutS, LoadReports: raw.LoadReports.Source == "answers" || raw.LoadReports.Source == "probe"}}
 	result.Settings = policy.Settings{
-		Seed: seed, Self: policy.AggregatorNo(raw.AggregatorIndex), Aggregators: raw.AggregatorCount, Location: policy.LocationID(raw.Location),
+		Seed: seed, Self: policy.AggregatorNumber(raw.AggregatorIndex), Aggregators: raw.AggregatorCount, Location: policy.LocationID(raw.Location),
 		StepInterval: raw.StepIntervalS, OverQuotaValue: raw.OverQuotaValue, ListOnRequest: raw.ListMode == "subscribe",
 		Layout: policy.Layout{Cells: layout.Cells, Width: layout.Width, SubqueriesPerCall: layout.SubqueriesPerCall, CallCost: layout.CallCostS},
 		Limits: policy.Limits{Cancel: limits.Cancel, Probe: limits.Probe, PeerMessages: limits.PeerMessages, Hedge: limits.Hedge,
@@ -147,7 +147,7 @@
 		result.Net.Indexes = append(result.Net.Indexes, indexSettings.Name)
 	}
 	for _, customer := range raw.Customers {
-		result.Customers = append(result.Customers, policy.CustomerSettings{Share: customer.Share, QuotaPerS: customer.QuotaPerS})
+		result.Customers = append(result.Customers, policy.CustomerSettings{Share: customer.Share, QuotaPerSecond: customer.QuotaPerSecond})
 		result.Net.Customers = append(result.Net.Customers, customer.Name)
 	}
 	return result, validate(&raw)
--- a/internal/operators/capture/capture.go
+++ b/internal/operators/capture/capture.go
@@ -149,7 +149,7 @@
 // Outcomes of a query.
 const (
 	Answered End = iota
-	Nacked
+	Rejected
 	Aborted
 	Disconnected
 	Full // rejected, because the aggregator held its maximum number of queries
@@ -166,8 +166,8 @@
 			e.Late++
 		}
 		rec.latency[k].Add(elapsed, 1)
-	case Nacked:
-		e.Nacked++
+	case Rejected:
+		e.Rejected++
 	case Aborted:
 		e.Aborted++
 	case Disconnected:
@@ -229,10 +229,10 @@
 	default:
 		row.Failed++
 	}
-	if end.Load.Has&(policy.HasService|policy.HasUtil) != 0 {
+	if end.Load.Has&(policy.HasServiceTime|policy.HasUtilization) != 0 {
 		row.Reports++
-		row.Service += end.Load.ServiceS
-		row.Util += end.Load.Util
+		row.Service += end.Load.ServiceTimeSeconds
+		row.Util += end.Load.Utilization
 	}
 }
 
--- a/internal/tools/benchadapter/fields.go
+++ b/internal/tools/benchadapter/fields.go
@@ -148,13 +148,13 @@
 		case "pending":
 			report.Has, report.Queued = report.Has|policy.HasQueued, number
 		case "cpu_share":
-			report.Has, report.Util = report.Has|policy.HasUtil, number
+			report.Has, report.Utilization = report.Has|policy.HasUtilization, number
 		case "svc_ms":
-			report.Has, report.ServiceS = report.Has|policy.HasService, number/1000
+			report.Has, report.ServiceTimeSeconds = report.Has|policy.HasServiceTime, number/1000
 		case "served_ps":
-			report.Has, report.ServedPS = report.Has|policy.HasServed, number
+			report.Has, report.ServedPerSecond = report.Has|policy.HasServed, number
 		case "failed_ps":
-			report.Has, report.FailPS = report.Has|policy.HasFail, number
+			report.Has, report.FailedPerSecond = report.Has|policy.HasFailed, number
 		}
 	}
 	return report
--- a/internal/tools/demo/cluster/load.go
+++ b/internal/tools/demo/cluster/load.go
@@ -95,8 +95,8 @@
 
 // submitJobs submits random jobs at the given rate until loadContext ends. A goroutine for each job polls it until the job has
 // ended or jobContext ends.
-func (l *loadGenerator) submitJobs(loadContext, jobContext context.Context, perS float64) {
-	interval := time.Duration(float64(time.Second) / perS)
+func (l *loadGenerator) submitJobs(loadContext, jobContext context.Context, jobsPerSecond float64) {
+	interval := time.Duration(float64(time.Second) / jobsPerSecond)
 	for sleep(loadContext, interval) {
 		service := randomElement(serviceNames)
 		specification := randomElement(jobKinds[service])
--- a/internal/tools/plan/emulate.go
+++ b/internal/tools/plan/emulate.go
@@ -108,7 +108,7 @@
 
 // newEmulatedAggregator returns the site's i-th aggregator, without queries.
 func newEmulatedAggregator(site *Site, seed uint64, i int) *emulatedAggregator {
-	settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNo(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
+	settings := policy.Settings{Seed: seed + uint64(i)*7919, Self: policy.AggregatorNumber(i), Aggregators: site.Aggregators, Location: policy.LocationID(i % max(1, len(site.Locations))),
 		StepInterval: site.StepInterval, Layout: policy.Layout{Cells: site.Cells, Width: site.Width, SubqueriesPerCall: 1},
 		Limits: policy.Limits{Cancel: true, Probe: true, Hedge: true, RetryAfter: true, MaxAttempts: max(1, site.MaxAttempts), MaxPending: site.MaxPending, MaxRetryAfter: 1, ConnectTimeout: 0.25},
 		Rules:  policy.Rules{AnswerSlack: 0.02, DrainGrace: 2}, Prices: policy.Prices{CrossLocation: 0.02}}
@@ -116,7 +116,7 @@
 		settings.Indexes = append(settings.Indexes, policy.IndexSettings{Soft: index.Soft, Hard: index.Hard, Value: max(index.Value, 1e-9), LateValue: index.LateValue, Effect: index.Effect, Required: 1, Minimum: 1})
 	}
 	return &emulatedAggregator{policy: policy.New(settings, 0), queries: map[policy.QueryID]*pendingQuery{}, subqueries: map[policy.SubqueryID]policy.IndexID{},
-		nextCallNumber: map[policy.SubqueryID]policy.CallNo{}, inFlight: map[callKey]*call{}, lastStep: -1}
+		nextCallNumber: map[policy.SubqueryID]policy.CallNumber{}, inFlight: map[callKey]*call{}, lastStep: -1}
 }
 
 // schedule adds an event to run at the given time, or now if that time has passed.
@@ -183,7 +183,7 @@
 	aggregator.lastID++
 	id, pending := policy.QueryID(aggregator.lastID), &pendingQuery{query: sent}
 	aggregator.queries[id] = pending
-	event := policy.Event{Kind: policy.QueryReceived, Query: id, No: policy.QueryNo(id), Index: policy.IndexID(indexNo), Remaining: index.Hard - (sim.now - sent.startedAt), Subqueries: len(sent.shards), Resent: sent.attempts > 1}
+	event := policy.Event{Kind: policy.QueryReceived, Query: id, QueryNumber: policy.QueryNumber(id), Index: policy.IndexID(indexNo), Remaining: index.Hard - (sim.now - sent.startedAt), Subqueries: len(sent.shards), Resent: sent.attempts > 1}
 	events := []policy.Event{event}
 	event.Kind, event.Subqueries = policy.SubqueryReceived, 0
 	for _, shard := range sent.shards {
@@ -226,10 +226,10 @@
 		if !known {
 			return
 		}
-		callNo := aggregator.nextCallNumber[action.Subquery]
-		aggregator.nextCallNumber[action.Subquery] = callNo + 1
-		sent := &call{aggregator: aggregator, subquery: action.Subquery, number: callNo, index: index, sentAt: sim.now}
-		aggregator.inFlight[callKey{action.Subquery, callNo}] = sent
+		callNumber := aggregator.nextCallNumber[action.Subquery]
+		aggregator.nextCallNumber[action.Subquery] = callNumber + 1
+		sent := &call{aggregator: aggregator, subquery: action.Subquery, number: callNumber, index: index, sentAt: sim.now}
+		aggregator.inFlight[callKey{action.Subquery, callNumber}] = sent
 		backend := sim.backendsByID[action.Backend]
 		sim.schedule(sim.now+sim.site.NetworkDelay, func() { sim.deliver(backend, sent) })
 		sim.schedule(action.StopAt, func() { sim.completeCall(sent, backend, policy.TimedOut) })
--- a/internal/tools/plan/simulation.go
+++ b/internal/tools/plan/simulation.go
@@ -61,7 +61,7 @@
 type call struct {
 	aggregator *emulatedAggregator
 	subquery   policy.SubqueryID
-	number     policy.CallNo
+	number     policy.CallNumber
 	index      policy.IndexID
 	sentAt     float64
 	completed  bool // the aggregator has been notified of its end
@@ -103,7 +103,7 @@
 	stepScheduled  bool    // a step is in the event heap
 	queries        map[policy.QueryID]*pendingQuery
 	subqueries     map[policy.SubqueryID]policy.IndexID
-	nextCallNumber map[policy.SubqueryID]policy.CallNo // number of the next call for each subquery
+	nextCallNumber map[policy.SubqueryID]policy.CallNumber // number of the next call for each subquery
 	inFlight       map[callKey]*call
 	lastID         uint64 // last ID that was assigned to a query or subquery
 	maxPending     int
@@ -113,7 +113,7 @@
 // callKey identifies a call at its aggregator.
 type callKey struct {
 	subquery policy.SubqueryID
-	number   policy.CallNo
+	number   policy.CallNumber
 }
 
 // emulation is the state of one run: a deployment under a workload. Times are in seconds from the start of the run.
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -19,7 +19,7 @@
 	a := &Aggregator{
 		listPollAt: listAt, settings: settings, now: now, random: pcg(settings.Seed), shortestSoftDeadline: math.Inf(1), maxConnectionIdleTime: math.Inf(1),
 		locationFaults: map[LocationID][]decayingMean{}, backends: map[BackendID]*backend{}, replicasByCell: make([][]*backend, settings.Layout.Cells),
-		queries: map[QueryNo]*query{}, queryNumbers: map[QueryID]QueryNo{}, subqueries: map[SubqueryID]*subquery{},
+		queries: map[QueryNumber]*query{}, queryNumbers: map[QueryID]QueryNumber{}, subqueries: map[SubqueryID]*subquery{},
 		customers: make([]customer, len(settings.Customers)), pins: map[pinKey]*PinOverride{},
 	}
 	for i := range settings.Indexes {
@@ -103,7 +103,7 @@
 	if int(id) >= len(a.customers) {
 		return false
 	}
-	bucket, rate := &a.customers[id], a.settings.Customers[id].QuotaPerS/float64(a.settings.Aggregators)
+	bucket, rate := &a.customers[id], a.settings.Customers[id].QuotaPerSecond/float64(a.settings.Aggregators)
 	bucket.tokens, bucket.at = min(max(1, rate*seconds), bucket.tokens+(a.now-bucket.at)*rate), a.now
 	if bucket.tokens < 1 {
 		return true
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -13,7 +13,7 @@
 // Settings are the settings of an instance. Times are in seconds. A zero value means that a setting is not stated.
 type Settings struct {
 	Seed           uint64
-	Self           AggregatorNo
+	Self           AggregatorNumber
 	Aggregators    int
 	Location       LocationID
 	StepInterval   float64 // least time between two calls of Step
@@ -40,7 +40,7 @@
 
 // CustomerSettings describe one customer's share of the service.
 type CustomerSettings struct {
-	Share, QuotaPerS float64
+	Share, QuotaPerSecond float64
 }
 
 // Layout describes which backends hold a shard: those of the cells shard, shard+1, ... shard+Width-1, modulo Cells.
