--- a/internal/dataplane/backends/calls.go
+++ b/internal/dataplane/backends/calls.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// endNotStarted ends calls whose write was revoked before it started.
+// endRevoked ends calls whose write was revoked before it started.
 func (a *actor) endRevoked(calls []*call) {
 	for _, c := range calls {
 		if a.calls[c.name] == c {
--- a/internal/dataplane/proxy/call_test.go
+++ b/internal/dataplane/proxy/call_test.go
@@ -18,7 +18,7 @@
 	"puffinlink.example/puffinlink/internal/virtualtime"
 )
 
-// callerFunc is a transport.Caller made of a function.
+// callFunc is a transport.Caller made of a function.
 type callFunc func(ctx context.Context, address string) error
 
 func (f callFunc) Call(ctx context.Context, address string, _ transport.Route, _, _ any) error {
--- a/internal/jobs/jobreport/calls.go
+++ b/internal/jobs/jobreport/calls.go
@@ -32,7 +32,7 @@
 type JobsRequest struct {
 	Group string    `msgpack:"g"`
 	State job.State `msgpack:"s"` // only jobs in this state; empty for all states
-	Limit int       `msgpack:"l"` // 1 to MaxJobs
+	Limit int       `msgpack:"l"` // 1 to MaxJobLimit
 }
 
 // JobsReply is the reply to a JobsRequest.
--- a/internal/jobs/workerclient/connections.go
+++ b/internal/jobs/workerclient/connections.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// overLongPollLimit reports whether there are too many links for a long poll at every idle worker.
+// exceedsLongPollLimit reports whether there are too many links for a long poll at every idle worker.
 func (c *Connections) exceedsLongPollLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tools/demo/cluster/machines.go
+++ b/internal/tools/demo/cluster/machines.go
@@ -207,7 +207,7 @@
 	d.injectedFaults = append(d.injectedFaults, text)
 }
 
-// runningCount counts the runs that have not ended.
+// countRunning counts the attempts that have not ended.
 func countRunning(records []cluster.AttemptRecord) int {
 	return len(slices.DeleteFunc(records, func(record cluster.AttemptRecord) bool { return !record.EndedAt.IsZero() }))
 }
